--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -12,6 +12,7 @@
 pub mod old;
 mod pretend;
 pub mod store;
+mod trace;
 pub mod trouble;
 mod users;
 mod waits;
@@ -183,6 +184,8 @@
     pub boot: u64,
     /// Since when jobs have waited though there is room.
     pub waits: waits::Waits,
+    /// Digest of what the controllers send.
+    trace: trace::Trace,
 }
 
 pub fn settings(i: usize, nodes: usize) -> Settings {
@@ -350,6 +353,7 @@
             troubles: Troubles::default(),
             boot: BOOT,
             waits: Default::default(),
+            trace: Default::default(),
         };
         for i in 0..nodes {
             w.nodes.push(Slot {
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -58,6 +58,7 @@
         let (cmds, next) = node.handle(clock, events);
         let run = self.nodes[i].run;
         for cmd in cmds {
+            self.trace.add(self.now, i, &cmd);
             match cmd {
                 NetCmd::Call(call) => self.send(i, run, call),
                 NetCmd::Respond {
--- /dev/null
+++ b/tests/world/trace.rs
@@ -0,0 +1,57 @@
+//! A digest of everything that the controllers of one simulated world send, to show that a change of the code
+//! leaves the behaviour as it was. `.ci/trace` runs the tests with it and compares two outputs.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::io::Write;
+use walnuttrestle::transport::NetCmd;
+
+/// Names the file to which each world appends its digest when it ends; without it nothing is written.
+const FILE_VARIABLE: &str = "TRACE_FILE";
+
+/// Digest of the commands that all controllers of one world hand to the network.
+#[derive(Default)]
+pub struct Trace {
+    /// `DefaultHasher::new` has fixed keys.
+    digest: DefaultHasher,
+    commands: u64,
+}
+
+impl Trace {
+    /// Adds one command: simulated time, sender, addressee and encoded bytes. No type name or log text goes in.
+    pub fn add(&mut self, now: u64, controller: usize, command: &NetCmd) {
+        self.commands += 1;
+        (now, controller).hash(&mut self.digest);
+        match command {
+            NetCmd::Respond {
+                conn,
+                status,
+                body,
+                retry_after,
+            } => (0, conn, status, body, retry_after).hash(&mut self.digest),
+            NetCmd::Call(call) => {
+                let head = (1, call.addr, call.method, &call.path, &call.body);
+                head.hash(&mut self.digest);
+                call.timeout.0.hash(&mut self.digest);
+            }
+        }
+    }
+}
+
+impl Drop for Trace {
+    fn drop(&mut self) {
+        let Some(path) = std::env::var_os(FILE_VARIABLE) else {
+            return;
+        };
+        let thread = std::thread::current();
+        let test = thread.name().unwrap_or("?").to_string();
+        let line = format!("{:016x} {} {test}\n", self.digest.finish(), self.commands);
+        let file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path);
+        if let Ok(mut file) = file {
+            // A line that cannot be written shows up as a missing digest.
+            let _ = file.write_all(line.as_bytes());
+        }
+    }
+}
