--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -1,12 +1,14 @@
-//! What telling siblings of cancellations costs: a heartbeat and its answer between two controllers of three, with 1,900
-//! machines and 1,000 cancellations a minute, in calm times and while one is refused; beside a sibling of the format
+//! What telling peers of cancellations costs: a heartbeat and its answer between two controllers of three, with 1,900
+//! machines and 1,000 cancellations a minute, in calm times and while one is refused; beside a peer of the format
 //! before. `cargo bench --bench heartbeats`; figures in `docs/measured/limits.md`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
+use lease_delegation::cancellations::{Heard, Log};
 use std::time::Duration;
 use walnuttrestle::protocol::format;
-use walnuttrestle::protocol::peer::{CancellationNews, Heartbeat, Knows, MOST_CANCELLATIONS, More};
-use walnuttrestle_rights::cancellations::{Heard, Log};
+use walnuttrestle::protocol::peer_messages::{
+    CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension, MOST_CANCELLATIONS,
+};
 
 /// Cancellations in the time between two heartbeats.
 const NEW: u64 = 12;
@@ -23,13 +25,13 @@
         format,
         asks: 30_000,
         epoch: 4,
-        more: Some(More {
+        more: Some(HeartbeatExtension {
             run: u64::MAX / 3,
             right: None,
             used_ago: None,
             quiet: false,
         }),
-        gist: None,
+        record_summary: None,
         knows: None,
         news: None,
     }
@@ -45,7 +47,7 @@
 fn exchange(log: &Log, heard: &mut Heard, complete: u64) -> usize {
     let cursor = heard.cursor(0);
     let question = Heartbeat {
-        knows: Some(Knows {
+        knows: Some(CancellationCursor {
             complete,
             heard: (cursor.run, cursor.next),
         }),
@@ -91,7 +93,7 @@
     let mut g = c.benchmark_group("heartbeats");
     g.measurement_time(Duration::from_secs(2)).sample_size(30);
     let log = log();
-    // Each controller asks two siblings every 0.7 s, and answers them.
+    // Each controller asks two peers every 0.7 s, and answers them.
     let a_second = |bytes: usize| bytes as f64 * 4.0 / 0.7;
     g.bench_function("format before", |b| {
         b.iter(|| {
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -7,20 +7,20 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::time::Duration;
-use walnuttrestle::bookkeeping::mirror::Mirror;
-use walnuttrestle::bookkeeping::workers::{Seen, Worker};
-use walnuttrestle::coordination::backlog::Backlog;
-use walnuttrestle::coordination::leader::Leader;
-use walnuttrestle::coordination::node::{Clock, Node};
-use walnuttrestle::coordination::pass;
-use walnuttrestle::coordination::policy::Policy;
+use walnuttrestle::agents::leader_state::LeaderState;
+use walnuttrestle::controller::{Clock, Controller};
+use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::records::{
-    BASE, Chunk, Entry, JobRec, LEAD, LeadRec, Stage, TYPES, job_key,
+    BASE, JobRecord, JobStage, LEAD, LeaderRecord, TYPES, TaskChunk, TaskEntry, job_key,
 };
 use walnuttrestle::protocol::wire::{
-    Item, ItemPage, MachineType, MachineTypes, Phase, Report, TaskReport, to_value,
+    Item, ItemPage, MachineType, MachineTypes, Report, TaskPhase, TaskReport, to_value,
 };
-use walnuttrestle::protocol::{Kind, Micros, Priority, Settings, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
+use walnuttrestle::scheduling::job_queue::Backlog;
+use walnuttrestle::scheduling::pass;
+use walnuttrestle::state::agent::{Agent, ReportedTask};
+use walnuttrestle::state::record_cache::RecordCache;
 
 const FLEETS: [usize; 3] = [300, 1_200, 5_000];
 /// Tasks of one job, and places of one machine.
@@ -63,8 +63,8 @@
     Settings::parse("bench.toml", text).expect("settings")
 }
 
-fn spec(kind: Kind, image: usize) -> Spec {
-    Spec {
+fn spec(kind: JobKind, image: usize) -> JobSpec {
+    JobSpec {
         class: "c".into(),
         team: "blue".into(),
         kind,
@@ -78,7 +78,7 @@
         types: None,
         zone: None,
         one_zone: false,
-        spread: kind == Kind::Service,
+        spread: kind == JobKind::Service,
         spot: false,
         estimate_s: 60.0,
         checkpoint_s: 0.0,
@@ -94,27 +94,27 @@
 
 /// Seven of eight places of each machine are taken by tasks of jobs of four, in turns of a service and
 /// an array, spread over the machines.
-fn records(machines: usize) -> Vec<(String, JobRec)> {
+fn records(machines: usize) -> Vec<(String, JobRecord)> {
     let jobs = machines * (PLACES - 1) / TASKS;
     let job = |j: usize| {
         let kind = if j.is_multiple_of(2) {
-            Kind::Service
+            JobKind::Service
         } else {
-            Kind::Array
+            JobKind::Array
         };
         let entries = (0..TASKS)
             .map(|t| {
                 // Neighbours in number are in different zones.
                 let m = (j * TASKS + t) % machines;
-                Entry(t as u32, 1, name(m), 1, 1, false)
+                TaskEntry(t as u32, 1, name(m), 1, 1, false)
             })
             .collect();
-        let rec = JobRec {
+        let rec = JobRecord {
             spec: spec(kind, j),
             at: Micros(j as u64),
-            stage: Stage::Active,
+            stage: JobStage::Active,
             end: Micros::ZERO,
-            first: Chunk { entries, done: 0 },
+            first: TaskChunk { entries, done: 0 },
             cleaned: false,
         };
         (format!("req-{j:06}"), rec)
@@ -152,9 +152,9 @@
             version: 1,
         })
         .collect();
-    let lead = LeadRec {
+    let lead = LeaderRecord {
         node: "kernel-0".into(),
-        inc: 1,
+        incarnation: 1,
         term: 1,
     };
     items.push(Item {
@@ -173,13 +173,13 @@
     chunks.into_iter().enumerate().map(page).collect()
 }
 
-fn read(pages: &[ItemPage]) -> Mirror {
-    let mut mirror = Mirror::default();
+fn read(pages: &[ItemPage]) -> RecordCache {
+    let mut cache = RecordCache::default();
     for p in pages {
-        mirror.apply_page(p.clone());
+        cache.apply_page(p.clone());
     }
-    assert!(mirror.synced);
-    mirror
+    assert!(cache.synced);
+    cache
 }
 
 fn clock() -> Clock {
@@ -190,16 +190,16 @@
 }
 
 /// A leader that has met all machines; those for which `dead` holds are proven gone.
-fn leading(machines: usize, pages: &[ItemPage], dead: impl Fn(usize) -> bool) -> Node {
+fn leading(machines: usize, pages: &[ItemPage], dead: impl Fn(usize) -> bool) -> Controller {
     let clock = clock();
     let start = Clock {
         now: Micros::millis(1),
         wall: Micros::millis(1),
     };
-    let mut node = Node::new(settings(), Policy::default(), 1, start);
-    node.mirror = read(pages);
-    let mut leader = Leader::new(1, 2, start);
-    leader.proof = clock.now;
+    let mut node = Controller::new(settings(), Policy::default(), 1, start);
+    node.cache = read(pages);
+    let mut leader = LeaderState::new(1, 2, start);
+    leader.last_confirmed_read = clock.now;
     for m in 0..machines {
         let on = (0..PLACES - 1).filter_map(|k| {
             let at = k * machines + m;
@@ -208,7 +208,7 @@
         let tasks = on.map(|at| TaskReport {
             task: format!("req-{:06}/{}", at / TASKS, at % TASKS),
             attempt: 1,
-            phase: Phase::Running,
+            phase: TaskPhase::Running,
             why: None,
             saved: None,
         });
@@ -224,13 +224,13 @@
             notice_s: None,
             tasks: tasks.collect(),
         };
-        let mut worker = Worker::new(&report);
-        worker.update(&report, clock.now);
-        worker.answered = Some(clock.now);
+        let mut agent = Agent::new(&report);
+        agent.update(&report, clock.now);
+        agent.answered = Some(clock.now);
         if dead(m) {
-            worker.over = Some(1);
+            agent.over = Some(1);
         }
-        leader.workers.insert(name(m), worker);
+        leader.agents.insert(name(m), agent);
     }
     node.leader = Some(leader);
     node
@@ -266,28 +266,28 @@
 }
 
 /// Jobs that wait: arrays of some 15 tasks, gangs of whole machines, and one service in fifty.
-fn waiting(jobs: usize, tasks: u32) -> impl Iterator<Item = (String, JobRec)> {
+fn waiting(jobs: usize, tasks: u32) -> impl Iterator<Item = (String, JobRecord)> {
     (0..jobs).map(move |j| {
         let kind = match j % 50 {
-            0 => Kind::Service,
-            n if n % 10 == 1 => Kind::Gang,
-            _ => Kind::Array,
+            0 => JobKind::Service,
+            n if n % 10 == 1 => JobKind::Gang,
+            _ => JobKind::Array,
         };
         let mut spec = spec(kind, j);
-        spec.tasks = if kind == Kind::Array { tasks } else { 2 };
+        spec.tasks = if kind == JobKind::Array { tasks } else { 2 };
         // Owners ask for about as much, not the same.
         spec.cpus = 4.0 + (j * 7 % 30) as f64 / 10.0;
         spec.estimate_s = 30.0 + (j * 31 % 97) as f64;
-        if kind == Kind::Gang {
+        if kind == JobKind::Gang {
             spec.gpus = PLACES as f64;
             spec.priority = Priority::High;
         }
-        let rec = JobRec {
+        let rec = JobRecord {
             spec,
             at: Micros(1_000_000 + j as u64),
-            stage: Stage::Active,
+            stage: JobStage::Active,
             end: Micros::ZERO,
-            first: Chunk::default(),
+            first: TaskChunk::default(),
             cleaned: false,
         };
         (format!("wait-{j:06}"), rec)
@@ -295,42 +295,42 @@
 }
 
 /// A leader of a fleet, the last `open` places of which are free on each machine, and a queue.
-fn queued(machines: usize, jobs: usize, tasks: u32, open: usize) -> Node {
+fn queued(machines: usize, jobs: usize, tasks: u32, open: usize) -> Controller {
     let mut node = leading(machines, &pages(machines), |_| false);
     if open == 0 {
         // What is left of each machine is taken, too.
         for m in 0..machines {
             let Some(l) = &mut node.leader else { break };
-            let Some(w) = l.workers.get_mut(&name(m)) else {
+            let Some(w) = l.agents.get_mut(&name(m)) else {
                 continue;
             };
             for k in w.tasks.len()..PLACES {
                 let id = format!("full-{m:06}-{k}");
-                let mut rec = JobRec {
-                    spec: spec(Kind::Service, m),
+                let mut rec = JobRecord {
+                    spec: spec(JobKind::Service, m),
                     at: Micros(900_000),
-                    stage: Stage::Active,
+                    stage: JobStage::Active,
                     end: Micros::ZERO,
-                    first: Chunk::default(),
+                    first: TaskChunk::default(),
                     cleaned: false,
                 };
                 rec.spec.tasks = 1;
-                rec.first.set(Entry(0, 1, name(m), 1, 1, false));
-                node.mirror.put_job(&id, rec, 3);
-                w.tasks.push(Seen {
+                rec.first.set(TaskEntry(0, 1, name(m), 1, 1, false));
+                node.cache.put_job(&id, rec, 3);
+                w.tasks.push(ReportedTask {
                     job: id,
                     task: 0,
                     attempt: 1,
-                    phase: Phase::Running,
+                    phase: TaskPhase::Running,
                     why: None,
                 });
             }
         }
     }
     for (id, rec) in waiting(jobs, tasks) {
-        node.mirror.put_job(&id, rec, 3);
+        node.cache.put_job(&id, rec, 3);
     }
-    node.mirror.take_changed();
+    node.cache.take_changed();
     node
 }
 
@@ -349,7 +349,7 @@
                 let at = format!("{what}, {machines} machines, {jobs} jobs");
                 let now = clock();
                 let mut new = || {
-                    let (m, s, p) = (&node.mirror, &node.settings, &node.policy);
+                    let (m, s, p) = (&node.cache, &node.settings, &node.policy);
                     pass::decide(l, &mut kept, m, s, p, now, None)
                 };
                 let starts = new().starts.len();
@@ -359,7 +359,7 @@
                 if jobs <= 10_000 && machines < 5_000 {
                     group.bench_function(BenchmarkId::new("plain", &at), |b| {
                         b.iter(|| {
-                            let (m, s, p) = (&node.mirror, &node.settings, &node.policy);
+                            let (m, s, p) = (&node.cache, &node.settings, &node.policy);
                             plain::decide(l, m, s, p, now)
                         })
                     });
@@ -371,7 +371,7 @@
     for jobs in [1_000, 10_000, 100_000] {
         let node = queued(1_250, jobs, 10, 1);
         group.bench_function(BenchmarkId::new("kept from records", jobs), |b| {
-            b.iter(|| Backlog::build(node.mirror.jobs.iter()).queued());
+            b.iter(|| Backlog::build(node.cache.jobs.iter()).queued());
         });
         let items: Vec<Item> = waiting(jobs, 10)
             .map(|(id, rec)| Item {
@@ -382,11 +382,11 @@
             .collect();
         group.bench_function(BenchmarkId::new("records read", jobs), |b| {
             b.iter(|| {
-                let mut mirror = read(&all);
+                let mut cache = read(&all);
                 for i in &items {
-                    mirror.put(&i.key, i.value.clone(), i.version);
+                    cache.put(&i.key, i.value.clone(), i.version);
                 }
-                mirror.jobs.len()
+                cache.jobs.len()
             });
         });
     }
@@ -403,13 +403,13 @@
     };
     const JOBS: usize = 50_000;
     let before = resident();
-    let mut mirror = Mirror::default();
+    let mut cache = RecordCache::default();
     for (id, rec) in waiting(JOBS, 10) {
-        mirror.put_job(&id, rec, 3);
+        cache.put_job(&id, rec, 3);
     }
-    mirror.take_changed();
+    cache.take_changed();
     let copy = resident();
-    let backlog = Backlog::build(mirror.jobs.iter());
+    let backlog = Backlog::build(cache.jobs.iter());
     let both = resident();
     assert_eq!(backlog.queued(), JOBS);
     let each = |bytes: u64| bytes / JOBS as u64;
--- a/crates/admission/benches/admission.rs
+++ b/crates/admission-control/benches/admission.rs
@@ -1,8 +1,8 @@
 //! What a submission costs at 10, 100 and 10,000 pairs of team and class: in, and out in its turn.
 
+use admission_control::lanes::Lanes;
+use admission_control::refusal::Refusals;
 use criterion::{Criterion, criterion_group, criterion_main};
-use walnuttrestle_admission::lanes::Lanes;
-use walnuttrestle_admission::refusal::Refusals;
 
 fn lanes(c: &mut Criterion) {
     for pairs in [10u32, 100, 10_000] {
--- a/crates/admission/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -3,10 +3,10 @@
 //! goes on for ever in finitely many states. Each line that the argument rests on is also taken out, and
 //! must then be missed.
 
+use admission_control::fair::Asked;
+use admission_control::parts::{Grant, Part, Rules, Want};
+use model_checker::{Model, Seen, explore};
 use std::collections::BTreeMap;
-use walnuttrestle_admission::fair::Asked;
-use walnuttrestle_admission::parts::{Grant, Part, Rules, Want};
-use walnuttrestle_explore::{Model, Seen, explore};
 
 const HOLDERS: [&str; 3] = ["a", "b", "c"];
 /// The true time, always.
@@ -262,7 +262,11 @@
         (Without::Told, [0, 0, 0, 0], parts(2, true, 3, 0)),
     ] {
         let seen = look(without, off, model);
-        assert!(matches!(seen, Seen::Broken { .. }), "{}", seen.story());
+        assert!(
+            matches!(seen, Seen::Broken { .. }),
+            "{}",
+            seen.story()
+        );
         println!("{}", seen.story());
     }
 }
--- a/crates/rights/src/cancellations.rs
+++ b/crates/lease-delegation/src/cancellations.rs
@@ -1,14 +1,14 @@
 //! Cancellations, passed from controller to controller without the state service.
 //!
-//! A controller may keep a worker alive only while it knows of every cancellation that a user was told of. The
-//! records show them; while the state service does not serve a controller, its siblings do, each with a log of
+//! A controller may keep a agent alive only while it knows of every cancellation that a user was told of. The
+//! records show them; while the state service does not serve a controller, its peers do, each with a log of
 //! what it knows, in the order in which it has learnt it. What is known this way stops tasks and does nothing
 //! else: it is no part of the copy of the records, and never lets anything start.
 
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Entries kept at least. A sibling that has heard of none of the older ones, and whose copy does not show them
+/// Entries kept at least. A peer that has heard of none of the older ones, and whose copy does not show them
 /// either, cannot be brought up to date.
 const KEPT: usize = 8_192;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// What a controller has heard of its siblings' logs.
+/// What a controller has heard of its peers' logs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Heard {
     cursors: Vec<Cursor>,
@@ -104,23 +104,23 @@
 
 impl Heard {
     /// Nothing yet.
-    pub fn new(siblings: usize) -> Heard {
+    pub fn new(peers: usize) -> Heard {
         Heard {
-            cursors: vec![Cursor::default(); siblings],
+            cursors: vec![Cursor::default(); peers],
             jobs: BTreeMap::new(),
         }
     }
 
-    /// How much of a sibling's log is known.
-    pub fn cursor(&self, sibling: usize) -> Cursor {
-        self.cursors[sibling]
+    /// How much of a peer's log is known.
+    pub fn cursor(&self, peer: usize) -> Cursor {
+        self.cursors[peer]
     }
 
-    /// A batch of the log of this run of a sibling has come. Returns the jobs that are new, and whether all of the
+    /// A batch of the log of this run of a peer has come. Returns the jobs that are new, and whether all of the
     /// log is known now, as it was when that batch was taken from it.
     pub fn take(
         &mut self,
-        sibling: usize,
+        peer: usize,
         run: u64,
         batch: &Batch,
         now: Time,
@@ -132,7 +132,7 @@
                 new.push((job.clone(), *version));
             }
         }
-        let cursor = &mut self.cursors[sibling];
+        let cursor = &mut self.cursors[peer];
         let known = if cursor.run == run { cursor.next } else { 0 };
         // What is missing in between would never be asked for again.
         if batch.from > known {
--- a/crates/rights/src/giver.rs
+++ b/crates/lease-delegation/src/giver.rs
@@ -5,8 +5,8 @@
 
 /// How long things last, in microseconds, with whatever is to spare for drift and late timers.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
-    /// A worker keeps its tasks for so long after its last answered report.
+pub struct GrantTerms {
+    /// A agent keeps its tasks for so long after its last answered report.
     pub lease: Time,
     /// Whatever a holder has renewed by a right is over this long after the right was last given.
     pub bound: Time,
@@ -27,11 +27,11 @@
 
 /// Rights that a leader has given under its present term.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Giver {
+pub struct LeaseGrantor {
     holders: BTreeMap<String, Given>,
 }
 
-impl Giver {
+impl LeaseGrantor {
     /// The right goes out with an answer to this process.
     pub fn give(&mut self, holder: &str, run: u64, now: Time) {
         self.meet(holder, run, now);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A sibling, asked at `asked`, has told how long ago it last used a right; none: never.
+    /// A peer, asked at `asked`, has told how long ago it last used a right; none: never.
     pub fn told(&mut self, holder: &str, run: u64, asked: Time, now: Time, used_ago: Option<Time>) {
         self.meet(holder, run, now);
         let Some(g) = self.holders.get_mut(holder) else {
@@ -65,7 +65,7 @@
 
     /// Whether a lease that has run out at `end` as far as we answered has run out for all that others may
     /// have answered; else when to look again.
-    pub fn over(&self, end: Time, now: Time, terms: &Terms) -> Result<(), Time> {
+    pub fn over(&self, end: Time, now: Time, terms: &GrantTerms) -> Result<(), Time> {
         let mut again: Option<Time> = None;
         for g in self.holders.values() {
             let bound = g.given + terms.bound;
--- a/crates/rights/src/holder.rs
+++ b/crates/lease-delegation/src/holder.rs
@@ -1,10 +1,10 @@
-//! A sibling's side: the right that it holds, and what it has used of it.
+//! A peer's side: the right that it holds, and what it has used of it.
 
 use crate::Time;
 
 /// The right to renew leases under a leader's term without a record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct LeaseGrantee {
     /// Under which term it was given, by which run of the leader's process, and when the leader was asked
     /// that gave it with its answer.
     held: Option<(u64, u64, Time)>,
@@ -13,7 +13,7 @@
 
 /// The lead that a controller knows of.
 #[derive(Debug, Clone, Copy)]
-pub struct Lead {
+pub struct KnownLeader {
     /// Its term.
     pub term: u64,
     /// Which run of the leader's process leads.
@@ -22,7 +22,7 @@
     pub ended: bool,
 }
 
-impl Holder {
+impl LeaseGrantee {
     /// The leader, asked at `asked`, has given the right with its answer, or has not: then what it gave
     /// before is no longer used.
     pub fn take(&mut self, term: Option<u64>, run: u64, asked: Time) {
@@ -42,7 +42,7 @@
     /// While the leader's process may live it has to have given the right: it takes leases for run out by
     /// itself, and has to know that we may renew them. Once that process has ended nobody does so under its
     /// term, and whoever leads next waits for whatever may have been renewed under older terms.
-    pub fn may(&self, lead: &Lead, known: Time, now: Time, grace: Time) -> bool {
+    pub fn may(&self, lead: &KnownLeader, known: Time, now: Time, grace: Time) -> bool {
         let given = self
             .held
             .is_some_and(|(t, r, at)| (t, r) == (lead.term, lead.run) && now < at + grace);
--- a/crates/rights/src/lib.rs
+++ b/crates/lease-delegation/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who may keep workers alive while the state service is out of reach.
+//! Who may keep agents alive while the state service is out of reach.
 //!
 //! Pure machines, without clocks and I/O of their own; times are microseconds of the caller's steady
 //! clock. What they are for, and why they are safe, is in `docs/links.md` and `docs/safety.md`:
 //!
-//! - [`giver::Giver`]: a leader that the state service does not serve gives its siblings the right to renew
+//! - [`giver::LeaseGrantor`]: a leader that the state service does not serve gives its peers the right to renew
 //!   leases under its term, and takes no lease for run out that one of them may have renewed;
-//! - [`holder::Holder`]: a sibling that holds such a right, and knows when the leader's process has ended;
-//! - [`quiet::Quiet`] and [`quiet::Vouched`]: a controller that is not served pledges to tell nothing new
+//! - [`holder::LeaseGrantee`]: a peer that holds such a right, and knows when the leader's process has ended;
+//! - [`quiet::SilencePledges`] and [`quiet::PeerFreshness`]: a controller that is not served pledges to tell nothing new
 //!   for a while, so that it can be vouched for after it has crashed;
-//! - [`cancellations::Log`] and [`cancellations::Heard`]: what is cancelled, passed on among siblings.
+//! - [`cancellations::Log`] and [`cancellations::Heard`]: what is cancelled, passed on among peers.
 
 pub mod cancellations;
 pub mod giver;
--- a/crates/rights/tests/cancellations.rs
+++ b/crates/lease-delegation/tests/cancellations.rs
@@ -1,6 +1,6 @@
 //! The log of cancellations and what is heard of others', piece by piece.
 
-use walnuttrestle_rights::cancellations::{Batch, Cursor, Heard, Log};
+use lease_delegation::cancellations::{Batch, Cursor, Heard, Log};
 
 fn job(n: u64) -> String {
     format!("req-{n}")
--- a/crates/rights/tests/every_state.rs
+++ b/crates/lease-delegation/tests/every_state.rs
@@ -1,13 +1,13 @@
-//! Every state of a small model: a leader A with the state service in and out of reach, a sibling B without it,
-//! and one worker that either may reach. A tells a user that the worker's job is cancelled, crashes, comes back,
+//! Every state of a small model: a leader A with the state service in and out of reach, a peer B without it,
+//! and one agent that either may reach. A tells a user that the agent's job is cancelled, crashes, comes back,
 //! takes the lead anew; B renews by right, crashes; messages are late, lost, or overtake one another. Each line
 //! that the argument rests on is also taken out, and must then be missed.
 
-use walnuttrestle_explore::{Model, Seen, explore};
-use walnuttrestle_rights::Time;
-use walnuttrestle_rights::giver::{Giver, Terms};
-use walnuttrestle_rights::holder::{Holder, Lead};
-use walnuttrestle_rights::quiet::{Answer, Known, Quiet, Vouched};
+use lease_delegation::Time;
+use lease_delegation::giver::{GrantTerms, LeaseGrantor};
+use lease_delegation::holder::{KnownLeader, LeaseGrantee};
+use lease_delegation::quiet::{PeerAnswer, PeerFreshness, PeerKnowledge, SilencePledges};
+use model_checker::{Model, Seen, explore};
 
 const LEASE: Time = 2;
 const GRACE: Time = 2;
@@ -19,7 +19,7 @@
 const TIMEOUT: Time = 2;
 const START: Time = 10;
 const TERM: u64 = 1;
-const TERMS: Terms = Terms {
+const TERMS: GrantTerms = GrantTerms {
     lease: LEASE + 1,
     bound: CANCEL + 1,
 };
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Reply {
+struct StoreResponse {
     run: u64,
     right: bool,
     quiet: bool,
@@ -62,27 +62,27 @@
     synced: bool,
     /// Since when it leads, and with the first term or a later one.
     leads: Option<(Time, bool)>,
-    giver: Giver,
-    quiet: Quiet,
-    /// Its last answer to the worker; since then it cannot reach it.
+    giver: LeaseGrantor,
+    quiet: SilencePledges,
+    /// Its last answer to the agent; since then it cannot reach it.
     answered: Time,
     told: Option<Time>,
     crashed: bool,
     // B
     b_run: u64,
-    vouched: Vouched,
-    holder: Holder,
+    vouched: PeerFreshness,
+    holder: LeaseGrantee,
     /// The run of A that last answered.
     heard: u64,
     // Messages: of B to A with its answer, and the other way round.
-    asked: Option<(Time, Option<Reply>)>,
-    asks: Option<(Time, bool, Option<Reply>)>,
+    asked: Option<(Time, Option<StoreResponse>)>,
+    asks: Option<(Time, bool, Option<StoreResponse>)>,
     /// When each last asked: once a tick is as often as it gets.
     last: (Time, Time),
-    // The worker
+    // The agent
     from: Time,
     dead: bool,
-    /// A has concluded that the worker's tasks are gone.
+    /// A has concluded that the agent's tasks are gone.
     over: bool,
 }
 
@@ -138,17 +138,17 @@
                 n.run += 1;
                 n.synced = false;
                 n.leads = None;
-                n.giver = Giver::default();
-                n.quiet = Quiet::new(1, KEPT, now);
+                n.giver = LeaseGrantor::default();
+                n.quiet = SilencePledges::new(1, KEPT, now);
                 if self.without == Without::Birth {
-                    n.quiet = Quiet::new(1, KEPT, 0);
+                    n.quiet = SilencePledges::new(1, KEPT, 0);
                 }
                 n.asks = None;
             }
             Step::CrashB if s.b_run == 1 && self.b_crashes => {
                 // It cannot read the records again, so it renews nothing any more.
                 n.b_run = 2;
-                n.holder = Holder::default();
+                n.holder = LeaseGrantee::default();
                 n.asked = None;
             }
             Step::Sync if !s.synced && s.served => n.synced = true,
@@ -163,7 +163,7 @@
                 n.told = Some(now);
             }
             Step::RenewB if !s.dead && s.b_run == 1 => {
-                let lead = Lead {
+                let lead = KnownLeader {
                     term: TERM,
                     run: 1,
                     ended: s.heard > 1,
@@ -214,7 +214,7 @@
                 if right {
                     n.giver.give("b", s.b_run, now);
                 }
-                let reply = Reply {
+                let reply = StoreResponse {
                     run: s.run,
                     right,
                     quiet,
@@ -228,12 +228,12 @@
                     return None;
                 };
                 n.asked = None;
-                let a = Answer {
+                let a = PeerAnswer {
                     // B's copy is complete up to the lead of the first term.
                     known: match r.newest {
-                        None => Known::Unread,
-                        Some(1) => Known::All,
-                        Some(_) => Known::Some,
+                        None => PeerKnowledge::Unread,
+                        Some(1) => PeerKnowledge::All,
+                        Some(_) => PeerKnowledge::Some,
                     },
                     quiet: r.quiet,
                 };
@@ -254,15 +254,15 @@
                 };
                 if !quiet && self.without == Without::Overtaken {
                     // As `lifted`, but for what is on its way.
-                    let unread = Answer {
-                        known: Known::Unread,
+                    let unread = PeerAnswer {
+                        known: PeerKnowledge::Unread,
                         quiet: false,
                     };
                     n.vouched.answered(0, unread, 0, now);
                 } else if !quiet {
                     n.vouched.lifted(0, now);
                 }
-                let reply = Reply {
+                let reply = StoreResponse {
                     run: s.b_run,
                     right: false,
                     quiet: true,
@@ -310,14 +310,14 @@
             run: 1,
             synced: true,
             leads: Some((0, true)),
-            giver: Giver::default(),
-            quiet: Quiet::new(1, KEPT, 0),
+            giver: LeaseGrantor::default(),
+            quiet: SilencePledges::new(1, KEPT, 0),
             answered: START,
             told: None,
             crashed: !self.a_crashes,
             b_run: 1,
-            vouched: Vouched::new(1, COUNTED),
-            holder: Holder::default(),
+            vouched: PeerFreshness::new(1, COUNTED),
+            holder: LeaseGrantee::default(),
             heard: 1,
             asked: None,
             asks: None,
--- a/crates/rights/tests/every_word.rs
+++ b/crates/lease-delegation/tests/every_word.rs
@@ -1,19 +1,19 @@
 //! Every state of a small model of cancellations that are passed on: a leader L whom the state service refuses, F
-//! who confirms cancellations to users, T beside them, and one worker at L with tasks of two jobs. F and T may read the
+//! who confirms cancellations to users, T beside them, and one agent at L with tasks of two jobs. F and T may read the
 //! records at any moment, or never again; F crashes and comes back; what L is told is late, lost, comes again, or tells of
 //! one job at a time. Each line that the argument rests on is also taken out, and must then be missed.
 
-use walnuttrestle_explore::{Model, Seen, explore};
-use walnuttrestle_rights::Time;
-use walnuttrestle_rights::cancellations::{Batch, Heard, Log};
-use walnuttrestle_rights::quiet::{Answer, Known, Vouched};
+use lease_delegation::Time;
+use lease_delegation::cancellations::{Batch, Heard, Log};
+use lease_delegation::quiet::{PeerAnswer, PeerFreshness, PeerKnowledge};
+use model_checker::{Model, Seen, explore};
 
 const LEASE: Time = 2;
 const GRACE: Time = 1;
 const CANCEL: Time = LEASE + GRACE;
 const TIMEOUT: Time = 1;
 const START: Time = 10;
-/// Siblings, as L numbers them. T knows F alone.
+/// Peers, as L numbers them. T knows F alone.
 const F: usize = 0;
 const T: usize = 1;
 
@@ -28,7 +28,7 @@
     Run,
     /// What was heard is not passed on.
     PassOn,
-    /// A sibling vouches for others although it has not told all that it knows.
+    /// A peer vouches for others although it has not told all that it knows.
     Vouchers,
     /// Who has not read the records since it started vouches.
     Unread,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Reply {
+struct StoreResponse {
     run: u64,
     read: bool,
     batch: Batch,
@@ -50,19 +50,19 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Message {
     asked: Time,
-    reply: Reply,
+    reply: StoreResponse,
 }
 
 /// F or T.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Sibling {
+struct PeerSettings {
     run: u64,
     /// Its copy holds so many of the recorded cancellations; none: it has not read them since it started.
     copy: Option<u64>,
     log: Log,
     heard: Heard,
     /// Up to when T knows of everything that F has told, from the records or from F.
-    vouched: Vouched,
+    vouched: PeerFreshness,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
@@ -71,16 +71,16 @@
     /// Cancellations on record; the first is of job 0, the second of job 1.
     recorded: u64,
     told: [Option<Time>; 2],
-    f: Sibling,
-    t: Sibling,
+    f: PeerSettings,
+    t: PeerSettings,
     crashed: bool,
     // L
     heard: Heard,
-    vouched: Vouched,
+    vouched: PeerFreshness,
     /// What is on its way to L, and from whom. One at a time: what it hears of one does not touch what it knows of
     /// the other. T asks F in no time.
     asks: Option<(usize, Message)>,
-    // The worker
+    // The agent
     from: Time,
     on: [bool; 2],
 }
@@ -93,7 +93,7 @@
     ReadF,
     ReadT,
     Renew,
-    Ask(usize),
+    StoreRequest(usize),
     Hear,
     /// The same, and it comes again.
     HearCopy,
@@ -120,14 +120,14 @@
     ["a", "b"][n as usize].to_string()
 }
 
-impl Sibling {
-    fn new(run: u64, copy: Option<u64>) -> Sibling {
-        Sibling {
+impl PeerSettings {
+    fn new(run: u64, copy: Option<u64>) -> PeerSettings {
+        PeerSettings {
             run,
             copy,
             log: Log::default(),
             heard: Heard::new(1),
-            vouched: Vouched::new(1, 0),
+            vouched: PeerFreshness::new(1, 0),
         }
     }
 
@@ -162,11 +162,11 @@
             }
         }
         let known = match (r.read, all || self.without == Without::Whole) {
-            (false, _) if self.without != Without::Unread => Known::Unread,
-            (_, true) => Known::All,
-            _ => Known::Some,
+            (false, _) if self.without != Without::Unread => PeerKnowledge::Unread,
+            (_, true) => PeerKnowledge::All,
+            _ => PeerKnowledge::Some,
         };
-        let a = Answer {
+        let a = PeerAnswer {
             known,
             quiet: false,
         };
@@ -175,7 +175,7 @@
             _ => &mut n.vouched,
         };
         vouched.answered(i, a, m.asked, now);
-        if link == T && (known == Known::All || self.without == Without::Vouchers) {
+        if link == T && (known == PeerKnowledge::All || self.without == Without::Vouchers) {
             n.vouched.learnt(F, m.asked.saturating_sub(r.of_f));
         }
     }
@@ -192,7 +192,7 @@
             }
             Step::CrashF if self.crashes && !s.crashed => {
                 n.crashed = true;
-                n.f = Sibling::new(2, None);
+                n.f = PeerSettings::new(2, None);
             }
             Step::ReadF if s.f.copy != Some(s.recorded) => n.f.read(s.recorded, None),
             Step::ReadT if self.hears != Hears::F && s.t.copy != Some(s.recorded) => {
@@ -212,7 +212,7 @@
                     n.on[job] &= !stop || self.without == Without::Stop;
                 }
             }
-            Step::Ask(link) if s.asks.is_none() || link == 2 => {
+            Step::StoreRequest(link) if s.asks.is_none() || link == 2 => {
                 let (who, cursor, complete) = match link {
                     F if self.hears == Hears::T => return None,
                     T | 2 if self.hears == Hears::F => return None,
@@ -222,7 +222,7 @@
                 };
                 let same = cursor.run == who.run || self.without == Without::Run;
                 let from = if same { cursor.next } else { 0 };
-                let reply = Reply {
+                let reply = StoreResponse {
                     run: who.run,
                     read: who.copy.is_some(),
                     batch: who.log.batch(from, complete, 1).unwrap_or_default(),
@@ -260,7 +260,7 @@
     type Step = Step;
 
     fn start(&self) -> Vec<State> {
-        let mut vouched = Vouched::new(2, 0);
+        let mut vouched = PeerFreshness::new(2, 0);
         vouched.learnt(F, START);
         let until = if self.hears == Hears::F {
             2 * START
@@ -268,8 +268,8 @@
             START
         };
         vouched.learnt(T, until);
-        let sibling = || {
-            let mut s = Sibling::new(1, Some(0));
+        let peer = || {
+            let mut s = PeerSettings::new(1, Some(0));
             s.vouched.learnt(0, START);
             s
         };
@@ -277,8 +277,8 @@
             now: START,
             recorded: 0,
             told: [None; 2],
-            f: sibling(),
-            t: sibling(),
+            f: peer(),
+            t: peer(),
             crashed: false,
             heard: Heard::new(2),
             vouched,
@@ -290,11 +290,17 @@
 
     fn steps(&self, s: &State) -> Vec<(Step, State)> {
         use Step::*;
-        // Once the worker's lease has run out, or both tasks are gone, nothing more can happen.
+        // Once the agent's lease has run out, or both tasks are gone, nothing more can happen.
         if s.now >= self.until || s.now > s.from + LEASE || s.on == [false; 2] {
             return Vec::new();
         }
-        let links = [Ask(F), Ask(T), Ask(2), Hear, HearCopy];
+        let links = [
+            StoreRequest(F),
+            StoreRequest(T),
+            StoreRequest(2),
+            Hear,
+            HearCopy,
+        ];
         let all = [Tick, Confirm, CrashF, ReadF, ReadT, Renew];
         let next = |step: Step| Some((step, self.step(s, step)?));
         all.into_iter().chain(links).filter_map(next).collect()
--- a/src/coordination/tasks.rs
+++ b/src/agents/commands.rs
@@ -1,32 +1,32 @@
-//! Commands to workers: what follows from records and reports, sent directly and with answers.
+//! Commands to agents: what follows from records and reports, sent directly and with answers.
 
-use super::leader::{Leader, START_PROOF};
-use super::node::{CallTag, Clock, Node, cond, put};
-use super::siblings::known_cancelled;
-use crate::bookkeeping::mirror::Mirror;
-use crate::bookkeeping::store::{Ask, Rank};
-use crate::bookkeeping::workers::{AttemptKey, Seen, Standing, Start, Worker, read_report};
+use crate::agents::leader_state::{LeaderState, MAX_START_STALENESS};
+use crate::controller::{Clock, Controller, PendingCall, cond, put};
+use crate::leadership::peers::known_cancelled;
 use crate::protocol::Micros;
-use crate::protocol::records::{LEAD, LeadRec, Stage};
-use crate::protocol::wire::{Command, Orders, Phase, Report, Txn, Why, encode};
+use crate::protocol::records::{JobStage, LEAD, LeaderRecord};
+use crate::protocol::wire::{Command, ExitReason, Orders, Report, TaskPhase, Transaction, encode};
+use crate::state::agent::{Agent, AttemptKey, ReportedTask, Start, TaskLiveness, read_report};
+use crate::state::record_cache::RecordCache;
+use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
-use walnuttrestle_rights::cancellations::Heard;
+use lease_delegation::cancellations::Heard;
 
 /// Direct commands that got no answer are tried again after this.
 const ORDER_AGAIN: Micros = Micros::millis(1000);
 /// A machine that has heard nothing for long is asked at this pace.
 const DEAF_FOR_LONG: Micros = Micros::millis(6000);
 const DEAF_AGAIN: Micros = Micros::millis(5000);
-/// Ended attempts that a worker must not forget yet make its reports long: beyond so many the leader raises its
+/// Ended attempts that a agent must not forget yet make its reports long: beyond so many the leader raises its
 /// term, which fences all copies of their starts, but not again and again.
 const MOST_KEPT: usize = 40;
 const FENCE_EVERY: Micros = Micros::millis(60_000);
 /// A stop is repeated at this pace until the task is gone.
 const STOP_AGAIN: Micros = Micros::millis(1500);
-/// All workers are looked at for due commands at this pace, for what must be repeated; whatever
-/// happens to a worker or to the jobs on it has it looked at sooner.
+/// All agents are looked at for due commands at this pace, for what must be repeated; whatever
+/// happens to a agent or to the jobs on it has it looked at sooner.
 const SWEEP_EVERY: Micros = Micros::millis(1000);
-/// A worker that we answered this recently shows our term by itself with its next report.
+/// A agent that we answered this recently shows our term by itself with its next report.
 const TERM_SHOWS: Micros = Micros::millis(1200);
 /// How long a direct command may take.
 const ORDER_TIMEOUT: Micros = Micros::millis(2500);
@@ -40,7 +40,7 @@
 
 impl Due {
     /// Stops a task, unless that was sent a moment ago. `surely`: in any case.
-    fn stop(&mut self, w: &Worker, t: &Seen, grace_s: f64, surely: bool, now: Micros) {
+    fn stop(&mut self, w: &Agent, t: &ReportedTask, grace_s: f64, surely: bool, now: Micros) {
         let key = (t.job.clone(), t.task, t.attempt);
         if surely || w.stops.get(&key).is_none_or(|s| now >= *s + STOP_AGAIN) {
             self.stops.push(key);
@@ -54,7 +54,7 @@
 }
 
 /// A direct start that was certainly not carried out; other tries may have been.
-fn not_executed(w: &mut Worker, key: &AttemptKey) {
+fn not_executed(w: &mut Agent, key: &AttemptKey) {
     if let Some(s) = w.starts.get_mut(key) {
         s.direct = false;
         if !s.loose && !s.answered && s.answer_to.is_none() {
@@ -67,11 +67,11 @@
     format!("{job}/{task}")
 }
 
-/// What a worker is to be told now, in an `answer` to its report or directly. Forgets are told only with answers.
-/// `heard`: what siblings have told to be cancelled.
+/// What a agent is to be told now, in an `answer` to its report or directly. Forgets are told only with answers.
+/// `heard`: what peers have told to be cancelled.
 fn due(
-    l: &Leader,
-    mirror: &Mirror,
+    l: &LeaderState,
+    cache: &RecordCache,
     heard: &Heard,
     machine: &str,
     now: Micros,
@@ -83,7 +83,7 @@
         stops: Vec::new(),
         fence: false,
     };
-    let Some(w) = l.workers.get(machine) else {
+    let Some(w) = l.agents.get(machine) else {
         return d;
     };
     if w.is_over() {
@@ -91,35 +91,35 @@
     }
     // An answer renews the lease: it must never leave out the stop of a cancelled task because that was sent a
     // moment ago, directly perhaps, and lost.
-    let cancelled = |job: &str| known_cancelled(mirror, heard, job);
-    if w.term != l.term || !l.caught_up(mirror) {
-        // Nothing else may be decided yet, but the answer renews the worker's lease all the same. Under leaders
+    let cancelled = |job: &str| known_cancelled(cache, heard, job);
+    if w.term != l.term || !l.caught_up(cache) {
+        // Nothing else may be decided yet, but the answer renews the agent's lease all the same. Under leaders
         // that end before it has shown the term of any of them, a cancelled task would live on and on.
-        let there = w.tasks.iter().filter(|t| t.phase != Phase::Exited);
+        let there = w.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
         for t in there.filter(|t| cancelled(&t.job)) {
             d.stop(w, t, 0.0, answer, now);
         }
         return d;
     }
-    let may_start = now < l.proof + START_PROOF;
+    let may_start = now < l.last_confirmed_read + MAX_START_STALENESS;
     for t in &w.tasks {
-        let job = mirror.jobs.get(&t.job);
+        let job = cache.jobs.get(&t.job);
         let entry = job.and_then(|j| j.entry(t.task));
         let placed = entry.is_some_and(|e| {
             e.machine() == Some(machine) && e.attempt() == t.attempt && e.session() == w.session
         });
         let active = job.is_some_and(|j| j.active());
-        if t.phase == Phase::Exited {
-            let unrecorded = t.why == Some(Why::Done)
+        if t.phase == TaskPhase::Exited {
+            let unrecorded = t.why == Some(ExitReason::Done)
                 && active
                 && job.is_some_and(|j| !j.is_done(t.task) && t.task < j.rec.spec.tasks);
-            // An attempt whose start may still arrive must stay known to the worker, or the
+            // An attempt whose start may still arrive must stay known to the agent, or the
             // late start would run it again.
             let needed = unrecorded || (placed && active);
             if answer
                 && !needed
                 && !w.may_start_again(t)
-                && (job.is_some() || mirror.job(&t.job).is_some())
+                && (job.is_some() || cache.job(&t.job).is_some())
             {
                 d.commands.push(Command::Forget {
                     task: name(&t.job, t.task),
@@ -130,26 +130,26 @@
         }
         let over = match job {
             Some(j) if j.active() => heard.contains(&t.job),
-            Some(j) => j.rec.stage == Stage::Cancelled,
+            Some(j) => j.rec.stage == JobStage::Cancelled,
             None => cancelled(&t.job),
         };
         let grace = if !active || !placed || over {
             Some(0.0)
         } else {
             l.stop_of(&t.job, t.task)
-                .filter(|(g, _)| t.phase != Phase::Saving || *g == 0.0)
+                .filter(|(g, _)| t.phase != TaskPhase::Saving || *g == 0.0)
                 .map(|(g, _)| g)
         };
         // A task unknown to the copy is left alone until the copy has caught up: the job may
         // just have been accepted elsewhere.
-        if job.is_none() && mirror.job(&t.job).is_none() {
+        if job.is_none() && cache.job(&t.job).is_none() {
             continue;
         }
         let Some(grace_s) = grace else { continue };
         d.stop(w, t, grace_s, over && answer, now);
     }
-    for (id, task) in mirror.placed(machine) {
-        let Some(job) = mirror.jobs.get(id) else {
+    for (id, task) in cache.placed(machine) {
+        let Some(job) = cache.jobs.get(id) else {
             continue;
         };
         let Some(e) = job.entry(*task) else { continue };
@@ -158,10 +158,10 @@
         }
         let attempt = e.attempt();
         match l.standing(id, e) {
-            Standing::NotStarted | Standing::Unclear => {
+            TaskLiveness::NotStarted | TaskLiveness::Unclear => {
                 let loose = w.has_loose(id, *task, attempt);
                 // What we cannot read may say that it is cancelled.
-                let known = !mirror.is_unreadable(id);
+                let known = !cache.is_unreadable(id);
                 let wanted = job.active() && known && !cancelled(id) && l.wanted(id, e);
                 if wanted && may_start && !l.edits.placing(id, *task) {
                     d.starts.push((id.clone(), *task, attempt));
@@ -179,23 +179,16 @@
     d
 }
 
-impl Node {
+impl Controller {
     /// Commands for the answer to a report. Starts go with it only if the report was relayed,
-    /// since then the worker may be out of our reach.
+    /// since then the agent may be out of our reach.
     pub fn commands_for(&mut self, clock: Clock, report: &Report, relayed: bool) -> Vec<Command> {
         let machine = &report.machine;
         let Some(l) = &mut self.leader else {
             return Vec::new();
         };
-        let d = due(
-            l,
-            &self.mirror,
-            &self.siblings.heard,
-            machine,
-            clock.now,
-            true,
-        );
-        if let Some(w) = l.workers.get_mut(machine) {
+        let d = due(l, &self.cache, &self.peers.heard, machine, clock.now, true);
+        if let Some(w) = l.agents.get_mut(machine) {
             for key in d.stops {
                 w.stops.insert(key, clock.now);
             }
@@ -216,37 +209,37 @@
             .collect()
     }
 
-    /// Sends direct commands to the workers that something has happened to, and now and then looks
+    /// Sends direct commands to the agents that something has happened to, and now and then looks
     /// at all of them; returns when that will be next.
     pub fn send_orders(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(l) = &mut self.leader else {
             return Micros::FAR;
         };
-        let ready = |w: &Worker| !w.ordering && w.order_again <= now && !w.is_over();
+        let ready = |w: &Agent| !w.ordering && w.order_again <= now && !w.is_over();
         let touched = std::mem::take(&mut l.touched);
         let names: Vec<String> = if l.sweep_at <= now {
             l.sweep_at = now + SWEEP_EVERY;
-            let all = l.workers.iter().filter(|(_, w)| ready(w));
+            let all = l.agents.iter().filter(|(_, w)| ready(w));
             all.map(|(n, _)| n.clone()).collect()
         } else {
-            let of = |n: &String| l.workers.get(n).is_some_and(ready);
+            let of = |n: &String| l.agents.get(n).is_some_and(ready);
             touched.into_iter().filter(of).collect()
         };
         let mut fence = false;
         let mut calls = Vec::new();
         for machine in names {
             let Some(l) = &mut self.leader else { break };
-            let heard = &self.siblings.heard;
-            let mut d = due(l, &self.mirror, heard, &machine, now, false);
+            let heard = &self.peers.heard;
+            let mut d = due(l, &self.cache, heard, &machine, now, false);
             fence |= d.fence;
             // Looked at only where it may be so: counting looks every start up.
-            let full = |w: &Worker| w.tasks.len() > MOST_KEPT && w.kept() > MOST_KEPT;
-            fence |= now.since(l.since) > FENCE_EVERY && l.workers.get(&machine).is_some_and(full);
-            let Some(w) = l.workers.get_mut(&machine) else {
+            let full = |w: &Agent| w.tasks.len() > MOST_KEPT && w.kept() > MOST_KEPT;
+            fence |= now.since(l.since) > FENCE_EVERY && l.agents.get(&machine).is_some_and(full);
+            let Some(w) = l.agents.get_mut(&machine) else {
                 continue;
             };
-            // A worker that has not seen our term is told it with an empty list: that fences
+            // A agent that has not seen our term is told it with an empty list: that fences
             // whatever an older leader has sent.
             let shows = w
                 .answered
@@ -277,7 +270,7 @@
                 session: w.session,
                 commands: std::mem::take(&mut d.commands),
             };
-            let tag = CallTag::Orders {
+            let tag = PendingCall::Orders {
                 machine: machine.clone(),
                 starts: d.starts,
                 term: l.term,
@@ -294,7 +287,7 @@
         self.leader.as_ref().map_or(Micros::FAR, |l| l.sweep_at)
     }
 
-    /// Takes a higher term for ourselves: workers that see it no longer accept what was sent
+    /// Takes a higher term for ourselves: agents that see it no longer accept what was sent
     /// before and never answered.
     pub fn raise_term(&mut self) {
         let Some(l) = &mut self.leader else { return };
@@ -302,17 +295,20 @@
             return;
         }
         l.raising = true;
-        let rec = LeadRec {
+        let rec = LeaderRecord {
             node: self.settings.node.clone(),
-            inc: self.inc,
+            incarnation: self.incarnation,
             term: l.term + 1,
         };
-        let txn = Txn {
+        let txn = Transaction {
             conds: vec![cond(LEAD, l.version)],
             changes: vec![put(LEAD, &rec, None)],
         };
-        self.store
-            .ask(Rank::First, super::node::Tag::Raise, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::First,
+            crate::controller::StoreRequestPurpose::Raise,
+            StoreRequest::Transaction(txn),
+        );
     }
 
     /// Direct commands came back.
@@ -326,7 +322,7 @@
         outcome: Outcome,
     ) {
         let Some(l) = &mut self.leader else { return };
-        let Some(w) = l.workers.get_mut(machine) else {
+        let Some(w) = l.agents.get_mut(machine) else {
             return;
         };
         w.ordering = false;
@@ -374,7 +370,7 @@
                 self.take_report(clock, &r);
                 if higher {
                     log::info!("{machine} has seen term {}, above ours", r.term);
-                    self.want_barrier(clock, super::front::Waiter::Proof);
+                    self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
                 }
             }
             _ => {
--- a/src/coordination/troubles.rs
+++ b/src/agents/failure_history.rs
@@ -1,9 +1,9 @@
 //! Jobs that fail, machines that fail them, and which of the two is to blame.
 
-use super::leader::Leader;
-use super::policy::Policy;
-use crate::bookkeeping::workers::Worker;
+use crate::agents::leader_state::LeaderState;
+use crate::policy::Policy;
 use crate::protocol::Micros;
+use crate::state::agent::Agent;
 use std::collections::BTreeMap;
 
 /// A job is kept off a machine on which it has failed for this long, and a machine that fails what it starts gets
@@ -19,7 +19,7 @@
 
 /// Trouble with a job's tasks.
 #[derive(Debug, Clone, Default)]
-pub struct Trouble {
+pub struct FailureHistory {
     /// Machines on which it has failed, and when last: it is not tried there again for a while.
     pub machines: BTreeMap<String, Micros>,
     /// On how many different machines it has failed since a task of it last ran well.
@@ -28,7 +28,7 @@
     pub again: Micros,
 }
 
-impl Trouble {
+impl FailureHistory {
     /// It has failed on so many machines in a row that the job itself is at fault.
     pub fn jobs_fault(&self) -> bool {
         self.row > JOBS_FAULT
@@ -40,27 +40,27 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// The errors on a machine for which the machine may be to blame: not those of jobs that fail anywhere.
-    fn blamed<'a>(&'a self, w: &'a Worker) -> impl Iterator<Item = Micros> + 'a {
+    fn blamed<'a>(&'a self, w: &'a Agent) -> impl Iterator<Item = Micros> + 'a {
         let own = |job: &String| self.troubles.get(job).is_none_or(|t| !t.jobs_fault());
         let errors = w.errors.iter().filter(move |(_, job)| own(job));
         errors.map(|(t, _)| *t)
     }
 
     /// Whether a machine fails tasks of several jobs in a row.
-    pub fn sick(&self, w: &Worker, policy: &Policy) -> bool {
+    pub fn sick(&self, w: &Agent, policy: &Policy) -> bool {
         w.errors.len() as f64 >= policy.sick_after
             && self.blamed(w).count() as f64 >= policy.sick_after
     }
 
     /// Whether it has been for a while: jobs at fault are known as such by then, also to a new leader.
-    pub fn stays_sick(&self, w: &Worker, policy: &Policy, now: Micros) -> bool {
+    pub fn stays_sick(&self, w: &Agent, policy: &Policy, now: Micros) -> bool {
         self.sick(w, policy) && self.blamed(w).any(|t| now.since(t) > SICK_FOR)
     }
 
     /// Whether a machine may be the reason why a job has just failed on it.
-    pub fn suspect(&self, w: &Worker, now: Micros) -> bool {
+    pub fn suspect(&self, w: &Agent, now: Micros) -> bool {
         self.blamed(w).any(|t| now < t + SUSPECT)
     }
 
@@ -70,7 +70,7 @@
             t.machines.retain(|_, at| now < *at + AVOIDED);
             !t.machines.is_empty() || now < t.again
         });
-        for w in self.workers.values_mut() {
+        for w in self.agents.values_mut() {
             w.errors.retain(|(at, _)| now < *at + AVOIDED);
         }
     }
--- a/src/coordination/leader.rs
+++ b/src/agents/leader_state.rs
@@ -1,22 +1,22 @@
-//! The leading controller: what it knows of workers, their reports and leases, and what is due by
+//! The leading controller: what it knows of agents, their reports and leases, and what is due by
 //! time. Passes are in `pass`, the job records it writes in `edits`, commands in `tasks`.
 
-use super::edits::Edits;
-use super::fleet::Fleet;
-use super::node::{CallTag, Clock, Node};
-use super::siblings::known_cancelled;
-use super::troubles::Trouble;
-use crate::bookkeeping::mirror::{Job, Mirror};
-use crate::bookkeeping::workers::{News, Seen, Standing, Worker};
-use crate::protocol::records::Entry;
-use crate::protocol::wire::{Misdirected, Phase, Report, ReportAnswer, Why};
-use crate::protocol::{Kind, Micros, Settings};
+use crate::agents::failure_history::FailureHistory;
+use crate::cloud::inventory::Inventory;
+use crate::controller::{Clock, Controller, PendingCall};
+use crate::leadership::peers::known_cancelled;
+use crate::protocol::records::TaskEntry;
+use crate::protocol::wire::{ExitReason, Misdirected, Report, ReportResponse, TaskPhase};
+use crate::protocol::{JobKind, Micros, Settings};
+use crate::records::record_writer::RecordWriter;
+use crate::state::agent::{Agent, News, ReportedTask, TaskLiveness};
+use crate::state::record_cache::{Job, RecordCache};
 use crate::transport::Outcome;
+use lease_delegation::giver::{GrantTerms, LeaseGrantor};
 use std::collections::{BTreeMap, BTreeSet};
-use walnuttrestle_rights::giver::{Giver, Terms};
 
 /// State that exists only while we lead; rebuilt from records and reports.
-pub struct Leader {
+pub struct LeaderState {
     /// Our term.
     pub term: u64,
     /// Version of the leader's record: the condition of everything we write.
@@ -28,26 +28,26 @@
     /// When we took the lead.
     pub led_since: Micros,
     /// Start of the last read that showed that our term holds.
-    pub proof: Micros,
-    /// When all siblings were asked that then knew of no newer cancellation and no newer lead.
+    pub last_confirmed_read: Micros,
+    /// When all peers were asked that then knew of no newer cancellation and no newer lead.
     pub vouched: Micros,
     /// A new term is being asked for.
     pub raising: bool,
-    /// Rights to renew leases under our term that siblings hold.
-    pub rights: Giver,
-    /// Workers by machine.
-    pub workers: BTreeMap<String, Worker>,
+    /// Rights to renew leases under our term that peers hold.
+    pub rights: LeaseGrantor,
+    /// Agents by machine.
+    pub agents: BTreeMap<String, Agent>,
     /// Machines and rentals.
-    pub fleet: Fleet,
+    pub fleet: Inventory,
     /// Changes of job records.
-    pub edits: Edits,
+    pub edits: RecordWriter,
     /// Tasks to be stopped by job and number, with the grace they get, and when the stop was
     /// first wanted.
     pub stopping: BTreeMap<String, BTreeMap<u32, (f64, Micros)>>,
     /// Gangs of which a member is lost, with the attempt: the others are not started any more.
     pub broken_gangs: BTreeMap<String, u64>,
     /// Jobs that fail.
-    pub troubles: BTreeMap<String, Trouble>,
+    pub troubles: BTreeMap<String, FailureHistory>,
     /// Something has changed that a pass should see.
     pub dirty: bool,
     /// Machines for which commands may be due.
@@ -67,7 +67,7 @@
     renewals_seen: u64,
     leases_at: Micros,
     /// What comes back after a loss.
-    pub recovery: super::recovery::Recovery,
+    pub recovery: crate::scheduling::recovery::Recovery,
     /// When bundles are looked at again.
     pub fold_at: Micros,
     /// When the last pass was.
@@ -79,45 +79,45 @@
     /// Order of the starts, by job and task.
     pub order_of: BTreeMap<String, BTreeMap<u32, u64>>,
     /// What is kept from pass to pass.
-    pub kept: super::pass::Kept,
+    pub kept: crate::scheduling::pass::Kept,
 }
 
-/// A worker unheard for this many report intervals gets no new tasks.
+/// A agent unheard for this many report intervals gets no new tasks.
 pub const FRESH_REPORTS: f64 = 2.5;
 /// Starts are sent, and passes made, only this soon after a proof.
-pub const START_PROOF: Micros = Micros::millis(4000);
-/// After a takeover it takes a worker up to this many report intervals, and as many tries, to reach
+pub const MAX_START_STALENESS: Micros = Micros::millis(4000);
+/// After a takeover it takes a agent up to this many report intervals, and as many tries, to reach
 /// the new leader.
 const LEARNING_REPORTS: f64 = 3.0;
-/// A session that has lasted for so many leases has been renewed, so its worker hears.
+/// A session that has lasted for so many leases has been renewed, so its agent hears.
 const OUTLIVED: f64 = 1.5;
 /// Leases are looked through no more often than this: they last seconds.
 const LEASES_EVERY: Micros = Micros::millis(200);
 /// A leader gives the lead away no sooner than this after it has taken it.
 const YIELD_NOT_BEFORE: Micros = Micros::millis(15_000);
-/// A worker that reports to us has been heard within this many report intervals.
+/// A agent that reports to us has been heard within this many report intervals.
 const HEARD_REPORTS: f64 = 1.5;
-/// Leases are looked through this soon after a worker has been met; after a takeover hundreds come at once.
+/// Leases are looked through this soon after a agent has been met; after a takeover hundreds come at once.
 const MET_LEASES: Micros = Micros::millis(1_000);
 /// With nothing new, a pass comes this often all the same.
 const QUIET_PASS: Micros = Micros::millis(5_000);
 
-impl Leader {
+impl LeaderState {
     /// A new leader.
-    pub fn new(term: u64, version: u64, clock: Clock) -> Leader {
-        Leader {
+    pub fn new(term: u64, version: u64, clock: Clock) -> LeaderState {
+        LeaderState {
             term,
             version,
             entered: version,
             since: clock.now,
             led_since: clock.now,
-            proof: Micros::ZERO,
+            last_confirmed_read: Micros::ZERO,
             vouched: Micros::ZERO,
             raising: false,
-            rights: Giver::default(),
-            workers: BTreeMap::new(),
-            fleet: Fleet::new(clock),
-            edits: Edits::default(),
+            rights: LeaseGrantor::default(),
+            agents: BTreeMap::new(),
+            fleet: Inventory::new(clock),
+            edits: RecordWriter::default(),
             stopping: BTreeMap::new(),
             broken_gangs: BTreeMap::new(),
             troubles: BTreeMap::new(),
@@ -143,31 +143,31 @@
     }
 
     /// Where a recorded attempt stands.
-    pub fn standing(&self, job: &str, e: &Entry) -> Standing {
+    pub fn standing(&self, job: &str, e: &TaskEntry) -> TaskLiveness {
         let Some(machine) = e.machine() else {
-            return Standing::Gone;
+            return TaskLiveness::Gone;
         };
         if self.fleet.is_gone(machine) {
-            return Standing::Gone;
+            return TaskLiveness::Gone;
         }
-        match self.workers.get(machine) {
+        match self.agents.get(machine) {
             Some(w) => w.standing(self.term, job, e.task(), e.attempt(), e.session()),
             // Nobody has met it under our term, and nobody can still be renewing its lease.
-            None if self.strangers_over && !self.renewed.contains(machine) => Standing::Gone,
-            None => Standing::Unclear,
+            None if self.strangers_over && !self.renewed.contains(machine) => TaskLiveness::Gone,
+            None => TaskLiveness::Unclear,
         }
     }
 
     /// Whether a recorded attempt must be presumed on its machine. One that nobody has started
     /// counts while it is still `wanted`, since its start may be sent at any moment.
-    pub fn presumed(&self, job: &str, e: &Entry, wanted: bool) -> bool {
+    pub fn presumed(&self, job: &str, e: &TaskEntry, wanted: bool) -> bool {
         let standing = self.standing(job, e);
         standing.presumed(|| wanted && self.wanted(job, e))
     }
 
     /// Whether a recorded attempt may be started: it is not being stopped, and its gang has
     /// lost no member.
-    pub fn wanted(&self, job: &str, e: &Entry) -> bool {
+    pub fn wanted(&self, job: &str, e: &TaskEntry) -> bool {
         self.broken_gangs.get(job).is_none_or(|a| *a < e.attempt())
             && self.stop_of(job, e.task()).is_none()
     }
@@ -175,18 +175,18 @@
     /// Long enough in the lead to know who is there. A new leader has met only some of the machines:
     /// if it stopped tasks to make room, or rented, it would do so for want of room that is there.
     pub fn learnt(&self, s: &Settings, now: Micros) -> bool {
-        let learning = Micros::secs(s.params.workers.report_s * LEARNING_REPORTS);
+        let learning = Micros::secs(s.params.agents.report_s * LEARNING_REPORTS);
         self.term <= 1 || now.since(self.led_since) >= learning
     }
 
-    /// Whether others serve most of the workers and we hear hardly any: siblings have put on record that they
+    /// Whether others serve most of the agents and we hear hardly any: peers have put on record that they
     /// renew them. Not soon after a takeover, so that the lead does not go round.
     pub fn cannot_serve(&self, s: &Settings, now: Micros) -> bool {
         if self.renewed.is_empty() || now.since(self.led_since) < YIELD_NOT_BEFORE {
             return false;
         }
-        let heard = Micros::secs(s.params.workers.report_s * HEARD_REPORTS);
-        let there = self.workers.values().filter(|w| !w.is_over());
+        let heard = Micros::secs(s.params.agents.report_s * HEARD_REPORTS);
+        let there = self.agents.values().filter(|w| !w.is_over());
         let (mut all, mut fresh) = (0, 0);
         for w in there {
             all += 1;
@@ -200,29 +200,29 @@
         self.stopping.get(job)?.get(&task).copied()
     }
 
-    /// Marks sessions as over whose lease has run out in the worst case. `pledged`: siblings may take our lead
+    /// Marks sessions as over whose lease has run out in the worst case. `pledged`: peers may take our lead
     /// for one that began then.
     pub fn leases(
         &mut self,
         s: &Settings,
-        mirror: &Mirror,
+        cache: &RecordCache,
         pledged: Micros,
         now: Micros,
     ) -> Micros {
         if now < self.leases_at {
             return self.leases_at;
         }
-        let w = &s.params.workers;
+        let w = &s.params.agents;
         // Clocks drift by 0.05% each way; the rest is for timers that fire late.
         let lease = Micros::secs(w.lease_s * 1.002 + 0.3);
         let cancel = Micros::secs(w.cancel_s * 1.002 + 0.3);
         let first = self.since.max(pledged) + cancel;
-        let terms = Terms {
+        let terms = GrantTerms {
             lease: lease.0,
             bound: cancel.0,
         };
         let mut next = Micros::FAR;
-        self.see_renewals(mirror);
+        self.see_renewals(cache);
         if !self.strangers_over {
             if first <= now {
                 self.strangers_over = true;
@@ -231,8 +231,8 @@
                 next = first;
             }
         }
-        for (name, worker) in &mut self.workers {
-            if worker.is_over() {
+        for (name, agent) in &mut self.agents {
+            if agent.is_over() {
                 continue;
             }
             // Until it has seen our term, an older leader may have renewed its lease.
@@ -240,9 +240,9 @@
             // we raised our own, a follower's) last answer may then be as young as that.
             // A session that a direct answer has shown may be younger than our last answer, which then
             // was to the one before; taken for run out with that one, its tasks were started twice.
-            let answered = worker.answered.unwrap_or(Micros::ZERO).max(worker.began);
-            let end = if worker.term == self.term {
-                answered.max(worker.termed) + lease
+            let answered = agent.answered.unwrap_or(Micros::ZERO).max(agent.began);
+            let end = if agent.term == self.term {
+                answered.max(agent.termed) + lease
             } else {
                 (answered + lease).max(first)
             };
@@ -257,9 +257,9 @@
             } else if end <= now {
                 log::info!(
                     "{name}: lease has run out, session {} is over",
-                    worker.session
+                    agent.session
                 );
-                worker.over = Some(worker.session);
+                agent.over = Some(agent.session);
                 self.dirty = true;
             } else {
                 next = next.min(end);
@@ -270,19 +270,16 @@
     }
 
     /// The same, if something about it has changed.
-    pub fn see_renewals(&mut self, mirror: &Mirror) {
-        if self.renewals_seen != mirror.renewals_changed {
-            self.renewals_seen = mirror.renewals_changed;
-            self.note_renewals(mirror);
+    pub fn see_renewals(&mut self, cache: &RecordCache) {
+        if self.renewals_seen != cache.renewals_changed {
+            self.renewals_seen = cache.renewals_changed;
+            self.note_renewals(cache);
         }
     }
 
     /// Which machines followers renew for our term.
-    pub fn note_renewals(&mut self, mirror: &Mirror) {
-        let ours = mirror
-            .renewals
-            .values()
-            .filter(|(r, _)| r.term == self.term);
+    pub fn note_renewals(&mut self, cache: &RecordCache) {
+        let ours = cache.renewals.values().filter(|(r, _)| r.term == self.term);
         let renewed = ours.flat_map(|(r, _)| r.machines()).collect();
         if renewed != self.renewed {
             // A machine that nobody renews any more may be proven gone by that alone.
@@ -294,7 +291,7 @@
 
     /// Zone of a machine, if anybody has told.
     pub fn zone_of(&self, machine: &str) -> Option<String> {
-        self.workers
+        self.agents
             .get(machine)
             .map(|w| w.zone.clone())
             .or_else(|| self.fleet.zone_of(machine))
@@ -311,12 +308,12 @@
     }
 }
 
-impl Node {
-    /// A worker's report, while we lead.
+impl Controller {
+    /// A agent's report, while we lead.
     pub fn leader_report(&mut self, clock: Clock, conn: u64, report: Report, relayed: bool) {
-        let grace = self.proof_grace();
+        let grace = self.staleness_bound();
         let Some(l) = &mut self.leader else { return };
-        if clock.now >= l.vouched.max(l.proof) + grace {
+        if clock.now >= l.vouched.max(l.last_confirmed_read) + grace {
             // Renewing on could keep a task alive that was cancelled meanwhile.
             self.refuse(conn, 503, "the state service is silent for too long");
             return;
@@ -328,15 +325,15 @@
             return;
         }
         if !self.take_report(clock, &report) {
-            // A copy, or overtaken by the answer to a direct command: the worker has said something newer. Were it
+            // A copy, or overtaken by the answer to a direct command: the agent has said something newer. Were it
             // answered with our term it might be renewed, and we would not count on it; nor may a copy of what a
-            // dead machine once said keep us waiting. Without a term the worker drops the answer and stays.
+            // dead machine once said keep us waiting. Without a term the agent drops the answer and stays.
             log::debug!("{name}: report {} is old", report.seq);
             self.respond(conn, 200, &BTreeMap::<&str, u64>::new());
             return;
         }
-        let lease = Micros::secs(self.settings.params.workers.lease_s);
-        if let Some(w) = self.leader.as_mut().and_then(|l| l.workers.get_mut(&name)) {
+        let lease = Micros::secs(self.settings.params.agents.lease_s);
+        if let Some(w) = self.leader.as_mut().and_then(|l| l.agents.get_mut(&name)) {
             w.settle_answers(report.session, report.seq);
             if !relayed {
                 w.hearing.reported(clock.now);
@@ -355,44 +352,44 @@
         let commands = self.commands_for(clock, &report, relayed);
         let Some(l) = &mut self.leader else { return };
         let term = l.term;
-        if let Some(w) = l.workers.get_mut(&name) {
+        if let Some(w) = l.agents.get_mut(&name) {
             w.answered = Some(clock.now);
         }
-        self.respond(conn, 200, &ReportAnswer { term, commands });
+        self.respond(conn, 200, &ReportResponse { term, commands });
     }
 
     /// Whether a start of a task whose job is cancelled may still be on its way to a machine.
     fn may_start_cancelled(&self, machine: &str) -> bool {
-        let worker = self.leader.as_ref().and_then(|l| l.workers.get(machine));
-        let heard = &self.siblings.heard;
-        worker.is_some_and(|w| {
+        let agent = self.leader.as_ref().and_then(|l| l.agents.get(machine));
+        let heard = &self.peers.heard;
+        agent.is_some_and(|w| {
             let mut loose = w.loose().map(|(job, ..)| job);
-            loose.any(|job| known_cancelled(&self.mirror, heard, job))
+            loose.any(|job| known_cancelled(&self.cache, heard, job))
         })
     }
 
-    /// Takes in a worker's message, from a report or a direct answer; tells whether it is newer than what we have.
+    /// Takes in a agent's message, from a report or a direct answer; tells whether it is newer than what we have.
     pub fn take_report(&mut self, clock: Clock, report: &Report) -> bool {
         let Some(l) = &mut self.leader else {
             return false;
         };
         let name = &report.machine;
-        if !l.workers.contains_key(name) || l.workers[name].session == 0 {
+        if !l.agents.contains_key(name) || l.agents[name].session == 0 {
             // Its lease may run out long before that of those who never come.
             l.leases_at = l.leases_at.min(clock.now + MET_LEASES);
         }
-        let w = match l.workers.get_mut(name) {
+        let w = match l.agents.get_mut(name) {
             Some(w) => w,
             None => l
-                .workers
+                .agents
                 .entry(name.clone())
-                .or_insert_with(|| Worker::new(report)),
+                .or_insert_with(|| Agent::new(report)),
         };
         let news = w.update(report, clock.now);
         if news == News::Old {
             return false;
         }
-        if w.tasks.iter().all(|t| t.phase == Phase::Exited) {
+        if w.tasks.iter().all(|t| t.phase == TaskPhase::Exited) {
             w.idle_since = w.idle_since.or(Some(clock.now));
         } else {
             w.idle_since = None;
@@ -406,13 +403,13 @@
         true
     }
 
-    /// What follows from a worker's list of tasks; `old` is the one before.
-    fn take_news(&mut self, clock: Clock, name: &str, old: &[Seen]) {
+    /// What follows from a agent's list of tasks; `old` is the one before.
+    fn take_news(&mut self, clock: Clock, name: &str, old: &[ReportedTask]) {
         let Some(l) = &mut self.leader else { return };
-        let Some(w) = l.workers.get_mut(name) else {
+        let Some(w) = l.agents.get_mut(name) else {
             return;
         };
-        let fresh = |t: &Seen| {
+        let fresh = |t: &ReportedTask| {
             old.iter().all(|o| {
                 (o.task, o.attempt, o.phase) != (t.task, t.attempt, t.phase) || o.job != t.job
             })
@@ -422,7 +419,7 @@
             if !fresh(t) {
                 continue;
             }
-            let Some(job) = self.mirror.jobs.get(&t.job) else {
+            let Some(job) = self.cache.jobs.get(&t.job) else {
                 continue;
             };
             let spec = &job.rec.spec;
@@ -438,40 +435,42 @@
                 t.why
             );
             let (id, task, phase, why) = (t.job.clone(), t.task, t.phase, t.why);
-            if matches!(phase, Phase::Running | Phase::Waiting) {
-                self.mirror.images.used(name, &spec.image, spec.image_gb);
+            if matches!(phase, TaskPhase::Running | TaskPhase::Waiting) {
+                self.cache.images.used(name, &spec.image, spec.image_gb);
             }
             let attempt = (id.clone(), task, t.attempt);
-            if phase == Phase::Running && !w.errors.is_empty() {
+            if phase == TaskPhase::Running && !w.errors.is_empty() {
                 w.ran_since.insert(attempt);
                 continue;
             }
-            if phase != Phase::Exited {
+            if phase != TaskPhase::Exited {
                 continue;
             }
-            let was_fetching = |o: &Seen| {
-                (o.task, o.attempt, o.phase) == (task, attempt.2, Phase::Fetching) && o.job == id
+            let was_fetching = |o: &ReportedTask| {
+                (o.task, o.attempt, o.phase) == (task, attempt.2, TaskPhase::Fetching)
+                    && o.job == id
             };
-            if old.iter().any(was_fetching) && why != Some(Why::Done) {
+            if old.iter().any(was_fetching) && why != Some(ExitReason::Done) {
                 let alone = w.tasks.iter().all(|t| {
-                    let job = self.mirror.jobs.get(&t.job);
-                    t.phase == Phase::Exited || job.is_none_or(|j| j.rec.spec.image != spec.image)
+                    let job = self.cache.jobs.get(&t.job);
+                    t.phase == TaskPhase::Exited
+                        || job.is_none_or(|j| j.rec.spec.image != spec.image)
                 });
                 if alone {
-                    self.mirror.images.given_up(name, &spec.image);
+                    self.cache.images.given_up(name, &spec.image);
                 }
             }
             let proves = w.ran_since.remove(&attempt);
-            if why == Some(Why::Done) && job.active() && !job.is_done(task) {
+            if why == Some(ExitReason::Done) && job.active() && !job.is_done(task) {
                 let edit = l.edits.want(&id, clock.now);
-                if spec.kind == Kind::Gang {
+                if spec.kind == JobKind::Gang {
                     // They complete together: if one is done, all are.
                     edit.done.extend(0..spec.tasks);
                 } else {
                     edit.done.insert(task);
                 }
             }
-            if why == Some(Why::Done) {
+            if why == Some(ExitReason::Done) {
                 if proves {
                     w.errors.clear();
                     w.ran_since.clear();
@@ -480,10 +479,10 @@
                     t.row = 0;
                 }
             }
-            if matches!(why, Some(Why::Error | Why::NoRoom)) {
+            if matches!(why, Some(ExitReason::Error | ExitReason::NoRoom)) {
                 log::info!("{name}: task {id}/{task} ended: {why:?}");
                 let trouble = l.troubles.entry(id.clone()).or_default();
-                if why == Some(Why::NoRoom) {
+                if why == Some(ExitReason::NoRoom) {
                     // What we took for room was none; the next reports will show.
                     trouble.again = trouble.again.max(clock.now + Micros::millis(1000));
                     continue;
@@ -503,14 +502,14 @@
 
     /// Records of jobs have changed: look for commands that follow.
     pub fn on_changed_jobs(&mut self) {
-        let changed = self.mirror.take_changed();
+        let changed = self.cache.take_changed();
         let Some(l) = &mut self.leader else { return };
         for id in changed {
             l.dirty = true;
-            let job = self.mirror.jobs.get(&id);
+            let job = self.cache.jobs.get(&id);
             l.kept.backlog.update(&id, job);
             if let Some(job) = job {
-                for m in job.entries().filter_map(Entry::machine) {
+                for m in job.entries().filter_map(TaskEntry::machine) {
                     if !l.touched.contains(m) {
                         l.touched.insert(m.to_string());
                     }
@@ -519,17 +518,17 @@
         }
     }
 
-    /// Answers of workers and the cloud.
-    pub fn leader_answer(&mut self, clock: Clock, tag: CallTag, outcome: Outcome) {
+    /// Answers of agents and the cloud.
+    pub fn on_leader_call_response(&mut self, clock: Clock, tag: PendingCall, outcome: Outcome) {
         match tag {
-            CallTag::Orders {
+            PendingCall::Orders {
                 machine,
                 starts,
                 term,
                 session,
             } => self.on_orders(clock, &machine, starts, term, session, outcome),
-            CallTag::Cloud(ask) => self.on_cloud(clock, ask, outcome),
-            CallTag::Heartbeat(..) | CallTag::Relay(..) | CallTag::User(..) => {}
+            PendingCall::Cloud(ask) => self.on_cloud(clock, ask, outcome),
+            PendingCall::Heartbeat(..) | PendingCall::Relay(..) | PendingCall::User(..) => {}
         }
     }
 
@@ -541,9 +540,9 @@
             .pass_interval(self.settings.params.limits.core_share)
             .times(self.turns.stretch(now));
         let mut next = Micros::FAR;
-        let pledged = Micros(self.siblings.quiet.until());
+        let pledged = Micros(self.peers.quiet.until());
         if let Some(l) = &mut self.leader {
-            next = next.min(l.leases(&self.settings, &self.mirror, pledged, now));
+            next = next.min(l.leases(&self.settings, &self.cache, pledged, now));
             // Machines are given up and returned by time, not by events: a pass comes now and
             // then in any case.
             if now.since(l.last_pass) > QUIET_PASS {
@@ -551,7 +550,10 @@
             }
             if l.dirty {
                 let at = l.last_pass + pace;
-                if at <= now && now < l.proof + START_PROOF && l.caught_up(&self.mirror) {
+                if at <= now
+                    && now < l.last_confirmed_read + MAX_START_STALENESS
+                    && l.caught_up(&self.cache)
+                {
                     l.dirty = false;
                     l.last_pass = now;
                     self.pass(clock);
@@ -571,7 +573,7 @@
     /// bounded like an older leader's, so the bound for strangers starts anew.
     fn revoke(&mut self, clock: Clock) {
         let Some(l) = &mut self.leader else { return };
-        for (node, (r, version)) in &self.mirror.renewals {
+        for (node, (r, version)) in &self.cache.renewals {
             if r.term != l.term || r.is_empty() {
                 continue;
             }
@@ -581,7 +583,8 @@
                 .or_insert((*version, clock.now));
             if seen.0 != *version {
                 *seen = (*version, clock.now);
-            } else if clock.now.since(seen.1) > super::renewal::SIGN_OF_LIFE.times(2.5)
+            } else if clock.now.since(seen.1)
+                > crate::leadership::delegated_renewal::SIGN_OF_LIFE.times(2.5)
                 && !l.raising
             {
                 log::info!("{node} gives no sign of life: its renewals are revoked");
--- a/src/coordination/accepting.rs
+++ b/src/api/acceptance.rs
@@ -1,13 +1,13 @@
 //! Acceptances: submissions that wait in their lanes, are written, and are answered.
 
-use super::front::{Waiter, state_of};
-use super::node::{Clock, Node, Tag, cond, put};
-use crate::bookkeeping::store::{Ask, Rank, Reply};
-use crate::protocol::records::{Chunk, JobRec, Stage, job_key};
+use crate::api::client_api::{PendingRequest, state_of};
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::protocol::records::{JobRecord, JobStage, TaskChunk, job_key};
 use crate::protocol::settings::Team;
-use crate::protocol::wire::Txn;
-use crate::protocol::{Micros, Settings, Spec};
-use walnuttrestle_admission::lanes::{Taken, Ticket};
+use crate::protocol::wire::Transaction;
+use crate::protocol::{JobSpec, Micros, Settings};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+use admission_control::lanes::{Taken, Ticket};
 
 /// A submission is given up after this long; its user waits 5 s.
 const SUBMIT_PATIENCE: Micros = Micros::millis(4000);
@@ -20,7 +20,7 @@
 
 /// Where an acceptance stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Stand {
+pub(crate) enum Stand {
     /// Waits in its lane.
     Waits(Ticket),
     /// Is being written.
@@ -29,13 +29,13 @@
     Rests(Ticket, Micros),
 }
 
-pub(super) struct Accepting {
+pub(crate) struct Accepting {
     /// Who asked before the record was sent: once it is written, they are told what it says.
     conns: Vec<u64>,
     /// Who asked while it was on its way. It may have been carried out before that, and its answer be late: the job
     /// may be over by the time of the question, and whoever asked has to be told what holds then.
     joined: Vec<u64>,
-    rec: JobRec,
+    rec: JobRecord,
     since: Micros,
     /// When its user tried first, as far as we know.
     first: Micros,
@@ -64,8 +64,8 @@
     1.0 + part(|t| t.cpus).max(part(|t| t.gpus))
 }
 
-impl Node {
-    pub(super) fn accept(&mut self, clock: Clock, conn: u64, id: String, spec: Spec) {
+impl Controller {
+    pub(crate) fn accept(&mut self, clock: Clock, conn: u64, id: String, spec: JobSpec) {
         if let Some(a) = self.front.accepting.get_mut(&id) {
             match a.stand {
                 Stand::Flying(_) => a.joined.push(conn),
@@ -94,12 +94,12 @@
                 return;
             }
         };
-        let rec = JobRec {
+        let rec = JobRecord {
             spec,
             at: clock.wall,
-            stage: Stage::Active,
+            stage: JobStage::Active,
             end: Micros::ZERO,
-            first: Chunk::default(),
+            first: TaskChunk::default(),
             cleaned: false,
         };
         let a = Accepting {
@@ -117,7 +117,13 @@
     }
 
     /// Seconds after which a refused submission had better come again; its first try is remembered.
-    pub(super) fn come_again(&mut self, clock: Clock, id: &str, first: Micros, spec: &Spec) -> u32 {
+    pub(crate) fn come_again(
+        &mut self,
+        clock: Clock,
+        id: &str,
+        first: Micros,
+        spec: &JobSpec,
+    ) -> u32 {
         let f = &mut self.front;
         f.count_refusal(clock.now);
         f.refusals.refuse(id, first.0, clock.now.0);
@@ -127,7 +133,7 @@
     }
 
     /// Refuses an acceptance that is not being written.
-    pub(super) fn give_up(&mut self, clock: Clock, id: &str) {
+    pub(crate) fn give_up(&mut self, clock: Clock, id: &str) {
         let Some(mut a) = self.forget_accepting(id) else {
             return;
         };
@@ -191,12 +197,16 @@
             return;
         }
         self.front.batches += 1;
-        let txn = Txn { conds, changes };
-        self.store.ask(Rank::Usual, Tag::Accept(ids), Ask::Txn(txn));
+        let txn = Transaction { conds, changes };
+        self.store.ask(
+            RequestPriority::Usual,
+            StoreRequestPurpose::Accept(ids),
+            StoreRequest::Transaction(txn),
+        );
     }
 
     /// An acceptance came back.
-    pub fn on_accepted(&mut self, clock: Clock, ids: Vec<String>, reply: Reply) {
+    pub fn on_accepted(&mut self, clock: Clock, ids: Vec<String>, reply: StoreResponse) {
         self.front.batches -= 1;
         self.front.look_at = Micros::ZERO;
         let alone = ids.len() == 1;
@@ -206,7 +216,7 @@
                 continue;
             };
             match &reply {
-                Reply::Committed(rev) => {
+                StoreResponse::Committed(rev) => {
                     let (rec, conns) = (a.rec.clone(), std::mem::take(&mut a.conns));
                     let joined = std::mem::take(&mut a.joined);
                     let took = clock.now.since(a.since);
@@ -216,16 +226,19 @@
                         rec.spec.tasks,
                         rec.spec.class
                     );
-                    self.mirror.put_job(&id, rec, *rev);
+                    self.cache.put_job(&id, rec, *rev);
                     if let Some(l) = &mut self.leader {
                         l.dirty = true;
                     }
                     for conn in joined {
                         let (id, status) = (id.clone(), 201);
-                        self.want_barrier(clock, Waiter::Resubmit { conn, id, status });
+                        self.request_read_barrier(
+                            clock,
+                            PendingRequest::Resubmit { conn, id, status },
+                        );
                     }
                     // It may be over already: a job that it needs may be cancelled.
-                    let Some(known) = self.mirror.job(&id) else {
+                    let Some(known) = self.cache.job(&id) else {
                         continue;
                     };
                     let (_, state) = state_of(&id, &known);
@@ -233,30 +246,35 @@
                         self.tell(clock, conn, 201, &state);
                     }
                 }
-                Reply::Conflict(failed) if failed.contains(&key) => {
+                StoreResponse::Conflict(failed) if failed.contains(&key) => {
                     // Known already; or our own earlier try was carried out after all.
                     let status = if a.tried { 201 } else { 200 };
                     let conns = a.everybody();
                     self.forget_accepting(&id);
                     for conn in conns {
                         let id = id.clone();
-                        self.want_barrier(clock, Waiter::Resubmit { conn, id, status });
+                        self.request_read_barrier(
+                            clock,
+                            PendingRequest::Resubmit { conn, id, status },
+                        );
                     }
                 }
-                Reply::Conflict(_) => self.rest(&id, clock.now),
-                Reply::Rejected if alone => {
+                StoreResponse::Conflict(_) => self.rest(&id, clock.now),
+                StoreResponse::Rejected if alone => {
                     let conns = a.everybody();
                     self.forget_accepting(&id);
                     for conn in conns {
                         self.refuse(conn, 503, "the state service does not take the record");
                     }
                 }
-                Reply::Rejected => {
+                StoreResponse::Rejected => {
                     a.alone = true;
                     self.rest(&id, clock.now);
                 }
-                Reply::Lost | Reply::TooFast if clock.now < a.since + SUBMIT_PATIENCE => {
-                    a.tried |= reply == Reply::Lost;
+                StoreResponse::Lost | StoreResponse::TooFast
+                    if clock.now < a.since + SUBMIT_PATIENCE =>
+                {
+                    a.tried |= reply == StoreResponse::Lost;
                     self.rest(&id, clock.now + AGAIN);
                 }
                 _ => {
@@ -271,7 +289,7 @@
     }
 
     /// An acceptance was not written; it is tried again from then on.
-    pub(super) fn rest(&mut self, id: &str, again: Micros) {
+    pub(crate) fn rest(&mut self, id: &str, again: Micros) {
         let f = &mut self.front;
         if let Some(a) = f.accepting.get_mut(id)
             && let Stand::Flying(ticket) = a.stand
@@ -284,7 +302,7 @@
         }
     }
 
-    pub(super) fn forget_accepting(&mut self, id: &str) -> Option<Accepting> {
+    pub(crate) fn forget_accepting(&mut self, id: &str) -> Option<Accepting> {
         let f = &mut self.front;
         let a = f.accepting.remove(id)?;
         match a.stand {
@@ -322,7 +340,7 @@
 
     /// Hands acceptances and job records to the store in turn, as far as it can take them at
     /// once; what must wait goes on gathering. Returns when to look again.
-    pub(super) fn write_turns(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn write_turns(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let most = self.settings.params.state.least_txn_ops();
         loop {
--- a/src/coordination/front.rs
+++ b/src/api/client_api.rs
@@ -1,23 +1,25 @@
 //! Users: submissions, polls and cancellations, on any controller.
 
-use super::accepting::Accepting;
-use super::node::{CallTag, Clock, HANDED_ON, Node, Tag, cond, put};
-use super::placement;
-use crate::bookkeeping::mirror::{Job, Known};
-use crate::bookkeeping::store::{Ask, Rank, Reply};
+use crate::api::acceptance::Accepting;
+use crate::controller::{
+    Clock, Controller, FORWARD_PREFIX, PendingCall, StoreRequestPurpose, cond, put,
+};
 use crate::protocol::format::PIPELINES;
 use crate::protocol::job::{Malformed, parse, valid_id};
-use crate::protocol::records::{BUNDLED, CHUNK, JobRec, Stage, job_key};
-use crate::protocol::wire::{Change, JobState, MachineType, Txn, json_len};
-use crate::protocol::{Kind, Micros, Settings, Spec};
-use crate::transport::{NetCmd, Outcome};
+use crate::protocol::records::{BUNDLED, CHUNK, JobRecord, JobStage, job_key};
+use crate::protocol::wire::{Change, JobState, MachineType, Transaction, json_len};
+use crate::protocol::{JobKind, JobSpec, Micros, Settings};
+use crate::scheduling::placement;
+use crate::state::record_cache::{Job, JobLookup};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+use crate::transport::{NetworkCommand, Outcome};
+use admission_control::lanes::Lanes;
+use admission_control::refusal::Refusals;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuttrestle_admission::lanes::Lanes;
-use walnuttrestle_admission::refusal::Refusals;
 
 /// What waits for the copy to catch up.
 #[derive(Debug, Clone)]
-pub enum Waiter {
+pub enum PendingRequest {
     /// A poll.
     Poll {
         /// Request.
@@ -41,7 +43,7 @@
         /// Job.
         id: String,
         /// What was submitted.
-        spec: Box<Spec>,
+        spec: Box<JobSpec>,
     },
     /// A cancellation.
     Cancel {
@@ -53,32 +55,32 @@
     /// The leader's proof that its term holds.
     Proof,
     /// Job records whose transaction failed or got no answer.
-    Edits(u64),
+    RecordWriter(u64),
 }
 
 /// Users' requests in progress.
-pub struct Front {
-    pub(super) accepting: BTreeMap<String, Accepting>,
+pub struct ClientApi {
+    pub(crate) accepting: BTreeMap<String, Accepting>,
     /// Those of them that wait to be written, by team and class.
-    pub(super) lanes: Lanes<String, String, String>,
+    pub(crate) lanes: Lanes<String, String, String>,
     /// Those that rest, by the time of their next try.
-    pub(super) resting: BTreeSet<(Micros, String)>,
-    pub(super) refusals: Refusals,
+    pub(crate) resting: BTreeSet<(Micros, String)>,
+    pub(crate) refusals: Refusals,
     /// Submissions refused in the present second and in the one before.
-    pub(super) refused: (u64, u32, u32),
+    pub(crate) refused: (u64, u32, u32),
     /// Nothing of them is due before this.
-    pub(super) look_at: Micros,
-    pub(super) batches: usize,
-    pub(super) cancelling: BTreeMap<String, Vec<u64>>,
+    pub(crate) look_at: Micros,
+    pub(crate) batches: usize,
+    pub(crate) cancelling: BTreeMap<String, Vec<u64>>,
 }
 
-impl Front {
+impl ClientApi {
     /// Acceptances that wait to be written.
     pub fn waiting(&self) -> usize {
         self.lanes.len()
     }
 
-    pub(super) fn count_refusal(&mut self, now: Micros) {
+    pub(crate) fn count_refusal(&mut self, now: Micros) {
         let second = now.0 / 1_000_000;
         self.refused = match self.refused {
             (s, n, before) if s == second => (s, n + 1, before),
@@ -98,9 +100,9 @@
     }
 }
 
-impl Default for Front {
-    fn default() -> Front {
-        Front {
+impl Default for ClientApi {
+    fn default() -> ClientApi {
+        ClientApi {
             accepting: BTreeMap::new(),
             lanes: Lanes::new(1),
             resting: BTreeSet::new(),
@@ -115,7 +117,7 @@
 
 /// Refused ids whose first attempt is remembered; 16 bytes each.
 const REFUSED_KNOWN: usize = 8_192;
-/// How long a sibling may take over a request of ours; users wait 2 s for a poll, 5 s else.
+/// How long a peer may take over a request of ours; users wait 2 s for a poll, 5 s else.
 const POLL_HANDED_ON: Micros = Micros::millis(1500);
 const SUBMIT_HANDED_ON: Micros = Micros::millis(4500);
 
@@ -127,16 +129,16 @@
 
 /// What a job's record must have room for besides the description: all tasks of the first chunk that
 /// have to be there together; of an array, so many that it gets on.
-fn room_of_tasks(spec: &Spec) -> usize {
+fn room_of_tasks(spec: &JobSpec) -> usize {
     let most = match spec.kind {
-        Kind::Array => CHUNK / 4,
-        Kind::Gang | Kind::Service => CHUNK,
+        JobKind::Array => CHUNK / 4,
+        JobKind::Gang | JobKind::Service => CHUNK,
     };
     REST_BYTES + spec.tasks.min(most) as usize * ENTRY_BYTES
 }
 
 /// Why a job can never run.
-pub fn impossible(s: &Settings, types: &[MachineType], spec: &Spec) -> Option<&'static str> {
+pub fn impossible(s: &Settings, types: &[MachineType], spec: &JobSpec) -> Option<&'static str> {
     let Some(team) = s.team(&spec.team) else {
         return Some("unknown team");
     };
@@ -153,7 +155,7 @@
         return Some("a task fits no allowed machine type");
     }
     let n = match spec.kind {
-        Kind::Array => 1.0,
+        JobKind::Array => 1.0,
         _ => spec.tasks as f64,
     };
     let over = |most: f64, each: f64| most > 0.0 && each * n > most + 1e-6;
@@ -163,18 +165,18 @@
     None
 }
 
-fn word(stage: Stage) -> &'static str {
+fn word(stage: JobStage) -> &'static str {
     match stage {
-        Stage::Done => "done",
-        Stage::Cancelled => "cancelled",
-        Stage::Active => "pending",
+        JobStage::Done => "done",
+        JobStage::Cancelled => "cancelled",
+        JobStage::Active => "pending",
     }
 }
 
-pub(super) fn state_of(id: &str, known: &Known<'_>) -> (bool, JobState) {
+pub(crate) fn state_of(id: &str, known: &JobLookup<'_>) -> (bool, JobState) {
     match known {
-        Known::Over(f) => {
-            let done = (f.stage == Stage::Done).then_some(f.tasks as u64);
+        JobLookup::Over(f) => {
+            let done = (f.stage == JobStage::Done).then_some(f.tasks as u64);
             let state = JobState {
                 id: id.to_string(),
                 status: word(f.stage).to_string(),
@@ -183,28 +185,32 @@
             };
             (true, state)
         }
-        Known::Live(job) => {
+        JobLookup::Live(job) => {
             let running = job.entries().filter(|e| e.machine().is_some()).count() as u64;
             let stage = job.rec.stage;
             let status = match stage {
-                Stage::Active if running > 0 => "running",
+                JobStage::Active if running > 0 => "running",
                 s => word(s),
             };
             let state = JobState {
                 id: id.to_string(),
                 status: status.to_string(),
                 done: Some(job.done_count()),
-                running: Some(if stage == Stage::Active { running } else { 0 }),
+                running: Some(if stage == JobStage::Active {
+                    running
+                } else {
+                    0
+                }),
             };
-            (stage != Stage::Active, state)
+            (stage != JobStage::Active, state)
         }
     }
 }
 
-impl Node {
-    /// Hands a user's request on to a sibling if the state service serves that one and not us;
+impl Controller {
+    /// Hands a user's request on to a peer if the state service serves that one and not us;
     /// tells whether it did. What memory can answer for good is answered here.
-    pub fn hand_on(
+    pub fn forward_to_peer(
         &mut self,
         clock: Clock,
         conn: u64,
@@ -215,7 +221,7 @@
         let Some(rest) = path.strip_prefix("/submissions") else {
             return false;
         };
-        if let Some(Known::Over(_)) = self.mirror.job(rest.trim_start_matches('/')) {
+        if let Some(JobLookup::Over(_)) = self.cache.job(rest.trim_start_matches('/')) {
             return false;
         }
         if method == "POST"
@@ -223,7 +229,7 @@
             && !self.all_read(PIPELINES)
             && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
         {
-            // A sibling of the first version would accept it without the jobs that it needs.
+            // A peer of the first version would accept it without the jobs that it needs.
             return false;
         }
         let (method, timeout) = match method {
@@ -234,16 +240,16 @@
         let Some(addr) = self.better_placed(clock) else {
             return false;
         };
-        let path = format!("{HANDED_ON}{path}");
-        let tag = CallTag::User(conn);
+        let path = format!("{FORWARD_PREFIX}{path}");
+        let tag = PendingCall::User(conn);
         self.call(tag, addr, method, &path, body.to_vec(), timeout);
         true
     }
 
-    /// The sibling has answered, or not.
-    pub fn on_handed_on(&mut self, conn: u64, outcome: Outcome) {
+    /// The peer has answered, or not.
+    pub fn on_forwarded_response(&mut self, conn: u64, outcome: Outcome) {
         match outcome {
-            Outcome::Reply { status, body } => self.out.push(NetCmd::Respond {
+            Outcome::Reply { status, body } => self.out.push(NetworkCommand::Respond {
                 conn,
                 status,
                 body,
@@ -253,12 +259,12 @@
         }
     }
 
-    /// Tells a user the state of a job. That one is cancelled is not told while a sibling goes by our pledge to
-    /// tell nothing new: it may be renewing the lease of a worker that runs the job.
-    pub(super) fn tell(&mut self, clock: Clock, conn: u64, status: u16, state: &JobState) {
-        let newest = self.mirror.newest;
-        if state.status == word(Stage::Cancelled)
-            && !self.siblings.quiet.may_tell(newest, clock.now.0)
+    /// Tells a user the state of a job. That one is cancelled is not told while a peer goes by our pledge to
+    /// tell nothing new: it may be renewing the lease of a agent that runs the job.
+    pub(crate) fn tell(&mut self, clock: Clock, conn: u64, status: u16, state: &JobState) {
+        let newest = self.cache.newest;
+        if state.status == word(JobStage::Cancelled)
+            && !self.peers.quiet.may_tell(newest, clock.now.0)
         {
             self.refuse(conn, 503, "not all controllers have heard that we are back");
             return;
@@ -282,7 +288,7 @@
     /// Refuses a question about a job whose record cannot be read; tells whether it did. It was accepted, and may be
     /// over.
     fn unreadable(&mut self, conn: u64, id: &str) -> bool {
-        let is = self.mirror.is_unreadable(id);
+        let is = self.cache.is_unreadable(id);
         if is {
             self.refuse(conn, 503, "the job's record cannot be read");
         }
@@ -290,33 +296,33 @@
     }
 
     /// A submission that is well formed; `catch_up`: the copy may be behind.
-    pub(super) fn on_job(
+    pub(crate) fn on_job(
         &mut self,
         clock: Clock,
         conn: u64,
         id: String,
-        spec: Spec,
+        spec: JobSpec,
         catch_up: bool,
     ) {
         if self.unreadable(conn, &id) {
             return;
         }
-        if let Some(known) = self.mirror.job(&id) {
+        if let Some(known) = self.cache.job(&id) {
             let (over, state) = state_of(&id, &known);
             if over || !catch_up {
                 self.tell(clock, conn, 200, &state);
             } else {
-                let w = Waiter::Resubmit {
+                let w = PendingRequest::Resubmit {
                     conn,
                     id,
                     status: 200,
                 };
-                self.want_barrier(clock, w);
+                self.request_read_barrier(clock, w);
             }
             return;
         }
-        let verdict = match &self.mirror.types {
-            _ if !self.mirror.synced => Err("still reading the records"),
+        let verdict = match &self.cache.types {
+            _ if !self.cache.synced => Err("still reading the records"),
             None => Err("machine types are not known yet"),
             Some(types) => Ok(impossible(&self.settings, types, &spec)),
         };
@@ -325,7 +331,7 @@
             Ok(Some(_)) if catch_up => {
                 // Another controller may have accepted it under other machine types.
                 let spec = Box::new(spec);
-                self.want_barrier(clock, Waiter::Submit { conn, id, spec });
+                self.request_read_barrier(clock, PendingRequest::Submit { conn, id, spec });
             }
             Ok(Some(why)) => self.refuse(conn, 422, why),
             Ok(None) if !catch_up && self.too_long(&spec) => {
@@ -342,7 +348,7 @@
                 Ok(true) if !self.too_long(&spec) => self.accept(clock, conn, id, spec),
                 Ok(_) if catch_up => {
                     let spec = Box::new(spec);
-                    self.want_barrier(clock, Waiter::Submit { conn, id, spec });
+                    self.request_read_barrier(clock, PendingRequest::Submit { conn, id, spec });
                 }
                 Ok(_) => self.refuse(conn, 422, "awaits names a job that was never accepted"),
                 Err(why) => self.refuse(conn, 422, why),
@@ -352,25 +358,25 @@
 
     /// Whether a job's record would not fit into a value. The first version took longer ones: whether
     /// this job is one of them is looked up before it is refused.
-    fn too_long(&self, spec: &Spec) -> bool {
+    fn too_long(&self, spec: &JobSpec) -> bool {
         let state = &self.settings.params.state;
         // A gang's places go into one transaction.
-        let wide =
-            spec.kind == Kind::Gang && spec.tasks.div_ceil(CHUNK) as usize > state.least_txn_ops();
+        let wide = spec.kind == JobKind::Gang
+            && spec.tasks.div_ceil(CHUNK) as usize > state.least_txn_ops();
         wide || json_len(spec) + room_of_tasks(spec) > state.least_value_bytes()
     }
 
     /// Whether the copy holds all the jobs that a submission needs.
-    fn needs_known(&self, spec: &Spec) -> Result<bool, &'static str> {
+    fn needs_known(&self, spec: &JobSpec) -> Result<bool, &'static str> {
         let mut all = true;
         for need in &spec.needs {
-            let service = match self.mirror.job(need) {
+            let service = match self.cache.job(need) {
                 None => {
                     all = false;
                     false
                 }
-                Some(Known::Over(f)) => f.service,
-                Some(Known::Live(j)) => j.rec.spec.kind == Kind::Service,
+                Some(JobLookup::Over(f)) => f.service,
+                Some(JobLookup::Live(j)) => j.rec.spec.kind == JobKind::Service,
             };
             if service {
                 return Err("awaits names a service, which is never done");
@@ -388,16 +394,16 @@
         if self.unreadable(conn, &id) {
             return;
         }
-        match self.mirror.job(&id) {
+        match self.cache.job(&id) {
             Some(known) => {
                 let (over, state) = state_of(&id, &known);
                 if over || !catch_up {
                     self.tell(clock, conn, 200, &state);
                 } else {
-                    self.want_barrier(clock, Waiter::Poll { conn, id });
+                    self.request_read_barrier(clock, PendingRequest::Poll { conn, id });
                 }
             }
-            None if catch_up => self.want_barrier(clock, Waiter::Poll { conn, id }),
+            None if catch_up => self.request_read_barrier(clock, PendingRequest::Poll { conn, id }),
             None => self.refuse(conn, 404, "no such job"),
         }
     }
@@ -407,10 +413,10 @@
         if self.unreadable(conn, &id) {
             return;
         }
-        match self.mirror.job(&id) {
-            Some(Known::Live(job)) if job.active() => {
-                let rec = JobRec {
-                    stage: Stage::Cancelled,
+        match self.cache.job(&id) {
+            Some(JobLookup::Live(job)) if job.active() => {
+                let rec = JobRecord {
+                    stage: JobStage::Cancelled,
                     end: clock.wall,
                     ..job.rec.clone()
                 };
@@ -420,12 +426,16 @@
                 if waiting.len() == 1 {
                     // The entries written here must hold what bundles say at this moment, or the
                     // job would look as if nothing of it were anywhere.
-                    let bundled = cond(BUNDLED, self.mirror.bundles.head());
-                    let txn = Txn {
+                    let bundled = cond(BUNDLED, self.cache.bundles.head());
+                    let txn = Transaction {
                         conds: vec![cond(&key, version), bundled],
                         changes: vec![put(&key, &rec, None)],
                     };
-                    self.store.ask(Rank::First, Tag::Cancel(id), Ask::Txn(txn));
+                    self.store.ask(
+                        RequestPriority::First,
+                        StoreRequestPurpose::Cancel(id),
+                        StoreRequest::Transaction(txn),
+                    );
                 }
             }
             Some(known) => {
@@ -433,30 +443,36 @@
                 self.tell(clock, conn, 200, &state);
             }
             None if catch_up && valid_id(&id) => {
-                self.want_barrier(clock, Waiter::Cancel { conn, id });
+                self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
             }
             None => self.refuse(conn, 404, "no such job"),
         }
     }
 
     /// A cancellation came back.
-    pub fn on_cancelled(&mut self, clock: Clock, id: String, ask: Ask, reply: Reply) {
+    pub fn on_cancelled(
+        &mut self,
+        clock: Clock,
+        id: String,
+        ask: StoreRequest,
+        reply: StoreResponse,
+    ) {
         let conns = self.front.cancelling.remove(&id).unwrap_or_default();
         match reply {
-            Reply::Committed(rev) => {
-                if let Ask::Txn(t) = &ask {
-                    self.apply_own(t, rev);
+            StoreResponse::Committed(rev) => {
+                if let StoreRequest::Transaction(t) = &ask {
+                    self.apply_own_commit(t, rev);
                 }
                 self.on_changed_jobs();
                 for conn in conns {
                     self.on_cancel(clock, conn, id.clone(), false);
                 }
             }
-            Reply::Conflict(_) | Reply::Lost => {
+            StoreResponse::Conflict(_) | StoreResponse::Lost => {
                 // Somebody else's change, or perhaps our own: see what stands there.
                 for conn in conns {
                     let id = id.clone();
-                    self.want_barrier(clock, Waiter::Cancel { conn, id });
+                    self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
                 }
             }
             _ => {
@@ -472,7 +488,7 @@
         if self.unreadable(conn, id) {
             return;
         }
-        match self.mirror.job(id) {
+        match self.cache.job(id) {
             Some(known) => {
                 let (_, state) = state_of(id, &known);
                 self.tell(clock, conn, status, &state);
@@ -482,34 +498,40 @@
     }
 
     /// The copy has caught up.
-    pub fn resume(&mut self, clock: Clock, w: Waiter) {
+    pub fn resume_request(&mut self, clock: Clock, w: PendingRequest) {
         match w {
-            Waiter::Poll { conn, id } => self.on_poll(clock, conn, id, false),
-            Waiter::Resubmit { conn, id, status } => self.on_known(clock, conn, &id, status),
-            Waiter::Submit { conn, id, spec } => self.on_job(clock, conn, id, *spec, false),
-            Waiter::Cancel { conn, id } => self.on_cancel(clock, conn, id, false),
-            Waiter::Proof => {}
-            Waiter::Edits(n) => self.settle_edits(n),
+            PendingRequest::Poll { conn, id } => self.on_poll(clock, conn, id, false),
+            PendingRequest::Resubmit { conn, id, status } => {
+                self.on_known(clock, conn, &id, status)
+            }
+            PendingRequest::Submit { conn, id, spec } => self.on_job(clock, conn, id, *spec, false),
+            PendingRequest::Cancel { conn, id } => self.on_cancel(clock, conn, id, false),
+            PendingRequest::Proof => {}
+            PendingRequest::RecordWriter(n) => self.settle_edits(n),
         }
     }
 
     /// The copy could not catch up: refuse at once.
-    pub fn cannot_catch_up(&mut self, w: Waiter) {
+    pub fn cannot_catch_up(&mut self, w: PendingRequest) {
         match w {
-            Waiter::Poll { conn, .. }
-            | Waiter::Resubmit { conn, .. }
-            | Waiter::Submit { conn, .. }
-            | Waiter::Cancel { conn, .. } => {
+            PendingRequest::Poll { conn, .. }
+            | PendingRequest::Resubmit { conn, .. }
+            | PendingRequest::Submit { conn, .. }
+            | PendingRequest::Cancel { conn, .. } => {
                 self.refuse(conn, 503, "the state service does not answer");
             }
-            Waiter::Proof => {}
-            Waiter::Edits(n) => self.unsettled_edits(n),
+            PendingRequest::Proof => {}
+            PendingRequest::RecordWriter(n) => self.unsettled_edits(n),
         }
     }
 }
 
 /// A job's changes besides its record fit into one transaction with it.
-pub fn put_job(id: &str, job: &Job, rec: &JobRec) -> (crate::protocol::wire::Cond, Change) {
+pub fn put_job(
+    id: &str,
+    job: &Job,
+    rec: &JobRecord,
+) -> (crate::protocol::wire::VersionCondition, Change) {
     let key = job_key(id);
     (cond(&key, job.version), put(&key, rec, None))
 }
--- a/src/coordination/barriers.rs
+++ b/src/api/read_barrier.rs
@@ -1,49 +1,51 @@
 //! Read barriers: what waits until the copy is at least as new as the moment of the question.
 
-use super::front::Waiter;
-use super::node::{Clock, Node, Tag};
-use crate::bookkeeping::store::{Ask, Rank};
+use crate::api::client_api::PendingRequest;
+use crate::controller::{Clock, Controller, StoreRequestPurpose};
 use crate::protocol::Micros;
+use crate::state::store_client::{RequestPriority, StoreRequest};
 
 /// Barriers of users' questions are as many of our requests' time apart: the rest of the budget is for what users wait for
 /// longer.
 const BARRIER_SHARE: f64 = 3.0;
 
-impl Node {
+impl Controller {
     /// The copy holds all changes up to a moment not before `sent`.
-    pub(super) fn note_read(&mut self, sent: Micros) {
+    pub(crate) fn on_confirmed_read(&mut self, sent: Micros) {
         self.read_at = self.read_at.max(sent);
-        self.siblings.heard.read(sent.0);
-        let lead = self.mirror.lead.as_ref().map(|(_, v)| *v);
+        self.peers.heard.read(sent.0);
+        let lead = self.cache.lead.as_ref().map(|(_, v)| *v);
         if let Some(l) = self.leader.as_mut().filter(|l| lead == Some(l.version)) {
-            l.proof = l.proof.max(sent);
+            l.last_confirmed_read = l.last_confirmed_read.max(sent);
         }
         self.prove_renewals(sent);
     }
 
     /// Asks for a read barrier; the waiter goes on once the copy is at least as new as now.
-    pub fn want_barrier(&mut self, clock: Clock, w: Waiter) {
+    pub fn request_read_barrier(&mut self, clock: Clock, w: PendingRequest) {
         self.barrier_next.push(w);
-        self.send_barrier(clock);
+        self.send_read_barrier(clock);
     }
 
     /// How far apart barriers are that only users want.
-    pub(super) fn barrier_gap(&self) -> Micros {
+    pub(crate) fn barrier_gap(&self) -> Micros {
         Micros::secs((BARRIER_SHARE / self.store.request_rate()).clamp(0.03, 0.3))
     }
 
-    pub(super) fn send_barrier(&mut self, clock: Clock) {
+    pub(crate) fn send_read_barrier(&mut self, clock: Clock) {
         if self.barrier_sent.is_some() || self.barrier_next.is_empty() {
             return;
         }
         // Users' questions can share a barrier; they must not use up the budget that the leader's work and acceptances
         // need.
-        let ours = |w: &Waiter| matches!(w, Waiter::Proof | Waiter::Edits(_));
+        let ours = |w: &PendingRequest| {
+            matches!(w, PendingRequest::Proof | PendingRequest::RecordWriter(_))
+        };
         if clock.now < self.barrier_at + self.barrier_gap() && !self.barrier_next.iter().any(ours) {
             return;
         }
         self.barrier_at = clock.now;
-        if !self.mirror.synced {
+        if !self.cache.synced {
             for w in std::mem::take(&mut self.barrier_next) {
                 self.cannot_catch_up(w);
             }
@@ -51,10 +53,11 @@
         }
         self.barrier_sent = Some(clock.now);
         self.barrier_flying = std::mem::take(&mut self.barrier_next);
-        let ask = Ask::Watch {
-            after: self.mirror.revision,
+        let ask = StoreRequest::Watch {
+            after: self.cache.revision,
             block_ms: 0,
         };
-        self.store.ask(Rank::First, Tag::Barrier, ask);
+        self.store
+            .ask(RequestPriority::First, StoreRequestPurpose::Barrier, ask);
     }
 }
--- a/src/coordination/turns.rs
+++ b/src/api/request_scheduler.rs
@@ -1,7 +1,7 @@
 //! Whose turn it is when more arrives than the processor can handle.
 //!
-//! What keeps the service alive goes first: answers (leadership and records hang on them), siblings,
-//! workers' reports, health checks. Cancellations, submissions and polls of users come after it, in that
+//! What keeps the service alive goes first: answers (leadership and records hang on them), peers,
+//! agents' reports, health checks. Cancellations, submissions and polls of users come after it, in that
 //! order and each in the order of arrival, some at a time, so that timers fall due in between. A request
 //! whose user has given up is not worth its work any more: it is refused, which costs next to nothing.
 //!
@@ -9,7 +9,7 @@
 //! limited by the transport.
 
 use crate::protocol::Micros;
-use crate::transport::NetEvent;
+use crate::transport::NetworkEvent;
 use std::collections::VecDeque;
 
 /// Requests of users handled in one step, at most.
@@ -21,7 +21,7 @@
 
 /// Sorts of what arrives, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Sort {
+enum RequestClass {
     /// Never waits.
     Vital,
     Cancel,
@@ -29,55 +29,57 @@
     Poll,
 }
 
-fn sort(e: &NetEvent) -> Sort {
-    let NetEvent::Request {
+fn sort(e: &NetworkEvent) -> RequestClass {
+    let NetworkEvent::Request {
         internal,
         method,
         path,
         ..
     } = e
     else {
-        return Sort::Vital;
+        return RequestClass::Vital;
     };
-    // A sibling hands users' requests on under a path of its own.
+    // A peer hands users' requests on under a path of its own.
     let Some(rest) = path.split_once("/submissions").map(|(_, rest)| rest) else {
-        return Sort::Vital;
+        return RequestClass::Vital;
     };
     match (method.as_str(), rest) {
-        _ if *internal && !path.starts_with(super::node::HANDED_ON) => Sort::Vital,
-        ("GET", _) => Sort::Poll,
-        (_, r) if r.ends_with("/cancel") => Sort::Cancel,
-        _ => Sort::Submit,
+        _ if *internal && !path.starts_with(crate::controller::FORWARD_PREFIX) => {
+            RequestClass::Vital
+        }
+        ("GET", _) => RequestClass::Poll,
+        (_, r) if r.ends_with("/cancel") => RequestClass::Cancel,
+        _ => RequestClass::Submit,
     }
 }
 
 /// What is to be done with an event now.
 #[derive(Debug)]
-pub enum Turn {
+pub enum ScheduledRequest {
     /// Handle it.
-    Handle(NetEvent),
+    Handle(NetworkEvent),
     /// Its user has waited for too long: refuse it on this connection.
     Refuse(u64),
 }
 
 /// Users' requests that wait for their turn, with their arrival.
 #[derive(Debug, Default)]
-pub struct Turns {
-    cancels: VecDeque<(Micros, NetEvent)>,
-    submits: VecDeque<(Micros, NetEvent)>,
-    polls: VecDeque<(Micros, NetEvent)>,
+pub struct RequestScheduler {
+    cancels: VecDeque<(Micros, NetworkEvent)>,
+    submits: VecDeque<(Micros, NetworkEvent)>,
+    polls: VecDeque<(Micros, NetworkEvent)>,
 }
 
-impl Turns {
+impl RequestScheduler {
     /// Takes what has arrived; gives what is to be handled in this step, in order.
-    pub fn step(&mut self, now: Micros, events: Vec<NetEvent>) -> Vec<Turn> {
+    pub fn step(&mut self, now: Micros, events: Vec<NetworkEvent>) -> Vec<ScheduledRequest> {
         let mut turns = Vec::with_capacity(events.len().min(2 * A_STEP));
         for e in events {
             match sort(&e) {
-                Sort::Vital => turns.push(Turn::Handle(e)),
-                Sort::Cancel => self.cancels.push_back((now, e)),
-                Sort::Submit => self.submits.push_back((now, e)),
-                Sort::Poll => self.polls.push_back((now, e)),
+                RequestClass::Vital => turns.push(ScheduledRequest::Handle(e)),
+                RequestClass::Cancel => self.cancels.push_back((now, e)),
+                RequestClass::Submit => self.submits.push_back((now, e)),
+                RequestClass::Poll => self.polls.push_back((now, e)),
             }
         }
         // A flood of submissions must not keep everybody from learning how their jobs are.
@@ -122,22 +124,22 @@
 
 /// Takes at most `left` requests that are worth their work; returns how many more might be.
 fn take(
-    queue: &mut VecDeque<(Micros, NetEvent)>,
+    queue: &mut VecDeque<(Micros, NetworkEvent)>,
     now: Micros,
     patience: Micros,
     mut left: usize,
-    turns: &mut Vec<Turn>,
+    turns: &mut Vec<ScheduledRequest>,
 ) -> usize {
     while left > 0
         && let Some((came, e)) = queue.pop_front()
     {
         match e {
-            NetEvent::Request { conn, .. } if now >= came + patience => {
-                turns.push(Turn::Refuse(conn));
+            NetworkEvent::Request { conn, .. } if now >= came + patience => {
+                turns.push(ScheduledRequest::Refuse(conn));
             }
             e => {
                 left -= 1;
-                turns.push(Turn::Handle(e));
+                turns.push(ScheduledRequest::Handle(e));
             }
         }
     }
--- a/src/coordination/turns/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::transport::Outcome;
 
-fn request(conn: u64, method: &str, path: &str) -> NetEvent {
-    NetEvent::Request {
+fn request(conn: u64, method: &str, path: &str) -> NetworkEvent {
+    NetworkEvent::Request {
         conn,
         internal: path.starts_with("/user"),
         method: method.into(),
@@ -13,11 +13,11 @@
     }
 }
 
-fn conns(turns: &[Turn]) -> Vec<i64> {
-    let conn = |t: &Turn| match t {
-        Turn::Handle(NetEvent::Request { conn, .. }) => *conn as i64,
-        Turn::Handle(NetEvent::Answer { .. }) => 0,
-        Turn::Refuse(conn) => -(*conn as i64),
+fn conns(turns: &[ScheduledRequest]) -> Vec<i64> {
+    let conn = |t: &ScheduledRequest| match t {
+        ScheduledRequest::Handle(NetworkEvent::Request { conn, .. }) => *conn as i64,
+        ScheduledRequest::Handle(NetworkEvent::Answer { .. }) => 0,
+        ScheduledRequest::Refuse(conn) => -(*conn as i64),
     };
     turns.iter().map(conn).collect()
 }
@@ -25,9 +25,9 @@
 /// A thousand polls are in the way of an answer from the store, a report and a cancellation.
 #[test]
 fn what_keeps_the_service_alive_does_not_wait_behind_a_flood_of_polls() {
-    let mut t = Turns::default();
+    let mut t = RequestScheduler::default();
     let at = |ms: u64| Micros::millis(10_000 + ms);
-    let mut flood: Vec<NetEvent> = (0..1_000)
+    let mut flood: Vec<NetworkEvent> = (0..1_000)
         .map(|n| request(100 + n, "GET", "/submissions/req-1"))
         .collect();
     flood.extend([
@@ -36,7 +36,7 @@
         request(3, "POST", "/hello"),
         request(4, "GET", "/healthz"),
         request(5, "POST", "/user/submissions"),
-        NetEvent::Answer {
+        NetworkEvent::Answer {
             id: 7,
             outcome: Outcome::Lost,
         },
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_flood_of_submissions_leaves_polls_a_part() {
-    let mut t = Turns::default();
+    let mut t = RequestScheduler::default();
     let flood = (0..500).map(|n| request(1_000 + n, "POST", "/submissions"));
     let polls = (0..40).map(|n| request(1 + n, "GET", "/submissions/req-1"));
     let first = conns(&t.step(Micros::millis(1), flood.chain(polls).collect()));
--- a/src/coordination/renting.rs
+++ b/src/cloud/autoscaler.rs
@@ -1,16 +1,16 @@
 //! What to rent and what to return: a plan that looks and changes nothing.
 
-use super::leader::Leader;
-use super::node::Clock;
-use super::placement::{self, Allow, Amounts, Host, Names, Shape, slots};
-use super::policy::Policy;
-use super::queue::{Lack, Met};
-use super::rooms::{Rooms, Vain};
-use super::survey::Hosts;
-use crate::bookkeeping::mirror::{Job, Mirror};
-use crate::protocol::records::Stage;
+use crate::agents::leader_state::LeaderState;
+use crate::controller::Clock;
+use crate::policy::Policy;
+use crate::protocol::records::JobStage;
 use crate::protocol::wire::MachineType;
-use crate::protocol::{Micros, Settings, Spec};
+use crate::protocol::{JobSpec, Micros, Settings};
+use crate::scheduling::backfill::{Lack, Met};
+use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
+use crate::scheduling::cluster_snapshot::Hosts;
+use crate::scheduling::placement::{self, Allow, Amounts, Host, NameTable, Shape, slots};
+use crate::state::record_cache::{Job, RecordCache};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,15 +22,15 @@
 const RENTED_A_PASS: u32 = 400;
 
 /// What is offered: a type in a zone, as a spot machine or not.
-pub(super) type Offer = (String, String, bool);
+pub(crate) type InstanceOffer = (String, String, bool);
 
 /// What a pass wants of the fleet.
 #[derive(Debug, Default, PartialEq)]
-pub struct FleetPlan {
+pub struct ScalingPlan {
     /// Machines to be returned, and why.
     pub leave: Vec<(String, &'static str)>,
     /// Machines to be rented.
-    pub rent: BTreeMap<Offer, u32>,
+    pub rent: BTreeMap<InstanceOffer, u32>,
     /// It is known what is there without us, so that rentals may go on.
     pub ready: bool,
 }
@@ -99,8 +99,8 @@
 }
 
 /// Names all types and zones of machines, also of those on offer.
-pub fn name_zones(l: &Leader, mirror: &Mirror, names: &mut Names) {
-    for t in mirror.types.iter().flatten() {
+pub fn name_zones(l: &LeaderState, cache: &RecordCache, names: &mut NameTable) {
+    for t in cache.types.iter().flatten() {
         names.id(&t.name);
         for z in &t.zones {
             names.id(z);
@@ -110,7 +110,7 @@
         names.id(&m.kind);
         names.id(&m.zone);
     }
-    for w in l.workers.values() {
+    for w in l.agents.values() {
         names.id(&w.zone);
     }
     for (r, _) in l.fleet.renting.values() {
@@ -121,9 +121,9 @@
 
 /// Machines that are not there yet, or are about to take tasks, and what has been promised of them.
 struct Coming {
-    rooms: Rooms,
+    rooms: CapacityIndex,
     /// What found no room on them.
-    vain: HashMap<Alike, Vain>,
+    vain: HashMap<Alike, InfeasibleRequests>,
 }
 
 impl Coming {
@@ -178,9 +178,9 @@
 #[derive(Clone, Copy)]
 pub struct Sight<'a> {
     /// The leader.
-    pub leader: &'a Leader,
+    pub leader: &'a LeaderState,
     /// The records.
-    pub mirror: &'a Mirror,
+    pub cache: &'a RecordCache,
     /// Settings.
     pub settings: &'a Settings,
     /// Operators' settings.
@@ -198,13 +198,13 @@
 /// What to rent for what lacks room, unless we are too new to know, and what to return.
 pub fn plan<'a>(
     sight: &Sight<'_>,
-    names: &Names,
+    names: &NameTable,
     wants: &impl Wants<'a>,
     lacks: &[Lack<'_>],
-) -> FleetPlan {
+) -> ScalingPlan {
     let Sight {
         leader: l,
-        mirror,
+        cache,
         policy,
         hosts,
         rooms,
@@ -214,18 +214,18 @@
     let f = &l.fleet;
     let lacking = !lacks.is_empty();
     let silent_zones = silent_zones(l, sight.settings, now);
-    let mut plan = FleetPlan {
+    let mut plan = ScalingPlan {
         leave: give_up(sight, &silent_zones, lacking),
         // Nothing is rented before it is on record what was there without us.
-        ready: f.listed_once && mirror.base.is_some(),
-        ..FleetPlan::default()
+        ready: f.listed_once && cache.base.is_some(),
+        ..ScalingPlan::default()
     };
     if !plan.ready || !lacking || !sight.learnt {
         return plan;
     }
-    let types: &[MachineType] = mirror.types.as_deref().unwrap_or_default();
+    let types: &[MachineType] = cache.types.as_deref().unwrap_or_default();
     let mut coming = Coming {
-        rooms: Rooms::default(),
+        rooms: CapacityIndex::default(),
         vain: HashMap::new(),
     };
     let mut count: BTreeMap<&str, usize> = BTreeMap::new();
@@ -249,14 +249,14 @@
     for (name, m) in f.machines.iter().filter(|(_, m)| !m.failed) {
         *count.entry(&m.zone).or_default() += 1;
         let lost =
-            silent_zones.contains(&m.zone) && l.workers.get(name).is_some_and(|w| w.is_over());
+            silent_zones.contains(&m.zone) && l.agents.get(name).is_some_and(|w| w.is_over());
         if (!m.met || lost) && !m.leaving {
             coming.add(fresh(&m.kind, &m.zone, m.spot));
         }
         // One that has reported and not yet shown our term is about to take tasks. Left out, a
         // wave of machines that come up together would be rented a second time.
         if let Some(h) = hosts.find(name)
-            && l.workers.get(name).is_some_and(|w| w.term < l.term)
+            && l.agents.get(name).is_some_and(|w| w.term < l.term)
             && !m.leaving
         {
             let mut host = rooms[h].clone();
@@ -275,7 +275,7 @@
     let mut ordered = 0;
     let most = policy.most_machines as usize;
     // For what nothing is on offer.
-    let mut unoffered: HashMap<Alike, Vain> = HashMap::new();
+    let mut unoffered: HashMap<Alike, InfeasibleRequests> = HashMap::new();
     for lack in lacks {
         // Promises are only made to find out what else to rent.
         if ordered >= RENTED_A_PASS || (most > 0 && total >= most) {
@@ -326,10 +326,10 @@
 
 /// Zones most of whose machines have fallen silent, or hear nothing: more likely cut off than dead. Their
 /// machines are worth waiting for as long as new ones would take to boot.
-fn silent_zones(l: &Leader, settings: &Settings, now: Micros) -> BTreeSet<String> {
+fn silent_zones(l: &LeaderState, settings: &Settings, now: Micros) -> BTreeSet<String> {
     let mut heard: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    let quiet = Micros::secs(settings.params.workers.report_s * 2.5);
-    for w in l.workers.values() {
+    let quiet = Micros::secs(settings.params.agents.report_s * 2.5);
+    for w in l.agents.values() {
         let c = match heard.get_mut(w.zone.as_str()) {
             Some(c) => c,
             None => heard.entry(&w.zone).or_default(),
@@ -352,7 +352,7 @@
 ) -> Vec<(String, &'static str)> {
     let Sight {
         leader: l,
-        mirror,
+        cache,
         settings,
         policy,
         clock,
@@ -361,18 +361,18 @@
         ..
     } = *sight;
     let now = clock.now;
-    let types: &[MachineType] = mirror.types.as_deref().unwrap_or_default();
+    let types: &[MachineType] = cache.types.as_deref().unwrap_or_default();
     let lag = Micros::secs(settings.params.cloud.list_lag_s * 3.0);
     let mut leave: Vec<(String, &'static str)> = Vec::new();
-    let learning = Micros::secs(settings.params.workers.cancel_s * 1.2);
+    let learning = Micros::secs(settings.params.agents.cancel_s * 1.2);
     // An operator who keeps machines up before there is work holds spare room worth its price.
-    let patience = if mirror.base.unwrap_or(0) > 0 {
+    let patience = if cache.base.unwrap_or(0) > 0 {
         Micros::secs(policy.idle_return_kept_s)
     } else {
         Micros::secs(policy.idle_return_s)
     };
     // Long enough for a cut that lets only one direction through.
-    let patience_deaf = Micros::secs(settings.params.workers.lease_s * 2.0).max(DEAF);
+    let patience_deaf = Micros::secs(settings.params.agents.lease_s * 2.0).max(DEAF);
     let mut idle = 0usize;
     for (name, m) in &l.fleet.machines {
         if m.leaving || m.failed {
@@ -392,7 +392,7 @@
             }
             continue;
         }
-        let Some(w) = l.workers.get(name) else {
+        let Some(w) = l.agents.get(name) else {
             continue;
         };
         let wait = if silent_zones.contains(&w.zone) {
@@ -432,20 +432,18 @@
     // Tasks of cancelled jobs that cannot be confirmed gone in time go with their machine.
     // A controller that renews the machine's lease behind a cut has told it to stop them, so
     // this waits until just enough time is left for a few calls to the cloud.
-    let cancel_s = settings.params.workers.cancel_s;
+    let cancel_s = settings.params.agents.cancel_s;
     let late = Micros::secs((cancel_s - 8.0).max(cancel_s * 0.6));
     // Such jobs still have places on record, so they are among those that have.
-    let ending = mirror
-        .ending()
-        .filter_map(|id| mirror.jobs.get_key_value(id));
+    let ending = cache.ending().filter_map(|id| cache.jobs.get_key_value(id));
     for (id, job) in ending {
-        if job.rec.stage != Stage::Cancelled || clock.wall < job.rec.end + late {
+        if job.rec.stage != JobStage::Cancelled || clock.wall < job.rec.end + late {
             continue;
         }
         for e in job.entries() {
             if let Some(m) = e.machine()
                 && l.presumed(id, e, false)
-                && now.since(l.since) > Micros::secs(settings.params.workers.lease_s)
+                && now.since(l.since) > Micros::secs(settings.params.agents.lease_s)
             {
                 let why = "a cancelled task cannot be confirmed gone";
                 leave.push((m.to_string(), why));
@@ -458,9 +456,9 @@
 /// Where to rent a machine for a job: the cheapest type that fits, in the zone with the fewest
 /// machines; a gang that wants one zone stays in the first zone that is to be had.
 fn offer<'t>(
-    spec: &Spec,
+    spec: &JobSpec,
     types: &'t [MachineType],
-    refused: &BTreeMap<Offer, Micros>,
+    refused: &BTreeMap<InstanceOffer, Micros>,
     count: &BTreeMap<&str, usize>,
     open: impl Fn(&str) -> bool,
     now: Micros,
--- a/src/coordination/fleet.rs
+++ b/src/cloud/inventory.rs
@@ -1,27 +1,27 @@
 //! Machines: renting, adopting, giving up and returning them.
 
-use super::node::{CallTag, Clock, Node, Tag, cond, put};
-use super::renting::{FleetPlan, Offer};
-use crate::bookkeeping::store::{Ask, Rank};
-use crate::bookkeeping::token_bucket::TokenBucket;
+use crate::cloud::autoscaler::{InstanceOffer, ScalingPlan};
+use crate::controller::{Clock, Controller, PendingCall, StoreRequestPurpose, cond, put};
 use crate::protocol::Micros;
 use crate::protocol::records::{BASE, LEAD, TYPES};
 use crate::protocol::wire::{
-    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, Rent, Report, Txn, decode,
-    encode,
+    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, RentRequest, Report,
+    Transaction, decode, encode,
 };
+use crate::state::store_client::{RequestPriority, StoreRequest};
+use crate::state::token_bucket::TokenBucket;
 use crate::transport::Outcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A call to the cloud.
 #[derive(Debug, Clone)]
-pub enum CloudAsk {
+pub enum CloudRequest {
     /// Machine types.
     Types,
     /// A page of the list.
     List,
     /// A rental.
-    Rent(Rent),
+    RentRequest(RentRequest),
     /// Deletion of these machines.
     Delete(Vec<String>),
 }
@@ -29,34 +29,34 @@
 /// A machine that is, or may be, rented.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    pub(super) kind: String,
-    pub(super) zone: String,
-    pub(super) spot: bool,
-    pub(super) rented: Micros,
-    pub(super) running: bool,
-    pub(super) met: bool,
-    pub(super) leaving: bool,
-    pub(super) failed: bool,
+    pub(crate) kind: String,
+    pub(crate) zone: String,
+    pub(crate) spot: bool,
+    pub(crate) rented: Micros,
+    pub(crate) running: bool,
+    pub(crate) met: bool,
+    pub(crate) leaving: bool,
+    pub(crate) failed: bool,
 }
 
 /// The fleet, as the leader knows it.
-pub struct Fleet {
-    pub(super) machines: BTreeMap<String, Machine>,
-    pub(super) gone: BTreeSet<String>,
-    pub(super) gone_order: VecDeque<String>,
-    pub(super) list_at: Micros,
-    pub(super) list_after: String,
-    pub(super) listing: bool,
-    pub(super) listed_once: bool,
-    pub(super) types_at: Micros,
-    pub(super) typing: bool,
-    pub(super) refused: BTreeMap<Offer, Micros>,
-    pub(super) renting: BTreeMap<String, (Rent, bool)>,
-    pub(super) counter: u64,
-    pub(super) pace: Option<TokenBucket>,
-    pub(super) wanted: VecDeque<CloudAsk>,
+pub struct Inventory {
+    pub(crate) machines: BTreeMap<String, Machine>,
+    pub(crate) gone: BTreeSet<String>,
+    pub(crate) gone_order: VecDeque<String>,
+    pub(crate) list_at: Micros,
+    pub(crate) list_after: String,
+    pub(crate) listing: bool,
+    pub(crate) listed_once: bool,
+    pub(crate) types_at: Micros,
+    pub(crate) typing: bool,
+    pub(crate) refused: BTreeMap<InstanceOffer, Micros>,
+    pub(crate) renting: BTreeMap<String, (RentRequest, bool)>,
+    pub(crate) counter: u64,
+    pub(crate) pace: Option<TokenBucket>,
+    pub(crate) wanted: VecDeque<CloudRequest>,
     /// Machines to be deleted, not yet asked for.
-    pub(super) condemned: BTreeSet<String>,
+    pub(crate) condemned: BTreeSet<String>,
 }
 
 /// Lists are read at this pace.
@@ -75,10 +75,10 @@
 /// Names of machines that are gone, kept for late lists.
 const GONE_KEPT: usize = 4000;
 
-impl Fleet {
+impl Inventory {
     /// Nothing known yet.
-    pub fn new(clock: Clock) -> Fleet {
-        Fleet {
+    pub fn new(clock: Clock) -> Inventory {
+        Inventory {
             machines: BTreeMap::new(),
             gone: BTreeSet::new(),
             gone_order: VecDeque::new(),
@@ -112,7 +112,7 @@
         self.machines.get(machine).map(|m| m.zone.clone())
     }
 
-    /// Its worker has reported.
+    /// Its agent has reported.
     pub fn met(&mut self, name: &str, r: &Report, now: Micros) {
         if let Some(m) = self.machines.get_mut(name) {
             if !m.met {
@@ -160,7 +160,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What the fleet is due; returns when to look again.
     pub fn fleet_time(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
@@ -171,11 +171,11 @@
         let f = &mut l.fleet;
         if f.list_at <= now && !f.listing {
             f.listing = true;
-            f.wanted.push_back(CloudAsk::List);
+            f.wanted.push_back(CloudRequest::List);
         }
         if f.types_at <= now && !f.typing {
             f.typing = true;
-            f.wanted.push_front(CloudAsk::Types);
+            f.wanted.push_front(CloudRequest::Types);
         }
         // What must go is named once per call.
         while !f.condemned.is_empty() {
@@ -183,7 +183,7 @@
             for n in &due {
                 f.condemned.remove(n);
             }
-            f.wanted.push_front(CloudAsk::Delete(due));
+            f.wanted.push_front(CloudRequest::Delete(due));
         }
         let pace = f
             .pace
@@ -207,17 +207,17 @@
         let addr = self.settings.external.cloud;
         for ask in send {
             let (method, path, body) = match &ask {
-                CloudAsk::Types => ("GET", "/flavors".to_string(), Vec::new()),
-                CloudAsk::List if after.is_empty() => {
+                CloudRequest::Types => ("GET", "/flavors".to_string(), Vec::new()),
+                CloudRequest::List if after.is_empty() => {
                     ("GET", "/machines?most=500".to_string(), Vec::new())
                 }
-                CloudAsk::List => (
+                CloudRequest::List => (
                     "GET",
                     format!("/machines?after={after}&most=500"),
                     Vec::new(),
                 ),
-                CloudAsk::Rent(r) => ("POST", "/machines".to_string(), encode(r)),
-                CloudAsk::Delete(names) => (
+                CloudRequest::RentRequest(r) => ("POST", "/machines".to_string(), encode(r)),
+                CloudRequest::Delete(names) => (
                     "POST",
                     "/machines/release".to_string(),
                     encode(&MachineNames {
@@ -226,7 +226,7 @@
                 ),
             };
             self.call(
-                CallTag::Cloud(ask),
+                PendingCall::Cloud(ask),
                 addr,
                 method,
                 &path,
@@ -238,7 +238,7 @@
     }
 
     /// The cloud has answered, or not.
-    pub fn on_cloud(&mut self, clock: Clock, ask: CloudAsk, outcome: Outcome) {
+    pub fn on_cloud(&mut self, clock: Clock, ask: CloudRequest, outcome: Outcome) {
         let now = clock.now;
         let (status, body) = match outcome {
             Outcome::Reply { status, body } => (status, body),
@@ -246,7 +246,7 @@
         };
         let Some(l) = &mut self.leader else { return };
         match ask {
-            CloudAsk::Types => {
+            CloudRequest::Types => {
                 l.fleet.typing = false;
                 match decode::<MachineTypes>(&body).filter(|_| status == 200) {
                     Some(t) => {
@@ -256,7 +256,7 @@
                     None => l.fleet.types_at = now + CLOUD_AGAIN,
                 }
             }
-            CloudAsk::List => {
+            CloudRequest::List => {
                 l.fleet.listing = false;
                 match decode::<MachinePage>(&body).filter(|_| status == 200) {
                     Some(p) => self.on_list(clock, p),
@@ -266,7 +266,7 @@
                     }
                 }
             }
-            CloudAsk::Rent(r) => {
+            CloudRequest::RentRequest(r) => {
                 let offer = (r.kind.clone(), r.zone.clone(), r.spot);
                 if status == 200
                     && let Some(names) = decode::<MachineNames>(&body)
@@ -305,13 +305,13 @@
                 }
                 l.dirty = true;
             }
-            CloudAsk::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for n in names {
                     if status == 200 {
                         log::info!("{n}: returned");
                         l.fleet.machines.remove(&n);
                         l.fleet.prove_gone(&n);
-                        l.workers.remove(&n);
+                        l.agents.remove(&n);
                         l.dirty = true;
                     } else if l.fleet.machines.contains_key(&n) {
                         l.fleet.condemned.insert(n);
@@ -329,18 +329,25 @@
             a == *b
         };
         types.sort_by(|a, b| a.name.cmp(&b.name));
-        let known = self.mirror.types.as_ref().is_some_and(|k| {
+        let known = self.cache.types.as_ref().is_some_and(|k| {
             k.len() == types.len() && k.iter().zip(&types).all(|(a, b)| same(a, b))
         });
         if known {
             return;
         }
         let Some(l) = &self.leader else { return };
-        let txn = Txn {
-            conds: vec![super::node::cond(crate::protocol::records::LEAD, l.version)],
+        let txn = Transaction {
+            conds: vec![crate::controller::cond(
+                crate::protocol::records::LEAD,
+                l.version,
+            )],
             changes: vec![put(TYPES, &MachineTypes { types }, None)],
         };
-        self.store.ask(Rank::First, Tag::Types, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::First,
+            StoreRequestPurpose::Types,
+            StoreRequest::Transaction(txn),
+        );
     }
 
     fn on_list(&mut self, clock: Clock, page: MachinePage) {
@@ -359,19 +366,23 @@
             f.list_at = now + LIST_EVERY;
             f.listed_once = true;
         }
-        if !page.more && self.mirror.base.is_none() {
+        if !page.more && self.cache.base.is_none() {
             // Written once and for all: nothing is rented before the first list has been read.
             let n = (f.machines.len().max(page.machines.len())) as u64;
-            let txn = Txn {
+            let txn = Transaction {
                 conds: vec![cond(LEAD, l.version), cond(BASE, 0)],
                 changes: vec![put(BASE, &n, None)],
             };
-            self.store.ask(Rank::Usual, Tag::Types, Ask::Txn(txn));
+            self.store.ask(
+                RequestPriority::Usual,
+                StoreRequestPurpose::Types,
+                StoreRequest::Transaction(txn),
+            );
         }
         for m in page.machines {
             if f.gone.contains(&m.id) {
                 if m.state == MachineState::Failed && !f.machines.contains_key(&m.id) {
-                    f.wanted.push_back(CloudAsk::Delete(vec![m.id]));
+                    f.wanted.push_back(CloudRequest::Delete(vec![m.id]));
                 }
                 continue;
             }
@@ -397,7 +408,7 @@
     }
 
     /// Rents and returns what a pass has planned.
-    pub fn apply_fleet(&mut self, plan: FleetPlan) {
+    pub fn apply_fleet(&mut self, plan: ScalingPlan) {
         let Some(l) = &mut self.leader else { return };
         let f = &mut l.fleet;
         for (name, why) in plan.leave {
@@ -406,7 +417,7 @@
         for (rent, flying) in f.renting.values_mut() {
             if plan.ready && !*flying {
                 *flying = true;
-                f.wanted.push_back(CloudAsk::Rent(rent.clone()));
+                f.wanted.push_back(CloudRequest::RentRequest(rent.clone()));
             }
         }
         for ((kind, zone, spot), mut n) in plan.rent {
@@ -415,9 +426,9 @@
                 // The term is part of the name: a controller that leads a second time counts anew.
                 let request = format!(
                     "{}-{:x}-{}-{}",
-                    self.settings.node, self.inc, l.term, f.counter
+                    self.settings.node, self.incarnation, l.term, f.counter
                 );
-                let rent = Rent {
+                let rent = RentRequest {
                     request: request.clone(),
                     kind: kind.clone(),
                     zone: zone.clone(),
@@ -426,7 +437,7 @@
                 };
                 n -= rent.count;
                 f.renting.insert(request, (rent.clone(), true));
-                f.wanted.push_back(CloudAsk::Rent(rent));
+                f.wanted.push_back(CloudRequest::RentRequest(rent));
             }
         }
     }
--- a/src/coordination/node.rs
+++ b/src/controller/mod.rs
@@ -1,22 +1,27 @@
 //! One controller: wires the actors together. `handle` takes one message and returns what is to
 //! be done; no I/O, no clock, no global randomness.
 
-use super::budget::Budget;
-use super::front::{Front, Waiter};
-use super::lead::{ClaimState, LEAD_TTL, room_for_two_vain};
-use super::leader::Leader;
-use super::policy::Policy;
-use super::reach::Reach;
-use super::renewal::Renewals;
-use super::siblings::Siblings;
-use super::turns::{Turn, Turns};
-use crate::bookkeeping::mirror::Mirror;
-use crate::bookkeeping::store::{Ask, Rank, Reply, Store};
-use crate::bookkeeping::workers::read_report;
-use crate::protocol::peer::Heartbeat;
-use crate::protocol::wire::{Change, Cond, Misdirected, Problem, Report, encode, to_value};
+pub mod runtime;
+pub mod store_responses;
+
+use crate::agents::leader_state::LeaderState;
+use crate::api::client_api::{ClientApi, PendingRequest};
+use crate::api::request_scheduler::{RequestScheduler, ScheduledRequest};
+use crate::leadership::budget_shares::BudgetShares;
+use crate::leadership::connectivity::Connectivity;
+use crate::leadership::delegated_renewal::DelegatedRenewals;
+use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL, room_for_two_vain};
+use crate::leadership::peers::Peers;
+use crate::policy::Policy;
+use crate::protocol::peer_messages::Heartbeat;
+use crate::protocol::wire::{
+    Change, Misdirected, Problem, Report, VersionCondition, encode, to_value,
+};
 use crate::protocol::{Micros, Settings};
-use crate::transport::{Call, NetCmd, NetEvent, Outcome};
+use crate::state::agent::read_report;
+use crate::state::record_cache::RecordCache;
+use crate::state::store_client::{RequestPriority, StoreClient, StoreRequest, StoreResponse};
+use crate::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -32,7 +37,7 @@
 
 /// Why the store was asked.
 #[derive(Debug, Clone)]
-pub enum Tag {
+pub enum StoreRequestPurpose {
     /// A page of a reading of all records.
     Load,
     /// The standing watch.
@@ -56,7 +61,7 @@
     /// A new term for the leader itself.
     Raise,
     /// The leader's job records.
-    Edits(u64),
+    RecordWriter(u64),
     /// Machine types.
     Types,
     /// Parts of the budget of changes.
@@ -64,15 +69,15 @@
     /// Giving the lead away.
     Yield,
     /// What we renew on the leader's behalf: these machines.
-    Renewals(Vec<String>),
-    /// The newest format that we read, or that a sibling no longer reads what it did.
+    DelegatedRenewals(Vec<String>),
+    /// The newest format that we read, or that a peer no longer reads what it did.
     Format,
 }
 
 /// Calls to others than the store.
 #[derive(Debug, Clone)]
-pub enum CallTag {
-    /// Commands to a worker.
+pub enum PendingCall {
+    /// Commands to a agent.
     Orders {
         /// Machine.
         machine: String,
@@ -84,17 +89,17 @@
         session: u64,
     },
     /// The cloud.
-    Cloud(super::fleet::CloudAsk),
-    /// A heartbeat: to which sibling, and when.
+    Cloud(crate::cloud::inventory::CloudRequest),
+    /// A heartbeat: to which peer, and when.
     Heartbeat(usize, Micros),
-    /// A user's request handed on to a sibling that the state service serves.
+    /// A user's request handed on to a peer that the state service serves.
     User(u64),
-    /// A worker's report handed on to the leader.
+    /// A agent's report handed on to the leader.
     Relay(u64, Box<Report>),
 }
 
-/// Path under which siblings take users' requests from one another.
-pub const HANDED_ON: &str = "/user";
+/// Path under which peers take users' requests from one another.
+pub const FORWARD_PREFIX: &str = "/user";
 /// A follower that has heard nothing of the state service for this long asks it. Without users it would not
 /// notice an outage, since its watch stays open, and pledge nothing.
 const PROBE_AFTER: Micros = Micros::millis(2000);
@@ -103,99 +108,99 @@
 const PROOF_EVERY: Micros = Micros::millis(1000);
 
 /// A controller.
-pub struct Node {
+pub struct Controller {
     /// Settings.
     pub settings: Settings,
     /// Operators' policy.
     pub policy: Policy,
     /// Names this run of the process.
-    pub inc: u64,
+    pub incarnation: u64,
     /// Seeded randomness.
     pub rng: ChaCha8Rng,
     /// The store.
-    pub store: Store<Tag>,
+    pub store: StoreClient<StoreRequestPurpose>,
     /// Copy of its records.
-    pub mirror: Mirror,
+    pub cache: RecordCache,
     /// Users.
-    pub front: Front,
+    pub front: ClientApi,
     /// The leader, while we lead.
-    pub leader: Option<Leader>,
+    pub leader: Option<LeaderState>,
     /// Leases renewed on the leader's behalf.
-    pub renewals: Renewals,
+    pub renewals: DelegatedRenewals,
     /// Users' requests that wait for the processor.
-    pub turns: Turns,
+    pub turns: RequestScheduler,
     /// Effects gathered in this step.
-    pub out: Vec<NetCmd>,
+    pub out: Vec<NetworkCommand>,
     /// Number of the last call.
     pub next_id: u64,
-    pub(super) calls: BTreeMap<u64, CallTag>,
-    pub(super) claim: ClaimState,
-    pub(super) lease: Option<u64>,
-    pub(super) renew_at: Micros,
-    pub(super) renewing: bool,
-    pub(super) load_after: String,
-    pub(super) load_at: Option<Micros>,
+    pub(crate) calls: BTreeMap<u64, PendingCall>,
+    pub(crate) claim: ElectionState,
+    pub(crate) lease: Option<u64>,
+    pub(crate) renew_at: Micros,
+    pub(crate) renewing: bool,
+    pub(crate) load_after: String,
+    pub(crate) load_at: Option<Micros>,
     /// All records are being read, one page at a time.
-    pub(super) loading: bool,
-    pub(super) follow_at: Option<Micros>,
+    pub(crate) loading: bool,
+    pub(crate) follow_at: Option<Micros>,
     /// The standing watch is open.
-    pub(super) following: bool,
-    pub(super) barrier_sent: Option<Micros>,
-    pub(super) barrier_flying: Vec<Waiter>,
-    pub(super) barrier_next: Vec<Waiter>,
+    pub(crate) following: bool,
+    pub(crate) barrier_sent: Option<Micros>,
+    pub(crate) barrier_flying: Vec<PendingRequest>,
+    pub(crate) barrier_next: Vec<PendingRequest>,
     /// Whose turn it is to write: job records, or acceptances.
-    pub(super) turn: bool,
-    pub(super) barrier_at: Micros,
-    /// What siblings have told, and what we have told them.
-    pub(super) siblings: Siblings,
+    pub(crate) turn: bool,
+    pub(crate) barrier_at: Micros,
+    /// What peers have told, and what we have told them.
+    pub(crate) peers: Peers,
     /// Start of the last read of all changes.
-    pub(super) read_at: Micros,
+    pub(crate) read_at: Micros,
     /// When the state service last answered us, and when we last asked for nothing but a sign of life.
-    pub(super) store_heard: Micros,
-    pub(super) probed: Micros,
+    pub(crate) store_heard: Micros,
+    pub(crate) probed: Micros,
     /// Whom we still reach.
-    pub(super) reach: Reach,
+    pub(crate) reach: Connectivity,
     /// Highest term that anybody has shown us; below it we never lead, whatever an old copy says.
-    pub(super) highest: u64,
+    pub(crate) highest: u64,
     /// Our share of the store's budgets.
-    pub(super) budget: Budget,
+    pub(crate) budget: BudgetShares,
     /// When we last gave the lead away.
-    pub(super) yielded: Option<Micros>,
+    pub(crate) yielded: Option<Micros>,
     /// When we started.
-    pub(super) born: Micros,
+    pub(crate) born: Micros,
     /// Version of the record of the lead, and since when we know it.
-    pub(super) lead_seen: (u64, Micros),
+    pub(crate) lead_seen: (u64, Micros),
     /// When our record of the format we read is looked at again; none: it is being written.
-    pub(super) format_at: Option<Micros>,
+    pub(crate) format_at: Option<Micros>,
     /// It has been logged that all controllers read our format.
-    pub(super) rolled_out: bool,
+    pub(crate) rolled_out: bool,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has just started.
-    pub fn new(settings: Settings, policy: Policy, seed: u64, clock: Clock) -> Node {
+    pub fn new(settings: Settings, policy: Policy, seed: u64, clock: Clock) -> Controller {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let inc = rng.random::<u64>() >> 1;
-        let siblings = Siblings::new(settings.siblings.len(), &policy, clock.now);
-        let budget = Budget::new(&settings);
-        let reach = Reach::new(clock.now, room_for_two_vain(&settings));
+        let incarnation = rng.random::<u64>() >> 1;
+        let peers = Peers::new(settings.peers.len(), &policy, clock.now);
+        let budget = BudgetShares::new(&settings);
+        let reach = Connectivity::new(clock.now, room_for_two_vain(&settings));
         let (rps, wps, burst) = budget.rates(&settings);
-        let store = Store::new(settings.external.state, rps, wps, burst);
-        Node {
+        let store = StoreClient::new(settings.external.state, rps, wps, burst);
+        Controller {
             settings,
             policy,
-            inc,
+            incarnation,
             rng,
             store,
-            mirror: Mirror::default(),
-            front: Front::default(),
+            cache: RecordCache::default(),
+            front: ClientApi::default(),
             leader: None,
-            renewals: Renewals::default(),
-            turns: Turns::default(),
+            renewals: DelegatedRenewals::default(),
+            turns: RequestScheduler::default(),
             out: Vec::new(),
             next_id: 0,
             calls: BTreeMap::new(),
-            claim: ClaimState::Idle,
+            claim: ElectionState::Idle,
             lease: None,
             renew_at: Micros::FAR,
             renewing: false,
@@ -209,7 +214,7 @@
             barrier_next: Vec::new(),
             turn: false,
             barrier_at: Micros::ZERO,
-            siblings,
+            peers,
             read_at: Micros::ZERO,
             store_heard: clock.now,
             probed: clock.now,
@@ -225,21 +230,27 @@
     }
 
     /// Takes a batch of messages; returns what to do and when to be called next at the latest.
-    pub fn handle(&mut self, clock: Clock, events: Vec<NetEvent>) -> (Vec<NetCmd>, Micros) {
+    pub fn handle(
+        &mut self,
+        clock: Clock,
+        events: Vec<NetworkEvent>,
+    ) -> (Vec<NetworkCommand>, Micros) {
         self.reach.look(clock.now);
         for turn in self.turns.step(clock.now, events) {
             match turn {
-                Turn::Handle(NetEvent::Request {
+                ScheduledRequest::Handle(NetworkEvent::Request {
                     conn,
                     internal,
                     method,
                     path,
                     body,
                 }) => self.on_request(clock, conn, internal, &method, &path, &body),
-                Turn::Handle(NetEvent::Answer { id, outcome }) => {
-                    self.on_answer(clock, id, outcome)
+                ScheduledRequest::Handle(NetworkEvent::Answer { id, outcome }) => {
+                    self.on_response(clock, id, outcome)
+                }
+                ScheduledRequest::Refuse(conn) => {
+                    self.refuse_until(conn, "too many requests at once", 2)
                 }
-                Turn::Refuse(conn) => self.refuse_until(conn, "too many requests at once", 2),
             }
         }
         let mut next = self.on_time(clock);
@@ -254,7 +265,7 @@
 
     /// Answers a request.
     pub fn respond<T: serde::Serialize>(&mut self, conn: u64, status: u16, body: &T) {
-        self.out.push(NetCmd::Respond {
+        self.out.push(NetworkCommand::Respond {
             conn,
             status,
             body: encode(body),
@@ -276,7 +287,7 @@
         let body = encode(&Problem {
             error: error.to_string(),
         });
-        self.out.push(NetCmd::Respond {
+        self.out.push(NetworkCommand::Respond {
             conn,
             status,
             body,
@@ -287,7 +298,7 @@
     /// Makes a call to somebody other than the store.
     pub fn call(
         &mut self,
-        tag: CallTag,
+        tag: PendingCall,
         addr: std::net::SocketAddr,
         method: &'static str,
         path: &str,
@@ -296,7 +307,7 @@
     ) {
         self.next_id += 1;
         self.calls.insert(self.next_id, tag);
-        self.out.push(NetCmd::Call(Call {
+        self.out.push(NetworkCommand::Call(Call {
             id: self.next_id,
             addr,
             method,
@@ -319,8 +330,8 @@
             match path {
                 "/heartbeat" => match Heartbeat::decode(body) {
                     Ok(h) => {
-                        let body = self.answer_heartbeat(clock, h).encode();
-                        self.out.push(NetCmd::Respond {
+                        let body = self.respond_to_heartbeat(clock, h).encode();
+                        self.out.push(NetworkCommand::Respond {
                             conn,
                             status: 200,
                             body,
@@ -338,14 +349,14 @@
                     }
                     _ => self.refuse(conn, 503, "not leading"),
                 },
-                _ => match path.strip_prefix(HANDED_ON) {
+                _ => match path.strip_prefix(FORWARD_PREFIX) {
                     Some(path) => self.on_user(clock, conn, method, path, body),
                     None => self.refuse(conn, 404, "no such path"),
                 },
             }
             return;
         }
-        if self.hand_on(clock, conn, method, path, body) {
+        if self.forward_to_peer(clock, conn, method, path, body) {
             return;
         }
         self.on_user(clock, conn, method, path, body);
@@ -356,7 +367,7 @@
         let job = path.strip_prefix("/submissions/");
         match (method, path, job) {
             ("GET", "/healthz", _) => {
-                if !self.mirror.synced {
+                if !self.cache.synced {
                     self.refuse(conn, 503, "still reading the records");
                 } else if self.reach.sends_users_away() {
                     self.refuse(conn, 503, "neither the state service nor a sibling answers");
@@ -402,7 +413,7 @@
         {
             // Somebody has led after us.
             self.highest = self.highest.max(report.term);
-            self.stand_down("a worker has seen a higher term");
+            self.step_down("a worker has seen a higher term");
             let none = Misdirected::default();
             self.respond(conn, 421, &none);
             return;
@@ -414,39 +425,41 @@
         self.follower_report(clock, conn, report);
     }
 
-    fn on_answer(&mut self, clock: Clock, id: u64, outcome: Outcome) {
-        if let Some((tag, ask, sent, reply)) = self.store.on_answer(id, &outcome) {
-            if !matches!(reply, Reply::Refused | Reply::Lost) {
+    fn on_response(&mut self, clock: Clock, id: u64, outcome: Outcome) {
+        if let Some((tag, ask, sent, reply)) = self.store.on_response(id, &outcome) {
+            if !matches!(reply, StoreResponse::Refused | StoreResponse::Lost) {
                 self.store_heard = clock.now;
                 self.reach.store(clock.now);
             }
-            self.on_store(clock, tag, ask, sent, reply);
+            self.on_store_response(clock, tag, ask, sent, reply);
             return;
         }
         match self.calls.remove(&id) {
-            Some(CallTag::Heartbeat(i, sent)) => self.on_heartbeat_answer(clock, i, sent, outcome),
-            Some(CallTag::User(conn)) => self.on_handed_on(conn, outcome),
-            Some(CallTag::Relay(conn, report)) => self.on_relay(clock, conn, *report, outcome),
-            Some(tag) => self.leader_answer(clock, tag, outcome),
+            Some(PendingCall::Heartbeat(i, sent)) => {
+                self.on_heartbeat_response(clock, i, sent, outcome)
+            }
+            Some(PendingCall::User(conn)) => self.on_forwarded_response(conn, outcome),
+            Some(PendingCall::Relay(conn, report)) => self.on_relay(clock, conn, *report, outcome),
+            Some(tag) => self.on_leader_call_response(clock, tag, outcome),
             None => {}
         }
     }
 
     /// The copy has changed: look who leads.
-    pub(super) fn on_news(&mut self, clock: Clock) {
-        let version = self.mirror.lead.as_ref().map_or(0, |(_, v)| *v);
+    pub(crate) fn on_cache_updated(&mut self, clock: Clock) {
+        let version = self.cache.lead.as_ref().map_or(0, |(_, v)| *v);
         if self.lead_seen.0 != version {
             self.lead_seen = (version, clock.now);
         }
         let ours = self
-            .mirror
+            .cache
             .lead
             .as_ref()
-            .filter(|(l, _)| l.node == self.settings.node && l.inc == self.inc)
+            .filter(|(l, _)| l.node == self.settings.node && l.incarnation == self.incarnation)
             .filter(|(l, _)| l.term >= self.highest)
             .map(|(l, v)| (l.term, *v));
         match (ours, &mut self.leader) {
-            (None, Some(_)) => self.stand_down("another controller leads"),
+            (None, Some(_)) => self.step_down("another controller leads"),
             (Some((term, version)), Some(l)) => {
                 if term != l.term {
                     log::info!("term raised from {} to {term}", l.term);
@@ -462,17 +475,17 @@
             }
             (Some((term, version)), None) => {
                 log::info!("leading with term {term}");
-                self.leader = Some(Leader::new(term, version, clock));
+                self.leader = Some(LeaderState::new(term, version, clock));
                 self.renew_at = clock.now;
                 self.take_share(clock);
-                self.want_barrier(clock, Waiter::Proof);
+                self.request_read_barrier(clock, PendingRequest::Proof);
             }
             (None, None) => {}
         }
         self.on_changed_jobs();
     }
 
-    pub(super) fn stand_down(&mut self, why: &str) {
+    pub(crate) fn step_down(&mut self, why: &str) {
         if let Some(l) = self.leader.take() {
             log::info!("standing down from term {}: {why}", l.term);
         }
@@ -486,7 +499,11 @@
             if at <= now {
                 self.load_at = None;
                 let after = self.load_after.clone();
-                self.store.ask(Rank::First, Tag::Load, Ask::List { after });
+                self.store.ask(
+                    RequestPriority::First,
+                    StoreRequestPurpose::Load,
+                    StoreRequest::List { after },
+                );
             } else {
                 next = next.min(at);
             }
@@ -494,18 +511,19 @@
         if let Some(at) = self.follow_at {
             if at <= now {
                 self.follow_at = None;
-                let ask = Ask::Watch {
-                    after: self.mirror.revision,
+                let ask = StoreRequest::Watch {
+                    after: self.cache.revision,
                     block_ms: 10_000,
                 };
                 self.following = true;
-                self.store.ask(Rank::First, Tag::Follow, ask);
+                self.store
+                    .ask(RequestPriority::First, StoreRequestPurpose::Follow, ask);
             } else {
                 next = next.min(at);
             }
         }
         if self.barrier_sent.is_none() && !self.barrier_next.is_empty() {
-            self.send_barrier(clock);
+            self.send_read_barrier(clock);
             if self.barrier_sent.is_none() {
                 next = next.min(self.barrier_at + self.barrier_gap());
             }
@@ -519,66 +537,73 @@
         if self.leader.is_none() {
             next = next.min(self.renewals_time(clock));
         }
-        if self.leader.is_none() && self.mirror.synced {
+        if self.leader.is_none() && self.cache.synced {
             let at = (self.store_heard + PROBE_AFTER).max(self.probed + PROBE_EVERY);
             if at <= now {
                 self.probed = now;
                 if self.barrier_sent.is_none() {
-                    self.want_barrier(clock, Waiter::Proof);
+                    self.request_read_barrier(clock, PendingRequest::Proof);
                 }
             }
             next = next.min(at.max(now + PROBE_EVERY));
         }
         if self.leader.is_none() && self.renewals.active() {
-            let proof = self.renewals.proof();
-            if proof + PROOF_EVERY <= now {
+            let last_confirmed_read = self.renewals.last_confirmed_read();
+            if last_confirmed_read + PROOF_EVERY <= now {
                 if self.barrier_sent.is_none() {
-                    self.want_barrier(clock, Waiter::Proof);
+                    self.request_read_barrier(clock, PendingRequest::Proof);
                 }
             } else {
-                next = next.min(proof + PROOF_EVERY);
+                next = next.min(last_confirmed_read + PROOF_EVERY);
             }
         }
         if self.leader.is_some() {
             if self.renew_at <= now && !self.renewing {
                 if let Some(l) = self.lease {
                     self.renewing = true;
-                    self.store.ask(Rank::First, Tag::Renew, Ask::Renew(l));
+                    self.store.ask(
+                        RequestPriority::First,
+                        StoreRequestPurpose::Renew,
+                        StoreRequest::Renew(l),
+                    );
                 } else {
                     self.renewing = true;
-                    self.store
-                        .ask(Rank::First, Tag::RelieveLease, Ask::NewLease(LEAD_TTL));
+                    self.store.ask(
+                        RequestPriority::First,
+                        StoreRequestPurpose::RelieveLease,
+                        StoreRequest::NewLease(LEADER_LEASE_TTL),
+                    );
                 }
             }
             if !self.renewing {
                 next = next.min(self.renew_at);
             }
-            let proof = self.leader.as_ref().map_or(now, |l| l.proof);
-            if proof + PROOF_EVERY <= now {
+            let last_confirmed_read = self.leader.as_ref().map_or(now, |l| l.last_confirmed_read);
+            if last_confirmed_read + PROOF_EVERY <= now {
                 if self.barrier_sent.is_none() {
-                    self.want_barrier(clock, Waiter::Proof);
+                    self.request_read_barrier(clock, PendingRequest::Proof);
                 }
             } else {
-                next = next.min(proof + PROOF_EVERY);
+                next = next.min(last_confirmed_read + PROOF_EVERY);
             }
             next = next.min(self.leader_time(clock));
-            next = next.min(self.give_way(clock));
+            next = next.min(self.consider_transfer(clock));
         }
         next
     }
 
     /// How long after the start of the last proof reports may still be answered: whatever was
-    /// cancelled since must be gone in time, and a renewed worker keeps its tasks for a lease.
-    pub fn proof_grace(&self) -> Micros {
-        let w = &self.settings.params.workers;
+    /// cancelled since must be gone in time, and a renewed agent keeps its tasks for a lease.
+    pub fn staleness_bound(&self) -> Micros {
+        let w = &self.settings.params.agents;
         let margin = 2.0 + 0.002 * w.cancel_s;
         Micros::secs(w.cancel_s - w.lease_s - margin)
     }
 }
 
 /// A condition on a key's version.
-pub fn cond(key: &str, version: u64) -> Cond {
-    Cond {
+pub fn cond(key: &str, version: u64) -> VersionCondition {
+    VersionCondition {
         key: key.to_string(),
         version,
     }
--- a/src/shell.rs
+++ b/src/controller/runtime.rs
@@ -1,7 +1,7 @@
-//! The thin shell: threads, clocks and sockets around the actors.
+//! The thin controller::runtime: threads, clocks and sockets around the actors.
 
-use crate::coordination::node::{Clock, Node};
-use crate::coordination::policy::Policy;
+use crate::controller::{Clock, Controller};
+use crate::policy::Policy;
 use crate::protocol::{Micros, Settings};
 use crate::transport::net::{Listeners, Net};
 use crossbeam_channel::TryRecvError;
@@ -12,7 +12,7 @@
 
 /// Why the service could not start or go on.
 #[derive(Debug, thiserror::Error)]
-pub enum ShellError {
+pub enum RuntimeError {
     /// An address cannot be bound.
     #[error("cannot listen on {0} and {1}: {2}")]
     Listen(std::net::SocketAddr, std::net::SocketAddr, std::io::Error),
@@ -36,26 +36,26 @@
 }
 
 /// Runs a controller until it is killed.
-pub fn run(settings: Settings, policy: Policy) -> Result<(), ShellError> {
+pub fn run(settings: Settings, policy: Policy) -> Result<(), RuntimeError> {
     let started = Instant::now();
     let listeners = Listeners::bind(settings.serve_on, settings.internal_addr)
-        .map_err(|e| ShellError::Listen(settings.serve_on, settings.internal_addr, e))?;
+        .map_err(|e| RuntimeError::Listen(settings.serve_on, settings.internal_addr, e))?;
     let (events_tx, events) = crossbeam_channel::unbounded();
     let sockets = settings.params.limits.sockets;
     let taker = std::thread::current();
     let (net, handle) =
-        Net::new(listeners, events_tx, taker, sockets, started).map_err(ShellError::Net)?;
+        Net::new(listeners, events_tx, taker, sockets, started).map_err(RuntimeError::Net)?;
     std::thread::Builder::new()
         .name("network".into())
         .spawn(move || net.run())
-        .map_err(ShellError::Net)?;
+        .map_err(RuntimeError::Net)?;
     log::info!(
         "{} in {} serves on {}",
         settings.node,
         settings.zone,
         settings.serve_on
     );
-    let mut node = Node::new(settings, policy, rand::random(), clock(started));
+    let mut node = Controller::new(settings, policy, rand::random(), clock(started));
     let mut batch = Vec::new();
     loop {
         let now = clock(started);
@@ -65,7 +65,7 @@
         loop {
             match events.try_recv() {
                 Ok(more) => batch.extend(more),
-                Err(TryRecvError::Disconnected) => return Err(ShellError::NetEnded),
+                Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetEnded),
                 Err(TryRecvError::Empty) if !batch.is_empty() => break,
                 Err(TryRecvError::Empty) => {
                     let now = clock(started).now;
--- a/src/coordination/budget.rs
+++ b/src/leadership/budget_shares.rs
@@ -6,16 +6,16 @@
 //! whole (crates/admission, `parts`). What is not lent the leader uses itself. Grants end by themselves;
 //! in calm times nothing is written, and the shares are as they were.
 
-use super::lead::LEADER_SILENT;
-use super::node::{Clock, Node, Tag, cond, put};
-use crate::bookkeeping::store::{Ask, Rank, Reply};
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::leadership::election::LEADER_SILENT;
 use crate::protocol::format::PARTS as FORMAT;
-use crate::protocol::records::{LEAD, PARTS, PartsRec};
-use crate::protocol::wire::Txn;
+use crate::protocol::records::{BudgetSharesRecord, LEAD, PARTS};
+use crate::protocol::wire::Transaction;
 use crate::protocol::{Micros, Settings};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+use admission_control::fair::Asked;
+use admission_control::parts::{Grant, Milli, Rules, Want};
 use std::collections::BTreeMap;
-use walnuttrestle_admission::fair::Asked;
-use walnuttrestle_admission::parts::{Grant, Milli, Rules, Want};
 
 /// A share of the store's budgets of requests and of changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -39,16 +39,16 @@
 const LEADERLESS: f64 = 0.5;
 
 impl Share {
-    /// Of a controller that has `siblings`, of which it hears `heard`. What the silent ones leave is
+    /// Of a controller that has `peers`, of which it hears `heard`. What the silent ones leave is
     /// used by the others; `led`: the leader is among those heard.
-    fn of(siblings: usize, heard: usize, leading: bool, led: bool) -> Share {
+    fn of(peers: usize, heard: usize, leading: bool, led: bool) -> Share {
         let part = |all: f64, leaders: f64| {
-            let followers = siblings.max(1) as f64;
+            let followers = peers.max(1) as f64;
             let each = (all - leaders) / followers;
-            if siblings == 0 {
+            if peers == 0 {
                 all
             } else if leading {
-                leaders + each * (siblings - heard) as f64
+                leaders + each * (peers - heard) as f64
             } else if led {
                 each
             } else {
@@ -72,7 +72,7 @@
 
 /// A controller's fixed share in thousandths of changes a second.
 fn fixed(s: &Settings, leading: bool) -> Milli {
-    let n = s.siblings.len();
+    let n = s.peers.len();
     let share = Share::of(n, n, leading, true);
     (share.changes * s.params.state.least_write_rps() * 1000.0) as Milli
 }
@@ -87,23 +87,23 @@
 
 /// Our share of the budgets, and what there is to know of the others'.
 #[derive(Debug)]
-pub struct Budget {
+pub struct BudgetShares {
     share: Share,
     /// Changes a second more than our share, or less.
     more: f64,
     asks: Milli,
     give_at: Micros,
     giving: bool,
-    /// Newest grant that each sibling has told of. Records outlive it, so it never comes to use an older
+    /// Newest grant that each peer has told of. Records outlive it, so it never comes to use an older
     /// one again.
     told: BTreeMap<String, u64>,
 }
 
-impl Budget {
+impl BudgetShares {
     /// Of a controller that has just started.
-    pub fn new(s: &Settings) -> Budget {
-        let n = s.siblings.len();
-        Budget {
+    pub fn new(s: &Settings) -> BudgetShares {
+        let n = s.peers.len();
+        BudgetShares {
             share: Share::of(n, n, false, true),
             more: 0.0,
             asks: 0,
@@ -129,7 +129,7 @@
         self.asks
     }
 
-    /// A sibling has told of this grant.
+    /// A peer has told of this grant.
     pub fn told(&mut self, node: &str, epoch: u64) {
         match self.told.get_mut(node) {
             Some(e) => *e = (*e).max(epoch),
@@ -138,22 +138,22 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Keeps to our share of the store's budgets, which follows from who is heard.
-    pub(super) fn take_share(&mut self, clock: Clock) {
+    pub(crate) fn take_share(&mut self, clock: Clock) {
         // Nobody has been heard right after a start.
         let young = clock.now < self.born + LEADER_SILENT;
         let heard = |node: &str| {
-            let view = self.siblings.view.get(node);
+            let view = self.peers.view.get(node);
             young || view.is_some_and(|v| clock.now.since(v.heard) < LEADER_SILENT)
         };
-        let siblings = &self.settings.siblings;
-        let n = siblings.iter().filter(|x| heard(&x.node)).count();
-        let lead = self.mirror.lead.as_ref();
+        let peers = &self.settings.peers;
+        let n = peers.iter().filter(|x| heard(&x.node)).count();
+        let lead = self.cache.lead.as_ref();
         let led = lead.is_none_or(|(l, _)| l.node != self.settings.node && heard(&l.node));
         let leading = self.leader.is_some();
-        let share = Share::of(siblings.len(), n, leading, led);
-        let more = self.mirror.parts.as_ref().map_or(0.0, |(grant, _)| {
+        let share = Share::of(peers.len(), n, leading, led);
+        let more = self.cache.parts.as_ref().map_or(0.0, |(grant, _)| {
             let (s, wall) = (&self.settings, clock.wall.0);
             if leading {
                 // What we had as a follower is ours again, with all that is not lent.
@@ -189,7 +189,7 @@
     }
 
     /// Says what we ask for; the leader gives the parts that are due. Returns when to look again.
-    pub(super) fn give_parts(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn give_parts(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         if now < self.budget.give_at {
             return self.budget.give_at;
@@ -199,19 +199,19 @@
         let Some(l) = &self.leader else {
             return self.budget.give_at;
         };
-        if self.budget.giving || !l.caught_up(&self.mirror) {
+        if self.budget.giving || !l.caught_up(&self.cache) {
             return self.budget.give_at;
         }
         let s = &self.settings;
         let rules = rules(s);
         let mut wants = Vec::new();
         let mut asked = false;
-        for x in &s.siblings {
+        for x in &s.peers {
             // Nobody who is silent, or does not know what a part is, gets any.
-            let view = self.siblings.view.get(&x.node);
+            let view = self.peers.view.get(&x.node);
             let heard = view.filter(|v| now.since(v.heard) < LEADER_SILENT);
             if let Some(v) = heard
-                && self.mirror.format_of(&x.node).0 >= FORMAT
+                && self.cache.format_of(&x.node).0 >= FORMAT
             {
                 asked |= v.asks > 0;
                 wants.push(Want {
@@ -232,26 +232,30 @@
         };
         let blank = Grant::default();
         let (grant, version) = self
-            .mirror
+            .cache
             .parts
             .as_ref()
             .map_or((&blank, 0), |(g, v)| (g, *v));
         let next = grant.next(clock.wall.0, own, &wants, &rules);
         log::debug!("parts, epoch {}: {:?}", next.epoch, next.parts);
-        let txn = Txn {
+        let txn = Transaction {
             conds: vec![cond(LEAD, l.version), cond(PARTS, version)],
-            changes: vec![put(PARTS, &PartsRec::of(&next), None)],
+            changes: vec![put(PARTS, &BudgetSharesRecord::of(&next), None)],
         };
         self.budget.giving = true;
-        self.store.ask(Rank::First, Tag::Parts, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::First,
+            StoreRequestPurpose::Parts,
+            StoreRequest::Transaction(txn),
+        );
         self.budget.give_at
     }
 
     /// A grant came back. Whatever became of it, the next one is made upon what is on record then.
-    pub(super) fn on_parts(&mut self, clock: Clock, ask: Ask, reply: Reply) {
+    pub(crate) fn on_parts(&mut self, clock: Clock, ask: StoreRequest, reply: StoreResponse) {
         self.budget.giving = false;
-        if let (Reply::Committed(rev), Ask::Txn(t)) = (reply, ask) {
-            self.apply_own(&t, rev);
+        if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) = (reply, ask) {
+            self.apply_own_commit(&t, rev);
             self.take_share(clock);
         }
     }
--- a/src/coordination/reach.rs
+++ b/src/leadership/connectivity.rs
@@ -1,10 +1,10 @@
 //! Whom this controller still reaches, and what follows for those who come to it.
 //!
-//! One that hears neither the state service nor any sibling may be cut off by itself, or the others may be gone. It
+//! One that hears neither the state service nor any peer may be cut off by itself, or the others may be gone. It
 //! cannot tell, so it does what harms in neither case: it sends users away by its health check, since others may
-//! serve them; and it sends a worker on once, so that whoever leads by now can have it. A worker that comes back
+//! serve them; and it sends a agent on once, so that whoever leads by now can have it. A agent that comes back
 //! found nobody else, and is kept as long as line 10 of docs/safety.md allows. Where a lease has no room for trying
-//! the others in vain, workers are kept that long in any case.
+//! the others in vain, agents are kept that long in any case.
 
 use crate::protocol::Micros;
 use std::collections::BTreeMap;
@@ -18,17 +18,17 @@
 /// load balancer's own pauses double, up to a minute.
 const DAMPED: Micros = Micros::millis(120_000);
 const MOST_DAMPED: u32 = 3;
-/// A worker is sent on once in this time.
+/// A agent is sent on once in this time.
 const SENT_ON: Micros = Micros::millis(30_000);
 /// Names remembered; all are forgotten at once beyond that.
 const NAMES: usize = 8_192;
 
 /// Whom we have heard, and when.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Connectivity {
     store: Micros,
-    siblings: Micros,
-    /// Workers of another zone: while they come, our zone is not cut off.
+    peers: Micros,
+    /// Agents of another zone: while they come, our zone is not cut off.
     elsewhere: Micros,
     looked: Micros,
     /// When users were last sent away, how often in a row, and whether they are now.
@@ -38,15 +38,15 @@
     sent_on: BTreeMap<String, Micros>,
 }
 
-impl Reach {
+impl Connectivity {
     /// Nothing is held against anybody yet. `roomy`: a lease has room for trying all others in vain.
-    pub fn new(now: Micros, roomy: bool) -> Reach {
-        Reach {
+    pub fn new(now: Micros, roomy: bool) -> Connectivity {
+        Connectivity {
             store: now,
-            siblings: now,
+            peers: now,
             looked: now,
             roomy,
-            ..Reach::default()
+            ..Connectivity::default()
         }
     }
 
@@ -55,12 +55,12 @@
         self.store = now;
     }
 
-    /// A sibling has been heard.
-    pub fn sibling(&mut self, now: Micros) {
-        self.siblings = now;
+    /// A peer has been heard.
+    pub fn peer(&mut self, now: Micros) {
+        self.peers = now;
     }
 
-    /// A worker of another zone has come to us.
+    /// A agent of another zone has come to us.
     pub fn elsewhere(&mut self, now: Micros) {
         self.elsewhere = now;
     }
@@ -69,7 +69,7 @@
     pub fn look(&mut self, now: Micros) {
         if now.since(self.looked) > STANDSTILL {
             self.store = now;
-            self.siblings = now;
+            self.peers = now;
         }
         self.looked = now;
         let (at, times, away) = self.away;
@@ -87,10 +87,10 @@
     }
 
     fn unheard(&self, now: Micros) -> Micros {
-        now.since(self.store.max(self.siblings))
+        now.since(self.store.max(self.peers))
     }
 
-    /// Neither the state service nor any sibling has been heard for a while.
+    /// Neither the state service nor any peer has been heard for a while.
     pub fn alone(&self, now: Micros) -> bool {
         self.unheard(now) > ALONE
     }
@@ -100,10 +100,10 @@
         self.away.2
     }
 
-    /// Whether a worker had better look for somebody else first. Not where nobody of another zone comes any more:
-    /// then the zone may be cut off, and we all that its workers have.
+    /// Whether a agent had better look for somebody else first. Not where nobody of another zone comes any more:
+    /// then the zone may be cut off, and we all that its agents have.
     pub fn sends_on(&mut self, machine: &str, now: Micros) -> bool {
-        let open = self.elsewhere > self.store.max(self.siblings) + ALONE;
+        let open = self.elsewhere > self.store.max(self.peers) + ALONE;
         if !self.roomy || !self.alone(now) || !open {
             return false;
         }
