--- a/src/coordination/renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -1,7 +1,7 @@
-//! Leases kept alive on behalf of a leader that a worker cannot reach.
+//! Leases kept alive on behalf of a leader that a agent cannot reach.
 //!
 //! When a zone is cut off, the controller inside it may still reach the state service. It then
-//! answers the zone's workers with the leader's term and without any commands but stops of
+//! answers the zone's agents with the leader's term and without any commands but stops of
 //! cancelled tasks. Before it renews a machine's lease it records that it does, on condition that
 //! the leader's term still holds; the leader does not take a machine's lease for run out while
 //! such a record names it. A machine leaves the record only after its lease has run out since our
@@ -10,18 +10,20 @@
 //! While the state service is silent nothing can be recorded. Then a lease is renewed by right: one that the
 //! leader gave, or the one that falls to everybody once the leader's process has ended (crates/rights).
 
-use super::node::{CallTag, Clock, Node, Tag, cond, put};
-use crate::bookkeeping::store::{Ask, Rank, Reply};
-use crate::bookkeeping::workers::split_task;
+use crate::controller::{Clock, Controller, PendingCall, StoreRequestPurpose, cond, put};
 use crate::protocol::Micros;
-use crate::protocol::records::{LEAD, RenewRec, renew_key};
-use crate::protocol::wire::{Command, Misdirected, Phase, Report, ReportAnswer, Txn, encode};
-use crate::transport::{NetCmd, Outcome};
+use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
+use crate::protocol::wire::{
+    Command, Misdirected, Report, ReportResponse, TaskPhase, Transaction, encode,
+};
+use crate::state::agent::split_task;
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+use crate::transport::{NetworkCommand, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a follower renews.
 #[derive(Default)]
-pub struct Renewals {
+pub struct DelegatedRenewals {
     /// Machines, with the time of our last answer.
     machines: BTreeMap<String, Micros>,
     /// Machines named by the record as committed.
@@ -31,7 +33,7 @@
     /// Version of our record.
     version: u64,
     /// Start of the last read that showed both records unchanged.
-    proof: Micros,
+    last_confirmed_read: Micros,
     written: Micros,
     /// The next write comes this much later, so that users' submissions and a claim of the lead find
     /// something left of the budget.
@@ -39,24 +41,24 @@
     flying: bool,
     waiting: Vec<(u64, Report)>,
     redirected: BTreeMap<String, Micros>,
-    /// The newest message that each worker has sent here: whatever else comes with its number or a lower one is
+    /// The newest message that each agent has sent here: whatever else comes with its number or a lower one is
     /// a copy, and keeps no lease alive.
     newest: BTreeMap<String, (u64, u64)>,
     /// Machines whose reports are handed on to the leader, until when.
     relayed: BTreeMap<String, Micros>,
 }
 
-/// A leader unheard for this long may be out of reach for the workers here, too.
+/// A leader unheard for this long may be out of reach for the agents here, too.
 const SILENT: Micros = Micros::millis(1600);
-/// A worker that comes back this soon after it was sent to the leader has not reached it.
+/// A agent that comes back this soon after it was sent to the leader has not reached it.
 const BOUNCED: Micros = Micros::millis(12_000);
-/// How long reports of a worker are handed on before it is sent to the leader again.
+/// How long reports of a agent are handed on before it is sent to the leader again.
 const HOLD: Micros = Micros::millis(8_000);
-/// The same for a worker that was sent there in vain.
+/// The same for a agent that was sent there in vain.
 const HOLD_BOUNCED: Micros = Micros::millis(30_000);
-/// How long the leader may take; the worker waits 4 s in all.
+/// How long the leader may take; the agent waits 4 s in all.
 const RELAY_TIMEOUT: Micros = Micros::millis(1_500);
-/// Workers that come one after the other share a record: each write names all machines, and at a
+/// Agents that come one after the other share a record: each write names all machines, and at a
 /// takeover hundreds come within a second or two.
 const WRITE_GAP: Micros = Micros::millis(200);
 /// Names of machines remembered; all are forgotten at once beyond that.
@@ -66,13 +68,13 @@
 /// The record is written anew at this pace, as a sign of life for the leader.
 pub const SIGN_OF_LIFE: Micros = Micros::millis(10_000);
 
-impl Renewals {
+impl DelegatedRenewals {
     /// Something is being renewed, so proof is needed.
     pub fn active(&self) -> bool {
         !self.machines.is_empty()
     }
 
-    /// Notes a worker's message; tells whether it is newer than what it has sent here before.
+    /// Notes a agent's message; tells whether it is newer than what it has sent here before.
     fn is_news(&mut self, r: &Report) -> bool {
         if self.newest.len() > MOST_NAMES && !self.newest.contains_key(&r.machine) {
             self.newest.clear();
@@ -84,28 +86,28 @@
     }
 
     /// Start of the last proof.
-    pub fn proof(&self) -> Micros {
-        self.proof
+    pub fn last_confirmed_read(&self) -> Micros {
+        self.last_confirmed_read
     }
 }
 
-impl Node {
-    /// A worker's report, while we do not lead.
+impl Controller {
+    /// A agent's report, while we do not lead.
     pub fn follower_report(&mut self, clock: Clock, conn: u64, report: Report) {
         if !self.renewals.is_news(&report) {
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        if !self.mirror.synced && self.has_right(clock, &report) {
-            // We have started in an outage, and siblings have told what has to be known.
+        if !self.cache.synced && self.has_right(clock, &report) {
+            // We have started in an outage, and peers have told what has to be known.
             self.renew_by_right(clock, conn, &report);
             return;
         }
         let lead = self
-            .mirror
+            .cache
             .lead
             .as_ref()
-            .filter(|(l, _)| l.node != self.settings.node && self.mirror.live.is_some())
+            .filter(|(l, _)| l.node != self.settings.node && self.cache.live.is_some())
             .map(|(l, v)| (l.node.clone(), l.term, *v));
         let Some((leader, term, version)) = lead else {
             self.respond(conn, 421, &Misdirected::default());
@@ -124,7 +126,7 @@
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        // A worker that has seen this term has been with the leader, and comes because it no
+        // A agent that has seen this term has been with the leader, and comes because it no
         // longer reaches it; a lease has no room for sending it there in vain.
         let hold = if bounced { HOLD_BOUNCED } else { HOLD };
         let since = *r
@@ -135,14 +137,14 @@
         if !silent && lost && clock.now < since {
             let addr = self
                 .settings
-                .siblings
+                .peers
                 .iter()
                 .find(|s| s.node == leader)
                 .map(|s| s.address);
             if let Some(addr) = addr {
                 log::debug!("{}: its report goes on to {leader}", report.machine);
                 let body = encode(&report);
-                let tag = CallTag::Relay(conn, Box::new(report));
+                let tag = PendingCall::Relay(conn, Box::new(report));
                 self.call(tag, addr, "POST", "/hello", body, RELAY_TIMEOUT);
                 return;
             }
@@ -164,7 +166,7 @@
     /// The leader has answered a report that we handed on, or not.
     pub fn on_relay(&mut self, clock: Clock, conn: u64, report: Report, outcome: Outcome) {
         if let Outcome::Reply { status: 200, body } = outcome {
-            self.out.push(NetCmd::Respond {
+            self.out.push(NetworkCommand::Respond {
                 conn,
                 status: 200,
                 body,
@@ -173,7 +175,7 @@
             return;
         }
         let lead = self
-            .mirror
+            .cache
             .lead
             .as_ref()
             .filter(|(l, _)| l.node != self.settings.node && l.term >= report.term)
@@ -194,7 +196,7 @@
             r.under = (term, version);
             r.recorded.clear();
             r.machines.clear();
-            r.proof = Micros::ZERO;
+            r.last_confirmed_read = Micros::ZERO;
             self.inherit(term);
         }
         let r = &mut self.renewals;
@@ -203,7 +205,7 @@
         } else if !self.served() && self.has_right(clock, &report) {
             self.renew_by_right(clock, conn, &report);
         } else if self.reach.alone(clock.now) {
-            // Nothing can be put on record from here: the worker should not wait for it.
+            // Nothing can be put on record from here: the agent should not wait for it.
             self.respond(conn, 421, &Misdirected::default());
         } else {
             let r = &mut self.renewals;
@@ -216,46 +218,42 @@
     /// What an earlier run of ours has put on record it may have renewed until we started: our first record names it,
     /// too, for a lease. Without it the leader would take these machines for given up, and start their tasks elsewhere.
     fn inherit(&mut self, term: u64) {
-        let mine = self.mirror.renewals_of(&self.settings.node);
+        let mine = self.cache.renewals_of(&self.settings.node);
         let ours = mine.into_iter().flatten().filter(|(r, _)| r.term == term);
         for machine in ours.flat_map(|(r, _)| r.machines()) {
             self.renewals.machines.insert(machine, self.born);
         }
     }
 
-    /// Whether a worker that has seen the leader's term may be renewed without a record. One that has not seen
+    /// Whether a agent that has seen the leader's term may be renewed without a record. One that has not seen
     /// it the leader may not know, and would not wait for.
     fn has_right(&self, clock: Clock, report: &Report) -> bool {
-        self.known_lead().is_some_and(|lead| {
-            let (known, grace) = (self.known_until(), self.proof_grace());
-            report.term == lead.term
-                && self
-                    .siblings
-                    .right
-                    .may(&lead, known.0, clock.now.0, grace.0)
+        self.known_leader().is_some_and(|lead| {
+            let (known, grace) = (self.known_until(), self.staleness_bound());
+            report.term == lead.term && self.peers.right.may(&lead, known.0, clock.now.0, grace.0)
         })
     }
 
     fn renew_by_right(&mut self, clock: Clock, conn: u64, report: &Report) {
-        if self.siblings.right.used_ago(clock.now.0).is_none() {
+        if self.peers.right.used_ago(clock.now.0).is_none() {
             log::info!("renewing leases by right, under term {}", report.term);
         }
         log::debug!("{}: renewed by right", report.machine);
-        self.siblings.right.note_use(clock.now.0);
+        self.peers.right.note_use(clock.now.0);
         self.answer_renewed(conn, report, report.term);
     }
 
     fn renew_for(&mut self, clock: Clock, conn: u64, report: &Report) {
-        let grace = self.proof_grace();
+        let grace = self.staleness_bound();
         let known = self.known_until();
         let r = &mut self.renewals;
         let current = self
-            .mirror
+            .cache
             .lead
             .as_ref()
             .is_some_and(|(_, v)| *v == r.under.1);
         if !current
-            || clock.now >= r.proof.max(known) + grace
+            || clock.now >= r.last_confirmed_read.max(known) + grace
             || !r.recorded.contains(&report.machine)
         {
             self.refuse(conn, 503, "not entitled to renew");
@@ -271,7 +269,7 @@
         let commands = report
             .tasks
             .iter()
-            .filter(|t| t.phase != Phase::Exited)
+            .filter(|t| t.phase != TaskPhase::Exited)
             // A cancellation is final: anybody may stop what it has left.
             .filter(|t| split_task(&t.task).is_some_and(|(job, _)| self.is_cancelled(job)))
             .map(|t| Command::Stop {
@@ -280,7 +278,7 @@
                 grace_s: 0.0,
             })
             .collect();
-        self.respond(conn, 200, &ReportAnswer { term, commands });
+        self.respond(conn, 200, &ReportResponse { term, commands });
     }
 
     fn write_renewals(&mut self, clock: Clock) {
@@ -292,12 +290,12 @@
         r.written = clock.now;
         let state = &self.settings.params.state;
         let bytes = state.least_value_bytes();
-        let mut parts = RenewRec::split(r.under.0, r.machines.keys(), bytes);
+        let mut parts = RenewalsRecord::split(r.under.0, r.machines.keys(), bytes);
         // What does not go into one transaction is not named, and so not renewed.
         parts.truncate(state.least_txn_ops());
-        let named: Vec<String> = parts.iter().flat_map(RenewRec::machines).collect();
-        let held = self.mirror.renewals_of(&self.settings.node);
-        let blank = RenewRec::new(r.under.0, [].into_iter());
+        let named: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
+        let held = self.cache.renewals_of(&self.settings.node);
+        let blank = RenewalsRecord::new(r.under.0, [].into_iter());
         while parts.len() < held.len() {
             parts.push(blank.clone());
         }
@@ -316,9 +314,9 @@
         let rate = self.store.write_rate() * WRITE_SHARE;
         self.renewals.gap = Micros::secs(changes.len() as f64 / rate);
         self.store.ask(
-            Rank::First,
-            Tag::Renewals(named),
-            Ask::Txn(Txn { conds, changes }),
+            RequestPriority::First,
+            StoreRequestPurpose::DelegatedRenewals(named),
+            StoreRequest::Transaction(Transaction { conds, changes }),
         );
     }
 
@@ -327,14 +325,14 @@
         &mut self,
         clock: Clock,
         named: Vec<String>,
-        ask: Ask,
+        ask: StoreRequest,
         sent: Micros,
-        reply: Reply,
+        reply: StoreResponse,
     ) {
         self.renewals.flying = false;
         let waiting = std::mem::take(&mut self.renewals.waiting);
-        if let (Reply::Committed(rev), Ask::Txn(t)) = (&reply, &ask) {
-            self.apply_own(t, *rev);
+        if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) = (&reply, &ask) {
+            self.apply_own_commit(t, *rev);
             let r = &mut self.renewals;
             if t.conds[0].version == r.under.1 {
                 log::info!("renewing {} machines for term {}", named.len(), r.under.0);
@@ -342,10 +340,10 @@
                 r.recorded = named.into_iter().collect();
                 // The commit shows that the term held; cancellations up to now are known only
                 // after a read.
-                if r.proof == Micros::ZERO {
-                    r.proof = sent;
+                if r.last_confirmed_read == Micros::ZERO {
+                    r.last_confirmed_read = sent;
                 }
-                self.want_barrier(clock, super::front::Waiter::Proof);
+                self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
             }
             let mut more = false;
             for (conn, report) in waiting {
@@ -361,7 +359,7 @@
             }
             return;
         }
-        self.want_barrier(clock, super::front::Waiter::Proof);
+        self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
         for (conn, report) in waiting {
             if !self.renewals.recorded.contains(&report.machine) {
                 self.renewals.machines.remove(&report.machine);
@@ -376,13 +374,13 @@
 
     /// A read barrier that began at `sent` has been reached.
     pub fn prove_renewals(&mut self, sent: Micros) {
-        let mine = self.mirror.renewals.get(&self.settings.node);
+        let mine = self.cache.renewals.get(&self.settings.node);
         let r = &mut self.renewals;
         if !r.active() || r.recorded.is_empty() {
             return;
         }
         let holds = self
-            .mirror
+            .cache
             .lead
             .as_ref()
             .is_some_and(|(_, v)| *v == r.under.1)
@@ -392,7 +390,7 @@
             return;
         }
         if holds {
-            r.proof = r.proof.max(sent);
+            r.last_confirmed_read = r.last_confirmed_read.max(sent);
         } else {
             log::info!("no longer entitled to renew for term {}", r.under.0);
             r.recorded.clear();
@@ -402,17 +400,17 @@
 
     /// Drops machines whose lease has run out since our last answer; returns when to look again.
     pub fn renewals_time(&mut self, clock: Clock) -> Micros {
-        let lease = Micros::secs(self.settings.params.workers.lease_s * 1.002 + 0.5);
+        let lease = Micros::secs(self.settings.params.agents.lease_s * 1.002 + 0.5);
         let r = &mut self.renewals;
         if r.flying {
             return Micros::FAR;
         }
         if !r.active() {
             // What an earlier run of ours renewed has run out by now: say so.
-            let mine = self.mirror.renewals_of(&self.settings.node);
+            let mine = self.cache.renewals_of(&self.settings.node);
             let mut named = mine.into_iter().flatten().filter(|(m, _)| !m.is_empty());
             let stale = named.next().map(|(m, _)| m.term);
-            if let (Some(term), Some((lead, version))) = (stale, &self.mirror.lead)
+            if let (Some(term), Some((lead, version))) = (stale, &self.cache.lead)
                 && term == lead.term
             {
                 let over = self.born + lease;
--- a/src/coordination/lead.rs
+++ b/src/leadership/election.rs
@@ -1,18 +1,18 @@
 //! Leadership: who leads, when to claim the lead, and when to give it away.
 
-use super::node::{Clock, Node, Tag, cond, put};
-use super::siblings::SiblingView;
-use crate::bookkeeping::store::{Ask, Rank};
-use crate::protocol::records::{LEAD, LIVE, LeadRec};
-use crate::protocol::wire::{Change, Txn};
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::leadership::peers::PeerStatus;
+use crate::protocol::records::{LEAD, LIVE, LeaderRecord};
+use crate::protocol::wire::{Change, Transaction};
 use crate::protocol::{Micros, Settings};
+use crate::state::store_client::{RequestPriority, StoreRequest};
 use rand::RngExt;
 
 /// The leader's lease in the store lives this long unrenewed. Only liveness hangs on it.
-pub(super) const LEAD_TTL: Micros = Micros::millis(4000);
-/// A leader silent for this long on all links of all siblings is taken for dead.
-pub(super) const LEADER_SILENT: Micros = Micros::millis(2500);
-/// A worker waits 4 s for an answer, and 1 s more before it tries the next controller.
+pub(crate) const LEADER_LEASE_TTL: Micros = Micros::millis(4000);
+/// A leader silent for this long on all links of all peers is taken for dead.
+pub(crate) const LEADER_SILENT: Micros = Micros::millis(2500);
+/// A agent waits 4 s for an answer, and 1 s more before it tries the next controller.
 const VAIN_TRY: Micros = Micros::millis(5000);
 /// Reports come up to a quarter of their interval late.
 const LATEST_REPORT: f64 = 1.25;
@@ -26,33 +26,33 @@
 
 /// Where our claim of the lead stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum ClaimState {
+pub(crate) enum ElectionState {
     Idle,
     Waiting(Micros),
     Asking,
 }
 
-/// Whether a lease outlasts a worker's trying two controllers in vain.
-pub(super) fn room_for_two_vain(s: &Settings) -> bool {
-    let w = &s.params.workers;
+/// Whether a lease outlasts a agent's trying two controllers in vain.
+pub(crate) fn room_for_two_vain(s: &Settings) -> bool {
+    let w = &s.params.agents;
     (VAIN_TRY + VAIN_TRY).as_secs() + w.report_s * LATEST_REPORT <= w.lease_s
 }
 
-impl Node {
+impl Controller {
     /// The leader on record is an earlier run of our own process.
-    pub(super) fn own_past(&self) -> bool {
-        self.mirror
+    pub(crate) fn previous_run_leads(&self) -> bool {
+        self.cache
             .lead
             .as_ref()
-            .is_some_and(|(l, _)| l.node == self.settings.node && l.inc != self.inc)
+            .is_some_and(|(l, _)| l.node == self.settings.node && l.incarnation != self.incarnation)
     }
 
     /// Nobody seems to lead.
-    pub(super) fn vacant(&self, clock: Clock) -> bool {
-        match &self.mirror.lead {
+    pub(crate) fn leadership_vacant(&self, clock: Clock) -> bool {
+        match &self.cache.lead {
             Some((l, _)) => {
-                self.own_past()
-                    || self.mirror.live.is_none()
+                self.previous_run_leads()
+                    || self.cache.live.is_none()
                     || self.leader_ended()
                     || self.leader_lost(clock, &l.node)
             }
@@ -60,112 +60,118 @@
         }
     }
 
-    /// Whether the controller after this one, by name, is in another zone. A worker that cannot reach
+    /// Whether the controller after this one, by name, is in another zone. A agent that cannot reach
     /// the leader tries the next one, and a lease may have room for one vain try only: if a cut between
     /// zones is the reason, the next one should be on its side.
-    pub(super) fn next_is_elsewhere(&self, node: &str) -> bool {
+    pub(crate) fn next_controller_in_other_zone(&self, node: &str) -> bool {
         let s = &self.settings;
-        let others = s.siblings.iter().map(|x| (&x.node, &x.zone));
+        let others = s.peers.iter().map(|x| (&x.node, &x.zone));
         let all: Vec<_> = others.chain([(&s.node, &s.zone)]).collect();
         let zone = all.iter().find(|(n, _)| *n == node).map(|(_, z)| *z);
         let after = all.iter().filter(|(n, _)| n.as_str() > node).min();
         after.or(all.iter().min()).map(|(_, z)| *z) != zone
     }
 
-    /// Whether we had better lead in place of a leader that is alive: workers that a cut between zones
+    /// Whether we had better lead in place of a leader that is alive: agents that a cut between zones
     /// keeps from it would try another controller of its zone next, in vain, and lose their leases,
     /// while from us they would come to one of theirs. Only in calm times; a takeover costs a moment.
-    pub(super) fn relieves(&self, clock: Clock) -> bool {
+    pub(crate) fn should_relieve_leader(&self, clock: Clock) -> bool {
         let s = &self.settings;
-        let Some((lead, _)) = &self.mirror.lead else {
+        let Some((lead, _)) = &self.cache.lead else {
             return false;
         };
-        let calm = |v: &SiblingView| v.served && clock.now.since(v.heard) < LEADER_SILENT;
+        let calm = |v: &PeerStatus| v.served && clock.now.since(v.heard) < LEADER_SILENT;
         let first = s
-            .siblings
+            .peers
             .iter()
-            .all(|x| x.node > s.node || !self.next_is_elsewhere(&x.node));
+            .all(|x| x.node > s.node || !self.next_controller_in_other_zone(&x.node));
         lead.node != s.node
-            && self.mirror.live.is_some()
+            && self.cache.live.is_some()
             && !room_for_two_vain(s)
-            && !self.next_is_elsewhere(&lead.node)
-            && self.next_is_elsewhere(&s.node)
+            && !self.next_controller_in_other_zone(&lead.node)
+            && self.next_controller_in_other_zone(&s.node)
             && first
             && clock.now.since(self.lead_seen.1) >= CALM
             && self.served()
-            && s.siblings
+            && s.peers
                 .iter()
-                .all(|x| self.siblings.view.get(&x.node).is_some_and(calm))
+                .all(|x| self.peers.view.get(&x.node).is_some_and(calm))
     }
 
-    /// A sibling has put on record that it renews workers under the present lead: they come to it.
-    pub(super) fn others_renew(&self) -> bool {
-        let term = self.mirror.lead.as_ref().map(|(l, _)| l.term);
-        let mut all = self.mirror.renewals.values();
+    /// A peer has put on record that it renews agents under the present lead: they come to it.
+    pub(crate) fn others_renew(&self) -> bool {
+        let term = self.cache.lead.as_ref().map(|(l, _)| l.term);
+        let mut all = self.cache.renewals.values();
         all.any(|(r, _)| Some(r.term) == term && !r.is_empty())
     }
 
-    pub(super) fn candidacy(&mut self, clock: Clock) -> Micros {
-        if self.leader.is_some() || !self.mirror.synced {
+    pub(crate) fn candidacy(&mut self, clock: Clock) -> Micros {
+        if self.leader.is_some() || !self.cache.synced {
             return Micros::FAR;
         }
         if let Some(at) = self.yielded.filter(|at| clock.now < *at + YIELDED) {
             return at + YIELDED;
         }
-        let own_past = self.own_past();
+        let previous_run_leads = self.previous_run_leads();
         match self.claim {
-            ClaimState::Idle if self.vacant(clock) => {
-                // A little apart, so that not all claim at once; first whoever has workers with it.
-                let apart = if own_past {
+            ElectionState::Idle if self.leadership_vacant(clock) => {
+                // A little apart, so that not all claim at once; first whoever has agents with it.
+                let apart = if previous_run_leads {
                     0
                 } else if self.renewals.active() {
                     self.rng.random_range(0..100)
                 } else if self.others_renew() {
                     self.rng.random_range(400..550)
-                } else if self.next_is_elsewhere(&self.settings.node) {
+                } else if self.next_controller_in_other_zone(&self.settings.node) {
                     self.rng.random_range(0..150)
                 } else {
                     self.rng.random_range(250..400)
                 };
                 let at = clock.now + Micros::millis(apart);
-                self.claim = ClaimState::Waiting(at);
+                self.claim = ElectionState::Waiting(at);
                 if apart == 0 {
                     return self.candidacy(clock);
                 }
                 at
             }
-            ClaimState::Idle if self.relieves(clock) => {
+            ElectionState::Idle if self.should_relieve_leader(clock) => {
                 log::info!("taking the lead over from a controller that cuts would hide");
-                self.claim = ClaimState::Asking;
-                self.store
-                    .ask(Rank::First, Tag::ClaimLease, Ask::NewLease(LEAD_TTL));
+                self.claim = ElectionState::Asking;
+                self.store.ask(
+                    RequestPriority::First,
+                    StoreRequestPurpose::ClaimLease,
+                    StoreRequest::NewLease(LEADER_LEASE_TTL),
+                );
                 Micros::FAR
             }
-            ClaimState::Waiting(at) if at <= clock.now => {
-                if self.vacant(clock) {
-                    self.claim = ClaimState::Asking;
-                    self.store
-                        .ask(Rank::First, Tag::ClaimLease, Ask::NewLease(LEAD_TTL));
+            ElectionState::Waiting(at) if at <= clock.now => {
+                if self.leadership_vacant(clock) {
+                    self.claim = ElectionState::Asking;
+                    self.store.ask(
+                        RequestPriority::First,
+                        StoreRequestPurpose::ClaimLease,
+                        StoreRequest::NewLease(LEADER_LEASE_TTL),
+                    );
                 } else {
-                    self.claim = ClaimState::Idle;
+                    self.claim = ElectionState::Idle;
                 }
                 Micros::FAR
             }
-            ClaimState::Waiting(at) => at,
+            ElectionState::Waiting(at) => at,
             _ => Micros::FAR,
         }
     }
 
-    /// Gives the lead away if others reach the workers and we do not. A leader that keeps the store and its
-    /// siblings has reports handed on to it; but where controllers cannot reach one another either, it would
+    /// Gives the lead away if others reach the agents and we do not. A leader that keeps the store and its
+    /// peers has reports handed on to it; but where controllers cannot reach one another either, it would
     /// keep a lead that it cannot use. Returns when to look again.
-    pub(super) fn give_way(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn consider_transfer(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(l) = &mut self.leader else {
             return Micros::FAR;
         };
-        l.see_renewals(&self.mirror);
-        if !l.cannot_serve(&self.settings, now) || !l.caught_up(&self.mirror) {
+        l.see_renewals(&self.cache);
+        if !l.cannot_serve(&self.settings, now) || !l.caught_up(&self.cache) {
             l.yielding = None;
             return now + YIELD_LOOK;
         }
@@ -175,37 +181,45 @@
         }
         l.yielding = Some(Micros::FAR);
         log::info!("giving the lead away: others reach the workers");
-        let txn = Txn {
+        let txn = Transaction {
             conds: vec![cond(LEAD, l.version)],
             changes: vec![Change::Delete {
                 key: LIVE.to_string(),
             }],
         };
-        self.store.ask(Rank::First, Tag::Yield, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::First,
+            StoreRequestPurpose::Yield,
+            StoreRequest::Transaction(txn),
+        );
         Micros::FAR
     }
 
-    pub(super) fn send_claim(&mut self) {
+    pub(crate) fn send_claim(&mut self) {
         let (term, version) = self
-            .mirror
+            .cache
             .lead
             .as_ref()
             .map_or((0, 0), |(l, v)| (l.term, *v));
-        let rec = LeadRec {
+        let rec = LeaderRecord {
             node: self.settings.node.clone(),
-            inc: self.inc,
+            incarnation: self.incarnation,
             term: term + 1,
         };
-        let txn = Txn {
+        let txn = Transaction {
             conds: vec![
                 cond(LEAD, version),
-                cond(LIVE, self.mirror.live.unwrap_or(0)),
+                cond(LIVE, self.cache.live.unwrap_or(0)),
             ],
             changes: vec![
                 put(LEAD, &rec, None),
                 put(LIVE, &self.settings.node, self.lease),
             ],
         };
-        self.store.ask(Rank::First, Tag::Claim, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::First,
+            StoreRequestPurpose::Claim,
+            StoreRequest::Transaction(txn),
+        );
     }
 }
--- a/src/coordination/formats.rs
+++ b/src/leadership/format_negotiation.rs
@@ -1,55 +1,55 @@
 //! Which formats of records all controllers read, and what becomes of one that goes back.
 
-use super::lead::LEADER_SILENT;
-use super::node::{Clock, Node, Tag, cond, put};
-use super::siblings::SiblingView;
-use crate::bookkeeping::store::{Ask, Rank};
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::leadership::election::LEADER_SILENT;
+use crate::leadership::peers::PeerStatus;
 use crate::protocol::records::format_key;
-use crate::protocol::wire::Txn;
+use crate::protocol::wire::Transaction;
 use crate::protocol::{Micros, format};
+use crate::state::store_client::{RequestPriority, StoreRequest};
 
 /// The record of the format we read is looked at again this long after it was written.
-pub(super) const FORMAT_AGAIN: Micros = Micros::millis(1000);
+pub(crate) const FORMAT_AGAIN: Micros = Micros::millis(1000);
 
-impl Node {
+impl Controller {
     /// Whether every controller named in the settings has recorded that it reads this format, so that
     /// what the format adds may be written.
     pub fn all_read(&self, format: u32) -> bool {
         let s = &self.settings;
-        let names = s.siblings.iter().map(|x| &x.node);
+        let names = s.peers.iter().map(|x| &x.node);
         names
             .chain([&s.node])
-            .all(|n| self.mirror.format_of(n).0 >= format)
+            .all(|n| self.cache.format_of(n).0 >= format)
     }
 
-    /// Records which format we read, once per start; a sibling that has gone back to an older version
+    /// Records which format we read, once per start; a peer that has gone back to an older version
     /// loses the record of its newer one.
-    pub(super) fn formats(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn formats(&mut self, clock: Clock) -> Micros {
         let Some(at) = self.format_at else {
             return Micros::FAR;
         };
-        if !self.mirror.synced {
+        if !self.cache.synced {
             return Micros::FAR;
         }
         if !self.rolled_out && self.all_read(format::NEWEST) {
             self.rolled_out = true;
             log::info!("all controllers read format {}", format::NEWEST);
         }
-        let (ours, version) = self.mirror.format_of(&self.settings.node);
+        let (ours, version) = self.cache.format_of(&self.settings.node);
         let key = format_key(&self.settings.node);
         let txn = if ours != format::NEWEST {
-            Txn {
+            Transaction {
                 conds: vec![cond(&key, version)],
                 changes: vec![put(&key, &format::NEWEST, None)],
             }
         } else {
-            let view = &self.siblings.view;
-            let recent = |v: &SiblingView| clock.now.since(v.heard) < LEADER_SILENT;
+            let view = &self.peers.view;
+            let recent = |v: &PeerStatus| clock.now.since(v.heard) < LEADER_SILENT;
             let back = view
                 .iter()
                 .filter(|(_, v)| recent(v))
                 .find_map(|(node, v)| {
-                    let (recorded, version) = self.mirror.format_of(node);
+                    let (recorded, version) = self.cache.format_of(node);
                     let older = v.went_back.filter(|f| *f < recorded)?;
                     Some((node.clone(), older, version))
                 });
@@ -62,7 +62,7 @@
             self.rolled_out = false;
             // Not deleted: its version would come again, and with it a first write that was late.
             let key = format_key(&node);
-            Txn {
+            Transaction {
                 conds: vec![cond(&key, version)],
                 changes: vec![put(&key, &older, None)],
             }
@@ -71,7 +71,11 @@
             return at;
         }
         self.format_at = None;
-        self.store.ask(Rank::Usual, Tag::Format, Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::Usual,
+            StoreRequestPurpose::Format,
+            StoreRequest::Transaction(txn),
+        );
         Micros::FAR
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,17 @@
 //! walnuttrestle, a cluster scheduler: one program for every controller of a deployment.
 //!
-//! Layers, from the outside in: [`transport`] owns sockets, [`protocol`] knows the wire's words,
-//! [`bookkeeping`] keeps what store and workers have told, [`coordination`] decides.
+//! Modules from the edge inwards: [`transport`] owns sockets, [`protocol`] defines messages, stored records and
+//! settings, [`state`] caches what the key-value store and the agents have told, [`scheduling`] decides one pass,
+//! [`agents`], [`cloud`], [`records`], [`api`] and [`leadership`] act on it, and [`controller`] dispatches messages.
 
-pub mod bookkeeping;
-pub mod coordination;
+pub mod agents;
+pub mod api;
+pub mod cloud;
+pub mod controller;
+pub mod leadership;
+pub mod policy;
 pub mod protocol;
-pub mod shell;
+pub mod records;
+pub mod scheduling;
+pub mod state;
 pub mod transport;
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,9 +3,9 @@
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use walnuttrestle::coordination::policy::Policy;
+use walnuttrestle::controller::runtime;
+use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Settings;
-use walnuttrestle::shell;
 
 /// A controller of the walnuttrestle cluster scheduler.
 #[derive(Parser)]
@@ -53,7 +53,7 @@
         println!("{} and its policy are fine", args.config.display());
         return ExitCode::SUCCESS;
     }
-    match shell::run(settings, policy) {
+    match runtime::run(settings, policy) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("walnuttrestle: {e}");
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -5,7 +5,7 @@
 
 /// What a job's tasks do together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     #[serde(rename = "sweep")]
     Array,
@@ -36,7 +36,7 @@
 
 /// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     /// Class of jobs, see the objectives in the settings.
     #[serde(rename = "docket")]
     pub class: String,
@@ -45,7 +45,7 @@
     pub team: String,
     /// Kind of job.
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
@@ -97,7 +97,7 @@
     pub needs: Vec<String>,
 }
 
-impl Spec {
+impl JobSpec {
     /// Saves by itself while it runs, so that little is lost when it is stopped.
     pub fn saves(&self) -> bool {
         self.checkpoint_s > 0.0
@@ -105,13 +105,13 @@
 
     /// Its tasks start one by one, and where some are limits the zones of the others.
     pub fn zoned(&self) -> bool {
-        self.kind != Kind::Gang && (self.one_zone || self.spread)
+        self.kind != JobKind::Gang && (self.one_zone || self.spread)
     }
 
     /// A job of one task, for tests to vary.
     #[cfg(test)]
-    pub fn sample(kind: Kind) -> Spec {
-        Spec {
+    pub fn sample(kind: JobKind) -> JobSpec {
+        JobSpec {
             class: "c".into(),
             team: "t".into(),
             kind,
@@ -204,7 +204,7 @@
 const ABSURD: f64 = 1e9;
 
 /// Reads and checks a submission; returns the id and the job.
-pub fn parse(body: &[u8]) -> Result<(String, Spec), Malformed> {
+pub fn parse(body: &[u8]) -> Result<(String, JobSpec), Malformed> {
     let mut rest = body;
     let value = rmpv::decode::read_value_with_max_depth(&mut rest, 16)
         .map_err(|_| Malformed::NotMsgPack)?;
@@ -257,7 +257,7 @@
     // One that is named twice counts once.
     needs.sort_unstable();
     needs.dedup();
-    let spec = Spec {
+    let spec = JobSpec {
         class: f.text("docket")?,
         team: f.text("crew")?,
         kind: f.word("shape")?,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod format;
 pub mod job;
-pub mod peer;
+pub mod peer_messages;
 pub mod records;
 pub mod settings;
 pub mod time;
 pub mod wire;
 
-pub use job::{Kind, Priority, Spec};
+pub use job::{JobKind, JobSpec, Priority};
 pub use settings::Settings;
 pub use time::Micros;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer_messages.rs
@@ -2,15 +2,15 @@
 
 use super::format;
 use super::job::valid_id;
+use lease_delegation::cancellations::Batch;
 use serde::{Deserialize, Serialize};
-use walnuttrestle_rights::cancellations::Batch;
 
 /// Cancellations in one heartbeat at most; the rest follows with the next.
 pub const MOST_CANCELLATIONS: usize = 512;
-/// Siblings of which a heartbeat may tell.
+/// Peers of which a heartbeat may tell.
 const MOST_SIBLINGS: usize = 64;
 
-/// Why a message of a sibling is not believed.
+/// Why a message of a peer is not believed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum BadHeartbeat {
     /// It is shorter than its format has it, or not of it.
@@ -27,7 +27,7 @@
     Cancellations,
 }
 
-/// Sent to every sibling at a steady pace.
+/// Sent to every peer at a steady pace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Sender.
@@ -54,35 +54,35 @@
     pub epoch: u64,
     /// What came with format `RIGHTS`; a sender of an older format tells none of it.
     #[serde(skip)]
-    pub more: Option<More>,
-    /// In an answer to a sibling that has not read the records; behind all else.
+    pub more: Option<HeartbeatExtension>,
+    /// In an answer to a peer that has not read the records; behind all else.
     #[serde(skip)]
-    pub gist: Option<Gist>,
+    pub record_summary: Option<RecordSummary>,
     /// How far the sender knows the log of whoever it asks; since format `CANCELLATIONS`, behind the gist.
     #[serde(skip)]
-    pub knows: Option<Knows>,
+    pub knows: Option<CancellationCursor>,
     /// In an answer: what whoever asked does not know yet.
     #[serde(skip)]
     pub news: Option<CancellationNews>,
 }
 
-/// What of the cancellations a controller knows that asks a sibling.
+/// What of the cancellations a controller knows that asks a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Knows {
+pub struct CancellationCursor {
     /// Its copy of the records is complete up to this revision.
     pub complete: u64,
-    /// The run of the sibling whose log it has heard of, and the number of the first entry that it has not.
+    /// The run of the peer whose log it has heard of, and the number of the first entry that it has not.
     pub heard: (u64, u64),
 }
 
-impl Knows {
+impl CancellationCursor {
     /// Where the log of this run goes on for the sender.
     pub fn from(&self, run: u64) -> u64 {
         if self.heard.0 == run { self.heard.1 } else { 0 }
     }
 }
 
-/// What a controller tells a sibling of cancellations.
+/// What a controller tells a peer of cancellations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationNews {
     /// Version of the record of the lead in the sender's copy.
@@ -95,7 +95,7 @@
     pub more: bool,
     /// Jobs with the versions of the records that show them cancelled.
     pub jobs: Vec<(String, u64)>,
-    /// For each of its siblings, how long ago the sender last knew of everything that it had told users, in
+    /// For each of its peers, how long ago the sender last knew of everything that it had told users, in
     /// microseconds.
     pub known: Vec<(String, u64)>,
 }
@@ -119,24 +119,24 @@
     }
 }
 
-/// What a controller that starts in an outage has to know of the records to keep workers alive, from a sibling
+/// What a controller that starts in an outage has to know of the records to keep agents alive, from a peer
 /// that has read them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Gist {
+pub struct RecordSummary {
     /// Who leads, in which run, with which term.
     pub lead: (String, u64, u64),
     /// Up to which revision the sender's copy is complete.
     pub revision: u64,
     /// Cancelled jobs that may still have tasks somewhere.
     pub cancelled: Vec<String>,
-    /// For each of its siblings, how long ago the sender last knew of everything that it had told users, in
+    /// For each of its peers, how long ago the sender last knew of everything that it had told users, in
     /// microseconds.
     pub known: Vec<(String, u64)>,
 }
 
 /// What heartbeats tell since format `RIGHTS`, behind what older formats know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct More {
+pub struct HeartbeatExtension {
     /// Names this run of the sender's process.
     pub run: u64,
     /// In an answer: whoever asked may renew leases under this term of the sender's.
@@ -154,7 +154,8 @@
         let known = postcard::to_extend(&(self.format, self.asks, self.epoch), known);
         match &self.more {
             Some(more) => {
-                let known = known.and_then(|k| postcard::to_extend(&(more, &self.gist), k));
+                let known =
+                    known.and_then(|k| postcard::to_extend(&(more, &self.record_summary), k));
                 known.and_then(|k| postcard::to_extend(&(&self.knows, &self.news), k))
             }
             None => known,
@@ -181,8 +182,8 @@
             ((beat.asks, beat.epoch), rest) = (parts, after);
         }
         if told >= format::RIGHTS {
-            let (more, after) = take::<(More, Option<Gist>)>(rest, told)?;
-            ((beat.more, beat.gist), rest) = ((Some(more.0), more.1), after);
+            let (more, after) = take::<(HeartbeatExtension, Option<RecordSummary>)>(rest, told)?;
+            ((beat.more, beat.record_summary), rest) = ((Some(more.0), more.1), after);
         }
         if told >= format::CANCELLATIONS {
             let (of, after) = take(rest, told)?;
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,9 +1,9 @@
 //! What we keep in the state service.
 
 use super::wire::json_len;
-use super::{Micros, Spec};
+use super::{JobSpec, Micros};
+use admission_control::parts::{Grant, Part};
 use serde::{Deserialize, Serialize};
-use walnuttrestle_admission::parts::{Grant, Part};
 
 /// Everything of ours is below this.
 pub const ROOT: &str = "wt/";
@@ -34,9 +34,9 @@
 /// A part on record: amount in thousandths of changes a second, the time of day of its end, its epoch.
 type PartRec = (u64, Micros, u64);
 
-/// Parts of the budget of changes that controllers may use (`walnuttrestle_admission::parts`).
+/// Parts of the budget of changes that controllers may use (`admission_control::parts`).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PartsRec {
+pub struct BudgetSharesRecord {
     #[serde(rename = "e")]
     epoch: u64,
     #[serde(rename = "p")]
@@ -45,14 +45,14 @@
     owed: Vec<(String, Vec<PartRec>)>,
 }
 
-impl PartsRec {
+impl BudgetSharesRecord {
     /// Of a grant.
-    pub fn of(g: &Grant) -> PartsRec {
+    pub fn of(g: &Grant) -> BudgetSharesRecord {
         let rec = |p: &Part| (p.amount, Micros(p.until), p.epoch);
         let parts = g.parts.iter().map(|(h, p)| (h.clone(), rec(p)));
         let owed = g.owed.iter();
         let owed = owed.map(|(h, l)| (h.clone(), l.iter().map(rec).collect()));
-        PartsRec {
+        BudgetSharesRecord {
             epoch: g.epoch,
             parts: parts.collect(),
             owed: owed.collect(),
@@ -95,10 +95,10 @@
 /// Of a place here and an entry in the job's records the later attempt counts. A place does not count
 /// if its task is done there, or the job's record is `cleaned`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Bundle {
+pub struct PlacementBatch {
     /// Jobs with their places.
     #[serde(rename = "p")]
-    pub places: Vec<(String, Vec<Entry>)>,
+    pub places: Vec<(String, Vec<TaskEntry>)>,
 }
 
 /// Key of the newest format that a controller reads.
@@ -120,16 +120,16 @@
 /// Hundreds of names must fit into one value, so each name is written as the number of characters
 /// it shares with the one before it, and the rest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RenewRec {
+pub struct RenewalsRecord {
     /// Term.
     pub term: u64,
     /// Names in order, as shared length and rest.
     names: Vec<(u16, String)>,
 }
 
-impl RenewRec {
+impl RenewalsRecord {
     /// Names the machines, which come in order.
-    pub fn new<'a>(term: u64, machines: impl Iterator<Item = &'a String>) -> RenewRec {
+    pub fn new<'a>(term: u64, machines: impl Iterator<Item = &'a String>) -> RenewalsRecord {
         let mut last = "";
         let mut names = Vec::new();
         for m in machines {
@@ -145,7 +145,7 @@
             names.push((shared as u16, m[shared..].to_string()));
             last = m;
         }
-        RenewRec { term, names }
+        RenewalsRecord { term, names }
     }
 
     /// The same in as many records as a value's length asks for; at least one.
@@ -153,12 +153,12 @@
         term: u64,
         machines: impl Iterator<Item = &'a String>,
         most_bytes: usize,
-    ) -> Vec<RenewRec> {
+    ) -> Vec<RenewalsRecord> {
         let all: Vec<&String> = machines.collect();
         let mut whole = vec![all.as_slice()];
         let mut parts = Vec::new();
         while let Some(some) = whole.pop() {
-            let rec = RenewRec::new(term, some.iter().copied());
+            let rec = RenewalsRecord::new(term, some.iter().copied());
             if some.len() < 2 || json_len(&rec) <= most_bytes {
                 parts.push(rec);
             } else {
@@ -203,18 +203,19 @@
 
 /// Who leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeadRec {
+pub struct LeaderRecord {
     /// Node.
     pub node: String,
     /// Its incarnation.
-    pub inc: u64,
-    /// Term, which is the token that workers see.
+    #[serde(rename = "inc")]
+    pub incarnation: u64,
+    /// Term, which is the token that agents see.
     pub term: u64,
 }
 
 /// Where a job stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum JobStage {
     /// Accepted and not over.
     #[serde(rename = "a")]
     Active,
@@ -228,14 +229,14 @@
 
 /// A task's newest attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry(
+pub struct TaskEntry(
     /// Task number.
     pub u32,
     /// Attempt.
     pub u64,
     /// Machine; empty: on none.
     pub String,
-    /// The worker's session.
+    /// The agent's session.
     pub u64,
     /// Term that placed it.
     pub u64,
@@ -243,7 +244,7 @@
     pub bool,
 );
 
-impl Entry {
+impl TaskEntry {
     /// Task number.
     pub fn task(&self) -> u32 {
         self.0
@@ -256,7 +257,7 @@
     pub fn machine(&self) -> Option<&str> {
         Some(self.2.as_str()).filter(|m| !m.is_empty())
     }
-    /// The worker's session.
+    /// The agent's session.
     pub fn session(&self) -> u64 {
         self.3
     }
@@ -272,27 +273,27 @@
 
 /// The tasks of one chunk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct TaskChunk {
     /// Tasks that have been started and are not done, by number.
     #[serde(rename = "e", default)]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<TaskEntry>,
     /// Done marks, one bit a task.
     #[serde(rename = "d", default)]
     pub done: u64,
 }
 
-impl Chunk {
+impl TaskChunk {
     /// Entry of a task.
-    pub fn entry(&self, task: u32) -> Option<&Entry> {
+    pub fn entry(&self, task: u32) -> Option<&TaskEntry> {
         self.entries
-            .binary_search_by_key(&task, Entry::task)
+            .binary_search_by_key(&task, TaskEntry::task)
             .ok()
             .map(|i| &self.entries[i])
     }
 
     /// Sets a task's entry.
-    pub fn set(&mut self, e: Entry) {
-        match self.entries.binary_search_by_key(&e.0, Entry::task) {
+    pub fn set(&mut self, e: TaskEntry) {
+        match self.entries.binary_search_by_key(&e.0, TaskEntry::task) {
             Ok(i) => self.entries[i] = e,
             Err(i) => self.entries.insert(i, e),
         }
@@ -312,22 +313,22 @@
 
 /// A job's record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct JobRecord {
     /// The job.
     #[serde(rename = "s")]
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// Time of day of its acceptance; also its place in the queue.
     #[serde(rename = "at")]
     pub at: Micros,
     /// Stage.
     #[serde(rename = "st")]
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Time of day of the end.
     #[serde(rename = "end", default)]
     pub end: Micros,
     /// Tasks 0 to `CHUNK` - 1.
     #[serde(rename = "c", default)]
-    pub first: Chunk,
+    pub first: TaskChunk,
     /// The job is over and nothing of it is anywhere, whatever bundles still say.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub cleaned: bool,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -37,7 +37,7 @@
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Sibling {
+pub struct PeerSettings {
     /// Its name.
     #[serde(rename = "member")]
     pub node: String,
@@ -91,9 +91,9 @@
     pub share: Option<f64>,
 }
 
-/// How workers behave.
+/// How agents behave.
 #[derive(Clone, Debug, Deserialize)]
-pub struct WorkerParams {
+pub struct AgentParams {
     /// Report interval.
     pub report_s: f64,
     /// Lease.
@@ -206,8 +206,9 @@
     /// Objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
-    pub workers: WorkerParams,
+    /// Agents.
+    #[serde(rename = "workers")]
+    pub agents: AgentParams,
     /// State service.
     pub state: StateParams,
     /// Cloud.
@@ -224,13 +225,13 @@
     pub node: String,
     /// Our zone.
     pub zone: String,
-    /// Where users and workers reach us.
+    /// Where users and agents reach us.
     pub serve_on: SocketAddr,
-    /// Where siblings reach us.
+    /// Where peers reach us.
     pub internal_addr: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<PeerSettings>,
     /// Services.
     pub external: External,
     /// Parameters.
@@ -267,16 +268,16 @@
         if self.node.is_empty() || self.node.contains(' ') || self.node.len() > 60 {
             return bad("member", "must be a name without spaces");
         }
-        if self.siblings.iter().any(|s| s.node == self.node) {
+        if self.peers.iter().any(|s| s.node == self.node) {
             return bad("siblings", "must not name this member itself");
         }
         let p = &self.params;
         let positive = [
-            ("params.workers.report_s", p.workers.report_s),
-            ("params.workers.lease_s", p.workers.lease_s),
-            ("params.workers.gang_wait_s", p.workers.gang_wait_s),
-            ("params.workers.gang_peer_s", p.workers.gang_peer_s),
-            ("params.workers.cancel_s", p.workers.cancel_s),
+            ("params.workers.report_s", p.agents.report_s),
+            ("params.workers.lease_s", p.agents.lease_s),
+            ("params.workers.gang_wait_s", p.agents.gang_wait_s),
+            ("params.workers.gang_peer_s", p.agents.gang_peer_s),
+            ("params.workers.cancel_s", p.agents.cancel_s),
             ("params.state.rps", p.state.rps),
             ("params.state.write_rps", p.state.write_rps),
             ("params.state.value_kb", p.state.value_kb),
@@ -296,7 +297,7 @@
                 return bad(field, "must be above 0");
             }
         }
-        let w = &p.workers;
+        let w = &p.agents;
         if w.cancel_s <= w.lease_s {
             return bad(
                 "params.workers.cancel_s",
--- a/src/protocol/wire.rs
+++ b/src/protocol/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of workers, cloud and state service.
+//! Messages of agents, cloud and state service.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -46,9 +46,9 @@
     }
 }
 
-/// State of a task on a worker.
+/// State of a task on a agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Phase {
+pub enum TaskPhase {
     /// Waits for its image.
     #[serde(rename = "fetching")]
     Fetching,
@@ -68,7 +68,7 @@
 
 /// Why a task exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -95,7 +95,7 @@
     Unknown,
 }
 
-/// A task in a worker's report.
+/// A task in a agent's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// `job/number`.
@@ -106,16 +106,16 @@
     pub attempt: u64,
     /// State.
     #[serde(rename = "status")]
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// Why it exited.
     #[serde(rename = "cause", default)]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     /// Progress was saved.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A agent's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Machine name.
@@ -139,7 +139,7 @@
     /// Sequence number within the session.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest term the worker has seen.
+    /// Highest term the agent has seen.
     #[serde(rename = "baton")]
     pub term: u64,
     /// Seconds until the cloud takes the machine.
@@ -150,7 +150,7 @@
     pub tasks: Vec<TaskReport>,
 }
 
-/// A command to a worker.
+/// A command to a agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
@@ -191,7 +191,7 @@
 
 /// Answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// Our term.
     #[serde(rename = "baton")]
     pub term: u64,
@@ -206,7 +206,7 @@
     /// Our term.
     #[serde(rename = "baton")]
     pub term: u64,
-    /// The worker's session they are meant for.
+    /// The agent's session they are meant for.
     #[serde(rename = "shift")]
     pub session: u64,
     /// Commands.
@@ -286,7 +286,7 @@
 
 /// Rental request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentRequest {
     /// Name of the request, never used twice.
     #[serde(rename = "hire")]
     pub request: String,
@@ -325,7 +325,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     pub id: String,
     /// Where direct commands go.
@@ -353,14 +353,14 @@
 pub struct MachinePage {
     /// Machines in the order of their names.
     #[serde(rename = "kernels")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// There is more.
     pub more: bool,
 }
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cond {
+pub struct VersionCondition {
     /// Key.
     #[serde(rename = "k")]
     pub key: String,
@@ -393,10 +393,10 @@
 
 /// A transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions.
     #[serde(rename = "if")]
-    pub conds: Vec<Cond>,
+    pub conds: Vec<VersionCondition>,
     /// Changes.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
@@ -404,7 +404,7 @@
 
 /// Answer to a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TransactionResponse {
     /// Revision.
     #[serde(rename = "edition", default)]
     pub revision: u64,
@@ -432,7 +432,7 @@
 
 /// Answer of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Revision up to which the answer is complete.
     #[serde(rename = "edition")]
     pub revision: u64,
@@ -476,7 +476,7 @@
 
 /// A lease of the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     /// Its number.
     #[serde(rename = "tenure")]
     pub lease: u64,
--- a/src/coordination/bundling.rs
+++ b/src/records/placement_batching.rs
@@ -6,15 +6,15 @@
 //! many jobs as a transaction may have conditions, and brings them into the jobs' own records later,
 //! with what the budget leaves. `docs/safety.md` argues why that is safe.
 
-use super::edits::{Edit, Limits, edited};
-use super::leader::Leader;
-use super::node::{Clock, Node, Tag, cond, put};
-use crate::bookkeeping::mirror::{Job, Mirror};
-use crate::bookkeeping::store::{Ask, Rank};
+use crate::agents::leader_state::LeaderState;
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
 use crate::protocol::format::BUNDLES;
-use crate::protocol::records::{BUNDLED, Bundle, Entry, LEAD, bundle_key, job_key};
-use crate::protocol::wire::{Change, Txn, json_len};
-use crate::protocol::{Kind, Micros};
+use crate::protocol::records::{BUNDLED, LEAD, PlacementBatch, TaskEntry, bundle_key, job_key};
+use crate::protocol::wire::{Change, Transaction, json_len};
+use crate::protocol::{JobKind, Micros};
+use crate::records::record_writer::{Limits, PendingWrite, edited};
+use crate::state::record_cache::{Job, RecordCache};
+use crate::state::store_client::{RequestPriority, StoreRequest};
 
 /// Places are bundled once those of so many jobs wait that writing them one by one would take this
 /// long.
@@ -28,10 +28,10 @@
 /// A transaction may have this many times as many conditions as changes (PROTOCOL, "POST /multi").
 const CONDITIONS: usize = 4;
 
-impl Node {
+impl Controller {
     /// Writes the places of many jobs in one value if so many wait; tells whether it did. `ready`:
     /// jobs whose changes are due, most urgent first.
-    pub(super) fn write_bundle(&mut self, clock: Clock, ready: &[String], limits: Limits) -> bool {
+    pub(crate) fn write_bundle(&mut self, clock: Clock, ready: &[String], limits: Limits) -> bool {
         let worth = (self.store.write_rate() * WORTH_S) as usize;
         if !self.all_read(BUNDLES) {
             return false;
@@ -48,29 +48,29 @@
         if wait < worth.max(WORTH_JOBS) {
             return false;
         }
-        let n = self.mirror.bundles.free(&flying);
+        let n = self.cache.bundles.free(&flying);
         let key = bundle_key(n);
         // A number comes again once its bundle is spent: one whose answer was lost must not be carried out after it.
-        let newest = cond(BUNDLED, self.mirror.bundles.head());
+        let newest = cond(BUNDLED, self.cache.bundles.head());
         let mut conds = vec![cond(LEAD, l.version), cond(&key, 0), newest];
-        let mut bundle = Bundle::default();
+        let mut bundle = PlacementBatch::default();
         let mut bytes = json_len(&bundle);
         let mut jobs = Vec::new();
         for id in ready {
-            let (Some(edit), Some(job)) = (l.edits.wanted_of(id), self.mirror.jobs.get(id)) else {
+            let (Some(edit), Some(job)) = (l.edits.wanted_of(id), self.cache.jobs.get(id)) else {
                 continue;
             };
             // The members of a gang end together: whatever ends is written first.
-            let gang = job.rec.spec.kind == Kind::Gang;
+            let gang = job.rec.spec.kind == JobKind::Gang;
             if edit.places.is_empty() || (gang && !edit.done.is_empty()) {
                 continue;
             }
-            let only = Edit::of_places(edit.places.clone());
+            let only = PendingWrite::of_places(edit.places.clone());
             let w = edited(id, job, &only, false, clock, limits);
             if w.places.is_empty() {
                 continue;
             }
-            let row: (String, Vec<Entry>) = (id.clone(), w.places);
+            let row: (String, Vec<TaskEntry>) = (id.clone(), w.places);
             let more = json_len(&row) + 1;
             if bytes + more > limits.bytes {
                 if jobs.is_empty() {
@@ -92,7 +92,7 @@
         }
         let tasks: usize = bundle.places.iter().map(|(_, p)| p.len()).sum();
         log::info!("bundle {n}: {tasks} places of {} jobs", jobs.len());
-        let txn = Txn {
+        let txn = Transaction {
             conds,
             changes: vec![put(&key, &bundle, None), put(BUNDLED, &n, None)],
         };
@@ -102,15 +102,18 @@
         let batch = l
             .edits
             .begin(jobs.into_iter().map(|(id, _)| id).collect(), txn.clone());
-        self.store
-            .ask(Rank::Usual, Tag::Edits(batch), Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::Usual,
+            StoreRequestPurpose::RecordWriter(batch),
+            StoreRequest::Transaction(txn),
+        );
         true
     }
 
     /// Brings what bundles hold into the jobs' own records, a little at a time, and deletes bundles
     /// that hold nothing any more; returns when to look again.
-    pub(super) fn fold(&mut self, clock: Clock) -> Micros {
-        if self.mirror.bundles.is_empty() {
+    pub(crate) fn fold(&mut self, clock: Clock) -> Micros {
+        if self.cache.bundles.is_empty() {
             return Micros::FAR;
         }
         match &self.leader {
@@ -129,20 +132,24 @@
             return l.fold_at;
         }
         let mut left = if hurry { usize::MAX } else { each };
-        for (n, version) in self.mirror.bundles.numbers() {
-            if self.mirror.is_spent(n) {
+        for (n, version) in self.cache.bundles.numbers() {
+            if self.cache.is_spent(n) {
                 let key = bundle_key(n);
                 log::debug!("bundle {n} is spent");
-                let txn = Txn {
+                let txn = Transaction {
                     conds: vec![cond(LEAD, l.version), cond(&key, version)],
                     changes: vec![Change::Delete { key }],
                 };
-                self.store.ask(Rank::Last, Tag::Types, Ask::Txn(txn));
+                self.store.ask(
+                    RequestPriority::Last,
+                    StoreRequestPurpose::Types,
+                    StoreRequest::Transaction(txn),
+                );
                 continue;
             }
-            for (id, _) in self.mirror.bundles.places(n) {
+            for (id, _) in self.cache.bundles.places(n) {
                 let counts = |j: &Job| !j.bundled.is_empty();
-                if left > 0 && self.mirror.jobs.get(id).is_some_and(counts) {
+                if left > 0 && self.cache.jobs.get(id).is_some_and(counts) {
                     l.edits.want(id, clock.now).fold = true;
                     left -= 1;
                 }
@@ -152,10 +159,10 @@
     }
 }
 
-impl Leader {
+impl LeaderState {
     /// The copy holds all that earlier leaders wrote. The records of jobs alone do not show whether
     /// it does: a bundle changes none of them.
-    pub fn caught_up(&self, mirror: &Mirror) -> bool {
-        mirror.revision >= self.entered && !mirror.is_blind()
+    pub fn caught_up(&self, cache: &RecordCache) -> bool {
+        cache.revision >= self.entered && !cache.is_blind()
     }
 }
--- a/src/coordination/edits.rs
+++ b/src/records/record_writer.rs
@@ -4,24 +4,25 @@
 //! A change is fixed only when the store can take it at once. Until then further news of the same
 //! job join it, so that a burst costs a write per job and not one per task.
 
-use super::front::{Waiter, put_job};
-use super::node::{Clock, Node, Tag, cond, put};
-use crate::bookkeeping::mirror::Job;
-use crate::bookkeeping::store::{Ask, Rank, Reply};
+use crate::api::client_api::{PendingRequest, put_job};
+use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
 use crate::protocol::records::{
-    BUNDLED, CHUNK, Chunk, Entry, JobRec, LEAD, Stage, bundle_number, chunk_key, job_key,
+    BUNDLED, CHUNK, JobRecord, JobStage, LEAD, TaskChunk, TaskEntry, bundle_number, chunk_key,
+    job_key,
 };
-use crate::protocol::wire::{Change, Cond, Txn, json_len};
-use crate::protocol::{Kind, Micros};
+use crate::protocol::wire::{Change, Transaction, VersionCondition, json_len};
+use crate::protocol::{JobKind, Micros};
+use crate::state::record_cache::Job;
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Changes wanted of a job's record.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Edit {
+pub struct PendingWrite {
     /// Tasks that are done.
     pub done: BTreeSet<u32>,
     /// New attempts.
-    pub places: Vec<Entry>,
+    pub places: Vec<TaskEntry>,
     /// The job is over and nothing of it is anywhere: drop its entries.
     pub clean: bool,
     /// What only bundles hold is to be written into the job's own record.
@@ -34,16 +35,16 @@
 #[derive(Debug, Clone)]
 struct Batch {
     jobs: Vec<String>,
-    txn: Txn,
+    txn: Transaction,
 }
 
 /// Wanted and flying changes.
 #[derive(Debug, Default)]
-pub struct Edits {
-    wanted: BTreeMap<String, Edit>,
+pub struct RecordWriter {
+    wanted: BTreeMap<String, PendingWrite>,
     batches: BTreeMap<u64, Batch>,
     /// Jobs in batches, with the places on their way. A job is in one batch at a time.
-    flying: BTreeMap<String, Vec<Entry>>,
+    flying: BTreeMap<String, Vec<TaskEntry>>,
     next_batch: u64,
     /// Something has changed since it was last counted what is due, or something was.
     stirred: bool,
@@ -55,7 +56,7 @@
     pub unbundled: bool,
 }
 
-/// Some tasks of a job that are done wait this long for others; the worker keeps the result. A
+/// Some tasks of a job that are done wait this long for others; the agent keeps the result. A
 /// completed job does not wait, since its user may ask 3 s later.
 const MERGE_DONES: Micros = Micros::millis(4_000);
 /// Nobody waits for the entries of a job that is over.
@@ -67,12 +68,12 @@
 /// Transactions in flight at once.
 const BATCHES: usize = 3;
 
-impl Edit {
+impl PendingWrite {
     /// Nothing but these places.
-    pub fn of_places(places: Vec<Entry>) -> Edit {
-        Edit {
+    pub fn of_places(places: Vec<TaskEntry>) -> PendingWrite {
+        PendingWrite {
             places,
-            ..Edit::default()
+            ..PendingWrite::default()
         }
     }
 
@@ -81,14 +82,14 @@
     }
 }
 
-impl Edits {
+impl RecordWriter {
     /// The change wanted of a job, to be added to.
-    pub fn want(&mut self, id: &str, now: Micros) -> &mut Edit {
+    pub fn want(&mut self, id: &str, now: Micros) -> &mut PendingWrite {
         self.stirred = true;
         if !self.wanted.contains_key(id) {
-            let edit = Edit {
+            let edit = PendingWrite {
                 since: now,
-                ..Edit::default()
+                ..PendingWrite::default()
             };
             self.wanted.insert(id.to_string(), edit);
         }
@@ -107,7 +108,7 @@
     }
 
     /// Places of a job that are not on record yet: they take room from the moment they are chosen.
-    pub fn places(&self, id: &str) -> impl Iterator<Item = &Entry> {
+    pub fn places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
         let flying = self.flying.get(id).into_iter().flatten();
         flying.chain(self.wanted.get(id).into_iter().flat_map(|e| &e.places))
     }
@@ -125,12 +126,12 @@
 
     /// When a change may be written, and how it is ranked among those that may: who waits for it
     /// decides. Waiting makes every change more urgent, so none waits for ever.
-    fn due(edit: &Edit, job: &Job) -> (Micros, Micros) {
+    fn due(edit: &PendingWrite, job: &Job) -> (Micros, Micros) {
         let spec = &job.rec.spec;
         let complete = job.done_count() + edit.done.len() as u64 >= spec.tasks as u64;
         let at = edit.since;
         if !edit.places.is_empty() {
-            let later = if spec.kind == Kind::Array {
+            let later = if spec.kind == JobKind::Array {
                 ARRAYS_LATER
             } else {
                 Micros::ZERO
@@ -153,7 +154,7 @@
     }
 
     /// What is wanted of a job.
-    pub fn wanted_of(&self, id: &str) -> Option<&Edit> {
+    pub fn wanted_of(&self, id: &str) -> Option<&PendingWrite> {
         self.wanted.get(id)
     }
 
@@ -173,7 +174,7 @@
     }
 
     /// These places of a job are on their way; `rest` stays wanted, with whatever else is.
-    pub fn fly_places(&mut self, id: &str, rest: Vec<Entry>, places: Vec<Entry>) {
+    pub fn fly_places(&mut self, id: &str, rest: Vec<TaskEntry>, places: Vec<TaskEntry>) {
         if let Some(e) = self.wanted.get_mut(id) {
             e.places = rest;
             if e.is_empty() {
@@ -184,7 +185,7 @@
     }
 
     /// A transaction that brings changes of these jobs is on its way.
-    pub fn begin(&mut self, jobs: Vec<String>, txn: Txn) -> u64 {
+    pub fn begin(&mut self, jobs: Vec<String>, txn: Transaction) -> u64 {
         self.next_batch += 1;
         self.batches.insert(self.next_batch, Batch { jobs, txn });
         self.next_batch
@@ -203,19 +204,19 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// How many changes of job records are due, and when the next one will be.
     pub fn edits_due(&mut self, now: Micros) -> (usize, Micros) {
         let Some(l) = &mut self.leader else {
             return (0, Micros::FAR);
         };
-        if l.edits.batches.len() >= BATCHES || !l.caught_up(&self.mirror) {
+        if l.edits.batches.len() >= BATCHES || !l.caught_up(&self.cache) {
             return (0, Micros::FAR);
         }
         if !l.edits.stirred && now < l.edits.due_at {
             return (0, l.edits.due_at);
         }
-        let jobs = &self.mirror.jobs;
+        let jobs = &self.cache.jobs;
         l.edits.wanted.retain(|id, _| jobs.contains_key(id));
         let mut due = 0;
         let mut next = Micros::FAR;
@@ -224,7 +225,7 @@
                 continue;
             }
             if let Some(job) = jobs.get(id) {
-                let (at, _) = Edits::due(e, job);
+                let (at, _) = RecordWriter::due(e, job);
                 if at <= now {
                     due += 1;
                 } else {
@@ -251,9 +252,9 @@
         let mut ready: Vec<(Micros, String)> = Vec::new();
         for (id, e) in &l.edits.wanted {
             if !l.edits.flying.contains_key(id)
-                && let Some(job) = self.mirror.jobs.get(id)
+                && let Some(job) = self.cache.jobs.get(id)
             {
-                let (at, rank) = Edits::due(e, job);
+                let (at, rank) = RecordWriter::due(e, job);
                 if at <= clock.now {
                     ready.push((rank, id.clone()));
                 }
@@ -269,11 +270,11 @@
         let mut changes = Vec::new();
         let mut jobs = Vec::new();
         for id in ready {
-            let (Some(edit), Some(job)) = (l.edits.wanted.get(&id), self.mirror.jobs.get(&id))
+            let (Some(edit), Some(job)) = (l.edits.wanted.get(&id), self.cache.jobs.get(&id))
             else {
                 continue;
             };
-            let named = self.mirror.bundles.name(&id);
+            let named = self.cache.bundles.name(&id);
             let w = edited(&id, job, edit, named, clock, limits);
             if !changes.is_empty() && changes.len() + w.changes.len() > most {
                 break;
@@ -297,13 +298,17 @@
         if changes.is_empty() {
             return;
         }
-        let txn = Txn { conds, changes };
+        let txn = Transaction { conds, changes };
         let n = l.edits.begin(jobs, txn.clone());
-        self.store.ask(Rank::Usual, Tag::Edits(n), Ask::Txn(txn));
+        self.store.ask(
+            RequestPriority::Usual,
+            StoreRequestPurpose::RecordWriter(n),
+            StoreRequest::Transaction(txn),
+        );
     }
 
     /// Job records came back.
-    pub fn on_edits(&mut self, clock: Clock, n: u64, ask: Ask, reply: Reply) {
+    pub fn on_edits(&mut self, clock: Clock, n: u64, ask: StoreRequest, reply: StoreResponse) {
         if self
             .leader
             .as_ref()
@@ -312,16 +317,16 @@
             return;
         }
         match reply {
-            Reply::Committed(rev) => {
-                if let Ask::Txn(t) = &ask {
-                    self.apply_own(t, rev);
+            StoreResponse::Committed(rev) => {
+                if let StoreRequest::Transaction(t) = &ask {
+                    self.apply_own_commit(t, rev);
                 }
                 self.end_batch(n);
                 self.on_changed_jobs();
                 self.send_orders(clock);
             }
-            Reply::Rejected => {
-                if let (Some(l), Ask::Txn(t)) = (&mut self.leader, &ask) {
+            StoreResponse::Rejected => {
+                if let (Some(l), StoreRequest::Transaction(t)) = (&mut self.leader, &ask) {
                     // What was rejected decides, not what else is on its way.
                     if t.conds.iter().any(|c| bundle_number(&c.key).is_some()) {
                         l.edits.unbundled = true;
@@ -331,11 +336,11 @@
                 }
                 self.end_batch(n);
             }
-            Reply::Refused | Reply::TooFast => {
+            StoreResponse::Refused | StoreResponse::TooFast => {
                 // Certainly not written; it is all found out again.
                 self.end_batch(n);
             }
-            _ => self.want_barrier(clock, Waiter::Edits(n)),
+            _ => self.request_read_barrier(clock, PendingRequest::RecordWriter(n)),
         }
     }
 
@@ -355,7 +360,7 @@
             return;
         };
         // A bundle changes no record of a job: only its own shows whether it was written.
-        let bundles = &self.mirror.bundles;
+        let bundles = &self.cache.bundles;
         let unwritten = batch.txn.conds.iter().all(|c| {
             bundle_number(&c.key).is_none_or(|n| bundles.version(n) == c.version)
                 && (c.key != BUNDLED || bundles.head() == c.version)
@@ -365,7 +370,7 @@
             && batch.jobs.iter().all(|id| {
                 let key = job_key(id);
                 let wanted = batch.txn.conds.iter().find(|c| c.key == key);
-                match (wanted, self.mirror.jobs.get(id)) {
+                match (wanted, self.cache.jobs.get(id)) {
                     (Some(c), Some(j)) => c.version == j.version,
                     (None, Some(_)) => true,
                     _ => false,
@@ -373,7 +378,11 @@
             });
         if holds {
             let txn = batch.txn.clone();
-            self.store.ask(Rank::Usual, Tag::Edits(n), Ask::Txn(txn));
+            self.store.ask(
+                RequestPriority::Usual,
+                StoreRequestPurpose::RecordWriter(n),
+                StoreRequest::Transaction(txn),
+            );
         } else {
             self.end_batch(n);
         }
@@ -385,41 +394,45 @@
             && let Some(b) = l.edits.batches.get(&n)
         {
             let txn = b.txn.clone();
-            self.store.ask(Rank::Last, Tag::Edits(n), Ask::Txn(txn));
+            self.store.ask(
+                RequestPriority::Last,
+                StoreRequestPurpose::RecordWriter(n),
+                StoreRequest::Transaction(txn),
+            );
         }
     }
 }
 
 /// What a transaction and a value may hold.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Limits {
+pub(crate) struct Limits {
     pub ops: usize,
     pub bytes: usize,
 }
 
 /// What is written of an edit now, and what stays wanted.
-pub(super) struct Written {
-    conds: Vec<Cond>,
+pub(crate) struct Written {
+    conds: Vec<VersionCondition>,
     changes: Vec<Change>,
-    pub places: Vec<Entry>,
-    pub rest: Edit,
+    pub places: Vec<TaskEntry>,
+    pub rest: PendingWrite,
 }
 
 /// A job's record with an edit applied, as far as one transaction can take it. `named`: bundles name
 /// the job.
-pub(super) fn edited(
+pub(crate) fn edited(
     id: &str,
     job: &Job,
-    edit: &Edit,
+    edit: &PendingWrite,
     named: bool,
     clock: Clock,
     limits: Limits,
 ) -> Written {
-    let mut rec: JobRec = job.rec.clone();
-    let mut chunks: BTreeMap<u32, Chunk> = BTreeMap::new();
-    let mut rest = Edit {
+    let mut rec: JobRecord = job.rec.clone();
+    let mut chunks: BTreeMap<u32, TaskChunk> = BTreeMap::new();
+    let mut rest = PendingWrite {
         since: edit.since,
-        ..Edit::default()
+        ..PendingWrite::default()
     };
     let mut places = Vec::new();
     // One change is kept for the job's own record.
@@ -430,7 +443,7 @@
         rec.cleaned |= named;
         for (n, (c, _)) in &job.chunks {
             if !c.entries.is_empty() && chunks.len() < most {
-                let c = Chunk {
+                let c = TaskChunk {
                     entries: Vec::new(),
                     done: c.done,
                 };
@@ -452,8 +465,8 @@
     }
     if job.active() {
         // A gang is placed as a whole, or its members would start without the others.
-        let whole = job.rec.spec.kind == Kind::Gang;
-        let open = |n: u32, chunks: &mut BTreeMap<u32, Chunk>| {
+        let whole = job.rec.spec.kind == JobKind::Gang;
+        let open = |n: u32, chunks: &mut BTreeMap<u32, TaskChunk>| {
             if n == 0 || chunks.contains_key(&n) {
                 return true;
             }
@@ -507,8 +520,8 @@
                 .map(|(_, (c, _))| c.done.count_ones())
                 .sum::<u32>()
             + chunks.values().map(|c| c.done.count_ones()).sum::<u32>();
-        if done >= rec.spec.tasks && rec.spec.kind != Kind::Service {
-            rec.stage = Stage::Done;
+        if done >= rec.spec.tasks && rec.spec.kind != JobKind::Service {
+            rec.stage = JobStage::Done;
             rec.end = clock.wall;
         }
     }
@@ -538,10 +551,10 @@
 
 /// The chunk of a task among those that are being written.
 fn chunk<'a>(
-    rec: &'a mut JobRec,
-    chunks: &'a mut BTreeMap<u32, Chunk>,
+    rec: &'a mut JobRecord,
+    chunks: &'a mut BTreeMap<u32, TaskChunk>,
     task: u32,
-) -> &'a mut Chunk {
+) -> &'a mut TaskChunk {
     match chunks.get_mut(&(task / CHUNK)) {
         Some(c) => c,
         None => &mut rec.first,
--- a/src/coordination/queue.rs
+++ b/src/scheduling/backfill.rs
@@ -5,14 +5,14 @@
 //! past them in the same order, and looks into one only if there may be room for it. What one of them
 //! looked for in vain is not looked for again on behalf of the next.
 
-use super::backlog::Brief;
-use super::far::{Far, Rank, rank};
-use super::placement::{self, Amounts, Host, Picker, Shape, slots};
-use super::preemption::{Claim, Way, in_the_way, make_way};
-use super::recovery::Recovery;
-use super::rooms::{Rooms, Vain};
-use super::team_room::TeamRoom;
-use crate::protocol::{Kind, Micros, Priority, Spec};
+use crate::protocol::{JobKind, JobSpec, Micros, Priority};
+use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
+use crate::scheduling::job_queue::Brief;
+use crate::scheduling::pending_jobs::{BackfillOrder, Far, rank};
+use crate::scheduling::placement::{self, Amounts, Host, Picker, Shape, slots};
+use crate::scheduling::preemption::{Claim, Way, in_the_way, make_way};
+use crate::scheduling::quota::QuotaTracker;
+use crate::scheduling::recovery::Recovery;
 use foldhash::HashMap;
 
 /// A job with tasks to start.
@@ -23,7 +23,7 @@
     /// When it was accepted.
     pub at: Micros,
     /// The job.
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     /// The same, in numbers.
     pub shape: Shape,
     /// Its team, by name.
@@ -53,7 +53,7 @@
 }
 
 impl<'a> Item<'a> {
-    fn rank(&self) -> Rank<'a> {
+    fn rank(&self) -> BackfillOrder<'a> {
         rank(self.starved, self.estimate_s, (self.at, self.id))
     }
 }
@@ -171,16 +171,16 @@
 /// A pass on its way.
 struct Pass<'p, 'a> {
     far: &'p Far<'a>,
-    rooms: &'p mut Rooms,
+    rooms: &'p mut CapacityIndex,
     victims: &'p [Victim<'a>],
     /// Victims that stop alone and save.
     savers: Vec<&'p Victim<'a>>,
-    room: &'p mut TeamRoom,
+    room: &'p mut QuotaTracker,
     typical: Amounts,
     b_max: f64,
     tries: usize,
     /// What has found no room, by reach.
-    vain: Vec<Vain>,
+    vain: Vec<InfeasibleRequests>,
     /// Claims to which nothing gives way.
     hopeless: Vec<Claim>,
     /// What wide arrays may still take before all others have been met.
@@ -195,9 +195,9 @@
 pub fn pass<'a>(
     near: &[Item<'a>],
     far: &Far<'a>,
-    rooms: &mut Rooms,
+    rooms: &mut CapacityIndex,
     victims: &[Victim<'a>],
-    room: &mut TeamRoom,
+    room: &mut QuotaTracker,
     b_max: f64,
 ) -> Plan<'a> {
     let mut p = Pass {
@@ -209,7 +209,7 @@
         room,
         b_max: b_max.max(1e-9),
         tries: MAKE_WAY,
-        vain: vec![Vain::default(); far.reaches()],
+        vain: vec![InfeasibleRequests::default(); far.reaches()],
         hopeless: Vec::new(),
         wide: WIDE_PLACES,
         cut: Vec::new(),
@@ -252,7 +252,7 @@
                 _ => None,
             };
             let (met, at, service, short, placed) = if let Some((n, item)) = next {
-                let service = item.spec.kind == Kind::Service;
+                let service = item.spec.kind == JobKind::Service;
                 if blocked.is_some() && !service {
                     later.push((n, item));
                     continue;
@@ -282,7 +282,7 @@
                 tasks: short,
             });
             // Each task of an array starts for itself, wherever the others are.
-            if !placed || self.kind(near, met) == Kind::Array {
+            if !placed || self.kind(near, met) == JobKind::Array {
                 self.press(near, met, at, short, blocked.is_none(), false);
             }
             if !service && blocked.is_none() {
@@ -319,7 +319,7 @@
                 });
                 // Behind a job that never fits as a whole, such as a guest's very wide array, nobody else would
                 // ever be at the top.
-                let first = r.starved && !topped && self.kind(near, met) == Kind::Gang;
+                let first = r.starved && !topped && self.kind(near, met) == JobKind::Gang;
                 topped |= first;
                 self.press(near, met, r.at, short, first, true);
             }
@@ -329,7 +329,7 @@
     /// Starts what fits of a job far; returns how many tasks found no room, its team's limit aside.
     fn visit(&mut self, row: &'a Brief, backfill: bool) -> u32 {
         let form = self.far.form_of(row);
-        let gang = form.kind == Kind::Gang;
+        let gang = form.kind == JobKind::Gang;
         let n = far_tasks(gang, row);
         let may = self.room.slots(form.team, &row.need).min(n);
         if may == 0 || (gang && may < n) {
@@ -345,7 +345,7 @@
             }
             none
         };
-        let may_be_wide = form.kind == Kind::Array && n >= PLACES as u32;
+        let may_be_wide = form.kind == JobKind::Array && n >= PLACES as u32;
         if none && !may_be_wide {
             return may;
         }
@@ -360,7 +360,7 @@
     }
 
     /// The kind of a job.
-    fn kind(&self, near: &[Item<'a>], met: Met<'a>) -> Kind {
+    fn kind(&self, near: &[Item<'a>], met: Met<'a>) -> JobKind {
         match met {
             Met::Near(n) => near[n].spec.kind,
             Met::Far(brief) => self.far.form_of(brief).kind,
@@ -397,10 +397,10 @@
         if self.tries == 0 || self.victims.is_empty() {
             return;
         }
-        let presses = |kind: Kind, guaranteed: bool| match kind {
-            Kind::Gang => true,
-            Kind::Service => !later || guaranteed,
-            Kind::Array => guaranteed,
+        let presses = |kind: JobKind, guaranteed: bool| match kind {
+            JobKind::Gang => true,
+            JobKind::Service => !later || guaranteed,
+            JobKind::Array => guaranteed,
         };
         let kind = self.kind(near, met);
         let guaranteed = match met {
@@ -420,7 +420,7 @@
                     team: form.team,
                     guaranteed,
                     overdue: guaranteed && self.far.overdue(brief),
-                    aged: kind == Kind::Gang && self.far.aged(brief),
+                    aged: kind == JobKind::Gang && self.far.aged(brief),
                     top,
                 }
             }
@@ -458,7 +458,7 @@
         let spec = item.spec;
         let n = item.tasks.len() as u32;
         let may = self.room.slots(item.team, &item.shape.need).min(n);
-        if spec.kind == Kind::Array && !spec.one_zone && !spec.spread && n >= PLACES as u32 {
+        if spec.kind == JobKind::Array && !spec.one_zone && !spec.spread && n >= PLACES as u32 {
             let (free, share) = self.share(item);
             let first = may.min(self.wide).min(share);
             let short = self.spread(item, &item.tasks[..first as usize], backfill);
@@ -470,7 +470,7 @@
             });
             return may.saturating_sub(free);
         }
-        if spec.kind == Kind::Gang {
+        if spec.kind == JobKind::Gang {
             let shape = &item.shape;
             let ratio = self.ratio(spec.tasks, &shape.need);
             if may < n {
@@ -534,7 +534,7 @@
         let shape = &item.shape;
         let ratio = self.ratio(spec.tasks, &shape.need);
         let may = tasks.len() as u32;
-        let service = spec.kind == Kind::Service;
+        let service = spec.kind == JobKind::Service;
         let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
         let half = spec.tasks.div_ceil(2) as usize;
         let has = |i: usize| item.present.iter().any(|(_, m)| *m == Some(i));
--- a/src/coordination/queue/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,10 +1,10 @@
 //! Tests.
 
 use super::*;
-use crate::coordination::backlog::Backlog;
-use crate::coordination::far::Scene;
-use crate::coordination::pipeline::Lifted;
-use crate::coordination::placement::Allow;
+use crate::scheduling::job_queue::Backlog;
+use crate::scheduling::pending_jobs::Scene;
+use crate::scheduling::placement::Allow;
+use crate::scheduling::priority_inheritance::InheritedPriorities;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn item<'a>(spec: &'a Spec, fetch_s: f64) -> Item<'a> {
+fn item<'a>(spec: &'a JobSpec, fetch_s: f64) -> Item<'a> {
     Item {
         id: "req-2",
         at: Micros::ZERO,
@@ -83,13 +83,13 @@
         backlog: &backlog,
         jobs: &BTreeMap::new(),
         within: Default::default(),
-        lifted: Lifted::default(),
+        lifted: InheritedPriorities::default(),
         fetch_rate: 1.0,
         wall: Micros::ZERO,
     };
     let far = Far::new(&scene, [].into_iter());
-    let mut rooms = Rooms::new(hosts.to_vec());
-    let mut room = TeamRoom::default();
+    let mut rooms = CapacityIndex::new(hosts.to_vec());
+    let mut room = QuotaTracker::default();
     let mut plan = pass(items, &far, &mut rooms, victims, &mut room, 1.0);
     let lacks = plan.lacks.drain(..).map(|l| Lack {
         of: Met::Near(0),
@@ -105,9 +105,9 @@
 
 #[test]
 fn a_replica_takes_a_saving_tasks_place_rather_than_wait_for_a_long_fetch() {
-    let service = Spec {
+    let service = JobSpec {
         priority: Priority::Production,
-        ..Spec::sample(Kind::Service)
+        ..JobSpec::sample(JobKind::Service)
     };
     // Room without the image; and the image without room.
     let fleet = || [host(4.0, &[]), host(0.0, &[7])];
@@ -137,7 +137,7 @@
 /// (inc-fb2d), or if half a pass is left unused where nobody else waits.
 #[test]
 fn a_very_wide_array_leaves_half_of_a_pass_to_those_behind_it() {
-    let array = Spec::sample(Kind::Array);
+    let array = JobSpec::sample(JobKind::Array);
     let of = |id: &'static str, tasks: u32| Item {
         id,
         tasks: (0..tasks).collect(),
@@ -158,7 +158,7 @@
 /// have filled counts as room that is still being made.
 #[test]
 fn what_a_team_is_owed_comes_back_on_several_machines_at_once() {
-    let array = Spec::sample(Kind::Array);
+    let array = JobSpec::sample(JobKind::Array);
     let waits = |tasks: u32, guaranteed| Item {
         tasks: (0..tasks).collect(),
         guaranteed,
@@ -193,9 +193,9 @@
 
 #[test]
 fn a_gang_that_has_waited_for_long_takes_the_place_of_what_cannot_save() {
-    let gang = Spec {
+    let gang = JobSpec {
         priority: Priority::High,
-        ..Spec::sample(Kind::Gang)
+        ..JobSpec::sample(JobKind::Gang)
     };
     let full = [host(0.0, &[]), host(0.0, &[])];
     let array = Victim {
--- a/src/coordination/rooms.rs
+++ b/src/scheduling/capacity_index.rs
@@ -4,7 +4,7 @@
 //! kept by how much is free on them: whether anything could take a task, and what could, is found
 //! without looking at the full ones.
 
-use super::placement::{Allow, Amounts, Host, may_take, slots};
+use crate::scheduling::placement::{Allow, Amounts, Host, may_take, slots};
 use std::collections::BTreeMap;
 use std::ops::Deref;
 
@@ -60,14 +60,14 @@
 
 /// The machines of a pass with what is free on each.
 #[derive(Debug, Default, Clone)]
-pub struct Rooms {
+pub struct CapacityIndex {
     hosts: Vec<Host>,
     pools: Vec<Pool>,
     /// None: it takes nothing new, and is kept nowhere.
     seats: Vec<Option<Seat>>,
 }
 
-impl Deref for Rooms {
+impl Deref for CapacityIndex {
     type Target = [Host];
 
     fn deref(&self) -> &[Host] {
@@ -75,10 +75,10 @@
     }
 }
 
-impl Rooms {
+impl CapacityIndex {
     /// Of these machines.
-    pub fn new(hosts: Vec<Host>) -> Rooms {
-        let mut rooms = Rooms::default();
+    pub fn new(hosts: Vec<Host>) -> CapacityIndex {
+        let mut rooms = CapacityIndex::default();
         for h in hosts {
             rooms.push(h);
         }
@@ -213,12 +213,12 @@
 /// What has found no room: whatever needs as much or more, and is as many or more, finds none either,
 /// as long as room only gets less.
 #[derive(Debug, Default, Clone)]
-pub struct Vain(Vec<(Amounts, u32)>);
+pub struct InfeasibleRequests(Vec<(Amounts, u32)>);
 
 /// More than these are not worth comparing with.
 const MOST_VAIN: usize = 24;
 
-impl Vain {
+impl InfeasibleRequests {
     /// Whether `n` tasks that need so much each would look for room in vain.
     pub fn covers(&self, need: &Amounts, n: u32) -> bool {
         self.0
--- a/src/coordination/rooms/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -31,7 +31,7 @@
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut plain = fleet(&mut rng);
-        let mut rooms = Rooms::new(plain.clone());
+        let mut rooms = CapacityIndex::new(plain.clone());
         let allow = Allow {
             kinds: rng.random_bool(0.3).then(|| vec![0]),
             zone: rng.random_bool(0.3).then_some(10),
@@ -80,7 +80,7 @@
 
 #[test]
 fn more_of_the_same_looks_in_vain_as_well() {
-    let mut v = Vain::default();
+    let mut v = InfeasibleRequests::default();
     v.add(&[4.0, 1.0, 8.0], 2);
     assert!(v.covers(&[4.0, 1.0, 8.0], 2) && v.covers(&[5.0, 1.0, 9.0], 7));
     assert!(!v.covers(&[4.0, 1.0, 8.0], 1) && !v.covers(&[3.0, 2.0, 8.0], 2));
--- a/src/coordination/survey.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -1,20 +1,20 @@
 //! What a pass sees: the machines, and each job of which something is placed, being written or in
 //! trouble. Looks only; what is to be done about what it finds is `pass`'s business.
 
-use super::backlog::{Row, Slot, Stand};
-use super::far::Scene;
-use super::leader::{FRESH_REPORTS, Leader, grace};
-use super::node::Clock;
-use super::placement::{Amounts, Host, Names, add, size};
-use super::policy::Policy;
-use super::queue::{Item, Victim, WIDE_MOST};
-use super::recovery::Lost;
-use super::team_room::TeamRoom;
-use crate::bookkeeping::mirror::{Job, Mirror};
-use crate::bookkeeping::workers::{Standing, Worker};
-use crate::protocol::records::{CHUNK, Entry};
-use crate::protocol::wire::{Phase, Why};
-use crate::protocol::{Kind, Micros, Settings};
+use crate::agents::leader_state::{FRESH_REPORTS, LeaderState, grace};
+use crate::controller::Clock;
+use crate::policy::Policy;
+use crate::protocol::records::{CHUNK, TaskEntry};
+use crate::protocol::wire::{ExitReason, TaskPhase};
+use crate::protocol::{JobKind, Micros, Settings};
+use crate::scheduling::backfill::{Item, Victim, WIDE_MOST};
+use crate::scheduling::job_queue::{Row, Slot, Stand};
+use crate::scheduling::pending_jobs::Scene;
+use crate::scheduling::placement::{Amounts, Host, NameTable, add, size};
+use crate::scheduling::quota::QuotaTracker;
+use crate::scheduling::recovery::Lost;
+use crate::state::agent::{Agent, TaskLiveness};
+use crate::state::record_cache::{Job, RecordCache};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     pub list: Vec<Host>,
     /// Their names, in the same order.
     pub names: Vec<&'a str>,
-    workers: Vec<&'a Worker>,
+    agents: Vec<&'a Agent>,
     index: HashMap<&'a str, u32>,
 }
 
@@ -57,10 +57,10 @@
 
 /// Which images a machine has, in numbers, as long as nothing on it changes.
 #[derive(Debug, Default)]
-pub struct KnownImages(HashMap<Arc<str>, Known>);
+pub struct KnownImages(HashMap<Arc<str>, JobLookup>);
 
 #[derive(Debug)]
-struct Known {
+struct JobLookup {
     version: u64,
     cache_gb: f64,
     list: Arc<Vec<u32>>,
@@ -74,10 +74,10 @@
         &mut self,
         machine: &str,
         cache_gb: f64,
-        mirror: &Mirror,
-        names: &mut Names,
+        cache: &RecordCache,
+        names: &mut NameTable,
     ) -> Arc<Vec<u32>> {
-        let version = mirror.images.version(machine);
+        let version = cache.images.version(machine);
         if let Some(k) = self.0.get(machine)
             && (k.version, k.cache_gb) == (version, cache_gb)
         {
@@ -86,9 +86,9 @@
         if self.0.len() > MOST_KNOWN {
             self.0.clear();
         }
-        let images = mirror.images.of(machine, cache_gb);
+        let images = cache.images.of(machine, cache_gb);
         let list = Arc::new(images.map(|i| names.id(i)).collect::<Vec<u32>>());
-        let known = Known {
+        let known = JobLookup {
             version,
             cache_gb,
             list: list.clone(),
@@ -106,7 +106,7 @@
 /// A pass looking around.
 pub struct Survey<'s, 'a> {
     /// The leader.
-    pub leader: &'a Leader,
+    pub leader: &'a LeaderState,
     /// What is to be known of jobs.
     pub scene: &'s Scene<'a>,
     /// Now.
@@ -114,7 +114,7 @@
     /// The machines.
     pub hosts: Hosts<'a>,
     /// What teams may still take.
-    pub room: TeamRoom,
+    pub room: QuotaTracker,
     /// What all machines hold together.
     pub all: Amounts,
     /// By class, the part of that which its tasks take.
@@ -131,24 +131,24 @@
 
 /// The machines that are there, with all their room free.
 pub fn hosts<'a>(
-    l: &'a Leader,
+    l: &'a LeaderState,
     s: &Settings,
     policy: &Policy,
-    mirror: &Mirror,
-    names: &mut Names,
+    cache: &RecordCache,
+    names: &mut NameTable,
     known: &mut KnownImages,
     now: Micros,
 ) -> Hosts<'a> {
-    let fresh = Micros::secs(s.params.workers.report_s * FRESH_REPORTS);
-    let n = l.workers.len();
+    let fresh = Micros::secs(s.params.agents.report_s * FRESH_REPORTS);
+    let n = l.agents.len();
     let mut hosts = Hosts {
         list: Vec::with_capacity(n),
         names: Vec::with_capacity(n),
-        workers: Vec::with_capacity(n),
+        agents: Vec::with_capacity(n),
         index: HashMap::with_capacity(n),
     };
-    for (name, w) in &l.workers {
-        let mut types = mirror.types.iter().flatten();
+    for (name, w) in &l.agents {
+        let mut types = cache.types.iter().flatten();
         let Some(t) = types.find(|t| t.name == w.kind) else {
             continue;
         };
@@ -168,7 +168,7 @@
         let reserved = l.reserved.get(name).filter(|(_, until)| *until > now);
         hosts.index.insert(name, hosts.list.len() as u32);
         hosts.names.push(name);
-        hosts.workers.push(w);
+        hosts.agents.push(w);
         hosts.list.push(Host {
             kind: names.id(&w.kind),
             zone: names.id(&w.zone),
@@ -178,7 +178,7 @@
             free: total,
             leaving: [0.0; 3],
             open,
-            images: known.of(name, t.cache_gb, mirror, names),
+            images: known.of(name, t.cache_gb, cache, names),
             reserved: reserved.map(|(j, _)| j.as_str().into()),
         });
     }
@@ -187,7 +187,7 @@
 
 /// A task whose place is on record, as `Survey::look` found it.
 struct Found {
-    standing: Standing,
+    standing: TaskLiveness,
     host: Option<usize>,
 }
 
@@ -226,10 +226,10 @@
     }
 
     /// One lookup of a machine tells where an attempt stands and where its room is.
-    fn stand(&self, id: &str, e: &'a Entry, machine: &str) -> Found {
+    fn stand(&self, id: &str, e: &'a TaskEntry, machine: &str) -> Found {
         let host = self.hosts.find(machine);
         let standing = match host {
-            Some(h) => self.hosts.workers[h].standing(
+            Some(h) => self.hosts.agents[h].standing(
                 self.leader.term,
                 id,
                 e.task(),
@@ -254,7 +254,7 @@
         let active = row.active;
         let form = self.scene.backlog.form_of(row);
         let in_flight = l.edits.in_flight(id);
-        let chosen: Vec<&'a Entry> = l.edits.places(id).collect();
+        let chosen: Vec<&'a TaskEntry> = l.edits.places(id).collect();
         let stopping = l.stopping.get(id);
         let order = l.order_of.get(id);
         let guaranteed = self.scene.guaranteed(row);
@@ -269,7 +269,7 @@
         let mut unknown_zone = false;
         let mut complete = false;
         let mut runs = false;
-        let mut members: Vec<(u32, Standing)> = Vec::new();
+        let mut members: Vec<(u32, TaskLiveness)> = Vec::new();
         // A task with a new place has been proven gone from the old one. To count that attempt as
         // lost beside the new one would take the gang for broken before it has started.
         let placing = |task: u32| chosen.iter().any(|c| c.task() == task);
@@ -281,9 +281,12 @@
             let s = at.standing;
             let presumed = s.presumed(|| active && l.wanted(id, e));
             if recorded {
-                if presumed || s == Standing::Ended(Why::Done) {
+                if presumed || s == TaskLiveness::Ended(ExitReason::Done) {
                     kept.push(e.task());
-                } else if matches!(s, Standing::Gone | Standing::Ended(Why::Peers)) {
+                } else if matches!(
+                    s,
+                    TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
+                ) {
                     // What was stopped or has failed was not lost; what went with its machine or its
                     // gang was.
                     without.push(e.task());
@@ -291,15 +294,15 @@
             }
             if !presumed {
                 lost += 1;
-                if s == Standing::Ended(Why::Done) && active && !in_flight {
-                    complete = spec.kind == Kind::Gang;
+                if s == TaskLiveness::Ended(ExitReason::Done) && active && !in_flight {
+                    complete = spec.kind == JobKind::Gang;
                     self.found.dones.push((id.to_string(), e.task()));
                 }
                 continue;
             }
             latest = latest.max(e.attempt());
-            runs |= s == Standing::There(Phase::Running);
-            if spec.kind == Kind::Gang {
+            runs |= s == TaskLiveness::There(TaskPhase::Running);
+            if spec.kind == JobKind::Gang {
                 members.push((e.task(), s));
             }
             let zone = match at.host {
@@ -312,21 +315,21 @@
                     }
                     // A machine that the cloud is about to take: what can save does so now,
                     // a gang as a whole.
-                    let notice = self.hosts.workers[h].notice;
+                    let notice = self.hosts.agents[h].notice;
                     let save = grace(job);
                     if save > 0.0
                         && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
-                        && s == Standing::There(Phase::Running)
+                        && s == TaskLiveness::There(TaskPhase::Running)
                     {
                         let all = match spec.kind {
-                            Kind::Gang => 0..spec.tasks,
+                            JobKind::Gang => 0..spec.tasks,
                             _ => e.task()..e.task() + 1,
                         };
                         let all = all.map(|t| (id.to_string(), t, save));
                         self.found.stops.extend(all);
                     }
-                    let single = spec.kind == Kind::Array || spec.tasks == 1;
-                    if spec.kind != Kind::Service
+                    let single = spec.kind == JobKind::Array || spec.tasks == 1;
+                    if spec.kind != JobKind::Service
                         && active
                         && chosen.is_empty()
                         && !in_flight
@@ -345,7 +348,7 @@
                             save_s: spec.save_s,
                             team: form.team,
                             surplus: !guaranteed,
-                            single: spec.kind == Kind::Array,
+                            single: spec.kind == JobKind::Array,
                             class: form.class,
                             spared: false,
                         });
@@ -375,11 +378,11 @@
         if complete {
             return None;
         }
-        if spec.kind == Kind::Gang && !present.is_empty() {
+        if spec.kind == JobKind::Gang && !present.is_empty() {
             if lost > 0 {
                 self.found.broken.push((id.to_string(), latest));
                 // Members that save on command are left to it.
-                let saving = Standing::There(Phase::Saving);
+                let saving = TaskLiveness::There(TaskPhase::Saving);
                 if members.iter().all(|(_, s)| *s != saving) {
                     let all = members.iter().map(|(t, _)| (id.to_string(), *t, 0.0));
                     self.found.stops.extend(all);
@@ -392,7 +395,7 @@
         let held_off = trouble.is_some_and(|t| t.again > now) && !runs && row.left == row.tasks;
         // More replicas of a job may be placed while some are being written: if they had to wait, jobs
         // that came later would take their room. Of other jobs an end may be among what is written.
-        if (in_flight && spec.kind != Kind::Service) || held_off {
+        if (in_flight && spec.kind != JobKind::Service) || held_off {
             self.found.held_off |= held_off;
             return None;
         }
@@ -403,7 +406,7 @@
         let taken =
             |t: u32| kept.binary_search(&t).is_ok() || placing(t) || l.edits.finishing(id, t);
         let mut tasks = startable(job, taken);
-        if spec.kind == Kind::Array
+        if spec.kind == JobKind::Array
             && trouble.is_some_and(|t| t.jobs_fault() && !(runs && t.quiet(now)))
         {
             // One task shows whether the job still fails; a hundred would cost a hundred places, and as many
@@ -426,16 +429,16 @@
         Some(item)
     }
 
-    /// Tasks that workers report and no record places take room as well, of the machine and of the team's limit.
+    /// Tasks that agents report and no record places take room as well, of the machine and of the team's limit.
     fn unrecorded(&mut self) {
-        for h in 0..self.hosts.workers.len() {
-            let w = self.hosts.workers[h];
-            for t in w.tasks.iter().filter(|t| t.phase != Phase::Exited) {
+        for h in 0..self.hosts.agents.len() {
+            let w = self.hosts.agents[h];
+            for t in w.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
                 let Some(j) = self.scene.jobs.get(&t.job) else {
                     self.hosts.list[h].open = false;
                     continue;
                 };
-                let on = |e: &Entry| {
+                let on = |e: &TaskEntry| {
                     (e.task(), e.attempt()) == (t.task, t.attempt) && e.machine().is_some()
                 };
                 if !j.entry(t.task).is_some_and(on)
@@ -455,7 +458,7 @@
 fn startable(job: &Job, taken: impl Fn(u32) -> bool) -> Vec<u32> {
     let spec = &job.rec.spec;
     let most = match spec.kind {
-        Kind::Gang => spec.tasks as usize,
+        JobKind::Gang => spec.tasks as usize,
         _ => WIDE_MOST,
     };
     let mut tasks = Vec::new();
--- a/src/coordination/backlog.rs
+++ b/src/scheduling/job_queue.rs
@@ -8,10 +8,10 @@
 //! All of it follows from the records. A new leader builds it from them, and in debug builds each pass
 //! compares it with one that is built anew.
 
-use super::placement::{Allow, Amounts, Names, Shape, need, size};
-use crate::bookkeeping::mirror::Job;
 use crate::protocol::settings::Team;
-use crate::protocol::{Kind, Micros, Priority, Spec};
+use crate::protocol::{JobKind, JobSpec, Micros, Priority};
+use crate::scheduling::placement::{Allow, Amounts, NameTable, Shape, need, size};
+use crate::state::record_cache::Job;
 use foldhash::{HashMap, HashMapExt};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Form {
     /// Kind of job.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Team, by name.
     pub team: u32,
     /// Class of jobs, by name.
@@ -134,7 +134,7 @@
 #[derive(Debug, Default)]
 pub struct Backlog {
     /// Numbers for names, for whoever compares with rows.
-    pub names: Names,
+    pub names: NameTable,
     /// Names there were when it was built, with those that the first pass added.
     settled: Option<usize>,
     built: bool,
@@ -204,7 +204,7 @@
         let form = &self.forms[row.form as usize];
         let arrival = row.arrival();
         match row.stand {
-            Stand::Queued if form.kind == Kind::Service => _ = self.replicas.remove(&arrival),
+            Stand::Queued if form.kind == JobKind::Service => _ = self.replicas.remove(&arrival),
             Stand::Queued => {
                 self.others.remove(&arrival);
                 self.shortest.remove(&(row.estimate, arrival.clone()));
@@ -248,7 +248,7 @@
         let arrival = row.arrival();
         let brief = row.brief(slot);
         match stand {
-            Stand::Queued if form.kind == Kind::Service => {
+            Stand::Queued if form.kind == JobKind::Service => {
                 _ = self.replicas.insert(arrival.clone(), brief);
             }
             Stand::Queued => {
@@ -273,9 +273,9 @@
         }
     }
 
-    fn form(&mut self, spec: &Spec) -> u32 {
+    fn form(&mut self, spec: &JobSpec) -> u32 {
         let allow = Arc::new(Allow::of(spec, &mut self.names));
-        let gang = spec.kind == Kind::Gang;
+        let gang = spec.kind == JobKind::Gang;
         let next = self.reaches.len() as u32;
         let reach = (allow.clone(), gang, spec.one_zone, spec.spread);
         let form = Form {
--- a/src/coordination/backlog/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -1,35 +1,35 @@
 //! Tests.
 
 use super::*;
-use crate::protocol::records::{Chunk, Entry, JobRec, Stage};
+use crate::protocol::records::{JobRecord, JobStage, TaskChunk, TaskEntry};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 fn job(rng: &mut ChaCha8Rng) -> Job {
-    let kinds = [Kind::Array, Kind::Gang, Kind::Service];
+    let kinds = [JobKind::Array, JobKind::Gang, JobKind::Service];
     let tasks = rng.random_range(1..6);
     let mut entries = Vec::new();
     for t in 0..tasks {
         let machine = ["", "n-1", "n-2"][rng.random_range(0..3)];
         if rng.random_bool(0.2) {
-            entries.push(Entry(t, 1, machine.into(), 1, 1, false));
+            entries.push(TaskEntry(t, 1, machine.into(), 1, 1, false));
         }
     }
     let ended = rng.random_bool(0.1);
     Job {
-        rec: JobRec {
-            spec: Spec {
+        rec: JobRecord {
+            spec: JobSpec {
                 tasks,
                 team: ["red", "blue"][rng.random_range(0..2)].into(),
                 image: format!("img-{}", rng.random_range(0..9)),
                 estimate_s: rng.random_range(0..5) as f64,
                 gpus: rng.random_range(1..4) as f64,
-                ..Spec::sample(kinds[rng.random_range(0..3)])
+                ..JobSpec::sample(kinds[rng.random_range(0..3)])
             },
             at: Micros(rng.random_range(0..40)),
-            stage: [Stage::Active, Stage::Cancelled][usize::from(ended)],
+            stage: [JobStage::Active, JobStage::Cancelled][usize::from(ended)],
             end: Micros::ZERO,
-            first: Chunk { entries, done: 0 },
+            first: TaskChunk { entries, done: 0 },
             cleaned: false,
         },
         version: 1,
@@ -76,16 +76,16 @@
         gpus_max: 0.0,
     };
     let job = |at: u64, tasks: u32, done: u64| Job {
-        rec: JobRec {
-            spec: Spec {
+        rec: JobRecord {
+            spec: JobSpec {
                 tasks,
                 team: "red".into(),
-                ..Spec::sample(Kind::Array)
+                ..JobSpec::sample(JobKind::Array)
             },
             at: Micros(at),
-            stage: Stage::Active,
+            stage: JobStage::Active,
             end: Micros::ZERO,
-            first: Chunk {
+            first: TaskChunk {
                 entries: Vec::new(),
                 done,
             },
--- /dev/null
+++ b/src/scheduling/mod.rs
@@ -0,0 +1,13 @@
+//! One scheduling pass: snapshot of the cluster, order of the queue, bin packing, preemption and quotas.
+
+pub mod backfill;
+pub mod capacity_index;
+pub mod cluster_snapshot;
+pub mod job_queue;
+pub mod pass;
+pub mod pending_jobs;
+pub mod placement;
+pub mod preemption;
+pub mod priority_inheritance;
+pub mod quota;
+pub mod recovery;
--- a/src/coordination/pass.rs
+++ b/src/scheduling/pass.rs
@@ -1,23 +1,23 @@
-//! One pass: the fleet and the queue as they stand, put before the pure `queue::pass`, and what it
+//! One pass: the fleet and the queue as they stand, put before the pure `backfill::pass`, and what it
 //! decides turned into wanted records, stops and rentals. `decide` looks and changes nothing but what
-//! is kept from pass to pass to spare work; `Node::pass` acts on it.
+//! is kept from pass to pass to spare work; `Controller::pass` acts on it.
 
-use super::backlog::Backlog;
-use super::far::{Far, Scene};
-use super::leader::{Leader, grace};
-use super::node::{Clock, Node};
-use super::pipeline::Lifted;
-use super::placement::add;
-use super::policy::Policy;
-use super::queue::{self, Item, Met, PLACES};
-use super::recovery::Recovery;
-use super::renting::{self, FleetPlan, Need, Wants as _};
-use super::rooms::Rooms;
-use super::survey::{self, Findings, KnownImages, Survey};
-use super::team_room::TeamRoom;
-use crate::bookkeeping::mirror::{Job, Mirror};
-use crate::protocol::records::Entry;
-use crate::protocol::{Kind, Micros, Settings, Spec};
+use crate::agents::leader_state::{LeaderState, grace};
+use crate::cloud::autoscaler::{self, Need, ScalingPlan, Wants as _};
+use crate::controller::{Clock, Controller};
+use crate::policy::Policy;
+use crate::protocol::records::TaskEntry;
+use crate::protocol::{JobKind, JobSpec, Micros, Settings};
+use crate::scheduling::backfill::{self, Item, Met, PLACES};
+use crate::scheduling::capacity_index::CapacityIndex;
+use crate::scheduling::cluster_snapshot::{self, Findings, KnownImages, Survey};
+use crate::scheduling::job_queue::Backlog;
+use crate::scheduling::pending_jobs::{Far, Scene};
+use crate::scheduling::placement::add;
+use crate::scheduling::priority_inheritance::InheritedPriorities;
+use crate::scheduling::quota::QuotaTracker;
+use crate::scheduling::recovery::Recovery;
+use crate::state::record_cache::{Job, RecordCache};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::HashSet;
 
@@ -37,7 +37,7 @@
     pub task: u32,
     /// Machine.
     pub machine: String,
-    /// The worker's session.
+    /// The agent's session.
     pub session: u64,
     /// Ahead of an earlier job.
     pub backfilled: bool,
@@ -59,7 +59,7 @@
     /// What else was found.
     pub found: Findings,
     /// Machines to rent and to return.
-    pub fleet: FleetPlan,
+    pub fleet: ScalingPlan,
     /// Jobs with tasks to start.
     pub waiting: usize,
     /// Machines.
@@ -76,9 +76,9 @@
 
 impl Kept {
     /// Made anew from the records, if it was never made, or holds what is long gone.
-    fn refresh(&mut self, mirror: &Mirror) {
+    fn refresh(&mut self, cache: &RecordCache) {
         if self.backlog.stale() {
-            self.backlog = Backlog::build(mirror.jobs.iter());
+            self.backlog = Backlog::build(cache.jobs.iter());
             self.images.forget();
         }
     }
@@ -96,7 +96,12 @@
 impl Wants<'_, '_> {
     /// The only zones in which further tasks of a job may be; none: any. Machines rented elsewhere would never get
     /// them, and keep those that they need from being rented.
-    fn bound(&self, id: &str, spec: &Spec, present: &[(u32, Option<usize>)]) -> Option<Vec<u32>> {
+    fn bound(
+        &self,
+        id: &str,
+        spec: &JobSpec,
+        present: &[(u32, Option<usize>)],
+    ) -> Option<Vec<u32>> {
         if !spec.zoned() {
             return None;
         }
@@ -116,13 +121,13 @@
     }
 }
 
-impl<'a> renting::Wants<'a> for Wants<'_, 'a> {
+impl<'a> autoscaler::Wants<'a> for Wants<'_, 'a> {
     fn need<'n>(&'n self, of: Met<'n>) -> Need<'n> {
         match of {
             Met::Near(n) => {
                 let item = &self.near[n];
                 Need {
-                    gang: item.spec.kind == Kind::Gang,
+                    gang: item.spec.kind == JobKind::Gang,
                     reach: item.reach,
                     need: &item.shape.need,
                     allow: &item.shape.allow,
@@ -132,7 +137,7 @@
             Met::Far(brief) => {
                 let form = self.far.form_of(brief);
                 Need {
-                    gang: form.kind == Kind::Gang,
+                    gang: form.kind == JobKind::Gang,
                     reach: form.reach,
                     need: &brief.need,
                     allow: &form.allow,
@@ -156,41 +161,41 @@
 
 /// Decides on one pass. `told`: takes what found no room, in order, as jobs and numbers of tasks.
 pub fn decide(
-    l: &Leader,
+    l: &LeaderState,
     kept: &mut Kept,
-    mirror: &Mirror,
+    cache: &RecordCache,
     settings: &Settings,
     policy: &Policy,
     clock: Clock,
     mut told: Option<&mut Vec<(String, u32)>>,
 ) -> Decision {
-    kept.refresh(mirror);
+    kept.refresh(cache);
     let now = clock.now;
     let mut names = std::mem::take(&mut kept.backlog.names);
-    let hosts = survey::hosts(
+    let hosts = cluster_snapshot::hosts(
         l,
         settings,
         policy,
-        mirror,
+        cache,
         &mut names,
         &mut kept.images,
         now,
     );
-    let mut room = TeamRoom::default();
+    let mut room = QuotaTracker::default();
     for t in &settings.params.teams {
         let most = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
         room.limit(names.id(&t.name), [most(t.cpus_max), most(t.gpus_max)]);
     }
-    renting::name_zones(l, mirror, &mut names);
+    autoscaler::name_zones(l, cache, &mut names);
     kept.backlog.names = names;
     let typical = hosts.list.first().map_or([1.0; 3], |h| h.total);
     let b_max = l.b_max.max(kept.backlog.largest(typical));
-    let rates = mirror.types.iter().flatten().map(|t| t.fetch_gb_per_s);
+    let rates = cache.types.iter().flatten().map(|t| t.fetch_gb_per_s);
     let scene = Scene {
         backlog: &kept.backlog,
-        jobs: &mirror.jobs,
+        jobs: &cache.jobs,
         within: kept.backlog.within(&settings.params.teams),
-        lifted: Lifted::new(mirror),
+        lifted: InheritedPriorities::new(cache),
         fetch_rate: rates.fold(f64::INFINITY, f64::min).max(1e-3),
         wall: clock.wall,
     };
@@ -230,20 +235,20 @@
             h.reserved = None;
         }
     }
-    let mut rooms = Rooms::new(std::mem::take(&mut hosts.list));
+    let mut rooms = CapacityIndex::new(std::mem::take(&mut hosts.list));
     let learnt = l.learnt(settings, now);
     if !learnt {
         victims.clear();
     }
-    queue::spare(&mut victims, &used);
+    backfill::spare(&mut victims, &used);
     let far = Far::new(&scene, slots.into_iter());
-    let plan = queue::pass(&near, &far, &mut rooms, &victims, &mut room, b_max);
+    let plan = backfill::pass(&near, &far, &mut rooms, &victims, &mut room, b_max);
     let mut placed: HashMap<&str, Vec<u32>> = HashMap::new();
     let places = plan.places.iter().filter(|_| !plan.lacks.is_empty());
     for p in places {
         placed.entry(&p.job).or_default().push(rooms[p.host].zone);
     }
-    let zones = mirror.types.iter().flatten().flat_map(|t| &t.zones);
+    let zones = cache.types.iter().flatten().flat_map(|t| &t.zones);
     let mut zones: Vec<u32> = zones.filter_map(|z| scene.backlog.names.find(z)).collect();
     zones.sort_unstable();
     zones.dedup();
@@ -258,9 +263,9 @@
         let named = all.filter_map(|l| Some((wants.job(l.of)?.0.clone(), l.tasks)));
         told.extend(named);
     }
-    let sight = renting::Sight {
+    let sight = autoscaler::Sight {
         leader: l,
-        mirror,
+        cache,
         settings,
         policy,
         clock,
@@ -268,8 +273,8 @@
         rooms: &rooms,
         learnt,
     };
-    let fleet = renting::plan(&sight, &scene.backlog.names, &wants, &plan.lacks);
-    let start = |p: queue::Place| Start {
+    let fleet = autoscaler::plan(&sight, &scene.backlog.names, &wants, &plan.lacks);
+    let start = |p: backfill::Place| Start {
         machine: hosts.names[p.host].to_string(),
         session: rooms[p.host].session,
         job: p.job,
@@ -278,7 +283,7 @@
     };
     let reserved = plan.reserved.into_iter();
     // A record that cannot be read may hold another place, or the end; nothing could be written beside it.
-    let readable = |p: &queue::Place| !mirror.is_unreadable(&p.job);
+    let readable = |p: &backfill::Place| !cache.is_unreadable(&p.job);
     let places = plan.places.into_iter().filter(readable);
     let decision = Decision {
         starts: places.map(start).collect(),
@@ -297,7 +302,7 @@
     decision
 }
 
-impl Node {
+impl Controller {
     /// A pass over the queue and the fleet.
     pub fn pass(&mut self, clock: Clock) {
         self.on_changed_jobs();
@@ -308,14 +313,14 @@
         let decision = decide(
             l,
             &mut kept,
-            &self.mirror,
+            &self.cache,
             &self.settings,
             &self.policy,
             clock,
             None,
         );
         if cfg!(debug_assertions) {
-            let counted = kept.backlog.recount(self.mirror.jobs.iter());
+            let counted = kept.backlog.recount(self.cache.jobs.iter());
             debug_assert_eq!(counted, Ok(()));
         }
         l.kept = kept;
@@ -345,11 +350,11 @@
         }
         l.broken_gangs.extend(found.broken);
         for (id, task) in stops {
-            if let Some(job) = self.mirror.jobs.get(&id) {
+            if let Some(job) = self.cache.jobs.get(&id) {
                 log::info!("{id}/{task}: stopped to make room");
                 let all = match job.rec.spec.kind {
                     // A gang stops as a whole.
-                    Kind::Gang => 0..job.rec.spec.tasks,
+                    JobKind::Gang => 0..job.rec.spec.tasks,
                     _ => task..task + 1,
                 };
                 let g = grace(job);
@@ -360,22 +365,22 @@
         for (machine, id) in reserved {
             l.reserved.insert(machine, (id, now + RESERVED));
         }
-        record(l, &self.mirror, starts, now);
+        record(l, &self.cache, starts, now);
         for id in found.cleans {
             l.edits.want(&id, now).clean = true;
         }
         for (id, task) in found.dones {
-            if let Some(job) = self.mirror.jobs.get(&id) {
+            if let Some(job) = self.cache.jobs.get(&id) {
                 let edit = l.edits.want(&id, now);
                 match job.rec.spec.kind {
-                    Kind::Gang => edit.done.extend(0..job.rec.spec.tasks),
+                    JobKind::Gang => edit.done.extend(0..job.rec.spec.tasks),
                     _ => _ = edit.done.insert(task),
                 }
             }
         }
         for (id, task, g) in found.stops {
-            if let Some(job) = self.mirror.jobs.get(&id)
-                && let Some(m) = job.entry(task).and_then(Entry::machine)
+            if let Some(job) = self.cache.jobs.get(&id)
+                && let Some(m) = job.entry(task).and_then(TaskEntry::machine)
             {
                 l.touched.insert(m.to_string());
             }
@@ -386,7 +391,7 @@
             of.retain(|_, (_, at)| now < *at + FORGIVE);
             !of.is_empty()
         });
-        let jobs = &self.mirror.jobs;
+        let jobs = &self.cache.jobs;
         l.broken_gangs.retain(|id, _| jobs.contains_key(id));
         if l.order_of.len() > ORDERS {
             l.order_of.retain(|id, _| jobs.contains_key(id));
@@ -396,15 +401,15 @@
 }
 
 /// Turns starts into wanted records.
-fn record(l: &mut Leader, mirror: &Mirror, starts: Vec<Start>, now: Micros) {
+fn record(l: &mut LeaderState, cache: &RecordCache, starts: Vec<Start>, now: Micros) {
     for s in starts {
-        let Some(job) = mirror.jobs.get(&s.job) else {
+        let Some(job) = cache.jobs.get(&s.job) else {
             continue;
         };
-        let attempt = if job.rec.spec.kind == Kind::Gang {
-            job.entries().map(Entry::attempt).max().unwrap_or(0)
+        let attempt = if job.rec.spec.kind == JobKind::Gang {
+            job.entries().map(TaskEntry::attempt).max().unwrap_or(0)
         } else {
-            job.entry(s.task).map_or(0, Entry::attempt)
+            job.entry(s.task).map_or(0, TaskEntry::attempt)
         } + 1;
         log::debug!(
             "{}/{} attempt {attempt} goes to {}{} with {}",
@@ -420,7 +425,7 @@
         if let Some(of) = l.stopping.get_mut(&s.job) {
             of.remove(&s.task);
         }
-        let entry = Entry(s.task, attempt, s.machine, s.session, l.term, s.backfilled);
+        let entry = TaskEntry(s.task, attempt, s.machine, s.session, l.term, s.backfilled);
         l.edits.want(&s.job, now).places.push(entry);
     }
 }
--- a/src/coordination/far.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -1,10 +1,10 @@
 //! The jobs that a pass walks past: those in the queue of which nothing is anywhere.
 
-use super::backlog::{Arrival, Backlog, Brief, Form, Row, Slot, Stand, Within};
-use super::pipeline::Lifted;
-use super::queue::{Item, far_tasks};
-use crate::bookkeeping::mirror::Job;
-use crate::protocol::{Kind, Micros, Priority};
+use crate::protocol::{JobKind, Micros, Priority};
+use crate::scheduling::backfill::{Item, far_tasks};
+use crate::scheduling::job_queue::{Arrival, Backlog, Brief, Form, Row, Slot, Stand, Within};
+use crate::scheduling::priority_inheritance::InheritedPriorities;
+use crate::state::record_cache::Job;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     /// How far guarantees reach.
     pub within: Within,
     /// Priorities of jobs that others need.
-    pub lifted: Lifted<'a>,
+    pub lifted: InheritedPriorities<'a>,
     /// The slowest fetch of any machine type, in GB a second.
     pub fetch_rate: f64,
     /// Time of day.
@@ -91,7 +91,7 @@
 
 /// The order of backfilling.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rank<'a> {
+pub struct BackfillOrder<'a> {
     /// It has waited for very long.
     pub starved: bool,
     estimate: f64,
@@ -100,17 +100,17 @@
 }
 
 /// A job's rank there.
-pub fn rank(starved: bool, estimate: f64, at: Place<'_>) -> Rank<'_> {
-    Rank {
+pub fn rank(starved: bool, estimate: f64, at: Place<'_>) -> BackfillOrder<'_> {
+    BackfillOrder {
         starved,
         estimate: if starved { 0.0 } else { estimate },
         at,
     }
 }
 
-impl Rank<'_> {
+impl BackfillOrder<'_> {
     /// Who comes first.
-    pub fn order(&self, o: &Rank<'_>) -> Ordering {
+    pub fn order(&self, o: &BackfillOrder<'_>) -> Ordering {
         let starved = o.starved.cmp(&self.starved);
         let shorter = starved.then(self.estimate.total_cmp(&o.estimate));
         shorter.then(self.at.cmp(&o.at))
@@ -175,7 +175,7 @@
 
     /// Gangs and arrays in the order in which they are backfilled: those that have waited for very long by
     /// arrival, then the shortest first.
-    pub fn backfilled(&self) -> impl Iterator<Item = (Rank<'a>, &'a Brief)> + '_ {
+    pub fn backfilled(&self) -> impl Iterator<Item = (BackfillOrder<'a>, &'a Brief)> + '_ {
         let starved = self.others().filter(|(_, b)| self.starved(b));
         let starved = starved.map(|(at, b)| (rank(true, 0.0, at), b));
         let all = self.scene.backlog.shortest();
@@ -228,7 +228,7 @@
         let row = self.scene.backlog.row(b.slot)?;
         let (id, job) = self.job(&row.id)?;
         debug_assert!(self.far(b));
-        let most = far_tasks(self.form_of(b).kind == Kind::Gang, b) as usize;
+        let most = far_tasks(self.form_of(b).kind == JobKind::Gang, b) as usize;
         let open = (0..job.rec.spec.tasks).filter(|t| !job.is_done(*t));
         Some(self.scene.item(id, job, row, open.take(most).collect()))
     }
--- a/src/coordination/placement.rs
+++ b/src/scheduling/placement.rs
@@ -3,7 +3,7 @@
 //! A job's tasks are identical, so machines are ranked once per job, not once per task: placing a
 //! task changes the rank of one machine only.
 
-use crate::protocol::Spec;
+use crate::protocol::JobSpec;
 use foldhash::HashMap;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -13,19 +13,19 @@
 pub type Amounts = [f64; 3];
 
 /// What a task takes.
-pub fn need(spec: &Spec) -> Amounts {
+pub fn need(spec: &JobSpec) -> Amounts {
     [spec.cpus, spec.gpus, spec.memory_gb]
 }
 
 /// Numbers for names of teams, types, zones and images, so that a pass compares no text. Whoever keeps
 /// them from pass to pass begins anew now and then, or they would grow with the days.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     ids: HashMap<Arc<str>, u32>,
     list: Vec<Arc<str>>,
 }
 
-impl Names {
+impl NameTable {
     /// The number of a name.
     pub fn id(&mut self, name: &str) -> u32 {
         if let Some(i) = self.ids.get(name) {
@@ -72,7 +72,7 @@
 
 impl Allow {
     /// Of a job.
-    pub fn of(spec: &Spec, names: &mut Names) -> Allow {
+    pub fn of(spec: &JobSpec, names: &mut NameTable) -> Allow {
         let kinds = spec.types.as_ref();
         Allow {
             kinds: kinds.map(|t| t.iter().map(|k| names.id(k)).collect()),
@@ -113,7 +113,7 @@
     pub zone: u32,
     /// Spot machine.
     pub spot: bool,
-    /// The worker's session.
+    /// The agent's session.
     pub session: u64,
     /// Room of an empty machine.
     pub total: Amounts,
@@ -213,17 +213,17 @@
 /// How well a machine suits a task: one that has the image starts it at once; only then does the
 /// weight decide, and among equals the first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Rank {
+struct RequestPriority {
     spot: bool,
     image: bool,
     weight: f64,
     host: usize,
 }
 
-impl Eq for Rank {}
+impl Eq for RequestPriority {}
 
-impl Ord for Rank {
-    fn cmp(&self, o: &Rank) -> Ordering {
+impl Ord for RequestPriority {
+    fn cmp(&self, o: &RequestPriority) -> Ordering {
         (self.spot.cmp(&o.spot))
             .then(self.image.cmp(&o.image))
             .then(self.weight.total_cmp(&o.weight))
@@ -231,16 +231,16 @@
     }
 }
 
-impl PartialOrd for Rank {
-    fn partial_cmp(&self, o: &Rank) -> Option<Ordering> {
+impl PartialOrd for RequestPriority {
+    fn partial_cmp(&self, o: &RequestPriority) -> Option<Ordering> {
         Some(self.cmp(o))
     }
 }
 
-fn rank(host: usize, h: &Host, shape: &Shape, ratio: f64) -> Rank {
+fn rank(host: usize, h: &Host, shape: &Shape, ratio: f64) -> RequestPriority {
     let a = slots(&h.free, &shape.need) as f64;
     let l = slots(&h.total, &shape.need) as f64;
-    Rank {
+    RequestPriority {
         spot: h.spot && shape.saves,
         image: h.has(shape.image),
         weight: weight(a, l, ratio),
@@ -255,9 +255,9 @@
     shape: &'a Shape,
     ratio: f64,
     /// Machines without a task of the job.
-    apart: BinaryHeap<Rank>,
+    apart: BinaryHeap<RequestPriority>,
     /// Machines that have one, for copies that would rather be apart.
-    shared: BinaryHeap<Rank>,
+    shared: BinaryHeap<RequestPriority>,
     keep_apart: bool,
 }
 
@@ -334,7 +334,7 @@
     hosts: &[Host],
     candidates: impl Iterator<Item = usize>,
     id: &str,
-    spec: &Spec,
+    spec: &JobSpec,
     shape: &Shape,
     n: u32,
     ratio: f64,
@@ -342,9 +342,9 @@
     let may =
         |i: &usize| may_take(&hosts[*i], id, &shape.need, &shape.allow) && !shape.avoid.contains(i);
     let all = candidates.filter(may);
-    let mut order: Vec<Rank> = all.map(|i| rank(i, &hosts[i], shape, ratio)).collect();
+    let mut order: Vec<RequestPriority> = all.map(|i| rank(i, &hosts[i], shape, ratio)).collect();
     order.sort_by(|a, b| b.cmp(a));
-    let room = |r: &Rank| slots(&hosts[r.host].free, &shape.need);
+    let room = |r: &RequestPriority| slots(&hosts[r.host].free, &shape.need);
     let half = if spec.spread { n.div_ceil(2) } else { n };
     if half == n
         && let Some(r) = order.iter().find(|r| room(r) >= n)
--- a/src/coordination/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,8 +1,8 @@
 //! Preemption: what may be stopped to make room for a blocked job, and where.
 
-use super::placement::{self, Host, slots};
-use super::queue::{Item, Plan, Victim};
-use crate::protocol::{Kind, Priority};
+use crate::protocol::{JobKind, Priority};
+use crate::scheduling::backfill::{Item, Plan, Victim};
+use crate::scheduling::placement::{self, Host, slots};
 use std::collections::BTreeMap;
 
 /// Room is made on this many machines at once for tasks that start one by one.
@@ -14,25 +14,25 @@
 
 /// What decides whether anything may give way to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Claim {
-    pub(super) kind: Kind,
-    pub(super) priority: Priority,
-    pub(super) team: u32,
-    pub(super) guaranteed: bool,
-    pub(super) overdue: bool,
-    pub(super) aged: bool,
-    pub(super) top: bool,
+pub(crate) struct Claim {
+    pub(crate) kind: JobKind,
+    pub(crate) priority: Priority,
+    pub(crate) team: u32,
+    pub(crate) guaranteed: bool,
+    pub(crate) overdue: bool,
+    pub(crate) aged: bool,
+    pub(crate) top: bool,
 }
 
 impl Claim {
-    pub(super) fn of(item: &Item<'_>, top: bool) -> Claim {
+    pub(crate) fn of(item: &Item<'_>, top: bool) -> Claim {
         Claim {
             kind: item.spec.kind,
             priority: item.priority,
             team: item.team,
             guaranteed: item.guaranteed,
             overdue: item.guaranteed && item.overdue,
-            aged: item.aged && item.spec.kind == Kind::Gang,
+            aged: item.aged && item.spec.kind == JobKind::Gang,
             top,
         }
     }
@@ -40,10 +40,10 @@
     /// Whether a task may be stopped for the job: what was backfilled, for the job at the top; what
     /// has a lower priority, if it can save or makes room for replicas; and what other teams run
     /// beyond their guarantees, for a job within its own.
-    pub(super) fn over(&self, v: &Victim<'_>) -> bool {
-        let service = self.kind == Kind::Service;
-        let gang = self.kind == Kind::Gang;
-        let array = self.kind == Kind::Array;
+    pub(crate) fn over(&self, v: &Victim<'_>) -> bool {
+        let service = self.kind == JobKind::Service;
+        let gang = self.kind == JobKind::Gang;
+        let array = self.kind == JobKind::Array;
         let lower = v.priority < self.priority && (v.saves || service) && !array;
         // A guarantee is given back by whoever runs beyond their own: at once by single tasks that
         // lose little; by gangs, which stop as a whole, when nothing else has helped.
@@ -59,7 +59,7 @@
 
 /// A task of a lower priority, saving and alone, that keeps a replica from a machine with its image,
 /// where the replica would start in less than half the time that a fetch takes.
-pub(super) fn in_the_way<'a, 'b>(
+pub(crate) fn in_the_way<'a, 'b>(
     item: &Item<'_>,
     hosts: &[Host],
     savers: &[&'a Victim<'b>],
@@ -88,7 +88,7 @@
 }
 
 /// What came of looking for somebody to give way.
-pub(super) enum Way {
+pub(crate) enum Way {
     /// Room is being made for the job already.
     Kept,
     /// Nothing gives way to such a job.
@@ -100,7 +100,7 @@
 /// If a blocked job fits once others are gone, stops those on its room, latest first, as far as its
 /// `claim` allows. The machines are kept for the job until it has started; `short` of its tasks have found
 /// no room.
-pub(super) fn make_way(
+pub(crate) fn make_way(
     item: &Item<'_>,
     short: u32,
     claim: &Claim,
@@ -108,7 +108,7 @@
     victims: &[Victim<'_>],
     plan: &mut Plan<'_>,
 ) -> Way {
-    let gang = item.spec.kind == Kind::Gang;
+    let gang = item.spec.kind == JobKind::Gang;
     let need = item.shape.need;
     let mut left = short;
     for h in hosts {
@@ -176,7 +176,7 @@
 
 /// At most so many machines for `left` tasks that start one by one, and how many on each, were all that gives
 /// way gone from them as in `without`; the fullest first, so that as few as possible have to go.
-pub(super) fn one_by_one(
+pub(crate) fn one_by_one(
     item: &Item<'_>,
     left: u32,
     most: usize,
@@ -204,7 +204,7 @@
         let by = (lost(*a), image(*a)).partial_cmp(&(lost(*b), image(*b)));
         by.unwrap_or(std::cmp::Ordering::Equal)
     });
-    let array = item.spec.kind == Kind::Array;
+    let array = item.spec.kind == JobKind::Array;
     let (mut left, mut found) = (left, BTreeMap::new());
     for h in all {
         if left == 0 || found.len() >= most {
--- a/src/coordination/pipeline.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -1,7 +1,7 @@
 //! What jobs inherit from the jobs that need them.
 
-use crate::bookkeeping::mirror::{Job, Mirror};
 use crate::protocol::Priority;
+use crate::state::record_cache::{Job, RecordCache};
 use std::collections::HashMap;
 
 /// Priorities of jobs that others need, directly or through others.
@@ -9,22 +9,22 @@
 /// Made anew for each pass from the jobs that wait, so that it holds whatever has arrived, been done or
 /// been cancelled meanwhile.
 #[derive(Debug, Default)]
-pub struct Lifted<'a>(HashMap<&'a str, Priority>);
+pub struct InheritedPriorities<'a>(HashMap<&'a str, Priority>);
 
-impl<'a> Lifted<'a> {
+impl<'a> InheritedPriorities<'a> {
     /// Of all jobs in the copy.
-    pub fn new(mirror: &'a Mirror) -> Lifted<'a> {
+    pub fn new(cache: &'a RecordCache) -> InheritedPriorities<'a> {
         let mut lifted: HashMap<&str, Priority> = HashMap::new();
-        if !mirror.any_wait() {
-            return Lifted(lifted);
+        if !cache.any_wait() {
+            return InheritedPriorities(lifted);
         }
         // A priority goes up the graph as long as it lifts somebody; there are four of them, so this
         // ends however the jobs are connected.
         let mut rising: Vec<(&Job, Priority)> =
-            mirror.waiting().map(|j| (j, j.rec.spec.priority)).collect();
+            cache.waiting().map(|j| (j, j.rec.spec.priority)).collect();
         while let Some((job, priority)) = rising.pop() {
             for need in &job.rec.spec.needs {
-                let Some((id, needed)) = mirror.jobs.get_key_value(need) else {
+                let Some((id, needed)) = cache.jobs.get_key_value(need) else {
                     continue;
                 };
                 let held = lifted.entry(id).or_insert(needed.rec.spec.priority);
@@ -34,7 +34,7 @@
                 }
             }
         }
-        Lifted(lifted)
+        InheritedPriorities(lifted)
     }
 
     /// The highest priority of a job and of all that need it.
--- a/src/coordination/team_room.rs
+++ b/src/scheduling/quota.rs
@@ -1,12 +1,12 @@
 //! What teams may still take.
 
-use super::placement::{Amounts, slots};
+use crate::scheduling::placement::{Amounts, slots};
 
 /// What teams may still take, by their names' numbers: CPUs and GPUs.
 #[derive(Debug, Default, Clone)]
-pub struct TeamRoom(Vec<[f64; 2]>);
+pub struct QuotaTracker(Vec<[f64; 2]>);
 
-impl TeamRoom {
+impl QuotaTracker {
     /// A team has this limit.
     pub fn limit(&mut self, team: u32, most: [f64; 2]) {
         let at = team as usize;
@@ -25,7 +25,7 @@
     }
 
     /// How many tasks of the team it has room for.
-    pub(super) fn slots(&self, team: u32, need: &Amounts) -> u32 {
+    pub(crate) fn slots(&self, team: u32, need: &Amounts) -> u32 {
         match self.0.get(team as usize) {
             Some([cpus, gpus]) => slots(&[*cpus, *gpus, f64::INFINITY], &[need[0], need[1], 0.0]),
             None => u32::MAX,
--- a/src/coordination/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -14,8 +14,8 @@
 //! - A second loss during a recovery joins it. A new leader starts one from what records and reports
 //!   show; nothing of it is kept in the store, since it all follows from those.
 
-use super::queue::Item;
-use crate::protocol::{Kind, Micros};
+use crate::protocol::{JobKind, Micros};
+use crate::scheduling::backfill::Item;
 
 /// So many lost tasks at once are a recovery, if they are also this part of all.
 const LEAST: usize = 16;
@@ -34,11 +34,11 @@
 
 impl Lost {
     /// Counts tasks of a job.
-    pub fn add(&mut self, kind: Kind, tasks: usize) {
+    pub fn add(&mut self, kind: JobKind, tasks: usize) {
         *match kind {
-            Kind::Service => &mut self.replicas,
-            Kind::Gang => &mut self.members,
-            Kind::Array => &mut self.singles,
+            JobKind::Service => &mut self.replicas,
+            JobKind::Gang => &mut self.members,
+            JobKind::Array => &mut self.singles,
         } += tasks;
     }
 
@@ -99,7 +99,7 @@
 
     /// Whether a job comes ahead of its turn: a service that has lost replicas.
     pub fn first(item: &Item<'_>) -> bool {
-        item.lost > 0 && item.spec.kind == Kind::Service
+        item.lost > 0 && item.spec.kind == JobKind::Service
     }
 
     /// Puts jobs into the order in which they are considered.
--- a/src/coordination/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -4,8 +4,8 @@
 
 fn lost(replicas: usize, singles: usize) -> Lost {
     let mut l = Lost::default();
-    l.add(Kind::Service, replicas);
-    l.add(Kind::Array, singles);
+    l.add(JobKind::Service, replicas);
+    l.add(JobKind::Array, singles);
     l
 }
 
--- a/src/bookkeeping/workers.rs
+++ b/src/state/agent.rs
@@ -1,13 +1,13 @@
-//! What each worker last said, and what follows from it about tasks recorded on it.
+//! What each agent last said, and what follows from it about tasks recorded on it.
 
-use super::hearing::Hearing;
 use crate::protocol::Micros;
-use crate::protocol::wire::{Phase, Report, Why, decode};
+use crate::protocol::wire::{ExitReason, Report, TaskPhase, decode};
+use crate::state::agent_reachability::AgentReachability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A task as a worker last reported it.
+/// A task as a agent last reported it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct ReportedTask {
     /// Job.
     pub job: String,
     /// Task number.
@@ -15,9 +15,9 @@
     /// Attempt.
     pub attempt: u64,
     /// State.
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// Why it exited.
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
 }
 
 /// Splits `job/number`.
@@ -26,7 +26,7 @@
     Some((job, n.parse().ok()?))
 }
 
-/// A worker's report, from a request or from an answer to commands. One that cannot be read as a whole is dropped as a
+/// A agent's report, from a request or from an answer to commands. One that cannot be read as a whole is dropped as a
 /// whole: a task left out of it would look as if it were not there.
 pub fn read_report(body: &[u8]) -> Option<Report> {
     let Some(report) = decode::<Report>(body) else {
@@ -52,16 +52,16 @@
     /// Answered with 200: carried out (or without effect).
     pub answered: bool,
     /// Sent once without any answer: it may be carried out late, as long as term and session
-    /// of the worker match. Such an attempt must never be forgotten.
+    /// of the agent match. Such an attempt must never be forgotten.
     pub loose: bool,
     /// The term it was sent with.
     pub term: u64,
     /// Sent with the answer to the report of this number. Whether it was carried out is shown by
-    /// any later report: the worker sends one at a time, and drops answers that come late.
+    /// any later report: the agent sends one at a time, and drops answers that come late.
     pub answer_to: Option<u64>,
 }
 
-/// What a message from a worker brought.
+/// What a message from a agent brought.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
     /// It is older than what we have.
@@ -69,18 +69,18 @@
     /// Nothing but a sign of life.
     None,
     /// A change; these were the tasks before.
-    Changed(Vec<Seen>),
+    Changed(Vec<ReportedTask>),
 }
 
-/// Names an attempt of a task on a worker.
+/// Names an attempt of a task on a agent.
 pub type AttemptKey = (String, u32, u64);
 
-/// One worker.
+/// One agent.
 #[derive(Debug, Clone)]
-pub struct Worker {
+pub struct Agent {
     /// Where direct commands go.
     pub address: Option<std::net::SocketAddr>,
-    /// The same as the worker wrote it.
+    /// The same as the agent wrote it.
     shown_address: String,
     /// Machine type.
     pub kind: String,
@@ -95,18 +95,18 @@
     pub began: Micros,
     /// Sequence number of the newest message.
     pub seq: u64,
-    /// Highest term the worker had seen by its newest message.
+    /// Highest term the agent had seen by its newest message.
     pub term: u64,
     /// When we learnt that it has seen that term: until then others may have renewed its lease.
     pub termed: Micros,
     /// When the cloud takes the machine, if it has said so.
     pub notice: Option<Micros>,
     /// Tasks in the newest message.
-    pub tasks: Vec<Seen>,
+    pub tasks: Vec<ReportedTask>,
     /// When we last heard from it.
     pub heard: Micros,
     /// Whether it hears us.
-    pub hearing: Hearing,
+    pub hearing: AgentReachability,
     /// When we last answered a report, which renews its lease.
     pub answered: Option<Micros>,
     /// Sessions up to this one are proven over.
@@ -130,11 +130,11 @@
 
 /// What is known about a recorded attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum TaskLiveness {
     /// Reported there, not exited.
-    There(Phase),
+    There(TaskPhase),
     /// Exited there.
-    Ended(Why),
+    Ended(ExitReason),
     /// Proven not to be there any more.
     Gone,
     /// No start of ours was ever sent, and nobody else's can still be carried out.
@@ -143,19 +143,19 @@
     Unclear,
 }
 
-impl Standing {
+impl TaskLiveness {
     /// Whether the attempt must be presumed on its machine. One that nobody has started counts while it
     /// is still `wanted`, since its start may be sent at any moment.
     pub fn presumed(self, wanted: impl FnOnce() -> bool) -> bool {
         match self {
-            Standing::There(_) | Standing::Unclear => true,
-            Standing::NotStarted => wanted(),
-            Standing::Gone | Standing::Ended(_) => false,
+            TaskLiveness::There(_) | TaskLiveness::Unclear => true,
+            TaskLiveness::NotStarted => wanted(),
+            TaskLiveness::Gone | TaskLiveness::Ended(_) => false,
         }
     }
 }
 
-impl Worker {
+impl Agent {
     /// Takes over a report if it is newer than the last one, and tells what it changed. Most
     /// reports change nothing: those copy nothing either.
     pub fn update(&mut self, r: &Report, now: Micros) -> News {
@@ -204,7 +204,7 @@
         }
         let tasks = r.tasks.iter().filter_map(|t| {
             let (job, task) = split_task(&t.task)?;
-            Some(Seen {
+            Some(ReportedTask {
                 job: job.to_string(),
                 task,
                 attempt: t.attempt,
@@ -230,9 +230,9 @@
         });
     }
 
-    /// A worker that has just been met.
-    pub fn new(r: &Report) -> Worker {
-        Worker {
+    /// A agent that has just been met.
+    pub fn new(r: &Report) -> Agent {
+        Agent {
             address: None,
             shown_address: String::new(),
             kind: r.kind.clone(),
@@ -246,7 +246,7 @@
             notice: None,
             tasks: Vec::new(),
             heard: Micros::ZERO,
-            hearing: Hearing::default(),
+            hearing: AgentReachability::default(),
             answered: None,
             over: None,
             starts: BTreeMap::new(),
@@ -260,7 +260,7 @@
     }
 
     /// The task in the newest message.
-    pub fn find(&self, job: &str, task: u32, attempt: u64) -> Option<&Seen> {
+    pub fn find(&self, job: &str, task: u32, attempt: u64) -> Option<&ReportedTask> {
         self.tasks
             .iter()
             .find(|s| s.task == task && s.attempt == attempt && s.job == job)
@@ -294,14 +294,14 @@
     /// Whether a start of ours may still bring back an attempt that has ended, were it forgotten: one that got no
     /// answer and comes late, or a copy of one that was carried out. Only a higher term or another session fences
     /// those. What is done is no harm: it ends with the same result at once.
-    pub fn may_start_again(&self, t: &Seen) -> bool {
+    pub fn may_start_again(&self, t: &ReportedTask) -> bool {
         let start = self.start_of(&t.job, t.task, t.attempt);
-        start.is_some_and(|s| s.term >= self.term && (s.loose || t.why != Some(Why::Done)))
+        start.is_some_and(|s| s.term >= self.term && (s.loose || t.why != Some(ExitReason::Done)))
     }
 
     /// How many attempts have ended here and are kept for that reason.
     pub fn kept(&self) -> usize {
-        let ended = self.tasks.iter().filter(|t| t.phase == Phase::Exited);
+        let ended = self.tasks.iter().filter(|t| t.phase == TaskPhase::Exited);
         ended.filter(|t| self.may_start_again(t)).count()
     }
 
@@ -313,29 +313,29 @@
         task: u32,
         attempt: u64,
         session: u64,
-    ) -> Standing {
+    ) -> TaskLiveness {
         if self.over.is_some_and(|o| session <= o) || session < self.session {
-            return Standing::Gone;
+            return TaskLiveness::Gone;
         }
         if session > self.session {
-            return Standing::Unclear;
+            return TaskLiveness::Unclear;
         }
         if let Some(s) = self.find(job, task, attempt) {
             return match (s.phase, s.why) {
-                (Phase::Exited, why) => Standing::Ended(why.unwrap_or(Why::Error)),
-                (phase, _) => Standing::There(phase),
+                (TaskPhase::Exited, why) => TaskLiveness::Ended(why.unwrap_or(ExitReason::Error)),
+                (phase, _) => TaskLiveness::There(phase),
             };
         }
         if self.term != our_term {
             // An older term's start may still be on its way.
-            return Standing::Unclear;
+            return TaskLiveness::Unclear;
         }
         match self.start_of(job, task, attempt) {
-            None => Standing::NotStarted,
-            // Sent with an older term of ours, which the worker no longer accepts.
-            Some(s) if s.term < self.term => Standing::NotStarted,
-            Some(s) if s.answered && !s.loose && s.answer_to.is_none() => Standing::Gone,
-            Some(_) => Standing::Unclear,
+            None => TaskLiveness::NotStarted,
+            // Sent with an older term of ours, which the agent no longer accepts.
+            Some(s) if s.term < self.term => TaskLiveness::NotStarted,
+            Some(s) if s.answered && !s.loose && s.answer_to.is_none() => TaskLiveness::Gone,
+            Some(_) => TaskLiveness::Unclear,
         }
     }
 }
--- a/src/bookkeeping/hearing.rs
+++ b/src/state/agent_reachability.rs
@@ -1,16 +1,16 @@
-//! Whether a worker hears us. Its reports prove what they say, and nothing about the other direction: a
+//! Whether a agent hears us. Its reports prove what they say, and nothing about the other direction: a
 //! machine may be heard for minutes while no answer and no command reaches it.
 //!
 //! Signs that it hears: it shows our term; it has answered a direct command; or it has kept a session for longer
 //! than a lease lasts without answers. Signs that it does not: a new session, since a lease has run out although
 //! we were answering; or a direct command without an answer while its own reports go on coming to us. Reports
-//! that siblings hand on say nothing about the way between it and us.
+//! that peers hand on say nothing about the way between it and us.
 
 use crate::protocol::Micros;
 
 /// What is known of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Hearing {
+pub struct AgentReachability {
     /// It has shown in its present session that it hears.
     shown: bool,
     /// Since when direct commands have gone without an answer; none: the last was answered.
@@ -21,9 +21,9 @@
     suspected: Option<Micros>,
 }
 
-impl Default for Hearing {
-    fn default() -> Hearing {
-        Hearing {
+impl Default for AgentReachability {
+    fn default() -> AgentReachability {
+        AgentReachability {
             // Whoever is met for the first time has our term to show before anything is started there.
             shown: true,
             lost: None,
@@ -33,7 +33,7 @@
     }
 }
 
-impl Hearing {
+impl AgentReachability {
     /// Whether new tasks may go there.
     pub fn hears(&self) -> bool {
         self.shown && self.lost.is_none_or(|t| self.direct <= t)
--- a/src/bookkeeping/hearing/tests.rs
+++ b/src/state/agent_reachability/tests.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn reports_alone_do_not_show_that_a_machine_hears() {
-    let mut h = Hearing::default();
+    let mut h = AgentReachability::default();
     h.reported(at(1));
     assert!(h.hears());
     // Its lease has run out under our answers.
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_silent_machine_is_not_deaf_and_one_that_goes_on_reporting_is() {
-    let mut h = Hearing::default();
+    let mut h = AgentReachability::default();
     h.reported(at(1));
     h.unanswered(at(4));
     // It may be off, or only we may be cut off from it: its reports come by others.
--- a/src/bookkeeping/jobs.rs
+++ b/src/state/cached_job.rs
@@ -1,7 +1,7 @@
 //! Jobs as the copy holds them.
 
 use crate::protocol::Micros;
-use crate::protocol::records::{CHUNK, Chunk, Entry, JobRec, Stage};
+use crate::protocol::records::{CHUNK, JobRecord, JobStage, TaskChunk, TaskEntry};
 use std::collections::BTreeMap;
 
 /// A job that is not over, or whose tasks may still be somewhere.
@@ -9,18 +9,18 @@
 pub struct Job {
     /// Its record. A job that needs a cancelled one is cancelled by that fact: its stage says so here,
     /// whether or not anybody ever writes it.
-    pub rec: JobRec,
+    pub rec: JobRecord,
     /// The record's version.
     pub version: u64,
     /// Further chunks of large jobs with their versions.
-    pub chunks: BTreeMap<u32, (Chunk, u64)>,
+    pub chunks: BTreeMap<u32, (TaskChunk, u64)>,
     /// How many of the jobs that it needs are not recorded as done.
     pub unmet: usize,
     /// Time of day from which its aims count: when the last job that it needs was done, or when it
     /// was accepted. Without meaning while it waits for others.
     pub released: Micros,
     /// Places in record and chunks that only bundles hold.
-    pub bundled: Vec<Entry>,
+    pub bundled: Vec<TaskEntry>,
 }
 
 impl Job {
@@ -30,7 +30,7 @@
     }
 
     /// The chunk that holds a task.
-    pub fn chunk_of(&self, task: u32) -> Option<&Chunk> {
+    pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
         match task / CHUNK {
             0 => Some(&self.rec.first),
             n => self.chunks.get(&n).map(|(c, _)| c),
@@ -38,7 +38,7 @@
     }
 
     /// The newest attempt of a task.
-    pub fn entry(&self, task: u32) -> Option<&Entry> {
+    pub fn entry(&self, task: u32) -> Option<&TaskEntry> {
         self.chunk_of(task).and_then(|c| c.entry(task))
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// All entries.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &TaskEntry> {
         let more = self.chunks.values().flat_map(|(c, _)| c.entries.iter());
         self.rec.first.entries.iter().chain(more)
     }
@@ -64,15 +64,15 @@
 
     /// Not over.
     pub fn active(&self) -> bool {
-        self.rec.stage == Stage::Active
+        self.rec.stage == JobStage::Active
     }
 }
 
 /// A job that is over, with nothing left to clean up.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Final {
+pub struct FinishedJob {
     /// Done or cancelled.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Its number of tasks.
     pub tasks: u32,
     /// Version of its record.
@@ -84,9 +84,9 @@
 }
 
 /// What is known of a job.
-pub enum Known<'a> {
+pub enum JobLookup<'a> {
     /// Not over, or not yet cleaned up.
     Live(&'a Job),
     /// Over.
-    Over(Final),
+    Over(FinishedJob),
 }
--- a/src/bookkeeping/images.rs
+++ b/src/state/image_caches.rs
@@ -25,12 +25,12 @@
 
 /// The images of all machines.
 #[derive(Debug, Default)]
-pub struct Images {
+pub struct ImageCaches {
     machines: HashMap<String, Cache>,
     uses: u64,
 }
 
-impl Images {
+impl ImageCaches {
     /// A task that needs this image is placed or seen on the machine.
     pub fn used(&mut self, machine: &str, image: &str, gb: f64) {
         self.uses += 1;
--- a/src/bookkeeping/images/tests.rs
+++ b/src/state/image_caches/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-fn held(images: &Images, machine: &str, gb: f64) -> Vec<String> {
+fn held(images: &ImageCaches, machine: &str, gb: f64) -> Vec<String> {
     images.of(machine, gb).map(str::to_string).collect()
 }
 
 #[test]
 fn what_was_used_last_stays_as_far_as_the_cache_goes() {
-    let mut i = Images::default();
+    let mut i = ImageCaches::default();
     for (image, gb) in [("a", 10.0), ("b", 20.0), ("c", 5.0), ("a", 10.0)] {
         i.used("n-1", image, gb);
     }
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut i = Images::default();
+    let mut i = ImageCaches::default();
     for n in 0..3 * MOST_MACHINES {
         i.used(&format!("n-{n}"), "a", 1.0);
     }
--- a/src/bookkeeping/bundles.rs
+++ b/src/state/placement_batches.rs
@@ -1,19 +1,19 @@
 //! Bundles as they are in the store: places of many jobs in one record, laid over what the jobs' own
-//! records say. See `records::Bundle` for which of the two counts.
+//! records say. See `records::PlacementBatch` for which of the two counts.
 
-use crate::protocol::records::{Bundle, CHUNK, Chunk, Entry};
+use crate::protocol::records::{CHUNK, PlacementBatch, TaskChunk, TaskEntry};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// All bundles.
 #[derive(Debug, Default)]
-pub struct Bundles {
-    all: BTreeMap<u32, (Bundle, u64)>,
+pub struct PlacementBatches {
+    all: BTreeMap<u32, (PlacementBatch, u64)>,
     /// Bundles that name a job.
     of: HashMap<String, BTreeSet<u32>>,
     head: u64,
 }
 
-impl Bundles {
+impl PlacementBatches {
     /// Version of the record that changes with every bundle; 0: none was ever written.
     pub fn head(&self) -> u64 {
         self.head
@@ -40,7 +40,7 @@
     }
 
     /// Jobs that a bundle names, with their places.
-    pub fn places(&self, n: u32) -> &[(String, Vec<Entry>)] {
+    pub fn places(&self, n: u32) -> &[(String, Vec<TaskEntry>)] {
         self.all.get(&n).map_or(&[], |(b, _)| &b.places)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// All places of a job.
-    fn rows<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a Entry> {
+    fn rows<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
         let numbers = self.of.get(id).into_iter().flatten();
         numbers
             .flat_map(|n| self.places(*n))
@@ -70,7 +70,7 @@
     }
 
     /// Keeps a bundle; false if it is no newer than the one held.
-    pub fn put(&mut self, n: u32, bundle: Bundle, version: u64) -> bool {
+    pub fn put(&mut self, n: u32, bundle: PlacementBatch, version: u64) -> bool {
         if self.version(n) >= version {
             return false;
         }
@@ -102,7 +102,7 @@
 
     /// Lays a job's places over a chunk as its own record has it, and notes in `counting` which of
     /// them count.
-    pub fn lay(&self, id: &str, n: u32, chunk: &mut Chunk, counting: &mut Vec<Entry>) {
+    pub fn lay(&self, id: &str, n: u32, chunk: &mut TaskChunk, counting: &mut Vec<TaskEntry>) {
         counting.retain(|e| e.task() / CHUNK != n);
         for e in self.rows(id).filter(|e| e.task() / CHUNK == n) {
             lay_one(chunk, e, counting);
@@ -111,7 +111,7 @@
 }
 
 /// Lays one place over a chunk; tells whether it counts.
-pub fn lay_one(chunk: &mut Chunk, e: &Entry, counting: &mut Vec<Entry>) -> bool {
+pub fn lay_one(chunk: &mut TaskChunk, e: &TaskEntry, counting: &mut Vec<TaskEntry>) -> bool {
     let held = chunk.entry(e.task());
     if chunk.is_done(e.task()) || held.is_some_and(|h| h.attempt() >= e.attempt()) {
         return false;
--- a/src/bookkeeping/bundles/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -2,26 +2,26 @@
 
 use super::*;
 
-fn entry(task: u32, attempt: u64) -> Entry {
-    Entry(task, attempt, format!("n-{attempt}"), 1, 1, false)
+fn entry(task: u32, attempt: u64) -> TaskEntry {
+    TaskEntry(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
-fn bundle(job: &str, places: Vec<Entry>) -> Bundle {
-    Bundle {
+fn bundle(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
+    PlacementBatch {
         places: vec![(job.to_string(), places)],
     }
 }
 
 #[test]
 fn the_later_attempt_counts_and_what_is_done_does_not() {
-    let mut b = Bundles::default();
+    let mut b = PlacementBatches::default();
     b.put(
         0,
         bundle("j", vec![entry(0, 2), entry(1, 2), entry(3, 1)]),
         5,
     );
     b.put(1, bundle("j", vec![entry(0, 3), entry(50, 1)]), 6);
-    let mut chunk = Chunk::default();
+    let mut chunk = TaskChunk::default();
     chunk.set(entry(0, 1));
     chunk.set(entry(1, 4));
     chunk.finish(3);
@@ -37,7 +37,7 @@
 
 #[test]
 fn older_bundles_change_nothing_and_numbers_are_used_again() {
-    let mut b = Bundles::default();
+    let mut b = PlacementBatches::default();
     assert!(b.put(0, bundle("j", vec![entry(0, 1)]), 5));
     assert!(!b.put(0, bundle("k", vec![entry(0, 1)]), 4));
     assert!(b.name("j") && !b.name("k"));
--- a/src/bookkeeping/mirror.rs
+++ b/src/state/record_cache.rs
@@ -1,29 +1,29 @@
 //! A copy of our records in the state service, fed by listings, watches and own commits.
 
-use super::bundles::{Bundles, lay_one};
-use super::images::Images;
-pub use super::jobs::{Final, Job, Known};
 use crate::protocol::records::{
-    BASE, BUNDLED, BUNDLES, Bundle, CHUNK, CHUNKS, Chunk, Entry, FORMATS, JOBS, JobRec, LEAD, LIVE,
-    LeadRec, PARTS, PartsRec, RENEWALS, RenewRec, Stage, TYPES, bundle_key, bundle_number,
-    renew_key,
+    BASE, BUNDLED, BUNDLES, BudgetSharesRecord, CHUNK, CHUNKS, FORMATS, JOBS, JobRecord, JobStage,
+    LEAD, LIVE, LeaderRecord, PARTS, PlacementBatch, RENEWALS, RenewalsRecord, TYPES, TaskChunk,
+    TaskEntry, bundle_key, bundle_number, renew_key,
 };
-use crate::protocol::wire::{ItemPage, MachineType, MachineTypes, WatchAnswer, from_value};
-use crate::protocol::{Kind, Micros, format};
+use crate::protocol::wire::{ItemPage, MachineType, MachineTypes, WatchResponse, from_value};
+use crate::protocol::{JobKind, Micros, format};
+pub use crate::state::cached_job::{FinishedJob, Job, JobLookup};
+use crate::state::image_caches::ImageCaches;
+use crate::state::placement_batches::{PlacementBatches, lay_one};
+use admission_control::parts::Grant;
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuttrestle_admission::parts::Grant;
 
 /// The copy.
 #[derive(Default)]
-pub struct Mirror {
+pub struct RecordCache {
     /// Complete up to this revision.
     pub revision: u64,
     /// The records have been read once.
     pub synced: bool,
     /// Who leads, and the version of that record.
-    pub lead: Option<(LeadRec, u64)>,
+    pub lead: Option<(LeaderRecord, u64)>,
     /// Version of the key on the leader's lease.
     pub live: Option<u64>,
     /// Machine types.
@@ -31,21 +31,21 @@
     /// How many machines were up before we rented any, once that has been seen.
     pub base: Option<u64>,
     /// Which images machines probably hold, from the places on record.
-    pub images: Images,
+    pub images: ImageCaches,
     /// Places of many jobs in one record each; they are laid over `jobs`.
-    pub bundles: Bundles,
+    pub bundles: PlacementBatches,
     /// Parts of the budget of changes, with the record's version.
     pub parts: Option<(Grant, u64)>,
     /// Jobs that matter.
     pub jobs: BTreeMap<String, Job>,
     /// What followers renew, by node, with the record's version.
-    pub renewals: BTreeMap<String, (RenewRec, u64)>,
-    over: BTreeMap<String, Final>,
+    pub renewals: BTreeMap<String, (RenewalsRecord, u64)>,
+    over: BTreeMap<String, FinishedJob>,
     /// Jobs that wait for a job, by the job they wait for, which need not be in the copy yet.
     dependents: BTreeMap<String, Vec<String>>,
     /// Newest format that each controller reads, with the version of that record.
     formats: BTreeMap<String, (u32, u64)>,
-    orphans: BTreeMap<String, BTreeMap<u32, (Chunk, u64)>>,
+    orphans: BTreeMap<String, BTreeMap<u32, (TaskChunk, u64)>>,
     /// Keys met during a rereading, to find those deleted meanwhile.
     met: Option<(BTreeSet<String>, u64)>,
     /// Revision of the newest cancellation or change of the lead in the copy.
@@ -66,7 +66,7 @@
     unreadable: BTreeMap<String, u64>,
 }
 
-impl Mirror {
+impl RecordCache {
     /// Whether a record of a job cannot be read: whatever else the copy holds of it may be older.
     pub fn is_unreadable(&self, id: &str) -> bool {
         let of = |key: &String| {
@@ -105,27 +105,27 @@
 
     /// Whether a job is known to be cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
-        self.stage(id) == Some(Stage::Cancelled)
+        self.stage(id) == Some(JobStage::Cancelled)
     }
 
     /// Whether a job is known to be done.
     pub fn is_done(&self, id: &str) -> bool {
-        self.stage(id) == Some(Stage::Done)
+        self.stage(id) == Some(JobStage::Done)
     }
 
-    fn stage(&self, id: &str) -> Option<Stage> {
+    fn stage(&self, id: &str) -> Option<JobStage> {
         Some(match self.job(id)? {
-            Known::Live(j) => j.rec.stage,
-            Known::Over(f) => f.stage,
+            JobLookup::Live(j) => j.rec.stage,
+            JobLookup::Over(f) => f.stage,
         })
     }
 
     /// Looks up a job.
-    pub fn job(&self, id: &str) -> Option<Known<'_>> {
+    pub fn job(&self, id: &str) -> Option<JobLookup<'_>> {
         if let Some(f) = self.over.get(id) {
-            return Some(Known::Over(*f));
+            return Some(JobLookup::Over(*f));
         }
-        self.jobs.get(id).map(Known::Live)
+        self.jobs.get(id).map(JobLookup::Live)
     }
 
     /// Live jobs that wait for this one directly.
@@ -161,7 +161,7 @@
     }
 
     /// The parts of a follower's record of renewals with their versions; part 0 is always there.
-    pub fn renewals_of(&self, node: &str) -> Vec<Option<&(RenewRec, u64)>> {
+    pub fn renewals_of(&self, node: &str) -> Vec<Option<&(RenewalsRecord, u64)>> {
         let part = |n: usize| {
             let key = renew_key(node, n);
             self.renewals.get(key.trim_start_matches(RENEWALS))
@@ -188,9 +188,15 @@
 
     /// Brings the index by machine from a chunk's old entries to its new ones. `image`: of the job,
     /// if it is known yet.
-    fn relink(&mut self, id: &str, old: &[Entry], new: &[Entry], image: Option<(&str, f64)>) {
-        let at = |list: &[Entry], e: &Entry| {
-            list.binary_search_by_key(&e.task(), Entry::task)
+    fn relink(
+        &mut self,
+        id: &str,
+        old: &[TaskEntry],
+        new: &[TaskEntry],
+        image: Option<(&str, f64)>,
+    ) {
+        let at = |list: &[TaskEntry], e: &TaskEntry| {
+            list.binary_search_by_key(&e.task(), TaskEntry::task)
                 .is_ok_and(|i| list[i].machine() == e.machine())
         };
         for e in old {
@@ -218,7 +224,7 @@
     }
 
     /// Applies a watch's answer.
-    pub fn apply(&mut self, answer: WatchAnswer) {
+    pub fn apply(&mut self, answer: WatchResponse) {
         for e in answer.events {
             if e.version <= self.revision {
                 continue;
@@ -272,7 +278,7 @@
     pub fn put(&mut self, key: &str, value: Value, version: u64) {
         if key == LEAD {
             if self.lead.as_ref().is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<LeadRec>(key, &value, version)
+                && let Some(rec) = self.read::<LeaderRecord>(key, &value, version)
             {
                 self.lead = Some((rec, version));
                 self.newest = self.newest.max(version);
@@ -287,7 +293,7 @@
             self.base = self.read::<u64>(key, &value, version);
         } else if let Some(node) = key.strip_prefix(RENEWALS) {
             if self.renewals.get(node).is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<RenewRec>(key, &value, version)
+                && let Some(rec) = self.read::<RenewalsRecord>(key, &value, version)
             {
                 self.renewals.insert(node.to_string(), (rec, version));
                 self.renewals_changed += 1;
@@ -300,7 +306,7 @@
             }
         } else if key == PARTS {
             if self.parts.as_ref().is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<PartsRec>(key, &value, version)
+                && let Some(rec) = self.read::<BudgetSharesRecord>(key, &value, version)
             {
                 self.parts = Some((rec.grant(), version));
             }
@@ -309,7 +315,7 @@
         } else if key.starts_with(BUNDLES) {
             if let (Some(n), Some(b)) = (
                 bundle_number(key),
-                self.read::<Bundle>(key, &value, version),
+                self.read::<PlacementBatch>(key, &value, version),
             ) {
                 self.put_bundle(n, b, version);
             }
@@ -318,13 +324,13 @@
                 // Our own commit, come back by the watch: not worth reading.
                 return;
             }
-            if let Some(rec) = self.read::<JobRec>(key, &value, version) {
+            if let Some(rec) = self.read::<JobRecord>(key, &value, version) {
                 self.put_job(id, rec, version);
             }
         } else if let Some(rest) = key.strip_prefix(CHUNKS)
             && let Some((id, n)) = rest.split_once('/')
             && let Ok(n) = n.parse::<u32>()
-            && let Some(chunk) = self.read::<Chunk>(key, &value, version)
+            && let Some(chunk) = self.read::<TaskChunk>(key, &value, version)
         {
             self.put_chunk(id, n, chunk, version);
         }
@@ -338,20 +344,20 @@
     }
 
     /// Puts a job's record.
-    pub fn put_job(&mut self, id: &str, rec: JobRec, version: u64) {
+    pub fn put_job(&mut self, id: &str, rec: JobRecord, version: u64) {
         // A watch may still bring what came before our own last commit: a job that is over must
         // not come back to life by it.
         if self.newest(id) >= version {
             return;
         }
-        if rec.stage == Stage::Cancelled {
+        if rec.stage == JobStage::Cancelled {
             self.newest = self.newest.max(version);
             if !self.is_cancelled(id) {
                 self.cancelled.push((id.to_string(), version));
             }
         }
         self.changed.insert(id.to_string());
-        if self.newest(id) == 0 && rec.stage == Stage::Active {
+        if self.newest(id) == 0 && rec.stage == JobStage::Active {
             for need in &rec.spec.needs {
                 if self.end_of(need).is_none() {
                     let waiting = self.dependents.entry(need.clone()).or_default();
@@ -397,7 +403,7 @@
     }
 
     /// Puts a further chunk of a large job.
-    pub fn put_chunk(&mut self, id: &str, n: u32, mut chunk: Chunk, version: u64) {
+    pub fn put_chunk(&mut self, id: &str, n: u32, mut chunk: TaskChunk, version: u64) {
         if self.over.contains_key(id) {
             return;
         }
@@ -428,7 +434,7 @@
     }
 
     /// Puts a bundle, and lays it over the jobs that it names.
-    fn put_bundle(&mut self, n: u32, bundle: Bundle, version: u64) {
+    fn put_bundle(&mut self, n: u32, bundle: PlacementBatch, version: u64) {
         if !self.bundles.put(n, bundle.clone(), version) {
             return;
         }
@@ -443,7 +449,7 @@
                         0 => (&mut job.rec.first, &mut job.bundled),
                         n => (&mut job.chunks.entry(n).or_default().0, &mut job.bundled),
                     };
-                    let old: Vec<Entry> = chunk.entry(e.task()).cloned().into_iter().collect();
+                    let old: Vec<TaskEntry> = chunk.entry(e.task()).cloned().into_iter().collect();
                     if lay_one(chunk, &e, bundled) {
                         self.relink(&id, &old, &[e], image);
                     }
@@ -456,7 +462,7 @@
 
     /// Whether a bundle holds nothing any more that only it holds.
     pub fn is_spent(&self, n: u32) -> bool {
-        let counts = |id: &String, e: &Entry| {
+        let counts = |id: &String, e: &TaskEntry| {
             let job = self.jobs.get(id);
             job.is_some_and(|j| j.bundled.contains(e))
         };
@@ -495,11 +501,11 @@
         }
         for need in &job.rec.spec.needs {
             match self.end_of(need) {
-                Some((Stage::Done, end)) => job.released = job.released.max(end),
+                Some((JobStage::Done, end)) => job.released = job.released.max(end),
                 Some((_, end)) => {
                     // Nothing that needs a job starts before that job is done, and one that is
                     // cancelled never will be: this job has no task anywhere and never gets one.
-                    job.rec.stage = Stage::Cancelled;
+                    job.rec.stage = JobStage::Cancelled;
                     job.rec.end = end.max(job.rec.at);
                     return;
                 }
@@ -509,7 +515,7 @@
     }
 
     /// How and when a job has ended.
-    fn end_of(&self, id: &str) -> Option<(Stage, Micros)> {
+    fn end_of(&self, id: &str) -> Option<(JobStage, Micros)> {
         if let Some(f) = self.over.get(id) {
             return Some((f.stage, f.end));
         }
@@ -524,12 +530,12 @@
         if ended && job.entries().all(|e| e.machine().is_none()) {
             self.jobs.remove(id);
             self.ending.remove(id);
-            let f = Final {
+            let f = FinishedJob {
                 stage: job.rec.stage,
                 tasks: job.rec.spec.tasks,
                 version: job.version,
                 end: job.rec.end,
-                service: job.rec.spec.kind == Kind::Service,
+                service: job.rec.spec.kind == JobKind::Service,
             };
             self.over.insert(id.to_string(), f);
         } else {
--- a/src/bookkeeping/store.rs
+++ b/src/state/store_client.rs
@@ -1,20 +1,21 @@
 //! Paced access to the state service. Owns the request and write budgets; urgent requests go
 //! first. Retrying is the callers' business: only they know what a lost answer means.
 
-use super::token_bucket::TokenBucket;
 use crate::protocol::wire::{
-    Change, ItemPage, LeaseAnswer, LeaseRequest, Txn, TxnAnswer, WatchAnswer, decode, encode,
+    Change, ItemPage, LeaseRequest, LeaseResponse, Transaction, TransactionResponse, WatchResponse,
+    decode, encode,
 };
 use crate::protocol::{Micros, records};
-use crate::transport::{Call, NetCmd, Outcome};
+use crate::state::token_bucket::TokenBucket;
+use crate::transport::{Call, NetworkCommand, Outcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 /// A request to the state service.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum StoreRequest {
     /// A transaction.
-    Txn(Txn),
+    Transaction(Transaction),
     /// Changes after a revision.
     Watch {
         /// Revision.
@@ -35,13 +36,13 @@
 
 /// What came of it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
+pub enum StoreResponse {
     /// The transaction was carried out at this revision.
     Committed(u64),
     /// Conditions on these keys failed.
     Conflict(Vec<String>),
     /// Changes.
-    Events(WatchAnswer),
+    Events(WatchResponse),
     /// The revision is too old to watch from.
     TooOld,
     /// A page of keys.
@@ -63,7 +64,7 @@
 
 /// How urgent a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rank {
+pub enum RequestPriority {
     /// Leadership, cancellations, read barriers.
     First = 0,
     /// Acceptance and placements.
@@ -73,7 +74,7 @@
 }
 
 struct Queued<T> {
-    ask: Ask,
+    ask: StoreRequest,
     tag: T,
 }
 
@@ -85,20 +86,20 @@
 const STORE_TIMEOUT: Micros = Micros::millis(1500);
 
 /// The store actor; `T` names requests to their owners.
-pub struct Store<T> {
+pub struct StoreClient<T> {
     addr: SocketAddr,
     requests: TokenBucket,
     writes: TokenBucket,
     queues: [VecDeque<Queued<T>>; 3],
-    flying: BTreeMap<u64, (T, Ask, Micros)>,
+    flying: BTreeMap<u64, (T, StoreRequest, Micros)>,
     /// Weight of the failures in a row: no answer counts 1, a refusal to serve counts 2.
     failing: u32,
 }
 
-impl<T> Store<T> {
+impl<T> StoreClient<T> {
     /// For the state service at `addr`.
-    pub fn new(addr: SocketAddr, rps: f64, wps: f64, write_burst: f64) -> Store<T> {
-        Store {
+    pub fn new(addr: SocketAddr, rps: f64, wps: f64, write_burst: f64) -> StoreClient<T> {
+        StoreClient {
             addr,
             requests: TokenBucket::new(rps, rps * 0.5).saved(START_REQUESTS),
             writes: TokenBucket::new(wps, write_burst).saved(START_WRITES),
@@ -125,7 +126,7 @@
     }
 
     /// Queues a request.
-    pub fn ask(&mut self, rank: Rank, tag: T, ask: Ask) {
+    pub fn ask(&mut self, rank: RequestPriority, tag: T, ask: StoreRequest) {
         self.queues[rank as usize].push_back(Queued { ask, tag });
     }
 
@@ -155,7 +156,7 @@
     }
 
     /// Sends what the budgets allow.
-    pub fn pump(&mut self, now: Micros, next_id: &mut u64, out: &mut Vec<NetCmd>) {
+    pub fn pump(&mut self, now: Micros, next_id: &mut u64, out: &mut Vec<NetworkCommand>) {
         loop {
             let Some(rank) = (0..3).find(|r| !self.queues[*r].is_empty()) else {
                 return;
@@ -173,7 +174,7 @@
                 }
                 // Leadership and cancellations do not wait for the budget that others have used up: a
                 // claim would outlive its lease, and nobody would ever lead.
-                let ready = if r == Rank::First as usize {
+                let ready = if r == RequestPriority::First as usize {
                     self.writes.ready_ahead(now, writes)
                 } else {
                     self.writes.ready(now, writes)
@@ -185,7 +186,7 @@
                 self.writes.take(writes);
                 if let Some(q) = self.queues[r].pop_front() {
                     *next_id += 1;
-                    out.push(NetCmd::Call(self.call(*next_id, &q.ask)));
+                    out.push(NetworkCommand::Call(self.call(*next_id, &q.ask)));
                     self.flying.insert(*next_id, (q.tag, q.ask, now));
                 }
                 sent = true;
@@ -202,7 +203,7 @@
         self.queues
             .iter()
             .enumerate()
-            .filter_map(|(rank, q)| Some((rank == Rank::First as usize, q.front()?)))
+            .filter_map(|(rank, q)| Some((rank == RequestPriority::First as usize, q.front()?)))
             .map(|(first, q)| {
                 let r = self.requests.when(now, 1.0, false);
                 match write_count(&q.ask) {
@@ -214,10 +215,12 @@
             .map(|t| t.max(now + Micros::millis(2)))
     }
 
-    fn call(&self, id: u64, ask: &Ask) -> Call {
+    fn call(&self, id: u64, ask: &StoreRequest) -> Call {
         let (method, path, body, timeout) = match ask {
-            Ask::Txn(t) => ("POST", "/multi".to_string(), encode(t), STORE_TIMEOUT),
-            Ask::Watch { after, block_ms } => (
+            StoreRequest::Transaction(t) => {
+                ("POST", "/multi".to_string(), encode(t), STORE_TIMEOUT)
+            }
+            StoreRequest::Watch { after, block_ms } => (
                 "GET",
                 format!(
                     "/watch?under={}&after={after}&block_ms={block_ms}",
@@ -226,7 +229,7 @@
                 Vec::new(),
                 STORE_TIMEOUT + Micros::millis(*block_ms),
             ),
-            Ask::List { after } => {
+            StoreRequest::List { after } => {
                 let from = if after.is_empty() {
                     String::new()
                 } else {
@@ -240,7 +243,7 @@
                     STORE_TIMEOUT + Micros::millis(3000),
                 )
             }
-            Ask::NewLease(ttl) => (
+            StoreRequest::NewLease(ttl) => (
                 "POST",
                 "/leases".to_string(),
                 encode(&LeaseRequest {
@@ -248,7 +251,7 @@
                 }),
                 STORE_TIMEOUT,
             ),
-            Ask::Renew(l) => (
+            StoreRequest::Renew(l) => (
                 "POST",
                 format!("/leases/{l}/renew"),
                 Vec::new(),
@@ -266,13 +269,17 @@
     }
 
     /// Matches an outcome with its request; gives back the request and when it was sent.
-    pub fn on_answer(&mut self, id: u64, outcome: &Outcome) -> Option<(T, Ask, Micros, Reply)> {
+    pub fn on_response(
+        &mut self,
+        id: u64,
+        outcome: &Outcome,
+    ) -> Option<(T, StoreRequest, Micros, StoreResponse)> {
         let (tag, ask, sent) = self.flying.remove(&id)?;
         let reply = read_reply(&ask, outcome);
         match (&reply, outcome) {
             (_, Outcome::Reply { status: 429, .. }) => {}
-            (Reply::Refused, _) => self.failing += 2,
-            (Reply::Lost, _) => self.failing += 1,
+            (StoreResponse::Refused, _) => self.failing += 2,
+            (StoreResponse::Lost, _) => self.failing += 1,
             _ => self.failing = 0,
         }
         Some((tag, ask, sent, reply))
@@ -284,57 +291,65 @@
     }
 }
 
-fn write_count(ask: &Ask) -> f64 {
+fn write_count(ask: &StoreRequest) -> f64 {
     match ask {
-        Ask::Txn(t) => t.changes.len() as f64,
+        StoreRequest::Transaction(t) => t.changes.len() as f64,
         _ => 0.0,
     }
 }
 
-fn read_reply(ask: &Ask, outcome: &Outcome) -> Reply {
+fn read_reply(ask: &StoreRequest, outcome: &Outcome) -> StoreResponse {
     let (status, body) = match outcome {
-        Outcome::NotSent => return Reply::Refused,
-        Outcome::Lost => return Reply::Lost,
+        Outcome::NotSent => return StoreResponse::Refused,
+        Outcome::Lost => return StoreResponse::Lost,
         Outcome::Reply { status, body } => (*status, body),
     };
     let sensible = match (status, ask) {
-        (400, Ask::Txn(t)) => {
+        (400, StoreRequest::Transaction(t)) => {
             // Too large or malformed, or a lease that has ended.
             let leased = |c: &Change| matches!(c, Change::Put { lease: Some(_), .. });
             if t.changes.iter().any(leased) {
-                Some(Reply::LeaseGone)
+                Some(StoreResponse::LeaseGone)
             } else {
                 log::warn!(
                     "store: a transaction of {} changes is rejected",
                     t.changes.len()
                 );
-                Some(Reply::Rejected)
+                Some(StoreResponse::Rejected)
             }
         }
-        (429, Ask::Txn(_)) => Some(Reply::TooFast),
-        (503 | 429, _) => Some(Reply::Refused),
-        (200, Ask::Txn(_)) => decode::<TxnAnswer>(body).map(|a| Reply::Committed(a.revision)),
-        (409, Ask::Txn(_)) => decode::<TxnAnswer>(body).map(|a| Reply::Conflict(a.failed)),
-        (200, Ask::Watch { .. }) => decode::<WatchAnswer>(body).map(Reply::Events),
-        (410, Ask::Watch { .. }) => Some(Reply::TooOld),
-        (200, Ask::List { .. }) => decode::<ItemPage>(body).map(Reply::Page),
-        (200, Ask::NewLease(_)) => decode::<LeaseAnswer>(body).map(|a| Reply::Lease(a.lease)),
-        (200, Ask::Renew(l)) => Some(Reply::Lease(*l)),
-        (404, Ask::Renew(_)) => Some(Reply::LeaseGone),
+        (429, StoreRequest::Transaction(_)) => Some(StoreResponse::TooFast),
+        (503 | 429, _) => Some(StoreResponse::Refused),
+        (200, StoreRequest::Transaction(_)) => {
+            decode::<TransactionResponse>(body).map(|a| StoreResponse::Committed(a.revision))
+        }
+        (409, StoreRequest::Transaction(_)) => {
+            decode::<TransactionResponse>(body).map(|a| StoreResponse::Conflict(a.failed))
+        }
+        (200, StoreRequest::Watch { .. }) => {
+            decode::<WatchResponse>(body).map(StoreResponse::Events)
+        }
+        (410, StoreRequest::Watch { .. }) => Some(StoreResponse::TooOld),
+        (200, StoreRequest::List { .. }) => decode::<ItemPage>(body).map(StoreResponse::Page),
+        (200, StoreRequest::NewLease(_)) => {
+            decode::<LeaseResponse>(body).map(|a| StoreResponse::Lease(a.lease))
+        }
+        (200, StoreRequest::Renew(l)) => Some(StoreResponse::Lease(*l)),
+        (404, StoreRequest::Renew(_)) => Some(StoreResponse::LeaseGone),
         _ => None,
     };
     sensible.unwrap_or_else(|| {
         log::warn!("store: answer {status} to {} makes no sense", kind(ask));
-        Reply::Lost
+        StoreResponse::Lost
     })
 }
 
-fn kind(ask: &Ask) -> &'static str {
+fn kind(ask: &StoreRequest) -> &'static str {
     match ask {
-        Ask::Txn(_) => "a transaction",
-        Ask::Watch { .. } => "a watch",
-        Ask::List { .. } => "a listing",
-        Ask::NewLease(_) => "a lease request",
-        Ask::Renew(_) => "a lease renewal",
+        StoreRequest::Transaction(_) => "a transaction",
+        StoreRequest::Watch { .. } => "a watch",
+        StoreRequest::List { .. } => "a listing",
+        StoreRequest::NewLease(_) => "a lease request",
+        StoreRequest::Renew(_) => "a lease renewal",
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -11,7 +11,7 @@
 
 /// What the network thread is told to do.
 #[derive(Debug)]
-pub enum NetCmd {
+pub enum NetworkCommand {
     /// Answer a request.
     Respond {
         /// Which request.
@@ -46,12 +46,12 @@
 
 /// What the network thread tells.
 #[derive(Debug)]
-pub enum NetEvent {
+pub enum NetworkEvent {
     /// A request came in.
     Request {
         /// Names the request in the answer.
         conn: u64,
-        /// It came to the siblings' address.
+        /// It came to the peers' address.
         internal: bool,
         /// Method.
         method: String,
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -4,7 +4,7 @@
 //! dropped; a full socket table delays newcomers and never ends the listener.
 
 use super::http::{self, Parsed};
-use super::{Call, NetCmd, NetEvent, Outcome};
+use super::{Call, NetworkCommand, NetworkEvent, Outcome};
 use crate::protocol::Micros;
 use crossbeam_channel::{Receiver, Sender};
 use mio::net::{TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 const INTERNAL: Token = Token(2);
 const FIRST_CONN: usize = 3;
 /// A server connection without any request for this long is closed. Users poll every 5 s and
-/// workers report every few seconds, so only the forgotten ones are hit.
+/// agents report every few seconds, so only the forgotten ones are hit.
 const SERVER_IDLE: Micros = Micros::millis(40_000);
 /// Once a request has begun to arrive, all of it must come within this.
 const REQUEST_ARRIVES: Micros = Micros::millis(10_000);
@@ -28,8 +28,8 @@
 const CLIENT_IDLE: Micros = Micros::millis(20_000);
 /// Share of the socket limit that clients of ours may take; the rest is for our own calls.
 const SERVER_SHARE: f64 = 0.75;
-/// Sockets that connections kept for later calls leave free. With hundreds of workers they would
-/// fill the table, and the state service or a sibling could not be called when it matters.
+/// Sockets that connections kept for later calls leave free. With hundreds of agents they would
+/// fill the table, and the state service or a peer could not be called when it matters.
 const SPARE: usize = 32;
 
 enum Role {
@@ -83,13 +83,13 @@
 /// Lets other threads wake the network thread.
 pub struct Handle {
     /// Commands for the thread.
-    pub cmds: Sender<Vec<NetCmd>>,
+    pub cmds: Sender<Vec<NetworkCommand>>,
     waker: Waker,
 }
 
 impl Handle {
     /// Hands over a batch of commands.
-    pub fn send(&self, batch: Vec<NetCmd>) {
+    pub fn send(&self, batch: Vec<NetworkCommand>) {
         if !batch.is_empty() && self.cmds.send(batch).is_ok() {
             // A failed wake only delays the batch until the next event.
             let _ = self.waker.wake();
@@ -101,8 +101,8 @@
 pub struct Net {
     poll: Poll,
     listeners: Listeners,
-    cmds: Receiver<Vec<NetCmd>>,
-    events: Sender<Vec<NetEvent>>,
+    cmds: Receiver<Vec<NetworkCommand>>,
+    events: Sender<Vec<NetworkEvent>>,
     /// Who takes the events. It sleeps parked: a blocking receive would first spin and yield,
     /// which on a small share of a core costs more than the work.
     taker: Thread,
@@ -116,14 +116,14 @@
     most_servers: usize,
     most: usize,
     started: Instant,
-    out: Vec<NetEvent>,
+    out: Vec<NetworkEvent>,
 }
 
 impl Net {
     /// Prepares the thread; `taker` is woken for events, `sockets` is the process's limit.
     pub fn new(
         mut listeners: Listeners,
-        events: Sender<Vec<NetEvent>>,
+        events: Sender<Vec<NetworkEvent>>,
         taker: Thread,
         sockets: usize,
         started: Instant,
@@ -335,7 +335,7 @@
                 connected,
             } => {
                 let outcome = if connected { outcome } else { Outcome::NotSent };
-                self.out.push(NetEvent::Answer { id, outcome });
+                self.out.push(NetworkEvent::Answer { id, outcome });
             }
             Role::Client { call: None, .. } => {
                 if let Some(list) = self.idle.get_mut(&c.peer) {
@@ -364,9 +364,9 @@
         }
     }
 
-    fn on_cmd(&mut self, cmd: NetCmd) {
+    fn on_cmd(&mut self, cmd: NetworkCommand) {
         match cmd {
-            NetCmd::Respond {
+            NetworkCommand::Respond {
                 conn,
                 status,
                 body,
@@ -389,7 +389,7 @@
                 // The next request may already be here.
                 self.advance(t, false);
             }
-            NetCmd::Call(call) => self.call(call),
+            NetworkCommand::Call(call) => self.call(call),
         }
     }
 
@@ -413,7 +413,7 @@
                     Ok(s) => s,
                     Err(e) => {
                         log::debug!("network: connect to {}: {e}", call.addr);
-                        self.out.push(NetEvent::Answer {
+                        self.out.push(NetworkEvent::Answer {
                             id: call.id,
                             outcome: Outcome::NotSent,
                         });
@@ -428,7 +428,7 @@
                 match self.add(stream, call.addr, role, call.timeout) {
                     Some(t) => t,
                     None => {
-                        self.out.push(NetEvent::Answer {
+                        self.out.push(NetworkEvent::Answer {
                             id: call.id,
                             outcome: Outcome::NotSent,
                         });
@@ -585,7 +585,7 @@
                         Parsed::Whole(m) => {
                             *busy = true;
                             *close_after = !m.keep;
-                            self.out.push(NetEvent::Request {
+                            self.out.push(NetworkEvent::Request {
                                 conn: *serial,
                                 internal: *internal,
                                 method: m.method,
@@ -616,7 +616,7 @@
                         *call = None;
                         let keep = m.keep && !eof && c.input.is_empty() && c.output.is_empty();
                         let peer = c.peer;
-                        self.out.push(NetEvent::Answer {
+                        self.out.push(NetworkEvent::Answer {
                             id,
                             outcome: Outcome::Reply {
                                 status: m.status,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec};
 use world::{Cut, Party, SEC, World, job, settled};
 
 /// Followers and the leader in turn.
@@ -24,7 +24,7 @@
         w.lag_watch.insert(a, 6 * SEC);
         w.troubles.slow_writes = Some((a, 1_200_000));
         w.troubles.slow_reads = Some((a, 1_400_000));
-        w.declare("req-1", job(Kind::Array, 2, 1.0), 60 * SEC);
+        w.declare("req-1", job(JobKind::Array, 2, 1.0), 60 * SEC);
         w.submit_once(a, "req-1");
         w.step_for(60_000);
         w.submit_once(b, "req-1");
@@ -51,9 +51,9 @@
         let a = node_of(&w, seed);
         let b = (a + 1) % 3;
         // A reading of all records has shown the types; the watch has not shown the job yet.
-        let large = Spec {
+        let large = JobSpec {
             types: Some(vec!["box".into()]),
-            ..job(Kind::Array, 2, 1.0)
+            ..job(JobKind::Array, 2, 1.0)
         };
         w.lag_watch.insert(a, 5 * SEC);
         w.declare("req-1", large, 30 * SEC);
@@ -90,7 +90,7 @@
             }),
             3 => {
                 let (l, dt) = (node_of(&w, 0), 12 * SEC);
-                w.cut(Party::Node(l), Party::Store, Cut::Hold, dt);
+                w.cut(Party::Controller(l), Party::StoreClient, Cut::Hold, dt);
             }
             _ => w.freeze(f, 8 * SEC),
         }
@@ -99,7 +99,7 @@
             let at = n * SEC;
             w.after(at, move |w| {
                 let id = format!("req-{}", 100 + n);
-                w.user(&id, job(Kind::Array, 1 + n as u32 % 3, 1.0), run);
+                w.user(&id, job(JobKind::Array, 1 + n as u32 % 3, 1.0), run);
                 if n % 4 == 0 {
                     let at = w.rng.random_range(0..4 * SEC);
                     w.after(at, move |w| w.cancel_surely(&id));
@@ -131,7 +131,7 @@
         w.troubles.cancel_at_end = 1.0;
         for n in 0..12u64 {
             let run = w.rng.random_range(SEC..5 * SEC);
-            let kind = [Kind::Array, Kind::Gang][n as usize % 2];
+            let kind = [JobKind::Array, JobKind::Gang][n as usize % 2];
             w.user(
                 &format!("req-{}", 100 + n),
                 job(kind, 1 + n as u32 % 3, 1.0),
@@ -160,12 +160,12 @@
         w.run(8);
         w.troubles.lost_answers = [0.1, 0.3, 0.5][seed as usize % 3];
         w.troubles.close_looks = seed % 2 == 0;
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 4, 1.0), 300 * SEC);
         for n in 0..12u64 {
             let id = format!("req-{}", 100 + n);
             w.after(n * 2 * SEC, move |w| {
-                w.user(&id, job(Kind::Array, 2, 1.0), 3 * SEC);
+                w.user(&id, job(JobKind::Array, 2, 1.0), 3 * SEC);
             });
         }
         for k in 0..4u64 {
@@ -177,7 +177,7 @@
                     1 => {
                         // Followers renew, and put it on record.
                         for m in w.names().into_iter().take(3) {
-                            w.cut(Party::Node(l), Party::Worker(m), Cut::Drop, 12 * SEC);
+                            w.cut(Party::Controller(l), Party::Agent(m), Cut::Drop, 12 * SEC);
                         }
                     }
                     _ => (0..3).for_each(|i| w.crash(i, 100_000)),
@@ -204,7 +204,7 @@
     for seed in 0..12 {
         let mut w = settled(4180 + seed, 4);
         for n in 0..6 {
-            w.user(&format!("req-{n}"), job(Kind::Array, 2, 1.0), 8 * SEC);
+            w.user(&format!("req-{n}"), job(JobKind::Array, 2, 1.0), 8 * SEC);
         }
         w.odd_requests(30 * SEC);
         w.after(4 * SEC, |w| {
@@ -226,9 +226,9 @@
 fn thousands_of_questions_a_minute_share_their_reads() {
     let mut w = settled(4220, 5);
     for n in 0..8 {
-        w.user(&format!("req-{n}"), job(Kind::Array, 1, 1.0), 300 * SEC);
+        w.user(&format!("req-{n}"), job(JobKind::Array, 1, 1.0), 300 * SEC);
     }
-    w.declare("req-99", job(Kind::Array, 1, 9.0), SEC);
+    w.declare("req-99", job(JobKind::Array, 1, 9.0), SEC);
     w.run(10);
     w.costs = Default::default();
     let before = w.said.len();
@@ -245,7 +245,7 @@
     for n in 0..10u64 {
         let id = format!("req-{}", 100 + n);
         w.after(n * 2 * SEC, move |w| {
-            w.user(&id, job(Kind::Array, 1, 1.0), SEC)
+            w.user(&id, job(JobKind::Array, 1, 1.0), SEC)
         });
     }
     w.run(20);
