--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::Kind;
+use walnuttrestle::protocol::JobKind;
 use walnuttrestle::protocol::wire::{Report, encode};
 use world::{SEC, World, job, settled};
 
@@ -28,8 +28,8 @@
 fn bytes_of_any_kind_harm_nobody() {
     for seed in 0..4 {
         let mut w = settled(6000 + seed, 4);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 3, 1.0), 40 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 3, 1.0), 40 * SEC);
         w.run(8);
         // A machine of which nobody else speaks, so that a report of it that can still be read is no lie about others.
         let report = Report {
@@ -60,7 +60,7 @@
 #[test]
 fn a_report_with_a_broken_task_is_not_believed_in_part() {
     let mut w = settled(6010, 4);
-    w.user("req-1", job(Kind::Array, 4, 1.0), 60 * SEC);
+    w.user("req-1", job(JobKind::Array, 4, 1.0), 60 * SEC);
     w.run(8);
     let l = w.leader().expect("a leader");
     let m = w.on("req-1/0").pop_first().expect("a machine");
@@ -83,8 +83,8 @@
 fn a_job_whose_record_cannot_be_read_is_not_forgotten() {
     for seed in 0..6 {
         let mut w = settled(6020 + seed, 4);
-        w.user("req-1", job(Kind::Array, 2, 1.0), 300 * SEC);
-        w.user("req-2", job(Kind::Array, 2, 1.0), 30 * SEC);
+        w.user("req-1", job(JobKind::Array, 2, 1.0), 300 * SEC);
+        w.user("req-2", job(JobKind::Array, 2, 1.0), 30 * SEC);
         w.run(8);
         let key = w
             .store
--- a/tests/every_copy.rs
+++ b/tests/every_copy.rs
@@ -1,24 +1,24 @@
-//! Every state of a small model of sessions, message numbers, copies that come again and a takeover: one worker,
-//! one task, two leaders, the view of the worker being the real one. A task that was given up as gone never comes
+//! Every state of a small model of sessions, message numbers, copies that come again and a takeover: one agent,
+//! one task, two leaders, the view of the agent being the real one. A task that was given up as gone never comes
 //! to run there again. Each line that is taken out is missed.
 
+use model_checker::{Model, Seen, explore};
 use std::collections::{BTreeMap, BTreeSet};
-use walnuttrestle::bookkeeping::workers::{Standing, Start, Worker};
 use walnuttrestle::protocol::Micros;
-use walnuttrestle::protocol::wire::{Phase, Report, TaskReport, Why};
-use walnuttrestle_explore::{Model, Seen, explore};
+use walnuttrestle::protocol::wire::{ExitReason, Report, TaskPhase, TaskReport};
+use walnuttrestle::state::agent::{Agent, Start, TaskLiveness};
 
-/// How often the worker says something: its messages are all that makes the model large.
+/// How often the agent says something: its messages are all that makes the model large.
 const MOST: u64 = 6;
 
-/// What a worker says: session, number, highest term, and the attempt if it is there (true: it has ended).
+/// What a agent says: session, number, highest term, and the attempt if it is there (true: it has ended).
 type Said = (u64, u64, u64, Option<bool>);
 
 /// A start that was sent: term and session it was sent with.
 type Sent = (u64, u64);
 
 /// A start as the leader remembers it: awaits an answer, answered, loose, and its term.
-type Known = (bool, bool, bool, u64);
+type JobLookup = (bool, bool, bool, u64);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
@@ -30,7 +30,7 @@
     said: BTreeSet<Said>,
     sent: BTreeSet<Sent>,
     leader: u64,
-    view: Option<(Said, Option<Known>)>,
+    view: Option<(Said, Option<JobLookup>)>,
     /// The attempt is on record there, or has been given up and is started elsewhere.
     given_up: bool,
 }
@@ -53,9 +53,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Line {
-    /// (session, tally) orders what a worker sends.
+    /// (session, tally) orders what a agent sends.
     Order,
-    /// A worker that has not shown our term proves nothing absent.
+    /// A agent that has not shown our term proves nothing absent.
     Term,
     /// A start without an answer may come late.
     Loose,
@@ -65,7 +65,7 @@
 
 struct Small {
     without: Option<Line>,
-    /// How much the worker says.
+    /// How much the agent says.
     most: u64,
 }
 
@@ -73,8 +73,12 @@
     let tasks = task.map(|ended| TaskReport {
         task: "j/0".into(),
         attempt: 1,
-        phase: if ended { Phase::Exited } else { Phase::Running },
-        why: ended.then_some(Why::Stopped),
+        phase: if ended {
+            TaskPhase::Exited
+        } else {
+            TaskPhase::Running
+        },
+        why: ended.then_some(ExitReason::Stopped),
         saved: None,
     });
     Report {
@@ -92,9 +96,9 @@
 }
 
 /// The real view of what was said last, with the start that is remembered.
-fn worker((said, known): &(Said, Option<Known>)) -> Worker {
+fn agent((said, known): &(Said, Option<JobLookup>)) -> Agent {
     let r = report(*said);
-    let mut w = Worker::new(&r);
+    let mut w = Agent::new(&r);
     w.update(&r, Micros::ZERO);
     if let Some((direct, answered, loose, term)) = *known {
         let start = Start {
@@ -114,11 +118,11 @@
         self.without == Some(line)
     }
 
-    fn standing(&self, s: &State) -> Standing {
+    fn standing(&self, s: &State) -> TaskLiveness {
         let Some(view) = &s.view else {
-            return Standing::Unclear;
+            return TaskLiveness::Unclear;
         };
-        let w = worker(view);
+        let w = agent(view);
         let ours = if self.without(Line::Term) {
             w.term
         } else {
@@ -133,7 +137,7 @@
             s.view = Some((said, None));
             return;
         };
-        let mut w = worker(view);
+        let mut w = agent(view);
         if self.without(Line::Order) {
             (w.session, w.seq) = (said.0, 0);
         }
@@ -203,7 +207,7 @@
                 }
             };
             add(Step::CarriesOut(*sent, false), &carry);
-            let awaited = |k: &Known| k.0 && k.3 == sent.0 && sent.0 == s.leader;
+            let awaited = |k: &JobLookup| k.0 && k.3 == sent.0 && sent.0 == s.leader;
             let known = s.view.as_ref().and_then(|v| v.1);
             if known.as_ref().is_some_and(awaited) && may_say {
                 add(Step::CarriesOut(*sent, true), &|n| {
@@ -233,7 +237,7 @@
             });
         }
         let waits = known.is_some_and(|k| k.0);
-        let unsure = matches!(standing, Standing::NotStarted | Standing::Unclear);
+        let unsure = matches!(standing, TaskLiveness::NotStarted | TaskLiveness::Unclear);
         if said.2 == s.leader && said.0 == 1 && unsure && !s.given_up && !waits {
             add(Step::Starts, &|n| {
                 n.sent.insert((n.leader, 1));
@@ -257,12 +261,12 @@
         // One that nobody has started is given up with its job, or with its gang.
         let gone = matches!(
             standing,
-            Standing::Gone | Standing::Ended(_) | Standing::NotStarted
+            TaskLiveness::Gone | TaskLiveness::Ended(_) | TaskLiveness::NotStarted
         );
         if !s.given_up && gone {
             add(Step::GivesUp, &|n| n.given_up = true);
         }
-        let w = worker(view);
+        let w = agent(view);
         let kept = w.tasks.first().is_none_or(|t| {
             let loose = w.has_loose(&t.job, t.task, t.attempt);
             match self.without(Line::Kept) {
@@ -308,7 +312,10 @@
             most: MOST,
         };
         let seen = explore(&small, 2_000_000);
-        stories.insert(format!("{line:?}"), matches!(seen, Seen::Broken { .. }));
+        stories.insert(
+            format!("{line:?}"),
+            matches!(seen, Seen::Broken { .. }),
+        );
     }
     assert!(stories.values().all(|missed| *missed), "{stories:?}");
 }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use walnuttrestle::protocol::{Kind, Priority};
+use walnuttrestle::protocol::{JobKind, Priority};
 use world::{Cut, Party, SEC, World, job};
 
 /// Machines of the world; each holds eight of the tasks below.
@@ -22,7 +22,7 @@
     for i in 0..n {
         let at = i as u64 * s * SEC / n as u64;
         w.after(at, move |w| {
-            w.user(&id(i), job(Kind::Array, 2, 1.0), 3 * SEC)
+            w.user(&id(i), job(JobKind::Array, 2, 1.0), 3 * SEC)
         });
     }
     w.run(s);
@@ -84,13 +84,18 @@
 fn a_zone_is_lost_while_the_queue_is_full() {
     let mut w = flooded(2, 300, 6);
     let replicas = "req-900000";
-    let mut spec = job(Kind::Service, 4, 1.0);
+    let mut spec = job(JobKind::Service, 4, 1.0);
     spec.priority = Priority::Production;
     w.user(replicas, spec, 0);
     w.run(12);
     for m in ["n-000002", "n-000004"] {
         for i in 0..3 {
-            w.cut(Party::Node(i), Party::Worker(m.into()), Cut::Drop, 60 * SEC);
+            w.cut(
+                Party::Controller(i),
+                Party::Agent(m.into()),
+                Cut::Drop,
+                60 * SEC,
+            );
         }
     }
     w.run(75);
@@ -112,7 +117,7 @@
     });
     for i in 60..260 {
         w.after((i as u64 - 60) * SEC / 10, move |w| {
-            w.user(&id(i), job(Kind::Array, 2, 1.0), 2 * SEC);
+            w.user(&id(i), job(JobKind::Array, 2, 1.0), 2 * SEC);
         });
     }
     w.run(19);
@@ -147,7 +152,7 @@
     w.no_capacity = true;
     w.run(6);
     let red = |tasks: u32, gpus: f64| {
-        let mut spec = job(Kind::Array, tasks, gpus);
+        let mut spec = job(JobKind::Array, tasks, gpus);
         spec.team = "red".into();
         spec
     };
@@ -158,7 +163,7 @@
         w.user(&id(n), red(2, 1.0), 2 * SEC);
     }
     for n in 500..520 {
-        w.user(&id(n), job(Kind::Array, 2, 1.0), 2 * SEC);
+        w.user(&id(n), job(JobKind::Array, 2, 1.0), 2 * SEC);
     }
     w.run(22);
     assert_eq!(done(&w, 500..520), 20);
@@ -173,10 +178,10 @@
     let mut w = World::with_budget(6, 3, MACHINES, 200.0);
     w.no_capacity = true;
     w.run(6);
-    w.user("req-100000", job(Kind::Gang, 6, 8.0), 5 * SEC);
+    w.user("req-100000", job(JobKind::Gang, 6, 8.0), 5 * SEC);
     w.run(3);
     for n in 0..200 {
-        w.user(&id(n), job(Kind::Array, 2, 1.0), 2 * SEC);
+        w.user(&id(n), job(JobKind::Array, 2, 1.0), 2 * SEC);
     }
     w.run(80);
     assert_eq!(done(&w, 0..200), 200);
@@ -214,13 +219,15 @@
     w.run(6);
     for n in 0..900 {
         let at = n as u64 * SEC / 30;
-        w.after(at, move |w| w.user(&id(n), job(Kind::Array, 1, 1.0), SEC));
+        w.after(at, move |w| {
+            w.user(&id(n), job(JobKind::Array, 1, 1.0), SEC)
+        });
     }
     w.after(8 * SEC, trouble);
     let mut took = Vec::new();
     for n in 0..9 {
         let rare = id(800_000 + n);
-        let mut spec = job(Kind::Array, 1, 1.0);
+        let mut spec = job(JobKind::Array, 1, 1.0);
         spec.class = "rare".into();
         w.user(&rare, spec, SEC);
         let began = w.now;
@@ -244,7 +251,12 @@
     let took = beside_a_flood(12, |w| {
         let i = w.leader().expect("a leader");
         w.crash(i, 6 * SEC);
-        w.cut(Party::Node((i + 1) % 3), Party::Store, Cut::Hold, 8 * SEC);
+        w.cut(
+            Party::Controller((i + 1) % 3),
+            Party::StoreClient,
+            Cut::Hold,
+            8 * SEC,
+        );
     });
     let late = took.iter().filter(|s| **s > 4.0).count();
     // Nothing can be durable while nobody leads or the store is out of reach.
@@ -268,7 +280,7 @@
     let one = (0..3).find(|i| *i != leader).expect("a follower");
     let before = w.node(one).map_or(0.0, |n| n.store.write_rate());
     for n in 0..2_000 {
-        w.declare(&id(n), job(Kind::Array, 1, 1.0), SEC);
+        w.declare(&id(n), job(JobKind::Array, 1, 1.0), SEC);
         for again in 0..3u64 {
             let at = n as u64 * SEC / 60 + again * 9 * SEC;
             w.after(at, move |w| {
@@ -301,12 +313,14 @@
     w.run(6);
     for n in 0..1_500 {
         let at = n as u64 * SEC / 30;
-        w.after(at, move |w| w.user(&id(n), job(Kind::Array, 1, 1.0), SEC));
+        w.after(at, move |w| {
+            w.user(&id(n), job(JobKind::Array, 1, 1.0), SEC)
+        });
     }
     w.run(8);
     let epoch = |w: &World| {
         let i = w.leader().expect("a leader");
-        let parts = w.node(i).and_then(|n| n.mirror.parts.as_ref());
+        let parts = w.node(i).and_then(|n| n.cache.parts.as_ref());
         parts.map_or(0, |(g, _)| g.epoch)
     };
     assert!(epoch(&w) > 0, "somebody asked for more");
--- a/tests/gap.rs
+++ b/tests/gap.rs
@@ -1,10 +1,10 @@
 //! The gap: the state service refuses the leader alone, another controller confirms cancellations, then the state
-//! service is down for all, for longer than a cancellation has, while workers report to the old leader.
+//! service is down for all, for longer than a cancellation has, while agents report to the old leader.
 
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::Mute;
 use world::{CANCEL_S, Cut, Party, SEC, World, job, settled};
 
@@ -22,9 +22,9 @@
 /// A world with replicas that should live on, and arrays that are to be cancelled.
 fn busy(seed: u64) -> World {
     let mut w = settled(seed, 5);
-    w.user("req-1", job(Kind::Service, 5, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
     for n in 2..5 {
-        w.user(&format!("req-{n}"), job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user(&format!("req-{n}"), job(JobKind::Array, 4, 1.0), 300 * SEC);
     }
     w.run(12);
     assert_eq!(w.starts.len(), 17, "seed {seed}: {}", w.dump());
@@ -70,7 +70,7 @@
     }
 }
 
-/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all workers 18 s after
+/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all agents 18 s after
 /// its last read, and every task dies with its lease. Fails as well if it goes on without knowing them.
 #[test]
 fn what_another_controller_confirms_is_stopped_at_once_and_all_else_lives_on() {
@@ -93,7 +93,7 @@
         assert_eq!(w.there("req-4"), 4, "seed {seed}: {}", w.dump());
         end(&mut w);
         kept(&w, seed);
-        w.user("req-9", job(Kind::Array, 2, 1.0), 2 * SEC);
+        w.user("req-9", job(JobKind::Array, 2, 1.0), 2 * SEC);
         w.run(20);
         assert!(w.job_done("req-9"), "seed {seed}: {}", w.dump());
     }
@@ -135,7 +135,7 @@
 }
 
 /// Whoever has confirmed ends at once, or a while later; it stays away, or is back in a moment and knows nothing. Then
-/// nobody can tell what it has told its users, and no worker may be renewed for long.
+/// nobody can tell what it has told its users, and no agent may be renewed for long.
 #[test]
 fn whoever_has_confirmed_crashes() {
     for seed in 0..8 {
@@ -163,7 +163,7 @@
         for how in 0..3 {
             let mut w = busy(2080 + seed);
             let (l, f, _) = parties(&w);
-            let (from, to, until) = (Party::Node(l), Party::Node(f), w.now + 90 * SEC);
+            let (from, to, until) = (Party::Controller(l), Party::Controller(f), w.now + 90 * SEC);
             match how {
                 0 => w.cut(from, to, Cut::Drop, 90 * SEC),
                 1 => w.troubles.cut_one_way(from, to, until),
@@ -178,14 +178,19 @@
     }
 }
 
-/// The leader hears neither of the others: it cannot know what they have told, and lets its workers go in time.
+/// The leader hears neither of the others: it cannot know what they have told, and lets its agents go in time.
 #[test]
 fn a_leader_that_hears_nobody_lets_its_workers_go_in_time() {
     for seed in 0..8 {
         let mut w = busy(2100 + seed);
         let (l, f, t) = parties(&w);
         for other in [f, t] {
-            w.cut(Party::Node(l), Party::Node(other), Cut::Hold, DOWN_S * SEC);
+            w.cut(
+                Party::Controller(l),
+                Party::Controller(other),
+                Cut::Hold,
+                DOWN_S * SEC,
+            );
         }
         gap(&mut w, |w, id| w.cancel(f, id));
         w.run(DOWN_S);
@@ -208,7 +213,7 @@
                 w.slow_store = 1_200_000;
             } else {
                 let until = w.now + ALONE + SEC / 2;
-                w.lose_answers.push((Party::Store, until));
+                w.lose_answers.push((Party::StoreClient, until));
             }
             gap(&mut w, |w, id| w.cancel(f, id));
             w.run(DOWN_S);
@@ -237,12 +242,12 @@
         for hang in [6 * SEC, 9 * SEC, 20 * SEC] {
             let mut w = busy(2140 + seed);
             let (_, f, _) = parties(&w);
-            w.user("req-5", job(Kind::Array, 12, 1.0), 300 * SEC);
+            w.user("req-5", job(JobKind::Array, 12, 1.0), 300 * SEC);
             w.delay_orders = Some(300_000);
             w.step_for(900_000);
             let until = w.now + hang;
             for m in w.names() {
-                w.workers.get_mut(&m).unwrap().hung_until = until;
+                w.agents.get_mut(&m).unwrap().hung_until = until;
             }
             w.delay_orders = None;
             gap(&mut w, |w, id| {
@@ -257,7 +262,7 @@
 }
 
 /// A start gets no answer, and comes after all else, long after its job was cancelled. With the state service out, no
-/// higher term can fence it. Fails (ran_cancelled) if the worker is renewed all the same.
+/// higher term can fence it. Fails (ran_cancelled) if the agent is renewed all the same.
 #[test]
 fn a_start_that_got_no_answer_comes_when_its_job_is_long_cancelled() {
     for seed in 0..8 {
@@ -265,7 +270,7 @@
         let (_, f, _) = parties(&w);
         let long = (ALONE / SEC + CANCEL_S + 8) * SEC;
         w.delay_orders = Some(long);
-        w.user("req-5", job(Kind::Array, 12, 1.0), 300 * SEC);
+        w.user("req-5", job(JobKind::Array, 12, 1.0), 300 * SEC);
         w.run(4);
         gap(&mut w, |w, id| {
             w.cancel(f, id);
@@ -290,7 +295,7 @@
         for m in w.names() {
             w.troubles.deafen_to(&m, None, &[Mute::Commands], until);
         }
-        w.user("req-2000", job(Kind::Array, 8, 1.0), 300 * SEC);
+        w.user("req-2000", job(JobKind::Array, 8, 1.0), 300 * SEC);
         w.run(1);
         let l = w.leader().expect("a leader");
         w.store.refuses.push(l);
@@ -327,14 +332,14 @@
             end(&mut w);
             kept(&w, seed);
             if round == 0 {
-                w.user("req-6", job(Kind::Array, 4, 1.0), 300 * SEC);
+                w.user("req-6", job(JobKind::Array, 4, 1.0), 300 * SEC);
                 w.run(10);
             }
         }
     }
 }
 
-/// Who does not know the new format is told nothing and vouches as before: no rule breaks, and the workers go
+/// Who does not know the new format is told nothing and vouches as before: no rule breaks, and the agents go
 /// in time.
 #[test]
 fn controllers_of_the_first_version_beside_ours() {
@@ -346,9 +351,9 @@
             w.set_old(place, true);
             w.crash(place, 50_000);
             w.run(10);
-            w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-            w.user("req-2", job(Kind::Array, 4, 1.0), 300 * SEC);
-            w.user("req-3", job(Kind::Array, 4, 1.0), 300 * SEC);
+            w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+            w.user("req-2", job(JobKind::Array, 4, 1.0), 300 * SEC);
+            w.user("req-3", job(JobKind::Array, 4, 1.0), 300 * SEC);
             w.run(12);
             let (l, f, _) = parties(&w);
             let who = if l == place { f } else { place };
@@ -362,7 +367,7 @@
     }
 }
 
-/// Workers that come to the others meanwhile: they renew by right, and stop what is cancelled as well, also the third
+/// Agents that come to the others meanwhile: they renew by right, and stop what is cancelled as well, also the third
 /// that has only heard of it.
 #[test]
 fn workers_that_move_between_the_controllers_meanwhile() {
@@ -373,19 +378,26 @@
         if hearsay {
             w.store.refuses.push(t);
             // The leader does not hear of it, and cannot stop anything itself.
-            w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 12 * SEC);
+            w.cut(
+                Party::Controller(l),
+                Party::Controller(f),
+                Cut::Drop,
+                12 * SEC,
+            );
         }
         gap(&mut w, |w, id| w.cancel(f, id));
         for (n, m) in w.names().into_iter().enumerate() {
             let at = w.rng.random_range(0..12 * SEC);
             let dt = w.rng.random_range(5 * SEC..15 * SEC);
-            let worker = Party::Worker(m);
+            let agent = Party::Agent(m);
             if hearsay {
                 // Its way to whoever is left, from the beginning.
-                w.cut(Party::Node(l), worker.clone(), Cut::Drop, DOWN_S * SEC);
-                w.cut(Party::Node(f), worker, Cut::Drop, DOWN_S * SEC);
+                w.cut(Party::Controller(l), agent.clone(), Cut::Drop, DOWN_S * SEC);
+                w.cut(Party::Controller(f), agent, Cut::Drop, DOWN_S * SEC);
             } else if n % 2 == 0 {
-                w.after(at, move |w| w.cut(Party::Node(l), worker, Cut::Drop, dt));
+                w.after(at, move |w| {
+                    w.cut(Party::Controller(l), agent, Cut::Drop, dt)
+                });
             }
         }
         w.run(DOWN_S);
@@ -403,18 +415,18 @@
     for seed in 0..8 {
         let mut w = settled(2240 + seed, 3);
         w.no_capacity = true;
-        let spec = Spec {
+        let spec = JobSpec {
             checkpoint_s: 5.0,
             save_s: 25.0,
             priority: Priority::Low,
-            ..job(Kind::Array, 12, 2.0)
+            ..job(JobKind::Array, 12, 2.0)
         };
         w.user("req-2", spec.clone(), 300 * SEC);
         w.user("req-3", spec, 300 * SEC);
         w.run(8);
-        let high = Spec {
+        let high = JobSpec {
             priority: Priority::High,
-            ..job(Kind::Gang, 1, 8.0)
+            ..job(JobKind::Gang, 1, 8.0)
         };
         w.user("req-7", high, 200 * SEC);
         w.run(3);
@@ -439,7 +451,7 @@
                 if deaf {
                     w.troubles.deafen(&m, until);
                 } else {
-                    w.workers.get_mut(&m).unwrap().hung_until = until;
+                    w.agents.get_mut(&m).unwrap().hung_until = until;
                 }
             }
             w.run(DOWN_S);
@@ -457,9 +469,14 @@
         let mut w = busy(2280 + seed);
         let (l, f, t) = parties(&w);
         // Only what F itself tells reaches the leader.
-        w.cut(Party::Node(l), Party::Node(t), Cut::Drop, 3 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(t),
+            Cut::Drop,
+            3 * SEC,
+        );
         for n in 10..13 {
-            w.user(&format!("req-{n}"), job(Kind::Array, 1, 1.0), 300 * SEC);
+            w.user(&format!("req-{n}"), job(JobKind::Array, 1, 1.0), 300 * SEC);
         }
         w.run(4);
         for n in 10..13 {
@@ -467,8 +484,18 @@
         }
         w.run(3);
         w.store.refuses.push(l);
-        w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 2 * SEC);
-        w.cut(Party::Node(l), Party::Node(t), Cut::Drop, 2 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(f),
+            Cut::Drop,
+            2 * SEC,
+        );
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(t),
+            Cut::Drop,
+            2 * SEC,
+        );
         w.step_for(SEC / 5);
         w.cancel(f, "req-2");
         w.step_for(SEC / 20);
@@ -477,7 +504,12 @@
         assert_eq!(w.told("req-2"), "cancelled", "seed {seed}");
         w.store.outage = true;
         // The third would tell it as well.
-        w.cut(Party::Node(l), Party::Node(t), Cut::Drop, 200 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(t),
+            Cut::Drop,
+            200 * SEC,
+        );
         w.run(6);
         assert_eq!(w.there("req-2"), 0, "seed {seed}: {}", w.dump());
         w.run(DOWN_S);
@@ -493,7 +525,12 @@
     for seed in 0..8 {
         let mut w = busy(2300 + seed);
         let (l, f, t) = parties(&w);
-        w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 90 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(f),
+            Cut::Drop,
+            90 * SEC,
+        );
         w.run(3);
         assert_eq!(w.leader(), Some(l), "seed {seed}");
         w.store.refuses.push(t);
@@ -511,20 +548,25 @@
     for seed in 0..4 {
         let mut w = busy(2320 + seed);
         let (l, f, t) = parties(&w);
-        w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 120 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(f),
+            Cut::Drop,
+            120 * SEC,
+        );
         for m in w.names() {
             w.cut(
-                Party::Node(f),
-                Party::Worker(m.clone()),
+                Party::Controller(f),
+                Party::Agent(m.clone()),
                 Cut::Drop,
                 120 * SEC,
             );
-            w.cut(Party::Node(t), Party::Worker(m), Cut::Drop, 120 * SEC);
+            w.cut(Party::Controller(t), Party::Agent(m), Cut::Drop, 120 * SEC);
         }
         // New machines come to the new leader alone: their reports would show the old one its term.
         for m in 6..16 {
-            let m = Party::Worker(format!("n-{m:06}"));
-            w.cut(Party::Node(l), m, Cut::Drop, 120 * SEC);
+            let m = Party::Agent(format!("n-{m:06}"));
+            w.cut(Party::Controller(l), m, Cut::Drop, 120 * SEC);
         }
         w.store.refuses.extend([l, t]);
         w.run(12);
@@ -565,7 +607,7 @@
 
 /// A controller whose watch lags far behind takes the lead over, and the state service is out before it has read
 /// anything: that its claim was carried out does not show it what was cancelled before. Fails (ran_cancelled) if
-/// workers are renewed as if it did.
+/// agents are renewed as if it did.
 #[test]
 fn a_claim_is_no_proof_of_what_was_cancelled_before_it() {
     let mut led = 0;
@@ -573,7 +615,12 @@
         let mut w = busy(2360 + seed);
         let (x, c, f) = parties(&w);
         for other in [x, c] {
-            w.cut(Party::Node(other), Party::Node(f), Cut::Drop, 100 * SEC);
+            w.cut(
+                Party::Controller(other),
+                Party::Controller(f),
+                Cut::Drop,
+                100 * SEC,
+            );
         }
         w.run(3);
         w.lag_watch.insert(c, 60 * SEC);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -2,8 +2,9 @@
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
-use walnuttrestle::protocol::peer::{
-    BadHeartbeat, CancellationNews, Gist, Heartbeat, Knows, MOST_CANCELLATIONS, More,
+use walnuttrestle::protocol::peer_messages::{
+    BadHeartbeat, CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension,
+    MOST_CANCELLATIONS, RecordSummary,
 };
 
 fn beat(jobs: usize) -> Heartbeat {
@@ -17,19 +18,19 @@
         format: format::NEWEST,
         asks: 30_000,
         epoch: 4,
-        more: Some(More {
+        more: Some(HeartbeatExtension {
             run: 77,
             right: Some(7),
             used_ago: None,
             quiet: false,
         }),
-        gist: Some(Gist {
+        record_summary: Some(RecordSummary {
             lead: ("kernel-0".into(), 3, 7),
             revision: 411,
             cancelled: vec!["req-000009".into()],
             known: vec![("kernel-2".into(), 12)],
         }),
-        knows: Some(Knows {
+        knows: Some(CancellationCursor {
             complete: 400,
             heard: (78, 3),
         }),
@@ -58,7 +59,7 @@
     let ours = beat(3);
     let known = postcard::to_stdvec(&ours).unwrap();
     let known = postcard::to_extend(&(format::RIGHTS, 30_000u64, 4u64), known).unwrap();
-    let sent = postcard::to_extend(&(ours.more.unwrap(), &ours.gist), known).unwrap();
+    let sent = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), known).unwrap();
     let heard = Heartbeat::decode(&sent).unwrap();
     assert_eq!((heard.format, heard.more), (format::RIGHTS, ours.more));
     assert_eq!((heard.knows, heard.news), (None, None));
@@ -66,8 +67,12 @@
     let all = ours.encode();
     let (_, rest) = postcard::take_from_bytes::<Heartbeat>(&all).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
-    let (more, gist): (More, Option<Gist>) = postcard::from_bytes(rest).unwrap();
-    assert_eq!((Some(more), gist), (ours.more, ours.gist));
+    let (more, record_summary): (HeartbeatExtension, Option<RecordSummary>) =
+        postcard::from_bytes(rest).unwrap();
+    assert_eq!(
+        (Some(more), record_summary),
+        (ours.more, ours.record_summary)
+    );
 }
 
 #[test]
--- a/tests/hunt.rs
+++ b/tests/hunt.rs
@@ -3,14 +3,14 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::Copies;
 use world::{CANCEL_S, Cut, LEASE_S, Party, SEC, World, job, settled};
 
-fn red(tasks: u32, gpus: f64) -> Spec {
-    Spec {
+fn red(tasks: u32, gpus: f64) -> JobSpec {
+    JobSpec {
         team: "red".into(),
-        ..job(Kind::Array, tasks, gpus)
+        ..job(JobKind::Array, tasks, gpus)
     }
 }
 
@@ -38,8 +38,8 @@
     for seed in 0..24 {
         let mut w = settled(5000 + seed, 4);
         w.no_capacity = true;
-        w.user("req-1", job(Kind::Service, 6, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 6, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 6, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 6, 1.0), 300 * SEC);
         w.run(10);
         let silent: Vec<String> = w.names().into_iter().take(1 + seed as usize % 2).collect();
         let from = w.now;
@@ -49,7 +49,7 @@
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
             w.after(n * SEC, move |w| {
-                w.user(&id, job(Kind::Array, 2, 1.0), 2 * SEC)
+                w.user(&id, job(JobKind::Array, 2, 1.0), 2 * SEC)
             });
         }
         w.after(2 * SEC, |w| w.cancel_surely("req-2"));
@@ -99,9 +99,10 @@
         let until = w.now + dt;
         for m in &machines {
             match seed % 4 {
-                0 => (0..3)
-                    .for_each(|i| w.cut(Party::Node(i), Party::Worker(m.clone()), Cut::Hold, dt)),
-                1 => w.workers.get_mut(m).expect("a machine").hung_until = until,
+                0 => (0..3).for_each(|i| {
+                    w.cut(Party::Controller(i), Party::Agent(m.clone()), Cut::Hold, dt)
+                }),
+                1 => w.agents.get_mut(m).expect("a machine").hung_until = until,
                 2 => w.troubles.silence(m, until),
                 _ => w.troubles.deafen(m, until),
             }
@@ -129,12 +130,12 @@
 fn jobs_are_cancelled_in_the_seconds_of_a_handover() {
     for seed in 0..48 {
         let mut w = settled(5100 + seed, 6);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(6);
         let ids: Vec<String> = (0..12).map(|n| format!("req-{}", 100 + n)).collect();
         for (n, id) in ids.iter().enumerate() {
             let (id, at) = (id.clone(), n as u64 * 400_000);
-            let kind = [Kind::Array, Kind::Gang][n % 2];
+            let kind = [JobKind::Array, JobKind::Gang][n % 2];
             w.after(at, move |w| w.user(&id, job(kind, 2, 1.0), 100 * SEC));
             let (id, at) = (ids[n].clone(), at + w.rng.random_range(50_000..4 * SEC));
             let node = w.rng.random_range(0..3);
@@ -152,9 +153,14 @@
             }),
             2 => w.after(at, |w| {
                 let l = leader(w);
-                w.cut(Party::Node(l), Party::Store, Cut::Hold, 9 * SEC);
+                w.cut(Party::Controller(l), Party::StoreClient, Cut::Hold, 9 * SEC);
                 for o in (0..3).filter(|o| *o != l) {
-                    w.cut(Party::Node(l), Party::Node(o), Cut::Hold, 9 * SEC);
+                    w.cut(
+                        Party::Controller(l),
+                        Party::Controller(o),
+                        Cut::Hold,
+                        9 * SEC,
+                    );
                 }
             }),
             _ => w.after(at, |w| {
@@ -181,9 +187,9 @@
     for seed in 0..32 {
         let mut w = settled(5160 + seed, 2);
         w.boot = w.rng.random_range(100_000..2 * SEC);
-        w.user("req-1", job(Kind::Service, 6, 4.0), 0);
+        w.user("req-1", job(JobKind::Service, 6, 4.0), 0);
         for n in 10..16 {
-            w.user(&format!("req-{n}"), job(Kind::Array, 3, 4.0), 5 * SEC);
+            w.user(&format!("req-{n}"), job(JobKind::Array, 3, 4.0), 5 * SEC);
         }
         w.troubles.late_writes = [0.0, 0.2, 0.4][seed as usize % 3];
         w.troubles.lost_answers = [0.2, 0.0][seed as usize % 2];
@@ -208,33 +214,33 @@
 }
 
 /// Copies of reports, kept for the next leader, come to every controller just as it begins: the first that it hears of a
-/// worker may be of an earlier session or attempt.
+/// agent may be of an earlier session or attempt.
 #[test]
 fn old_reports_reach_every_controller_just_as_a_new_leader_begins() {
     for seed in 0..48 {
         let mut w = settled(5220 + seed, 5);
         w.troubles.for_next = 0.6;
-        w.user("req-1", job(Kind::Service, 5, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
         w.user("req-2", red(6, 2.0), 300 * SEC);
         for n in 10..18u64 {
             let id = format!("req-{n}");
             w.after((n - 10) * 3 * SEC, move |w| {
-                w.user(&id, job(Kind::Array, 2, 1.0), 4 * SEC);
+                w.user(&id, job(JobKind::Array, 2, 1.0), 4 * SEC);
             });
         }
         w.run(8);
         let m = w.names().remove(seed as usize % 5);
         match seed % 4 {
-            0 => w.workers.get_mut(&m).expect("it").hung_until = w.now + (LEASE_S + 3) * SEC,
+            0 => w.agents.get_mut(&m).expect("it").hung_until = w.now + (LEASE_S + 3) * SEC,
             1 => w.troubles.silence(&m, w.now + (LEASE_S + 5) * SEC),
             2 => {
                 w.failed.insert(m.clone());
-                w.workers.get_mut(&m).expect("it").alive = false;
+                w.agents.get_mut(&m).expect("it").alive = false;
             }
             _ => (0..3).for_each(|i| {
                 w.cut(
-                    Party::Node(i),
-                    Party::Worker(m.clone()),
+                    Party::Controller(i),
+                    Party::Agent(m.clone()),
                     Cut::Drop,
                     16 * SEC,
                 );
@@ -263,13 +269,13 @@
         let mut w = World::with_budget(5300 + seed, 3, 8, [60.0, 25.0][seed as usize % 2]);
         w.run(8);
         w.costs = Default::default();
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..480u64 {
             let id = format!("req-{}", 1000 + n);
             let run = w.rng.random_range(SEC..5 * SEC);
             let cancelled = (n % 4 == 0).then(|| w.rng.random_range(0..6 * SEC));
             w.after(n * SEC / 4, move |w| {
-                w.user(&id, job(Kind::Array, 1, 0.5), run);
+                w.user(&id, job(JobKind::Array, 1, 0.5), run);
                 if let Some(at) = cancelled {
                     w.after(at, move |w| w.cancel_surely(&id));
                 }
@@ -300,14 +306,14 @@
     }
 }
 
-/// A zone with workers and a controller is cut off for longer than a lease, or all controllers are away for longer; jobs are
+/// A zone with agents and a controller is cut off for longer than a lease, or all controllers are away for longer; jobs are
 /// cancelled meanwhile.
 #[test]
 fn a_zone_with_a_controller_or_all_controllers_are_away_for_longer_than_a_lease() {
     for seed in 0..32 {
         let mut w = settled(5340 + seed, 6);
-        w.user("req-1", job(Kind::Service, 6, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 6, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 6, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 6, 1.0), 300 * SEC);
         w.user("req-3", red(6, 2.0), 90 * SEC);
         w.run(10);
         let dt = w.rng.random_range(LEASE_S + 2..CANCEL_S + 10) * SEC;
@@ -315,18 +321,18 @@
         if seed % 2 == 0 {
             // Controller 1 and every second machine are in zone b.
             let b: Vec<String> = w
-                .workers
+                .agents
                 .values()
                 .filter(|x| x.zone == "b")
                 .map(|x| x.name.clone())
                 .collect();
             for i in [0, 2] {
-                w.cut(Party::Node(1), Party::Node(i), how, dt);
+                w.cut(Party::Controller(1), Party::Controller(i), how, dt);
                 b.iter()
-                    .for_each(|m| w.cut(Party::Node(i), Party::Worker(m.clone()), how, dt));
+                    .for_each(|m| w.cut(Party::Controller(i), Party::Agent(m.clone()), how, dt));
             }
-            w.cut(Party::Node(1), Party::Store, how, dt);
-            w.cut(Party::Node(1), Party::Cloud, how, dt);
+            w.cut(Party::Controller(1), Party::StoreClient, how, dt);
+            w.cut(Party::Controller(1), Party::Cloud, how, dt);
         } else if seed % 4 == 1 {
             (0..3).for_each(|i| w.crash(i, dt + i as u64 * 100_000));
         } else {
@@ -356,17 +362,17 @@
         let mut w = settled(5400 + seed, 4);
         w.no_capacity = true;
         w.troubles.slow_links = [200_000, 700_000][seed as usize % 2];
-        let low = |tasks| Spec {
+        let low = |tasks| JobSpec {
             priority: Priority::Low,
             checkpoint_s: 2.0,
             save_s: 1.0,
-            ..job(Kind::Array, tasks, 2.0)
+            ..job(JobKind::Array, tasks, 2.0)
         };
-        let gang = |priority| Spec {
+        let gang = |priority| JobSpec {
             priority,
             checkpoint_s: 2.0,
             save_s: 1.0,
-            ..job(Kind::Gang, 2, 4.0)
+            ..job(JobKind::Gang, 2, 4.0)
         };
         w.user("req-1", low(16), 9 * SEC);
         w.user("req-2", low(8), 6 * SEC);
@@ -375,9 +381,9 @@
             let spec = gang([Priority::High, Priority::Normal][n as usize % 2]);
             w.after(n * 4 * SEC, move |w| w.user(&id, spec, 5 * SEC));
         }
-        let top = Spec {
+        let top = JobSpec {
             priority: Priority::Production,
-            ..job(Kind::Service, 2, 2.0)
+            ..job(JobKind::Service, 2, 2.0)
         };
         w.after(7 * SEC, move |w| w.user("req-3", top, 0));
         if seed % 2 == 0 {
@@ -402,18 +408,18 @@
 fn jobs_bound_to_one_zone_lose_machines() {
     for seed in 0..32 {
         let mut w = settled(5440 + seed, 6);
-        let bound = |kind, tasks, zone: Option<&str>| Spec {
+        let bound = |kind, tasks, zone: Option<&str>| JobSpec {
             one_zone: zone.is_none(),
             zone: zone.map(str::to_string),
             ..job(kind, tasks, 2.0)
         };
-        w.user("req-1", bound(Kind::Array, 6, None), 12 * SEC);
-        w.user("req-2", bound(Kind::Array, 5, Some("a")), 12 * SEC);
-        w.user("req-3", bound(Kind::Gang, 3, None), 12 * SEC);
-        w.user("req-4", bound(Kind::Service, 3, None), 0);
-        let spread = Spec {
+        w.user("req-1", bound(JobKind::Array, 6, None), 12 * SEC);
+        w.user("req-2", bound(JobKind::Array, 5, Some("a")), 12 * SEC);
+        w.user("req-3", bound(JobKind::Gang, 3, None), 12 * SEC);
+        w.user("req-4", bound(JobKind::Service, 3, None), 0);
+        let spread = JobSpec {
             spread: true,
-            ..job(Kind::Service, 5, 1.0)
+            ..job(JobKind::Service, 5, 1.0)
         };
         w.user("req-5", spread, 0);
         w.run(8);
@@ -426,9 +432,9 @@
                 match (seed + k) % 3 {
                     0 => {
                         w.failed.insert(m.clone());
-                        w.workers.get_mut(&m).expect("it").alive = false;
+                        w.agents.get_mut(&m).expect("it").alive = false;
                     }
-                    1 => w.workers.get_mut(&m).expect("it").hung_until = until,
+                    1 => w.agents.get_mut(&m).expect("it").hung_until = until,
                     _ => w.troubles.silence(&m, until),
                 }
             });
@@ -453,12 +459,12 @@
 fn starts_are_held_up_while_their_jobs_are_cancelled_and_the_machines_hang() {
     for seed in 0..48 {
         let mut w = settled(5500 + seed, 5);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(6);
         let ids: Vec<String> = (0..6).map(|n| format!("req-{}", 100 + n)).collect();
         w.delay_orders = Some([300_000, 2 * SEC, 6 * SEC, 14 * SEC][seed as usize % 4]);
         for id in &ids {
-            w.user(id, job(Kind::Array, 2, 1.0), 200 * SEC);
+            w.user(id, job(JobKind::Array, 2, 1.0), 200 * SEC);
         }
         let at = w.rng.random_range(200_000..3 * SEC);
         w.step_for(at);
@@ -492,22 +498,22 @@
         w.balance();
         w.no_capacity = true;
         // Fills both machines but for one GPU on each.
-        w.user("req-1", job(Kind::Service, 2, 7.0), 0);
+        w.user("req-1", job(JobKind::Service, 2, 7.0), 0);
         w.run(8);
         assert_eq!(w.there("req-1"), 2);
         for m in w.names() {
-            w.workers.get_mut(&m).expect("a machine").errors = true;
+            w.agents.get_mut(&m).expect("a machine").errors = true;
         }
         for n in 0..1 + seed % 4 {
             w.caller(
                 &format!("req-{}", 10 + n),
-                job(Kind::Array, 1, 1.0),
+                job(JobKind::Array, 1, 1.0),
                 4 * SEC,
             );
         }
         w.run(8);
         for m in w.names() {
-            w.workers.get_mut(&m).expect("a machine").errors = false;
+            w.agents.get_mut(&m).expect("a machine").errors = false;
         }
         w.calm();
         w.run(150);
@@ -532,7 +538,7 @@
         w.user("req-2", red(6, 2.0), 6 * SEC);
         w.run(9);
         let m = w.on("req-1/0").pop_first().expect("a machine");
-        w.workers.get_mut(&m).expect("it").hung_until = w.now + (LEASE_S + 6) * SEC;
+        w.agents.get_mut(&m).expect("it").hung_until = w.now + (LEASE_S + 6) * SEC;
         w.after(3 * SEC, |w| crash_leader(w, 50_000));
         w.after(17 * SEC, |w| crash_leader(w, 50_000));
         w.run(60);
--- a/tests/known.rs
+++ b/tests/known.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::Copies;
 use world::{Cut, Party, SEC, World, job, settled};
 
@@ -47,15 +47,15 @@
             w.after(dt, |w| w.store.refuses.clear());
         }
         6 => {
-            w.cut(Party::Node(i), Party::Store, Cut::Drop, dt);
+            w.cut(Party::Controller(i), Party::StoreClient, Cut::Drop, dt);
             for j in others(i) {
-                w.cut(Party::Node(i), Party::Node(j), Cut::Drop, dt);
+                w.cut(Party::Controller(i), Party::Controller(j), Cut::Drop, dt);
             }
         }
         7 => {
             let how = [Cut::Drop, Cut::Hold][w.rng.random_range(0..2)];
             for j in others(leader) {
-                w.cut(Party::Node(leader), Party::Node(j), how, dt);
+                w.cut(Party::Controller(leader), Party::Controller(j), how, dt);
             }
         }
         8 => {
@@ -76,7 +76,7 @@
             let m = w.names();
             let m = &m[w.rng.random_range(0..m.len())];
             let until = w.now + dt;
-            w.workers.get_mut(m).expect("a machine").hung_until = until;
+            w.agents.get_mut(m).expect("a machine").hung_until = until;
         }
     }
 }
@@ -84,15 +84,15 @@
 /// Many troubles at once; returns the world when it is calm, with its jobs.
 fn night(seed: u64) -> World {
     let mut w = balanced(seed, 6);
-    w.caller("req-1", job(Kind::Service, 4, 1.0), 0);
-    w.caller("req-2", job(Kind::Gang, 2, 5.0), 15 * SEC);
-    w.caller("req-3", job(Kind::Array, 10, 1.0), 6 * SEC);
-    w.caller("req-4", job(Kind::Array, 3, 1.0), 500 * SEC);
+    w.caller("req-1", job(JobKind::Service, 4, 1.0), 0);
+    w.caller("req-2", job(JobKind::Gang, 2, 5.0), 15 * SEC);
+    w.caller("req-3", job(JobKind::Array, 10, 1.0), 6 * SEC);
+    w.caller("req-4", job(JobKind::Array, 3, 1.0), 500 * SEC);
     w.run(6);
     for _ in 0..w.rng.random_range(2..7) {
         trouble(&mut w, 45 * SEC);
         let id = format!("req-{}", 10 + w.now / SEC);
-        w.caller(&id, job(Kind::Array, 2, 1.0), 3 * SEC);
+        w.caller(&id, job(JobKind::Array, 2, 1.0), 3 * SEC);
         let pause = w.rng.random_range(0..8 * SEC);
         w.step_for(pause);
     }
@@ -113,7 +113,7 @@
     let mut w = night(seed);
     w.run(150);
     for (id, t) in &w.jobs {
-        let ends = t.spec.kind != Kind::Service && t.run < 100 * SEC;
+        let ends = t.spec.kind != JobKind::Service && t.run < 100 * SEC;
         assert!(
             t.accepted,
             "seed {seed}: {id} was never accepted\n{}",
@@ -168,24 +168,24 @@
 }
 
 /// Twelve full machines, smaller jobs coming all the time, nothing to rent. How long the large job waits.
-fn waits(seed: u64, small: Small, large: Spec, crash: bool) -> Option<u64> {
+fn waits(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
     let mut w = balanced(seed, 12);
     w.no_capacity = true;
     let gangs = |w: &mut World, n: u64, run: u64| {
-        let spec = Spec {
+        let spec = JobSpec {
             estimate_s: 5.0,
             priority: Priority::High,
-            ..job(Kind::Gang, 1, 8.0)
+            ..job(JobKind::Gang, 1, 8.0)
         };
         w.user(&format!("req-9{n}"), spec, run);
     };
     let singles = |w: &mut World, n: u64, run: u64| {
-        w.user(&format!("req-8{n}"), job(Kind::Array, 4, 1.0), run);
+        w.user(&format!("req-8{n}"), job(JobKind::Array, 4, 1.0), run);
     };
     if matches!(small, Small::BehindGuests) {
-        let guest = Spec {
+        let guest = JobSpec {
             priority: Priority::Low,
-            ..job(Kind::Array, 2_000, 1.0)
+            ..job(JobKind::Array, 2_000, 1.0)
         };
         w.user("req-70", guest, 30 * SEC);
         w.run(3);
@@ -221,21 +221,21 @@
 /// same rank go on coming.
 #[test]
 fn the_largest_begin_within_four_minutes_whatever_smaller_jobs_come() {
-    let of = |kind, tasks, gpus, priority| Spec {
+    let of = |kind, tasks, gpus, priority| JobSpec {
         priority,
         estimate_s: 60.0,
         ..job(kind, tasks, gpus)
     };
     let larges = [
-        ("gang", of(Kind::Gang, 5, 8.0, Priority::High)),
+        ("gang", of(JobKind::Gang, 5, 8.0, Priority::High)),
         (
             "service",
-            Spec {
+            JobSpec {
                 spread: true,
-                ..of(Kind::Service, 8, 2.0, Priority::Production)
+                ..of(JobKind::Service, 8, 2.0, Priority::Production)
             },
         ),
-        ("array", of(Kind::Array, 48, 1.0, Priority::Normal)),
+        ("array", of(JobKind::Array, 48, 1.0, Priority::Normal)),
     ];
     let mut table = Vec::new();
     for small in [Small::Gangs, Small::Singles, Small::BehindGuests] {
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use walnuttrestle::protocol::Kind;
+use walnuttrestle::protocol::JobKind;
 use world::{Costs, SEC, World, job};
 
 const MACHINES: usize = 1_900;
@@ -14,7 +14,7 @@
     let mut w = World::with_budget(seed, 3, MACHINES, 150.0);
     w.run(10);
     for n in 0..TASKS / 15 {
-        w.user(&format!("req-{n}"), job(Kind::Array, 15, 8.0), 600 * SEC);
+        w.user(&format!("req-{n}"), job(JobKind::Array, 15, 8.0), 600 * SEC);
     }
     w.run(40);
     assert_eq!(w.starts.values().sum::<u32>(), TASKS);
@@ -25,7 +25,7 @@
 fn all_workers_come_to_one_controller_in_the_same_second() {
     let mut w = full(1);
     w.costs = Costs::default();
-    // All are with the leader; its process goes, and that of one sibling.
+    // All are with the leader; its process goes, and that of one peer.
     let l = w.leader().expect("a leader");
     let left = (l + 1) % 3;
     w.crash(l, 60 * SEC);
@@ -39,10 +39,10 @@
         "nothing starts twice"
     );
     assert!(
-        w.workers.values().all(|x| x.session == 1),
+        w.agents.values().all(|x| x.session == 1),
         "no lease ran out"
     );
-    // The records once, signs of life, barriers of polls; each worker is told the term once at the most.
+    // The records once, signs of life, barriers of polls; each agent is told the term once at the most.
     assert!(w.costs.requests < 30 * 60, "{:?}", w.costs);
     assert!(w.costs.changes < 30, "{:?}", w.costs);
     assert!(w.costs.orders <= MACHINES, "{:?}", w.costs);
@@ -63,7 +63,7 @@
         assert!(costs.requests < 6 * 200, "every {every}: {costs:?}");
         assert!(costs.changes < 6 * 150, "every {every}: {costs:?}");
         w.run(40);
-        let up: usize = w.workers.values().map(|x| x.holds().count()).sum();
+        let up: usize = w.agents.values().map(|x| x.holds().count()).sum();
         assert_eq!(up as u32, TASKS, "every {every}: all are there again");
     }
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -5,7 +5,7 @@
 
 use rand::RngExt;
 use walnuttrestle::protocol::format::NEWEST;
-use walnuttrestle::protocol::{Kind, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec};
 use world::trouble::Copies;
 use world::{Cut, LEASE_S, Party, SEC, World, job, settled};
 
@@ -26,7 +26,7 @@
         w.set_old(0, false);
         w.crash(0, 50_000);
         w.run(5);
-        let of = |w: &World| w.node(1).map_or(0, |n| n.mirror.format_of("kernel-0").0);
+        let of = |w: &World| w.node(1).map_or(0, |n| n.cache.format_of("kernel-0").0);
         assert_eq!(
             of(&w),
             NEWEST,
@@ -45,7 +45,7 @@
             );
         }
         went_back += usize::from(back);
-        w.user("req-1", job(Kind::Array, 2, 1.0), 2 * SEC);
+        w.user("req-1", job(JobKind::Array, 2, 1.0), 2 * SEC);
         w.run(30);
         assert!(w.job_done("req-1"), "seed {seed}");
     }
@@ -61,12 +61,16 @@
         let mut w = World::with_budget(6140 + seed, 3, 6, 9.0);
         w.run(8);
         w.troubles.late_key = Some(("wt/b/", 2, w.rng.random_range(2..12) * SEC));
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..24u64 {
             let at = (n / 8) * 3 * SEC;
             let run = w.rng.random_range(SEC / 2..2 * SEC);
             w.after(at, move |w| {
-                w.user(&format!("req-{}", 100 + n), job(Kind::Array, 2, 1.0), run);
+                w.user(
+                    &format!("req-{}", 100 + n),
+                    job(JobKind::Array, 2, 1.0),
+                    run,
+                );
             });
         }
         if seed % 2 == 0 {
@@ -103,9 +107,9 @@
             chance: 0.3,
             most: (LEASE_S + 10) * SEC,
         });
-        w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 5, 1.0), 300 * SEC);
-        w.user("req-3", job(Kind::Array, 2, 1.0), 30 * SEC);
+        w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 5, 1.0), 300 * SEC);
+        w.user("req-3", job(JobKind::Array, 2, 1.0), 30 * SEC);
         w.run(10);
         for k in 0..4u64 {
             let at = k * 8 * SEC + w.rng.random_range(0..3 * SEC);
@@ -128,7 +132,12 @@
                 }),
                 _ => w.after(at, |w| {
                     let l = w.leader().unwrap_or(0);
-                    w.cut(Party::Node(l), Party::Node((l + 1) % 3), Cut::Hold, 7 * SEC);
+                    w.cut(
+                        Party::Controller(l),
+                        Party::Controller((l + 1) % 3),
+                        Cut::Hold,
+                        7 * SEC,
+                    );
                 }),
             }
         }
@@ -148,23 +157,23 @@
 fn copies_come_to_a_follower_that_renews_and_never_saw_the_original() {
     for seed in 0..32 {
         let mut w = settled(6220 + seed, 6);
-        let red = |tasks| Spec {
+        let red = |tasks| JobSpec {
             team: "red".into(),
-            ..job(Kind::Array, tasks, 2.0)
+            ..job(JobKind::Array, tasks, 2.0)
         };
         w.troubles.copies = Some(Copies {
             chance: 0.7,
             most: (LEASE_S + 4) * SEC,
         });
         w.user("req-1", red(6), 60 * SEC);
-        w.user("req-2", job(Kind::Service, 6, 1.0), 0);
+        w.user("req-2", job(JobKind::Service, 6, 1.0), 0);
         w.run(12);
         let l = w.leader().expect("a leader");
         let all = w.names();
         for m in &all {
             w.cut(
-                Party::Node(l),
-                Party::Worker(m.clone()),
+                Party::Controller(l),
+                Party::Agent(m.clone()),
                 Cut::Drop,
                 30 * SEC,
             );
@@ -174,7 +183,7 @@
         w.after(at, move |w| {
             let until = w.now + 25 * SEC;
             w.failed.insert(all[0].clone());
-            if let Some(x) = w.workers.get_mut(&all[0]) {
+            if let Some(x) = w.agents.get_mut(&all[0]) {
                 x.alive = false;
             }
             w.troubles.silence(&all[1], until);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,19 +1,19 @@
 //! When a leader takes leases for run out.
 
-use walnuttrestle::bookkeeping::mirror::Mirror;
-use walnuttrestle::bookkeeping::workers::Worker;
-use walnuttrestle::coordination::leader::Leader;
-use walnuttrestle::coordination::node::Clock;
+use walnuttrestle::agents::leader_state::LeaderState;
+use walnuttrestle::controller::Clock;
 use walnuttrestle::protocol::wire::Report;
 use walnuttrestle::protocol::{Micros, Settings};
+use walnuttrestle::state::agent::Agent;
+use walnuttrestle::state::record_cache::RecordCache;
 
-/// After a cut the answer to a direct command may be the first that shows a worker's new session, while
+/// After a cut the answer to a direct command may be the first that shows a agent's new session, while
 /// our last answer to it was to the old one, a lease ago and longer.
 #[test]
 fn a_session_that_only_a_direct_answer_has_shown_has_its_own_lease() {
     let example = include_str!("../examples/settings.toml");
     let s = Settings::parse("examples/settings.toml", example).expect("the example is valid");
-    let lease = Micros::secs(s.params.workers.lease_s);
+    let lease = Micros::secs(s.params.agents.lease_s);
     let at = |ms: u64| Micros::millis(100_000 + ms);
     let clock = Clock {
         now: at(0),
@@ -31,23 +31,23 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    let mut l = Leader::new(1, 1, clock);
-    let mut w = Worker::new(&report(1, 1));
+    let mut l = LeaderState::new(1, 1, clock);
+    let mut w = Agent::new(&report(1, 1));
     w.update(&report(1, 1), at(0));
     w.answered = Some(at(0));
-    l.workers.insert("n-1".into(), w);
+    l.agents.insert("n-1".into(), w);
     let shown = at(0) + lease + Micros::millis(400);
-    if let Some(w) = l.workers.get_mut("n-1") {
+    if let Some(w) = l.agents.get_mut("n-1") {
         w.update(&report(2, 2), shown);
     }
-    let mirror = Mirror::default();
-    l.leases(&s, &mirror, Micros::ZERO, shown + Micros::millis(1));
-    assert!(l.workers.values().all(|w| !w.is_over()));
+    let cache = RecordCache::default();
+    l.leases(&s, &cache, Micros::ZERO, shown + Micros::millis(1));
+    assert!(l.agents.values().all(|w| !w.is_over()));
     l.leases(
         &s,
-        &mirror,
+        &cache,
         Micros::ZERO,
         shown + lease.times(1.1) + Micros::millis(400),
     );
-    assert!(l.workers.values().all(Worker::is_over));
+    assert!(l.agents.values().all(Agent::is_over));
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -6,14 +6,14 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use walnuttrestle::coordination::policy::Policy;
+use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Settings;
 use walnuttrestle::protocol::job::parse;
 use walnuttrestle::protocol::wire::{JobState, MachinePage, MachineType, MachineTypes};
 use walnuttrestle::protocol::wire::{decode, encode};
 use walnuttrestle::transport::http::{self, Parsed};
 use walnuttrestle::transport::net::{Listeners, Net};
-use walnuttrestle::transport::{NetCmd, NetEvent};
+use walnuttrestle::transport::{NetworkCommand, NetworkEvent};
 
 fn free_port() -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -37,7 +37,7 @@
             let now = started.elapsed().as_micros() as u64;
             let mut out = Vec::new();
             for e in batch {
-                let NetEvent::Request {
+                let NetworkEvent::Request {
                     conn,
                     internal,
                     method,
@@ -66,8 +66,8 @@
     (state, cloud)
 }
 
-fn respond(conn: u64, status: u16, body: Vec<u8>) -> NetCmd {
-    NetCmd::Respond {
+fn respond(conn: u64, status: u16, body: Vec<u8>) -> NetworkCommand {
+    NetworkCommand::Respond {
         conn,
         status,
         body,
@@ -109,7 +109,9 @@
          [params.cloud]\nrps=8.0\nlist_lag_s=2.0\n[params.limits]\ncore_share=1.0\nmem_mb=100.0\nsockets=200\n"
     );
     let settings = Settings::parse("test.toml", &text).unwrap();
-    std::thread::spawn(move || walnuttrestle::shell::run(settings, Policy::default()));
+    std::thread::spawn(move || {
+        walnuttrestle::controller::runtime::run(settings, Policy::default())
+    });
     public
 }
 
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -3,12 +3,12 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::{Copies, Mute};
 use world::{Cut, Party, SEC, World, job, settled};
 
 /// A job whose tasks end one after the other.
-fn apart(w: &mut World, id: &str, kind: Kind, tasks: u32, run: u64, apart: u64) {
+fn apart(w: &mut World, id: &str, kind: JobKind, tasks: u32, run: u64, apart: u64) {
     w.user(id, job(kind, tasks, 1.0), run);
     if let Some(t) = w.jobs.get_mut(id) {
         t.apart = apart;
@@ -26,7 +26,7 @@
         for n in 0..16 {
             w.user(
                 &format!("req-{}", 100 + n),
-                job(Kind::Array, 1, 1.0),
+                job(JobKind::Array, 1, 1.0),
                 300 * SEC,
             );
         }
@@ -44,7 +44,7 @@
             w.user_of(
                 &others,
                 &format!("req-{}", 200 + n),
-                job(Kind::Array, 1, 1.0),
+                job(JobKind::Array, 1, 1.0),
                 300 * SEC,
             );
         }
@@ -74,30 +74,30 @@
     assert!(anew >= 6, "{anew}");
 }
 
-/// The leader is cut from the state service and from its siblings, while workers and users still reach it; jobs are
+/// The leader is cut from the state service and from its peers, while agents and users still reach it; jobs are
 /// cancelled, and others run within their team's limit, through the new one. What it tells its users may not be older
 /// than what others were told, and nothing runs beside what the new leader starts.
 #[test]
 fn an_old_leader_that_workers_and_users_still_reach() {
     for seed in 0..24 {
         let mut w = settled(2500 + seed, 5);
-        let red = |tasks| Spec {
+        let red = |tasks| JobSpec {
             team: "red".into(),
-            ..job(Kind::Array, tasks, 2.0)
+            ..job(JobKind::Array, tasks, 2.0)
         };
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 4, 1.0), 300 * SEC);
         w.user("req-3", red(6), 40 * SEC);
         w.user("req-4", red(4), 30 * SEC);
-        apart(&mut w, "req-5", Kind::Array, 3, 12 * SEC, 8 * SEC);
+        apart(&mut w, "req-5", JobKind::Array, 3, 12 * SEC, 8 * SEC);
         w.run(10);
         let l = w.leader().expect("a leader");
         let others = [(l + 1) % 3, (l + 2) % 3];
         let how = [Cut::Drop, Cut::Hold][seed as usize % 2];
         let dt = w.rng.random_range(12..55) * SEC;
-        w.cut(Party::Node(l), Party::Store, how, dt);
+        w.cut(Party::Controller(l), Party::StoreClient, how, dt);
         for o in others {
-            w.cut(Party::Node(l), Party::Node(o), how, dt);
+            w.cut(Party::Controller(l), Party::Controller(o), how, dt);
         }
         let at = w.rng.random_range(4 * SEC..9 * SEC);
         w.after(at, move |w| w.cancel(others[0], "req-2"));
@@ -133,11 +133,11 @@
         for n in 0..6 {
             let (tasks, gap) = (2 + n % 2, w.rng.random_range(4..14) * SEC);
             let run = w.rng.random_range(2..6) * SEC;
-            apart(&mut w, &format!("req-{n}"), Kind::Array, tasks, run, gap);
+            apart(&mut w, &format!("req-{n}"), JobKind::Array, tasks, run, gap);
         }
-        let gang = Spec {
+        let gang = JobSpec {
             one_zone: false,
-            ..job(Kind::Gang, 3, 2.0)
+            ..job(JobKind::Gang, 3, 2.0)
         };
         w.user("req-8", gang, 14 * SEC);
         w.run(4);
@@ -152,7 +152,7 @@
                 let lost = w.rng.random_range(200_000..2 * SEC);
                 w.after(at.saturating_sub(lost / 2), move |w| {
                     let until = w.now + lost;
-                    w.lose_answers.push((Party::Store, until));
+                    w.lose_answers.push((Party::StoreClient, until));
                 });
             }
         }
@@ -171,11 +171,11 @@
         let mut w = settled(2580 + seed, 5);
         w.balance();
         w.run(3);
-        w.caller("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.caller("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 2..8 {
-            w.caller(&format!("req-{n}"), job(Kind::Array, 2, 1.0), 300 * SEC);
+            w.caller(&format!("req-{n}"), job(JobKind::Array, 2, 1.0), 300 * SEC);
         }
-        w.caller("req-9", job(Kind::Array, 2, 1.0), 20 * SEC);
+        w.caller("req-9", job(JobKind::Array, 2, 1.0), 20 * SEC);
         w.run(10);
         w.slow_store = w.rng.random_range(300_000..2_500_000);
         for n in 2..8u64 {
@@ -218,10 +218,10 @@
 fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
     for seed in 0..32 {
         let mut w = settled(2620 + seed, 6);
-        w.user("req-1", job(Kind::Service, 6, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 6, 1.0), 70 * SEC);
-        w.user("req-3", job(Kind::Array, 6, 1.0), 300 * SEC);
-        w.user("req-4", job(Kind::Gang, 2, 2.0), 60 * SEC);
+        w.user("req-1", job(JobKind::Service, 6, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 6, 1.0), 70 * SEC);
+        w.user("req-3", job(JobKind::Array, 6, 1.0), 300 * SEC);
+        w.user("req-4", job(JobKind::Gang, 2, 2.0), 60 * SEC);
         w.run(10);
         let l = w.leader().expect("a leader");
         let others = [(l + 1) % 3, (l + 2) % 3];
@@ -229,10 +229,15 @@
         let until = w.now + dt;
         for m in w.names().into_iter().take(3) {
             match seed % 4 {
-                0 => w.workers.get_mut(&m).unwrap().hung_until = until,
+                0 => w.agents.get_mut(&m).unwrap().hung_until = until,
                 1 => w.troubles.deafen(&m, until),
                 2 => others.iter().for_each(|o| {
-                    w.cut(Party::Node(*o), Party::Worker(m.clone()), Cut::Hold, dt);
+                    w.cut(
+                        Party::Controller(*o),
+                        Party::Agent(m.clone()),
+                        Cut::Hold,
+                        dt,
+                    );
                 }),
                 _ => others.iter().for_each(|o| {
                     let what = [Mute::Answers, Mute::Commands];
@@ -262,9 +267,9 @@
 fn the_lead_goes_to_and_fro_all_end_and_one_returns() {
     for seed in 0..32 {
         let mut w = settled(2660 + seed, 5);
-        w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 6, 1.0), 25 * SEC);
-        w.user("req-3", job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 6, 1.0), 25 * SEC);
+        w.user("req-3", job(JobKind::Array, 4, 1.0), 300 * SEC);
         w.run(10);
         if seed % 2 == 0 {
             w.troubles.late_writes = 0.15;
@@ -311,11 +316,11 @@
     for seed in 0..32 {
         let mut w = settled(2700 + seed, 3);
         w.no_capacity = true;
-        let low = Spec {
+        let low = JobSpec {
             checkpoint_s: 5.0,
             save_s: 2.0,
             priority: Priority::Low,
-            ..job(Kind::Array, 9, 2.0)
+            ..job(JobKind::Array, 9, 2.0)
         };
         w.user("req-2", low.clone(), 25 * SEC);
         w.user("req-3", low, 25 * SEC);
@@ -328,7 +333,7 @@
                 w.after(k * 5 * SEC + dt / 2, |w| {
                     for i in 0..3 {
                         for m in w.names().into_iter().take(2) {
-                            w.cut(Party::Node(i), Party::Worker(m), Cut::Hold, 3 * SEC);
+                            w.cut(Party::Controller(i), Party::Agent(m), Cut::Hold, 3 * SEC);
                         }
                     }
                 });
@@ -336,9 +341,9 @@
         }
         for n in 0..4 {
             // It has some of them stopped, and started again later.
-            let high = Spec {
+            let high = JobSpec {
                 priority: Priority::High,
-                ..job(Kind::Gang, 1, 8.0)
+                ..job(JobKind::Gang, 1, 8.0)
             };
             let id = format!("req-{}", 10 + n);
             w.after(n * 11 * SEC + 6 * SEC, move |w| w.user(&id, high, 6 * SEC));
@@ -360,15 +365,15 @@
     for seed in 0..48 {
         let mut w = settled(2740 + seed, 5);
         w.troubles.late_writes = [0.05, 0.2, 0.5][seed as usize % 3];
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Gang, 2, 5.0), 12 * SEC);
-        w.user("req-3", job(Kind::Array, 60, 1.0), 8 * SEC);
-        w.user("req-4", job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Gang, 2, 5.0), 12 * SEC);
+        w.user("req-3", job(JobKind::Array, 60, 1.0), 8 * SEC);
+        w.user("req-4", job(JobKind::Array, 4, 1.0), 300 * SEC);
         for n in 10..18 {
             apart(
                 &mut w,
                 &format!("req-{n}"),
-                Kind::Array,
+                JobKind::Array,
                 3,
                 3 * SEC,
                 5 * SEC,
@@ -387,9 +392,14 @@
             // A follower renews on record, with writes that come late.
             let l = w.leader().unwrap_or(0);
             let f = (l + 1) % 3;
-            w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 25 * SEC);
+            w.cut(
+                Party::Controller(l),
+                Party::Controller(f),
+                Cut::Drop,
+                25 * SEC,
+            );
             for m in w.names().into_iter().take(3) {
-                w.cut(Party::Node(l), Party::Worker(m), Cut::Drop, 25 * SEC);
+                w.cut(Party::Controller(l), Party::Agent(m), Cut::Drop, 25 * SEC);
             }
         }
         w.run(60);
@@ -413,22 +423,27 @@
 fn a_follower_that_renews_starts_again_at_once() {
     for seed in 0..24 {
         let mut w = settled(2840 + seed, 5);
-        w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 5, 1.0), 60 * SEC);
+        w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 5, 1.0), 60 * SEC);
         w.run(10);
         let l = w.leader().expect("a leader");
         let f = (l + 1) % 3;
-        w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 50 * SEC);
+        w.cut(
+            Party::Controller(l),
+            Party::Controller(f),
+            Cut::Drop,
+            50 * SEC,
+        );
         for m in w.names().into_iter().take(3) {
             w.cut(
-                Party::Node(l),
-                Party::Worker(m.clone()),
+                Party::Controller(l),
+                Party::Agent(m.clone()),
                 Cut::Drop,
                 50 * SEC,
             );
             w.cut(
-                Party::Node((l + 2) % 3),
-                Party::Worker(m),
+                Party::Controller((l + 2) % 3),
+                Party::Agent(m),
                 Cut::Drop,
                 50 * SEC,
             );
@@ -455,11 +470,13 @@
         let mut w = World::with_budget(2880 + seed, 3, 6, 9.0);
         w.run(8);
         w.troubles.late_writes = [0.1, 0.3][seed as usize % 2];
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..24 {
             let at = (n / 8) * 12 * SEC;
             let id = format!("req-{}", 100 + n);
-            w.after(at, move |w| apart(w, &id, Kind::Array, 3, 3 * SEC, 2 * SEC));
+            w.after(at, move |w| {
+                apart(w, &id, JobKind::Array, 3, 3 * SEC, 2 * SEC)
+            });
         }
         for k in 0..3u64 {
             let at = k * 14 * SEC + w.rng.random_range(0..9 * SEC);
@@ -472,7 +489,7 @@
                 1 => w.after(at, |w| {
                     for m in w.names().into_iter().take(2) {
                         w.failed.insert(m.clone());
-                        w.workers.get_mut(&m).unwrap().alive = false;
+                        w.agents.get_mut(&m).unwrap().alive = false;
                     }
                 }),
                 _ => {}
@@ -502,13 +519,13 @@
             chance: 0.5,
             most: 45 * SEC,
         });
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-3", job(Kind::Array, 4, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-3", job(JobKind::Array, 4, 1.0), 300 * SEC);
         for n in 10..16 {
             apart(
                 &mut w,
                 &format!("req-{n}"),
-                Kind::Array,
+                JobKind::Array,
                 3,
                 3 * SEC,
                 7 * SEC,
@@ -526,9 +543,14 @@
                 }
             }
             _ => {
-                w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 40 * SEC);
+                w.cut(
+                    Party::Controller(l),
+                    Party::Controller(f),
+                    Cut::Drop,
+                    40 * SEC,
+                );
                 for m in w.names().into_iter().take(3) {
-                    w.cut(Party::Node(l), Party::Worker(m), Cut::Hold, 40 * SEC);
+                    w.cut(Party::Controller(l), Party::Agent(m), Cut::Hold, 40 * SEC);
                 }
             }
         }
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -2,36 +2,36 @@
 
 mod world;
 
-use walnuttrestle::bookkeeping::mirror::{Job, Known, Mirror};
 use walnuttrestle::protocol::records::{
-    Bundle, Chunk, Entry, JobRec, Stage, bundle_key, chunk_key, job_key,
+    JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry, bundle_key, chunk_key, job_key,
 };
 use walnuttrestle::protocol::wire::{Item, ItemPage, to_value};
-use walnuttrestle::protocol::{Kind, Micros};
+use walnuttrestle::protocol::{JobKind, Micros};
+use walnuttrestle::state::record_cache::{Job, JobLookup, RecordCache};
 
-fn record(stage: Stage, entries: Vec<Entry>) -> JobRec {
-    let spec = world::job(Kind::Service, 60, 1.0);
-    JobRec {
+fn record(stage: JobStage, entries: Vec<TaskEntry>) -> JobRecord {
+    let spec = world::job(JobKind::Service, 60, 1.0);
+    JobRecord {
         spec,
         at: Micros::ZERO,
         stage,
         end: Micros::ZERO,
-        first: Chunk { entries, done: 0 },
+        first: TaskChunk { entries, done: 0 },
         cleaned: false,
     }
 }
 
-fn entry(task: u32, attempt: u64) -> Entry {
-    Entry(task, attempt, format!("n-{attempt}"), 1, 1, false)
+fn entry(task: u32, attempt: u64) -> TaskEntry {
+    TaskEntry(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
-fn bundle(places: Vec<Entry>) -> Bundle {
-    Bundle {
+fn bundle(places: Vec<TaskEntry>) -> PlacementBatch {
+    PlacementBatch {
         places: vec![("req-1".into(), places)],
     }
 }
 
-fn places(m: &Mirror) -> Vec<(u32, u64)> {
+fn places(m: &RecordCache) -> Vec<(u32, u64)> {
     let job = m.jobs.get("req-1").into_iter();
     job.flat_map(Job::entries)
         .map(|e| (e.task(), e.attempt()))
@@ -41,8 +41,8 @@
 /// A listing brings bundles before jobs, a watch after them; both come to the same.
 #[test]
 fn listing_and_watching_lay_bundles_over_jobs_alike() {
-    let job = record(Stage::Active, vec![entry(0, 1), entry(1, 1)]);
-    let far = Chunk {
+    let job = record(JobStage::Active, vec![entry(0, 1), entry(1, 1)]);
+    let far = TaskChunk {
         entries: vec![entry(50, 1)],
         done: 0,
     };
@@ -56,7 +56,7 @@
         (chunk_key("req-1", 1), to_value(&far), 4),
     ];
     let expected = vec![(0, 2), (1, 1), (49, 1), (50, 2)];
-    let mut listed = Mirror::default();
+    let mut listed = RecordCache::default();
     let items = keys.iter().map(|(key, value, version)| Item {
         key: key.clone(),
         value: value.clone(),
@@ -69,7 +69,7 @@
     };
     assert!(listed.apply_page(page));
     assert_eq!(places(&listed), expected);
-    let mut watched = Mirror::default();
+    let mut watched = RecordCache::default();
     for i in [1, 2, 0] {
         let (key, value, version) = &keys[i];
         watched.put(key, value.clone(), *version);
@@ -80,10 +80,10 @@
     // The job's own records hold the places: the bundle is spent, and may go.
     watched.put_job(
         "req-1",
-        record(Stage::Active, vec![entry(0, 2), entry(1, 1)]),
+        record(JobStage::Active, vec![entry(0, 2), entry(1, 1)]),
         10,
     );
-    let folded = Chunk {
+    let folded = TaskChunk {
         entries: vec![entry(49, 1), entry(50, 2)],
         done: 0,
     };
@@ -97,44 +97,44 @@
 /// Whoever cancels may not have seen the bundle; and a bundle outlives the cleaning.
 #[test]
 fn a_cancelled_job_keeps_its_bundled_places_until_it_is_cleaned() {
-    let mut m = Mirror::default();
-    m.put_job("req-1", record(Stage::Active, vec![entry(0, 1)]), 3);
+    let mut m = RecordCache::default();
+    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
     m.put(&bundle_key(4), to_value(&bundle(vec![entry(0, 2)])), 5);
-    m.put_job("req-1", record(Stage::Cancelled, vec![entry(0, 1)]), 6);
+    m.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
     assert_eq!(places(&m), [(0, 2)]);
-    let cleaned = JobRec {
+    let cleaned = JobRecord {
         cleaned: true,
-        ..record(Stage::Cancelled, Vec::new())
+        ..record(JobStage::Cancelled, Vec::new())
     };
     m.put_job("req-1", cleaned, 7);
-    assert!(matches!(m.job("req-1"), Some(Known::Over(f)) if f.stage == Stage::Cancelled));
+    assert!(matches!(m.job("req-1"), Some(JobLookup::Over(f)) if f.stage == JobStage::Cancelled));
     assert!(m.is_spent(4));
 }
 
 /// A cancellation is told once, whatever comes after it: the cleaning, a rereading, or an older record.
 #[test]
 fn what_is_newly_cancelled_is_told_once() {
-    let mut m = Mirror::default();
-    m.put_job("req-1", record(Stage::Active, vec![entry(0, 1)]), 3);
+    let mut m = RecordCache::default();
+    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
     assert!(m.take_cancelled().is_empty());
-    m.put_job("req-1", record(Stage::Cancelled, vec![entry(0, 1)]), 6);
-    m.put_job("req-1", record(Stage::Active, vec![entry(0, 1)]), 5);
+    m.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
+    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 5);
     assert_eq!(m.take_cancelled(), [("req-1".to_string(), 6)]);
-    let cleaned = JobRec {
+    let cleaned = JobRecord {
         cleaned: true,
-        ..record(Stage::Cancelled, Vec::new())
+        ..record(JobStage::Cancelled, Vec::new())
     };
     m.put_job("req-1", cleaned, 8);
     assert!(m.take_cancelled().is_empty());
-    m.put_job("req-2", record(Stage::Done, Vec::new()), 9);
+    m.put_job("req-2", record(JobStage::Done, Vec::new()), 9);
     assert!(m.take_cancelled().is_empty() && m.is_done("req-2") && m.is_cancelled("req-1"));
 }
 
 /// A record that cannot be read holds until a newer one or its deletion: an older one that comes late says nothing.
 #[test]
 fn a_record_that_cannot_be_read_holds_until_a_newer_one_comes() {
-    let (mut m, key) = (Mirror::default(), job_key("req-1"));
-    let active = to_value(&record(Stage::Active, Vec::new()));
+    let (mut m, key) = (RecordCache::default(), job_key("req-1"));
+    let active = to_value(&record(JobStage::Active, Vec::new()));
     m.put(&key, active.clone(), 3);
     m.put(&key, "spoilt".into(), 7);
     assert!(m.is_unreadable("req-1") && !m.is_unreadable("req-11"));
--- a/tests/nights.rs
+++ b/tests/nights.rs
@@ -1,10 +1,10 @@
 //! Stories of the operators' bad nights (2026-12): jobs with mistakes, machines that hear nothing, copies of
-//! reports that come late, controllers that have nothing left but their workers.
+//! reports that come late, controllers that have nothing left but their agents.
 
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::{Copies, Mute};
 use world::{Cut, LEASE_S, Party, SEC, World, job, settled};
 
@@ -14,11 +14,11 @@
 fn no_machine_is_blamed_for_jobs_with_a_mistake() {
     for seed in 0..6 {
         let mut w = settled(700 + seed, 5);
-        w.user("req-90", job(Kind::Service, 5, 1.0), 0);
+        w.user("req-90", job(JobKind::Service, 5, 1.0), 0);
         w.run(6);
         for i in 0..4 {
             let id = format!("req-{i}");
-            w.user(&id, job(Kind::Array, 12, 1.0), 2 * SEC);
+            w.user(&id, job(JobKind::Array, 12, 1.0), 2 * SEC);
             w.broken_jobs.insert(id);
         }
         w.run(120);
@@ -31,14 +31,14 @@
         for i in 0..4 {
             w.cancel_surely(&format!("req-{i}"));
         }
-        w.user("req-91", job(Kind::Array, 8, 1.0), 2 * SEC);
+        w.user("req-91", job(JobKind::Array, 8, 1.0), 2 * SEC);
         w.run(20);
         assert!(w.job_done("req-91"), "seed {seed}");
     }
 }
 
 /// Fails if a new leader starts all tasks of such jobs again, or returns machines that they have met. What has failed
-/// stays in the workers' reports until a higher term fences it, so the new leader learns it from them; until it has,
+/// stays in the agents' reports until a higher term fences it, so the new leader learns it from them; until it has,
 /// no machine may be given up for it.
 #[test]
 fn a_takeover_starts_no_storm_of_jobs_with_a_mistake() {
@@ -46,7 +46,7 @@
         let mut w = settled(1500 + seed, 5);
         for i in 0..4 {
             let id = format!("req-{i}");
-            w.user(&id, job(Kind::Array, 20, 1.0), 2 * SEC);
+            w.user(&id, job(JobKind::Array, 20, 1.0), 2 * SEC);
             w.broken_jobs.insert(id);
         }
         w.run(90);
@@ -73,7 +73,7 @@
     for seed in 0..8 {
         let mut w = settled(720 + seed, 4);
         w.no_capacity = true;
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(10);
         let deaf = homes(&w, "req-1", 4)[0].clone();
         let until = w.now + 28 * SEC;
@@ -87,7 +87,7 @@
         }
         // Only the other three have room for these.
         for i in 2..8 {
-            w.user(&format!("req-{i}"), job(Kind::Array, 3, 1.0), SEC);
+            w.user(&format!("req-{i}"), job(JobKind::Array, 3, 1.0), SEC);
         }
         w.run(8);
         assert!(
@@ -96,11 +96,11 @@
         );
         w.run(8);
         // It hears again, and is needed: whole machines are wanted.
-        w.user("req-20", job(Kind::Array, 4, 4.0), 12 * SEC);
-        w.user("req-21", job(Kind::Array, 4, 4.0), 12 * SEC);
+        w.user("req-20", job(JobKind::Array, 4, 4.0), 12 * SEC);
+        w.user("req-21", job(JobKind::Array, 4, 4.0), 12 * SEC);
         w.run(9);
         assert!(
-            w.workers[&deaf].holds().next().is_some(),
+            w.agents[&deaf].holds().next().is_some(),
             "seed {seed}: {}",
             w.dump()
         );
@@ -111,7 +111,7 @@
 #[test]
 fn a_machine_that_stays_deaf_is_returned_and_replaced() {
     let mut w = settled(730, 2);
-    w.user("req-1", job(Kind::Service, 2, 6.0), 0);
+    w.user("req-1", job(JobKind::Service, 2, 6.0), 0);
     w.run(10);
     let deaf = homes(&w, "req-1", 2)[0].clone();
     w.troubles.deafen(&deaf, u64::MAX);
@@ -127,9 +127,9 @@
     let mut half = 0;
     for seed in 0..60 {
         let mut w = settled(800 + seed, 6);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Gang, 2, 6.0), 40 * SEC);
-        w.user("req-3", job(Kind::Array, 6, 1.0), 9 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Gang, 2, 6.0), 40 * SEC);
+        w.user("req-3", job(JobKind::Array, 6, 1.0), 9 * SEC);
         w.run(10);
         let zone = w.rng.random_bool(0.5).then_some("b");
         let of = [None, None, w.leader()][w.rng.random_range(0..3)];
@@ -137,14 +137,14 @@
         let what = [&both[..], &both[..1], &both[1..]][w.rng.random_range(0..3)];
         let until = w.now + w.rng.random_range(5..50) * SEC;
         for m in w.names() {
-            if zone.is_none_or(|z| w.workers[&m].zone == z) && w.rng.random_bool(0.8) {
+            if zone.is_none_or(|z| w.agents[&m].zone == z) && w.rng.random_bool(0.8) {
                 w.troubles.deafen_to(&m, of, what, until);
                 half += 1;
             }
         }
         w.run(4);
-        w.user("req-4", job(Kind::Array, 6, 1.0), 5 * SEC);
-        w.user("req-5", job(Kind::Array, 2, 1.0), 90 * SEC);
+        w.user("req-4", job(JobKind::Array, 6, 1.0), 5 * SEC);
+        w.user("req-5", job(JobKind::Array, 2, 1.0), 90 * SEC);
         w.run(6);
         w.cancel_surely("req-5");
         if w.rng.random_bool(0.4) {
@@ -165,7 +165,7 @@
 fn late_copies_of_reports_keep_no_dead_machine_alive() {
     for seed in 0..8 {
         let mut w = settled(740 + seed, 4);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(10);
         w.troubles.copies = Some(Copies {
             chance: 1.0,
@@ -173,7 +173,7 @@
         });
         w.run(20);
         let dead = homes(&w, "req-1", 4)[0].clone();
-        w.workers.get_mut(&dead).unwrap().alive = false;
+        w.agents.get_mut(&dead).unwrap().alive = false;
         // A lease, and what it takes to place and start anew.
         w.run(LEASE_S + 6);
         assert_eq!(homes(&w, "req-1", 4).len(), 4, "seed {seed}: {}", w.dump());
@@ -181,18 +181,18 @@
 }
 
 /// Fails if a report that a direct answer has overtaken is answered with our term although we do not count on it:
-/// its worker's lease is renewed, and taken for run out too early.
+/// its agent's lease is renewed, and taken for run out too early.
 #[test]
 fn a_report_that_an_answer_has_overtaken_renews_nothing_unnoticed() {
     for seed in 0..80 {
         let mut w = settled(900 + seed, 4);
         w.troubles.slow_reports = 1_500_000;
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         // Starts all the time, so that answers to them overtake reports.
         for i in 0..40 {
             let dt = w.rng.random_range(SEC..30 * SEC);
             w.after(dt, move |w| {
-                w.user(&format!("req-{}", 10 + i), job(Kind::Array, 4, 1.0), SEC)
+                w.user(&format!("req-{}", 10 + i), job(JobKind::Array, 4, 1.0), SEC)
             });
         }
         let dt = w.rng.random_range(5_000_000..25_000_000);
@@ -201,8 +201,8 @@
             if w.rng.random_bool(0.5) {
                 for i in 0..3 {
                     w.cut(
-                        Party::Node(i),
-                        Party::Worker(m.clone()),
+                        Party::Controller(i),
+                        Party::Agent(m.clone()),
                         Cut::Drop,
                         25 * SEC,
                     );
@@ -214,7 +214,7 @@
     }
 }
 
-/// Fails if an attempt that was stopped is forgotten by its worker while a copy of its start may still come.
+/// Fails if an attempt that was stopped is forgotten by its agent while a copy of its start may still come.
 #[test]
 fn copies_of_commands_that_were_carried_out_start_nothing_again() {
     let mut stopped = 0;
@@ -224,13 +224,13 @@
             chance: 0.7,
             most: 60 * SEC,
         });
-        w.user("req-1", job(Kind::Service, 2, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 2, 1.0), 0);
         for i in 0..6 {
-            let spec = Spec {
+            let spec = JobSpec {
                 checkpoint_s: 5.0,
                 save_s: 1.0,
                 priority: Priority::Low,
-                ..job(Kind::Array, 3, 2.0)
+                ..job(JobKind::Array, 3, 2.0)
             };
             w.user(&format!("req-{}", 10 + i), spec, 30 * SEC);
         }
@@ -239,9 +239,9 @@
             w.cancel_surely(&format!("req-{}", 10 + i));
         }
         // A gang of a higher priority has some of them stopped, and started elsewhere later.
-        let spec = Spec {
+        let spec = JobSpec {
             priority: Priority::High,
-            ..job(Kind::Gang, 1, 8.0)
+            ..job(JobKind::Gang, 1, 8.0)
         };
         w.user("req-30", spec, 10 * SEC);
         w.run(140);
@@ -257,15 +257,15 @@
     assert!(stopped > 10, "{stopped}");
 }
 
-/// The state service and the siblings are out of a controller's reach, its workers are not.
+/// The state service and the peers are out of a controller's reach, its agents are not.
 fn only_its_workers(w: &mut World, i: usize, dt: u64) {
-    w.cut(Party::Node(i), Party::Store, Cut::Drop, dt);
+    w.cut(Party::Controller(i), Party::StoreClient, Cut::Drop, dt);
     for j in (0..3).filter(|j| *j != i) {
-        w.cut(Party::Node(i), Party::Node(j), Cut::Drop, dt);
+        w.cut(Party::Controller(i), Party::Controller(j), Cut::Drop, dt);
     }
 }
 
-/// Fails if such a leader keeps its workers to itself as long as it may: others lead by then, and have no machine
+/// Fails if such a leader keeps its agents to itself as long as it may: others lead by then, and have no machine
 /// to start anything on.
 #[test]
 fn a_leader_with_nothing_but_its_workers_gives_them_up_in_time() {
@@ -273,7 +273,7 @@
         let mut w = settled(1100 + seed, 4);
         w.with_lease(16);
         w.no_capacity = true;
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(12);
         let l = w.leader().unwrap();
         only_its_workers(&mut w, l, 60 * SEC);
@@ -282,13 +282,13 @@
         w.user_of(
             &[(l + 1) % 3, (l + 2) % 3],
             "req-2",
-            job(Kind::Array, 4, 1.0),
+            job(JobKind::Array, 4, 1.0),
             2 * SEC,
         );
         w.user_of(
             &[(l + 1) % 3, (l + 2) % 3],
             "req-3",
-            job(Kind::Array, 2, 1.0),
+            job(JobKind::Array, 2, 1.0),
             99 * SEC,
         );
         w.run(6);
@@ -304,20 +304,20 @@
     }
 }
 
-/// The same with everybody else out of reach for the workers as well: then they are kept.
+/// The same with everybody else out of reach for the agents as well: then they are kept.
 #[test]
 fn a_leader_that_is_all_its_workers_have_keeps_them_as_long_as_it_may() {
     for seed in 0..6 {
         let mut w = settled(1120 + seed, 4);
         w.with_lease(16);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(12);
         let l = w.leader().unwrap();
         only_its_workers(&mut w, l, 17 * SEC);
         for i in (0..3).filter(|i| *i != l) {
             w.store.refuses.push(i);
             for m in w.names() {
-                w.cut(Party::Node(i), Party::Worker(m), Cut::Drop, 17 * SEC);
+                w.cut(Party::Controller(i), Party::Agent(m), Cut::Drop, 17 * SEC);
             }
         }
         w.run(17);
@@ -339,8 +339,8 @@
         if seed % 2 == 0 {
             w.with_lease(16);
         }
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 8, 1.0), 80 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 8, 1.0), 80 * SEC);
         w.run(12);
         let i = w.rng.random_range(0..3);
         for n in 0..w.rng.random_range(1..4u64) {
@@ -369,8 +369,8 @@
 fn crashes_and_quick_returns_in_the_middle_of_elections_break_no_rule() {
     for seed in 0..80 {
         let mut w = settled(1300 + seed, 4);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
-        w.user("req-2", job(Kind::Gang, 2, 5.0), 20 * SEC);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
+        w.user("req-2", job(JobKind::Gang, 2, 5.0), 20 * SEC);
         w.run(10);
         w.troubles.repeats = Some(Copies {
             chance: 0.3,
@@ -399,8 +399,8 @@
                 w.crash(l, 40_000);
             });
         }
-        w.user("req-3", job(Kind::Array, 6, 1.0), 4 * SEC);
-        w.user("req-4", job(Kind::Array, 2, 1.0), 99 * SEC);
+        w.user("req-3", job(JobKind::Array, 6, 1.0), 4 * SEC);
+        w.user("req-4", job(JobKind::Array, 2, 1.0), 99 * SEC);
         w.run(9);
         w.cancel_surely("req-4");
         w.run(150);
@@ -413,14 +413,14 @@
     }
 }
 
-/// A zone with the leader in it, cut off from everything for 24 s. Fails if its workers are sent on, although there is
+/// A zone with the leader in it, cut off from everything for 24 s. Fails if its agents are sent on, although there is
 /// nobody else for them: by the time they are back the leader may renew no more.
 #[test]
 fn in_a_zone_that_is_cut_off_workers_are_not_sent_on() {
     for seed in 0..6 {
         let mut w = settled(1400 + seed, 4);
         w.with_lease(16);
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(12);
         let l = w.leader().unwrap();
         let (dt, zone) = (24 * SEC, if l.is_multiple_of(2) { "a" } else { "b" });
@@ -428,16 +428,16 @@
         let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
         // Other controllers of the zone are lost, so the leader is alone in it.
         for j in (0..3).filter(|j| *j != l) {
-            w.cut(Party::Node(l), Party::Node(j), Cut::Drop, dt);
+            w.cut(Party::Controller(l), Party::Controller(j), Cut::Drop, dt);
             if inside(zone_of(j)) {
                 w.crash(j, dt);
             }
         }
-        w.cut(Party::Node(l), Party::Store, Cut::Drop, dt);
+        w.cut(Party::Controller(l), Party::StoreClient, Cut::Drop, dt);
         for m in w.names() {
-            let here = inside(&w.workers[&m].zone);
+            let here = inside(&w.agents[&m].zone);
             for i in (0..3).filter(|i| (*i == l) != here) {
-                w.cut(Party::Node(i), Party::Worker(m.clone()), Cut::Drop, dt);
+                w.cut(Party::Controller(i), Party::Agent(m.clone()), Cut::Drop, dt);
             }
         }
         w.run(70);
@@ -453,22 +453,27 @@
     for seed in 0..6 {
         let mut w = settled(1420 + seed, 4);
         w.no_capacity = true;
-        w.user("req-1", job(Kind::Service, 4, 1.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 1.0), 0);
         w.run(10);
         let l = w.leader().unwrap();
         // One machine reaches only a controller that the leader does not.
         let m = homes(&w, "req-1", 4)[0].clone();
         let (f, other) = ((l + 1) % 3, (l + 2) % 3);
-        w.cut(Party::Node(l), Party::Node(f), Cut::Drop, 200 * SEC);
         w.cut(
-            Party::Node(l),
-            Party::Worker(m.clone()),
+            Party::Controller(l),
+            Party::Controller(f),
             Cut::Drop,
             200 * SEC,
         );
         w.cut(
-            Party::Node(other),
-            Party::Worker(m.clone()),
+            Party::Controller(l),
+            Party::Agent(m.clone()),
+            Cut::Drop,
+            200 * SEC,
+        );
+        w.cut(
+            Party::Controller(other),
+            Party::Agent(m.clone()),
             Cut::Drop,
             200 * SEC,
         );
@@ -484,7 +489,7 @@
             Some(&1),
             "seed {seed}: it is renewed"
         );
-        w.workers.get_mut(&m).unwrap().alive = false;
+        w.agents.get_mut(&m).unwrap().alive = false;
         // A lease at the follower, the record, a lease at the leader, and a start.
         w.run(2 * LEASE_S + 6);
         assert_eq!(homes(&w, "req-1", 4).len(), 4, "seed {seed}: {}", w.dump());
@@ -495,7 +500,7 @@
 #[test]
 fn copies_bring_no_returned_machine_back() {
     let mut w = settled(1440, 3);
-    w.user("req-1", job(Kind::Service, 2, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 2, 1.0), 0);
     w.run(10);
     w.troubles.copies = Some(Copies {
         chance: 1.0,
@@ -504,12 +509,12 @@
     w.run(25);
     let gone = homes(&w, "req-1", 2)[0].clone();
     w.failed.insert(gone.clone());
-    w.workers.get_mut(&gone).unwrap().alive = false;
+    w.agents.get_mut(&gone).unwrap().alive = false;
     w.run(12);
     assert!(w.deleted.contains(&gone));
     for _ in 0..20 {
         w.run(1);
         let known = w.leader().and_then(|l| w.node(l)?.leader.as_ref());
-        assert!(known.is_some_and(|l| !l.workers.contains_key(&gone)));
+        assert!(known.is_some_and(|l| !l.agents.contains_key(&gone)));
     }
 }
--- a/tests/pairs.rs
+++ b/tests/pairs.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use rand::RngExt;
-use walnuttrestle::protocol::{Kind, Priority, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 use world::trouble::{Copies, Mute};
 use world::{CANCEL_S, Cut, LEASE_S, Party, SEC, World, job, settled};
 
@@ -50,19 +50,19 @@
             w.store.refuses.push(i);
             w.after(dt, move |w| w.store.refuses.retain(|r| *r != i));
         }
-        5 => w.cut(Party::Node(i), Party::Store, how, dt),
+        5 => w.cut(Party::Controller(i), Party::StoreClient, how, dt),
         6 => others
             .iter()
-            .for_each(|o| w.cut(Party::Node(i), Party::Node(*o), how, dt)),
+            .for_each(|o| w.cut(Party::Controller(i), Party::Controller(*o), how, dt)),
         7 => {
-            w.cut(Party::Node(i), Party::Store, how, dt);
+            w.cut(Party::Controller(i), Party::StoreClient, how, dt);
             others
                 .iter()
-                .for_each(|o| w.cut(Party::Node(i), Party::Node(*o), how, dt));
+                .for_each(|o| w.cut(Party::Controller(i), Party::Controller(*o), how, dt));
         }
         8 => {
             for m in some {
-                w.cut(Party::Node(i), Party::Worker(m), how, dt);
+                w.cut(Party::Controller(i), Party::Agent(m), how, dt);
             }
         }
         9 => {
@@ -78,7 +78,7 @@
         }
         10 => {
             for m in some {
-                w.workers.get_mut(&m).expect("a machine").hung_until = until;
+                w.agents.get_mut(&m).expect("a machine").hung_until = until;
             }
         }
         11 => {
@@ -132,7 +132,7 @@
             w.boot = w.rng.random_range(SEC / 5..2 * SEC);
             for m in some {
                 w.failed.insert(m.clone());
-                w.workers.get_mut(&m).expect("a machine").alive = false;
+                w.agents.get_mut(&m).expect("a machine").alive = false;
             }
         }
         _ => {
@@ -158,34 +158,39 @@
 
 /// What users ask for: class, size, and how long it runs.
 fn jobs(w: &mut World) -> Vec<Asked> {
-    let of = |class: &str, team: &str, kind, tasks, gpus| Spec {
+    let of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
         class: class.into(),
         team: team.into(),
         ..job(kind, tasks, gpus)
     };
-    let gang = |tasks| Spec {
+    let gang = |tasks| JobSpec {
         priority: Priority::High,
         checkpoint_s: 4.0,
         save_s: 1.0,
-        ..of("gang", "green", Kind::Gang, tasks, 2.0)
+        ..of("gang", "green", JobKind::Gang, tasks, 2.0)
     };
     let mut all = vec![
-        ("svc", of("svc", "blue", Kind::Service, 3, 1.0), 0, false),
-        ("svc", of("svc", "green", Kind::Service, 6, 1.0), 0, true),
+        ("svc", of("svc", "blue", JobKind::Service, 3, 1.0), 0, false),
+        ("svc", of("svc", "green", JobKind::Service, 6, 1.0), 0, true),
         ("gang", gang(2), 12 * SEC, false),
         ("gang", gang(4), 15 * SEC, true),
-        ("red", of("red", "red", Kind::Array, 9, 2.0), 8 * SEC, true),
+        (
+            "red",
+            of("red", "red", JobKind::Array, 9, 2.0),
+            8 * SEC,
+            true,
+        ),
     ];
     for n in 0..4 {
         all.push((
             "red",
-            of("red", "red", Kind::Array, 2 + n, 1.0),
+            of("red", "red", JobKind::Array, 2 + n, 1.0),
             6 * SEC,
             false,
         ));
         all.push((
             "blue",
-            of("blue", "blue", Kind::Array, 3, 1.0),
+            of("blue", "blue", JobKind::Array, 3, 1.0),
             (4 + 6 * u64::from(n)) * SEC,
             n == 3,
         ));
@@ -196,7 +201,11 @@
         let at = w.rng.random_range(0..25 * SEC);
         let (of, apart) = (id.clone(), w.rng.random_range(0..4) * SEC);
         w.after(at, move |w| {
-            let apart = if spec.kind == Kind::Array { apart } else { 0 };
+            let apart = if spec.kind == JobKind::Array {
+                apart
+            } else {
+                0
+            };
             w.caller(&of, spec, run);
             w.jobs.get_mut(&of).expect("declared").apart = apart;
         });
@@ -206,9 +215,9 @@
         let id = format!("req-{}", 200 + n);
         let (of, cancelled) = (id.clone(), id);
         w.after(n * 3 * SEC, move |w| {
-            let spec = Spec {
+            let spec = JobSpec {
                 class: "gone".into(),
-                ..job(Kind::Array, 3, 1.0)
+                ..job(JobKind::Array, 3, 1.0)
             };
             w.caller(&of, spec, 400 * SEC);
         });
@@ -247,7 +256,7 @@
         let t = &w.jobs[id];
         let tasks = 0..t.spec.tasks;
         t.told_done.is_some()
-            || t.spec.kind == Kind::Service
+            || t.spec.kind == JobKind::Service
                 && tasks
                     .into_iter()
                     .all(|n| !w.on(&format!("{id}/{n}")).is_empty())
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -6,20 +6,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
-use walnuttrestle::bookkeeping::mirror::Mirror;
-use walnuttrestle::bookkeeping::workers::Worker;
-use walnuttrestle::coordination::edits::Edit;
-use walnuttrestle::coordination::leader::Leader;
-use walnuttrestle::coordination::node::Clock;
-use walnuttrestle::coordination::pass::{self, Decision};
-use walnuttrestle::coordination::policy::Policy;
-use walnuttrestle::coordination::troubles::Trouble;
-use walnuttrestle::protocol::records::{Chunk, Entry, JobRec, Stage, TYPES};
+use walnuttrestle::agents::failure_history::FailureHistory;
+use walnuttrestle::agents::leader_state::LeaderState;
+use walnuttrestle::controller::Clock;
+use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::records::{JobRecord, JobStage, TYPES, TaskChunk, TaskEntry};
 use walnuttrestle::protocol::settings::Team;
 use walnuttrestle::protocol::wire::{
-    MachineType, MachineTypes, Phase, Report, TaskReport, Why, to_value,
+    ExitReason, MachineType, MachineTypes, Report, TaskPhase, TaskReport, to_value,
 };
-use walnuttrestle::protocol::{Kind, Micros, Priority, Settings, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
+use walnuttrestle::records::record_writer::PendingWrite;
+use walnuttrestle::scheduling::pass::{self, Decision};
+use walnuttrestle::state::agent::Agent;
+use walnuttrestle::state::record_cache::RecordCache;
 
 const SETTINGS: &str = include_str!("../examples/settings.toml");
 
@@ -27,8 +27,8 @@
 struct Chaos {
     rng: ChaCha8Rng,
     settings: Settings,
-    mirror: Mirror,
-    leader: Leader,
+    cache: RecordCache,
+    leader: LeaderState,
     kept: pass::Kept,
     clock: Clock,
     version: u64,
@@ -80,14 +80,14 @@
             now: Micros::millis(rng.random_range(900_000..1_000_000)),
             ..clock
         };
-        let mut leader = Leader::new(rng.random_range(1..3), 1, begun);
+        let mut leader = LeaderState::new(rng.random_range(1..3), 1, begun);
         leader.strangers_over = rng.random_bool(0.5);
-        let mut mirror = Mirror::default();
-        mirror.put(TYPES, to_value(&types()), 1);
+        let mut cache = RecordCache::default();
+        cache.put(TYPES, to_value(&types()), 1);
         let mut c = Chaos {
             rng,
             settings,
-            mirror,
+            cache,
             leader,
             kept: pass::Kept::default(),
             clock,
@@ -109,23 +109,28 @@
         self.rng.random_bool(p)
     }
 
-    fn spec(&mut self) -> Spec {
+    fn spec(&mut self) -> JobSpec {
         let rng = &mut self.rng;
-        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][rng.random_range(0..4)];
+        let kind = [
+            JobKind::Array,
+            JobKind::Array,
+            JobKind::Gang,
+            JobKind::Service,
+        ][rng.random_range(0..4)];
         let priorities = [
             Priority::Low,
             Priority::Normal,
             Priority::High,
             Priority::Production,
         ];
-        Spec {
+        JobSpec {
             class: ["c", "d", "e"][rng.random_range(0..3)].into(),
             team: ["red", "blue"][rng.random_range(0..2)].into(),
             kind,
             priority: priorities[rng.random_range(0..4)],
             tasks: match kind {
-                Kind::Array if rng.random_bool(0.1) => rng.random_range(128..400),
-                Kind::Array => rng.random_range(1..70),
+                JobKind::Array if rng.random_bool(0.1) => rng.random_range(128..400),
+                JobKind::Array => rng.random_range(1..70),
                 _ => rng.random_range(1..9),
             },
             cpus: rng.random_range(1..12) as f64 * 0.7,
@@ -151,7 +156,7 @@
         let spec = match self.chance(0.3) && self.jobs > 0 {
             true => {
                 let id = format!("req-{}", self.rng.random_range(0..self.jobs));
-                match self.mirror.jobs.get(&id) {
+                match self.cache.jobs.get(&id) {
                     Some(j) => (id, j.rec.spec.clone(), j.rec.at),
                     None => return,
                 }
@@ -163,8 +168,8 @@
             }
         };
         let (id, spec, at) = spec;
-        let mut first = Chunk::default();
-        let machines: Vec<String> = self.leader.workers.keys().cloned().collect();
+        let mut first = TaskChunk::default();
+        let machines: Vec<String> = self.leader.agents.keys().cloned().collect();
         // Most jobs of a long queue have nothing anywhere.
         let placed = self.chance(0.35) && !machines.is_empty();
         for t in 0..spec.tasks.min(48) {
@@ -174,13 +179,13 @@
                 let attempt = self.rng.random_range(1..3);
                 let session = self.rng.random_range(1..3);
                 let backfilled = self.chance(0.4);
-                first.set(Entry(t, attempt, machine, session, 1, backfilled));
-            } else if spec.kind != Kind::Service && self.chance(0.1) {
+                first.set(TaskEntry(t, attempt, machine, session, 1, backfilled));
+            } else if spec.kind != JobKind::Service && self.chance(0.1) {
                 first.finish(t);
             }
         }
-        let stage = [Stage::Active, Stage::Cancelled][usize::from(self.chance(0.05))];
-        let rec = JobRec {
+        let stage = [JobStage::Active, JobStage::Cancelled][usize::from(self.chance(0.05))];
+        let rec = JobRecord {
             spec,
             at,
             stage,
@@ -189,7 +194,7 @@
             cleaned: false,
         };
         self.version += 1;
-        self.mirror.put_job(&id, rec, self.version);
+        self.cache.put_job(&id, rec, self.version);
     }
 
     /// A machine tells of itself; most of what is on record there runs.
@@ -199,25 +204,30 @@
         let seq = self.seqs.entry(machine.clone()).or_default();
         *seq += 1;
         let mut tasks = Vec::new();
-        for (job, t) in self.mirror.placed(&machine) {
-            let entry = self.mirror.jobs.get(job).and_then(|j| j.entry(*t));
+        for (job, t) in self.cache.placed(&machine) {
+            let entry = self.cache.jobs.get(job).and_then(|j| j.entry(*t));
             if rng.random_bool(0.8)
                 && let Some(e) = entry
             {
                 let phases = [
-                    Phase::Running,
-                    Phase::Running,
-                    Phase::Fetching,
-                    Phase::Saving,
-                    Phase::Exited,
+                    TaskPhase::Running,
+                    TaskPhase::Running,
+                    TaskPhase::Fetching,
+                    TaskPhase::Saving,
+                    TaskPhase::Exited,
                 ];
                 let phase = phases[rng.random_range(0..phases.len())];
-                let whys = [Why::Done, Why::Error, Why::Peers, Why::Stopped];
+                let whys = [
+                    ExitReason::Done,
+                    ExitReason::Error,
+                    ExitReason::Peers,
+                    ExitReason::Stopped,
+                ];
                 tasks.push(TaskReport {
                     task: format!("{job}/{t}"),
                     attempt: e.attempt(),
                     phase,
-                    why: (phase == Phase::Exited).then(|| whys[rng.random_range(0..4)]),
+                    why: (phase == TaskPhase::Exited).then(|| whys[rng.random_range(0..4)]),
                     saved: None,
                 });
             }
@@ -226,7 +236,7 @@
             tasks.push(TaskReport {
                 task: "req-7/0".into(),
                 attempt: 9,
-                phase: Phase::Running,
+                phase: TaskPhase::Running,
                 why: None,
                 saved: None,
             });
@@ -247,8 +257,8 @@
             notice_s: rng.random_bool(0.05).then_some(12.0),
             tasks,
         };
-        let new = || Worker::new(&report);
-        let w = self.leader.workers.entry(machine.clone());
+        let new = || Agent::new(&report);
+        let w = self.leader.agents.entry(machine.clone());
         let w = w.or_insert_with(new);
         w.update(&report, self.clock.now);
         w.answered = Some(self.clock.now);
@@ -257,8 +267,8 @@
 
     /// Something happens.
     fn happens(&mut self) {
-        let machines: Vec<String> = self.leader.workers.keys().cloned().collect();
-        let jobs: Vec<String> = self.mirror.jobs.keys().cloned().collect();
+        let machines: Vec<String> = self.leader.agents.keys().cloned().collect();
+        let jobs: Vec<String> = self.cache.jobs.keys().cloned().collect();
         let any = |rng: &mut ChaCha8Rng, of: &[String]| match of.len() {
             0 => "req-0".to_string(),
             n => of[rng.random_range(0..n)].clone(),
@@ -272,7 +282,7 @@
                 self.report(m);
             }
             5 => {
-                if let Some(w) = self.leader.workers.get_mut(&machine) {
+                if let Some(w) = self.leader.agents.get_mut(&machine) {
                     w.over = Some(w.session);
                 }
             }
@@ -281,7 +291,7 @@
                 of.insert(self.rng.random_range(0..5), (1.0, now));
             }
             7 => {
-                let trouble = Trouble {
+                let trouble = FailureHistory {
                     machines: BTreeMap::from([(machine, now)]),
                     row: self.rng.random_range(1..5),
                     again: Micros::millis(self.rng.random_range(999_000..1_002_000)),
@@ -297,8 +307,8 @@
 
     /// Both ways decide the same.
     fn compare(&mut self, at: &str) -> Decision {
-        for id in self.mirror.take_changed() {
-            let job = self.mirror.jobs.get(&id);
+        for id in self.cache.take_changed() {
+            let job = self.cache.jobs.get(&id);
             self.kept.backlog.update(&id, job);
         }
         let policy = Policy::default();
@@ -306,7 +316,7 @@
         let new = pass::decide(
             &self.leader,
             &mut self.kept,
-            &self.mirror,
+            &self.cache,
             &self.settings,
             &policy,
             self.clock,
@@ -314,7 +324,7 @@
         );
         let old = plain::decide(
             &self.leader,
-            &self.mirror,
+            &self.cache,
             &self.settings,
             &policy,
             self.clock,
@@ -349,11 +359,11 @@
             self.leader.started += 1;
             let order = self.leader.order_of.entry(s.job.clone()).or_default();
             order.insert(s.task, self.leader.started);
-            let entry = Entry(s.task, 5, s.machine, s.session, 1, s.backfilled);
+            let entry = TaskEntry(s.task, 5, s.machine, s.session, 1, s.backfilled);
             if self.rng.random_bool(0.5) {
                 self.leader.edits.want(&s.job, now).places.push(entry);
             } else if self.rng.random_bool(0.5) {
-                let Some(job) = self.mirror.jobs.get(&s.job) else {
+                let Some(job) = self.cache.jobs.get(&s.job) else {
                     continue;
                 };
                 let mut rec = job.rec.clone();
@@ -361,7 +371,7 @@
                     rec.first.set(entry);
                 }
                 self.version += 1;
-                self.mirror.put_job(&s.job, rec, self.version);
+                self.cache.put_job(&s.job, rec, self.version);
             }
         }
         let wanted: Vec<String> = self.leader.edits.jobs().map(str::to_string).collect();
@@ -370,7 +380,7 @@
                 .leader
                 .edits
                 .wanted_of(&id)
-                .map(|e: &Edit| e.places.clone());
+                .map(|e: &PendingWrite| e.places.clone());
             if let Some(places) = places.filter(|p| !p.is_empty())
                 && self.rng.random_bool(0.3)
             {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -8,21 +8,21 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
-use walnuttrestle::bookkeeping::mirror::{Job, Mirror};
-use walnuttrestle::bookkeeping::workers::Standing;
-use walnuttrestle::coordination::leader::{FRESH_REPORTS, Leader, grace};
-use walnuttrestle::coordination::node::Clock;
-use walnuttrestle::coordination::pass::Start;
-use walnuttrestle::coordination::pipeline::Lifted;
-use walnuttrestle::coordination::placement::{
-    self, Allow, Host, Names, Picker, Shape, may_take, slots,
+use walnuttrestle::agents::failure_history::FailureHistory;
+use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, grace};
+use walnuttrestle::controller::Clock;
+use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::records::{CHUNK, TaskEntry};
+use walnuttrestle::protocol::wire::{ExitReason, TaskPhase};
+use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
+use walnuttrestle::scheduling::backfill::{Item, Victim};
+use walnuttrestle::scheduling::pass::Start;
+use walnuttrestle::scheduling::placement::{
+    self, Allow, Host, NameTable, Picker, Shape, may_take, slots,
 };
-use walnuttrestle::coordination::policy::Policy;
-use walnuttrestle::coordination::queue::{Item, Victim};
-use walnuttrestle::coordination::troubles::Trouble;
-use walnuttrestle::protocol::records::{CHUNK, Entry};
-use walnuttrestle::protocol::wire::{Phase, Why};
-use walnuttrestle::protocol::{Kind, Micros, Settings, Spec};
+use walnuttrestle::scheduling::priority_inheritance::InheritedPriorities;
+use walnuttrestle::state::agent::TaskLiveness;
+use walnuttrestle::state::record_cache::{Job, RecordCache};
 
 const PLACES: usize = 128;
 const OVERDUE: Micros = Micros::millis(60_000);
@@ -70,15 +70,15 @@
 
 /// One pass.
 pub fn decide(
-    l: &Leader,
-    mirror: &Mirror,
+    l: &LeaderState,
+    cache: &RecordCache,
     settings: &Settings,
     policy: &Policy,
     clock: Clock,
 ) -> Plain {
     let now = clock.now;
-    let mut names = Names::default();
-    let mut hosts = hosts(l, settings, policy, mirror, &mut names, now);
+    let mut names = NameTable::default();
+    let mut hosts = hosts(l, settings, policy, cache, &mut names, now);
     let mut room: Room = Room::new();
     for t in &settings.params.teams {
         let most = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
@@ -87,16 +87,16 @@
     let mut victims: Vec<Victim<'_>> = Vec::new();
     let mut items: Vec<Item<'_>> = Vec::new();
     let mut found = Plain::default();
-    let within = guaranteed(settings, mirror);
-    let lifted = Lifted::new(mirror);
-    let rates = mirror.types.iter().flatten().map(|t| t.fetch_gb_per_s);
+    let within = guaranteed(settings, cache);
+    let lifted = InheritedPriorities::new(cache);
+    let rates = cache.types.iter().flatten().map(|t| t.fetch_gb_per_s);
     let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(1e-3);
     let mut all = [0.0; 3];
     for h in &hosts.list {
         placement::add(&mut all, &h.total);
     }
     let mut used: HashMap<&str, f64> = HashMap::new();
-    for (id, job) in &mirror.jobs {
+    for (id, job) in &cache.jobs {
         let item = survey(
             l,
             id,
@@ -114,8 +114,8 @@
         );
         items.extend(item);
     }
-    unrecorded(l, mirror, &mut hosts, &mut room);
-    let first = |i: &Item<'_>| i.lost > 0 && i.spec.kind == Kind::Service;
+    unrecorded(l, cache, &mut hosts, &mut room);
+    let first = |i: &Item<'_>| i.lost > 0 && i.spec.kind == JobKind::Service;
     items.sort_by_key(|i| (!first(i), i.at, i.id));
     for h in &mut hosts.list {
         if h.reserved
@@ -128,13 +128,13 @@
     if !l.learnt(settings, now) {
         victims.clear();
     }
-    let class = |id: &str| mirror.jobs[id].rec.spec.class.as_str();
+    let class = |id: &str| cache.jobs[id].rec.spec.class.as_str();
     for v in &mut victims {
         let used = used.get(class(v.job)).copied().unwrap_or(0.0);
         v.spared = used <= 0.1;
     }
     let typical = hosts.list.first().map_or([1.0; 3], |h| h.total);
-    let waits = mirror.jobs.values().filter(|j| j.active() && !j.waits());
+    let waits = cache.jobs.values().filter(|j| j.active() && !j.waits());
     let demands = waits.map(|j| {
         let s = &j.rec.spec;
         s.tasks as f64 * placement::size(&typical, &placement::need(s))
@@ -158,21 +158,21 @@
 }
 
 fn hosts(
-    l: &Leader,
+    l: &LeaderState,
     s: &Settings,
     policy: &Policy,
-    mirror: &Mirror,
-    names: &mut Names,
+    cache: &RecordCache,
+    names: &mut NameTable,
     now: Micros,
 ) -> Hosts {
-    let fresh = Micros::secs(s.params.workers.report_s * FRESH_REPORTS);
+    let fresh = Micros::secs(s.params.agents.report_s * FRESH_REPORTS);
     let mut hosts = Hosts {
-        list: Vec::with_capacity(l.workers.len()),
-        names: Vec::with_capacity(l.workers.len()),
-        index: HashMap::with_capacity(l.workers.len()),
+        list: Vec::with_capacity(l.agents.len()),
+        names: Vec::with_capacity(l.agents.len()),
+        index: HashMap::with_capacity(l.agents.len()),
     };
-    for (name, w) in &l.workers {
-        let types = mirror.types.iter().flatten();
+    for (name, w) in &l.agents {
+        let types = cache.types.iter().flatten();
         let Some(t) = types.into_iter().find(|t| t.name == w.kind) else {
             continue;
         };
@@ -198,7 +198,7 @@
             free: total,
             leaving: [0.0; 3],
             open,
-            images: mirror
+            images: cache
                 .images
                 .of(name, t.cache_gb)
                 .map(|i| names.id(i))
@@ -216,17 +216,17 @@
 
 #[allow(clippy::too_many_arguments)]
 fn survey<'a>(
-    l: &Leader,
+    l: &LeaderState,
     id: &'a str,
     job: &'a Job,
     hosts: &mut Hosts,
-    names: &mut Names,
+    names: &mut NameTable,
     room: &mut Room,
     (all, used): (&[f64; 3], &mut HashMap<&'a str, f64>),
     victims: &mut Vec<Victim<'a>>,
     found: &mut Plain,
     guaranteed: bool,
-    lifted: &Lifted<'_>,
+    lifted: &InheritedPriorities<'_>,
     fetch_rate: f64,
     clock: Clock,
 ) -> Option<Item<'a>> {
@@ -247,32 +247,32 @@
         avoid: Vec::new(),
     };
     let in_flight = l.edits.in_flight(id);
-    let chosen: Vec<Entry> = l.edits.places(id).cloned().collect();
+    let chosen: Vec<TaskEntry> = l.edits.places(id).cloned().collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
     let mut lost = 0;
     let mut latest = 0;
     let mut unknown_zone = false;
     let mut complete = false;
     let mut runs = false;
-    let mut standing: Vec<(u32, Standing)> = Vec::new();
+    let mut standing: Vec<(u32, TaskLiveness)> = Vec::new();
     // A task with a new place has been proven gone from the old one. To count that attempt as
     // lost beside the new one would take the gang for broken before it has started.
-    let replaced = |e: &&Entry| chosen.iter().any(|c| c.task() == e.task());
+    let replaced = |e: &&TaskEntry| chosen.iter().any(|c| c.task() == e.task());
     let recorded = job.entries().filter(|e| !replaced(e));
     for e in recorded.chain(&chosen) {
         let Some(m) = e.machine() else { continue };
         let s = l.standing(id, e);
         if !l.presumed(id, e, job.active()) {
             lost += 1;
-            if s == Standing::Ended(Why::Done) && job.active() && !in_flight {
-                complete = spec.kind == Kind::Gang;
+            if s == TaskLiveness::Ended(ExitReason::Done) && job.active() && !in_flight {
+                complete = spec.kind == JobKind::Gang;
                 found.dones.push((id.to_string(), e.task()));
             }
             continue;
         }
         latest = latest.max(e.attempt());
-        runs |= s == Standing::There(Phase::Running);
-        if spec.kind == Kind::Gang {
+        runs |= s == TaskLiveness::There(TaskPhase::Running);
+        if spec.kind == JobKind::Gang {
             standing.push((e.task(), s));
         }
         let at = hosts.find(m);
@@ -286,21 +286,21 @@
                 }
                 // A machine that the cloud is about to take: what can save does so now,
                 // a gang as a whole.
-                let notice = l.workers.get(m).and_then(|w| w.notice);
+                let notice = l.agents.get(m).and_then(|w| w.notice);
                 let save = grace(job);
                 if save > 0.0
                     && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
-                    && s == Standing::There(Phase::Running)
+                    && s == TaskLiveness::There(TaskPhase::Running)
                 {
                     let all = match spec.kind {
-                        Kind::Gang => 0..spec.tasks,
+                        JobKind::Gang => 0..spec.tasks,
                         _ => e.task()..e.task() + 1,
                     };
                     let all = all.map(|t| (id.to_string(), t, save));
                     found.ordered_stops.extend(all);
                 }
-                let single = spec.kind == Kind::Array || spec.tasks == 1;
-                if spec.kind != Kind::Service
+                let single = spec.kind == JobKind::Array || spec.tasks == 1;
+                if spec.kind != JobKind::Service
                     && job.active()
                     && chosen.is_empty()
                     && !in_flight
@@ -319,7 +319,7 @@
                         save_s: spec.save_s,
                         team,
                         surplus: !guaranteed,
-                        single: spec.kind == Kind::Array,
+                        single: spec.kind == JobKind::Array,
                         class: 0,
                         spared: false,
                     });
@@ -351,11 +351,11 @@
     if complete {
         return None;
     }
-    if spec.kind == Kind::Gang && !present.is_empty() {
+    if spec.kind == JobKind::Gang && !present.is_empty() {
         if lost > 0 {
             found.broken.push((id.to_string(), latest));
             // Members that save on command are left to it.
-            let saving = Standing::There(Phase::Saving);
+            let saving = TaskLiveness::There(TaskPhase::Saving);
             if standing.iter().all(|(_, s)| *s != saving) {
                 let all = standing.iter().map(|(t, _)| (id.to_string(), *t, 0.0));
                 found.ordered_stops.extend(all);
@@ -368,10 +368,10 @@
     let held_off = trouble.is_some_and(|t| t.again > now) && !runs && job.done_count() == 0;
     // More replicas of a job may be placed while some are being written: if they had to wait, jobs
     // that came later would take their room. Of other jobs an end may be among what is written.
-    if (in_flight && spec.kind != Kind::Service) || held_off {
+    if (in_flight && spec.kind != JobKind::Service) || held_off {
         return None;
     }
-    let avoid = |t: &Trouble| t.machines.keys().filter_map(|m| hosts.find(m)).collect();
+    let avoid = |t: &FailureHistory| t.machines.keys().filter_map(|m| hosts.find(m)).collect();
     let shape = Shape {
         avoid: trouble.map(avoid).unwrap_or_default(),
         ..shape
@@ -381,8 +381,8 @@
         return None;
     }
     let mut tasks = startable(l, id, job, 2 * PLACES);
-    let fails = |t: &Trouble| t.jobs_fault() && !(runs && t.quiet(now));
-    if spec.kind == Kind::Array && trouble.is_some_and(fails) {
+    let fails = |t: &FailureHistory| t.jobs_fault() && !(runs && t.quiet(now));
+    if spec.kind == JobKind::Array && trouble.is_some_and(fails) {
         tasks.truncate(usize::from(present.is_empty()));
     }
     if tasks.is_empty() {
@@ -392,7 +392,11 @@
     let gone = |t: &u32| {
         job.entry(*t).is_some_and(|e| {
             let s = l.standing(id, e);
-            e.machine().is_some() && matches!(s, Standing::Gone | Standing::Ended(Why::Peers))
+            e.machine().is_some()
+                && matches!(
+                    s,
+                    TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
+                )
         })
     };
     let lost = tasks.iter().filter(|t| gone(t)).count();
@@ -416,15 +420,15 @@
     })
 }
 
-fn unrecorded(l: &Leader, mirror: &Mirror, hosts: &mut Hosts, room: &mut Room) {
+fn unrecorded(l: &LeaderState, cache: &RecordCache, hosts: &mut Hosts, room: &mut Room) {
     for (h, name) in hosts.names.iter().enumerate() {
-        let Some(w) = l.workers.get(name) else {
+        let Some(w) = l.agents.get(name) else {
             continue;
         };
-        for t in w.tasks.iter().filter(|t| t.phase != Phase::Exited) {
-            match mirror.jobs.get(&t.job) {
+        for t in w.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
+            match cache.jobs.get(&t.job) {
                 Some(j) => {
-                    let on = |e: &Entry| {
+                    let on = |e: &TaskEntry| {
                         (e.task(), e.attempt()) == (t.task, t.attempt) && e.machine().is_some()
                     };
                     let known = j.entry(t.task).is_some_and(on) || l.edits.places(&t.job).any(on);
@@ -445,7 +449,7 @@
 }
 
 /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
-fn guaranteed<'a>(s: &Settings, mirror: &'a Mirror) -> HashSet<&'a str> {
+fn guaranteed<'a>(s: &Settings, cache: &'a RecordCache) -> HashSet<&'a str> {
     let mut left: HashMap<&str, [f64; 2]> = HashMap::new();
     for t in &s.params.teams {
         if t.cpus > 0.0 || t.gpus > 0.0 {
@@ -457,7 +461,7 @@
     if left.is_empty() {
         return within;
     }
-    let active = mirror.jobs.iter().filter(|(_, j)| j.active() && !j.waits());
+    let active = cache.jobs.iter().filter(|(_, j)| j.active() && !j.waits());
     let mut jobs: Vec<(&String, &Job)> = active.collect();
     jobs.sort_by_key(|(id, j)| (j.rec.at, *id));
     for (id, job) in jobs {
@@ -476,18 +480,18 @@
 }
 
 /// Tasks of a job that may start: not done, and on no machine. At most `most` for arrays.
-fn startable(l: &Leader, id: &str, job: &Job, most: usize) -> Vec<u32> {
+fn startable(l: &LeaderState, id: &str, job: &Job, most: usize) -> Vec<u32> {
     let spec = &job.rec.spec;
-    let most = if spec.kind == Kind::Gang {
+    let most = if spec.kind == JobKind::Gang {
         spec.tasks as usize
     } else {
         most
     };
     let mut tasks = Vec::new();
     let chunks = spec.tasks.div_ceil(CHUNK);
-    let ended = |e: &Entry| {
+    let ended = |e: &TaskEntry| {
         // Its end is on its way to the record.
-        l.presumed(id, e, true) || l.standing(id, e) == Standing::Ended(Why::Done)
+        l.presumed(id, e, true) || l.standing(id, e) == TaskLiveness::Ended(ExitReason::Done)
     };
     for c in 0..chunks {
         let chunk = job.chunk_of(c * CHUNK);
@@ -516,7 +520,7 @@
 /// record and a start.
 const STOP_S: f64 = 2.0;
 
-fn team_slots(room: &Room, spec: &Spec) -> u32 {
+fn team_slots(room: &Room, spec: &JobSpec) -> u32 {
     let Some([cpus, gpus]) = room.get(&spec.team) else {
         return u32::MAX;
     };
@@ -554,7 +558,7 @@
         if plan.places.len() >= most {
             break;
         }
-        if blocked && item.spec.kind != Kind::Service {
+        if blocked && item.spec.kind != JobKind::Service {
             later.push(item);
             continue;
         }
@@ -565,12 +569,12 @@
             continue;
         }
         plan.lacks.push((item.id.to_string(), short));
-        let presses = item.spec.kind != Kind::Array || item.guaranteed;
-        let singly = item.spec.kind == Kind::Array;
+        let presses = item.spec.kind != JobKind::Array || item.guaranteed;
+        let singly = item.spec.kind == JobKind::Array;
         if presses && (plan.places.len() == before || singly) && tries > 0 {
             tries -= usize::from(make_way(item, short, hosts, victims, !blocked, &mut plan));
         }
-        blocked |= item.spec.kind != Kind::Service;
+        blocked |= item.spec.kind != JobKind::Service;
     }
     later.sort_by(|a, b| {
         let of = |i: &Item<'_>| if i.starved { 0.0 } else { i.estimate_s };
@@ -586,9 +590,9 @@
         let short = start(item, hosts, room, ratio, true, victims, &mut plan);
         if short > 0 {
             plan.lacks.push((item.id.to_string(), short));
-            let top = item.starved && !topped && item.spec.kind == Kind::Gang;
+            let top = item.starved && !topped && item.spec.kind == JobKind::Gang;
             topped |= top;
-            if (item.spec.kind == Kind::Gang || item.guaranteed) && tries > 0 {
+            if (item.spec.kind == JobKind::Gang || item.guaranteed) && tries > 0 {
                 tries -= usize::from(make_way(item, short, hosts, victims, top, &mut plan));
             }
         }
@@ -619,7 +623,7 @@
     let spec = item.spec;
     let n = item.tasks.len() as u32;
     let may = team_slots(room, spec).min(n);
-    if spec.kind == Kind::Gang {
+    if spec.kind == JobKind::Gang {
         if may < n {
             return 0;
         }
@@ -635,7 +639,7 @@
         }
         return 0;
     }
-    let wide = spec.kind == Kind::Array && !spec.one_zone && !spec.spread;
+    let wide = spec.kind == JobKind::Array && !spec.one_zone && !spec.spread;
     if wide && n as usize >= PLACES {
         let takes = |h: &&Host| may_take(h, item.id, &item.shape.need, &item.shape.allow);
         let free: u32 = hosts
@@ -669,7 +673,7 @@
     plan: &mut Plan,
 ) -> u32 {
     let spec = item.spec;
-    let service = spec.kind == Kind::Service;
+    let service = spec.kind == JobKind::Service;
     let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
     let half = spec.tasks.div_ceil(2) as usize;
     let has = |i: usize| item.present.iter().any(|(_, m)| *m == Some(i));
@@ -765,9 +769,9 @@
     top: bool,
     plan: &mut Plan,
 ) -> bool {
-    let service = item.spec.kind == Kind::Service;
-    let gang = item.spec.kind == Kind::Gang;
-    let array = item.spec.kind == Kind::Array;
+    let service = item.spec.kind == JobKind::Service;
+    let gang = item.spec.kind == JobKind::Gang;
+    let array = item.spec.kind == JobKind::Array;
     let need = item.shape.need;
     let kept = |h: &&Host| h.reserved.as_deref() == Some(item.id);
     if (gang || !item.guaranteed) && hosts.iter().any(|h| kept(&h)) {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
-use walnuttrestle::protocol::Kind;
+use walnuttrestle::protocol::JobKind;
 use world::{Cut, LEASE_S, Party, SEC, World, job};
 
 const SERVICES: usize = 16;
@@ -42,9 +42,9 @@
 fn fill(w: &mut World) {
     for n in 0..SERVICES + ARRAYS + GANGS {
         let (spec, run) = match n % 7 {
-            0 | 2 | 4 | 6 => (job(Kind::Service, 2, 1.0), 0),
-            1 | 3 => (job(Kind::Array, 3, 1.0), 45 * SEC),
-            _ => (job(Kind::Gang, 2, 2.0), 45 * SEC),
+            0 | 2 | 4 | 6 => (job(JobKind::Service, 2, 1.0), 0),
+            1 | 3 => (job(JobKind::Array, 3, 1.0), 45 * SEC),
+            _ => (job(JobKind::Gang, 2, 2.0), 45 * SEC),
         };
         w.user(&id(n), spec, run);
         w.run(1);
@@ -53,7 +53,7 @@
     assert!(w.leader().is_some(), "nobody leads");
 }
 
-fn kind_of(w: &World, task: &str) -> Kind {
+fn kind_of(w: &World, task: &str) -> JobKind {
     w.jobs[job_of(task)].spec.kind
 }
 
@@ -87,7 +87,7 @@
             for (b, at_b) in &tasks {
                 let (kind_a, kind_b) = (kind_of(w, a), kind_of(w, b));
                 let first = job_of(a) < job_of(b) && kind_a == kind_b;
-                let replica = kind_a == Kind::Service && kind_b != Kind::Service;
+                let replica = kind_a == JobKind::Service && kind_b != JobKind::Service;
                 if !(first || replica) {
                     continue;
                 }
@@ -106,7 +106,7 @@
 fn all_there(w: &World) {
     for (id, truth) in &w.jobs {
         match truth.spec.kind {
-            Kind::Service => {
+            JobKind::Service => {
                 for t in 0..truth.spec.tasks {
                     assert_eq!(
                         w.on(&format!("{id}/{t}")).len(),
@@ -123,8 +123,8 @@
 
 /// Machines with their zones.
 fn machines(w: &World) -> Vec<(String, String)> {
-    let of = |x: &world::worker::FakeWorker| (x.name.clone(), x.zone.clone());
-    w.workers.values().map(of).collect()
+    let of = |x: &world::agent::FakeAgent| (x.name.clone(), x.zone.clone());
+    w.agents.values().map(of).collect()
 }
 
 /// Cuts a zone off from everything, its controllers included.
@@ -133,24 +133,24 @@
     let machines = machines(w);
     for i in 0..3 {
         if of(i) == zone {
-            w.cut(Party::Node(i), Party::Store, Cut::Hold, dt);
-            w.cut(Party::Node(i), Party::Cloud, Cut::Hold, dt);
+            w.cut(Party::Controller(i), Party::StoreClient, Cut::Hold, dt);
+            w.cut(Party::Controller(i), Party::Cloud, Cut::Hold, dt);
         }
         for j in i + 1..3 {
             if (of(i) == zone) != (of(j) == zone) {
-                w.cut(Party::Node(i), Party::Node(j), Cut::Hold, dt);
+                w.cut(Party::Controller(i), Party::Controller(j), Cut::Hold, dt);
             }
         }
         for (m, z) in &machines {
             if (of(i) == zone) != (z == zone) {
-                w.cut(Party::Node(i), Party::Worker(m.clone()), Cut::Hold, dt);
+                w.cut(Party::Controller(i), Party::Agent(m.clone()), Cut::Hold, dt);
             }
         }
     }
 }
 
 fn kill(w: &mut World, which: impl Fn(usize) -> bool) {
-    for (i, x) in w.workers.values_mut().enumerate() {
+    for (i, x) in w.agents.values_mut().enumerate() {
         x.alive &= !which(i);
     }
 }
@@ -208,7 +208,7 @@
         let dt = (LEASE_S + 4 + seed % 4) * SEC;
         for (m, _) in machines(w).iter().filter(|(_, z)| z == "b") {
             for i in 0..3 {
-                w.cut(Party::Node(i), Party::Worker(m.clone()), Cut::Hold, dt);
+                w.cut(Party::Controller(i), Party::Agent(m.clone()), Cut::Hold, dt);
             }
         }
         w.run(120);
@@ -251,7 +251,7 @@
         kill(w, |i| i % 4 < 2);
         run_until_bundled(w, 20_000);
         let l = w.leader().unwrap();
-        w.lose_answers.push((Party::Store, w.now + SEC / 2));
+        w.lose_answers.push((Party::StoreClient, w.now + SEC / 2));
         w.crash(l, 6 * SEC);
         w.run(160);
     });
@@ -308,7 +308,7 @@
     let mut led: BTreeSet<usize> = w.leader().into_iter().collect();
     // Six images, one to a machine of the zone; twice as many machines are there.
     for n in 0..6 {
-        let mut spec = job(Kind::Array, 8, 1.0);
+        let mut spec = job(JobKind::Array, 8, 1.0);
         spec.image = format!("img-{n}");
         spec.zone = Some("a".into());
         w.user(&id(n), spec, 8 * SEC);
@@ -320,7 +320,7 @@
     }
     assert!((0..6).all(|n| w.job_done(&id(n))) && led.len() < 3);
     let had: BTreeMap<String, BTreeSet<String>> = w
-        .workers
+        .agents
         .iter()
         .map(|(m, x)| (m.clone(), x.images.clone()))
         .collect();
@@ -328,7 +328,7 @@
     led.iter().for_each(|i| w.crash(*i, 60 * SEC));
     w.run(24);
     for n in 0..6 {
-        let mut spec = job(Kind::Service, 1, 1.0);
+        let mut spec = job(JobKind::Service, 1, 1.0);
         spec.image = format!("img-{n}");
         w.user(&id(10 + n), spec, 0);
         while !w.jobs[&id(10 + n)].accepted {
@@ -350,7 +350,7 @@
         let mut w = started(seed, 12, WRITE_RPS);
         // Nobody polls: a poll would have the copies catch up.
         for n in 0..24 {
-            w.declare(&id(n), job(Kind::Service, 2, 1.0), 0);
+            w.declare(&id(n), job(JobKind::Service, 2, 1.0), 0);
             while !w.jobs[&id(n)].accepted {
                 let l = w.leader().unwrap();
                 w.submit_once(l, &id(n));
@@ -416,7 +416,7 @@
             let dt = (LEASE_S - 2) * SEC + k * SEC / 2;
             w.after(dt, |w| {
                 let until = w.now + SEC / 4;
-                w.lose_answers.push((Party::Store, until));
+                w.lose_answers.push((Party::StoreClient, until));
             });
         }
         w.run(180);
@@ -441,7 +441,7 @@
                 3 => kill(w, |k| k % 5 == i),
                 4 => {
                     let until = w.now + dt;
-                    let some = w.workers.values_mut().enumerate();
+                    let some = w.agents.values_mut().enumerate();
                     some.filter(|(k, _)| k % 3 == i)
                         .for_each(|(_, x)| x.hung_until = until);
                 }
@@ -452,7 +452,7 @@
                         w.store.end_outage(now);
                     });
                 }
-                6 => w.lose_answers.push((Party::Store, w.now + dt / 4)),
+                6 => w.lose_answers.push((Party::StoreClient, w.now + dt / 4)),
                 _ => {
                     for n in (0..SERVICES + ARRAYS + GANGS).filter(|n| n % 3 == i) {
                         w.cancel_surely(&id(n));
--- a/tests/stories/main.rs
+++ b/tests/stories/main.rs
@@ -18,16 +18,16 @@
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     for i in 0..3 {
         for j in (0..3).filter(|j| zone(*j) != zone(i)) {
-            w.cut(Party::Node(i), Party::Node(j), Cut::Drop, dt);
+            w.cut(Party::Controller(i), Party::Controller(j), Cut::Drop, dt);
         }
         let far: Vec<String> = w
-            .workers
+            .agents
             .values()
             .filter(|x| x.zone != zone(i))
             .map(|x| x.name.clone())
             .collect();
         for m in far {
-            w.cut(Party::Node(i), Party::Worker(m), Cut::Drop, dt);
+            w.cut(Party::Controller(i), Party::Agent(m), Cut::Drop, dt);
         }
     }
 }
@@ -40,6 +40,11 @@
 
 pub fn cut_from_workers(w: &mut World, node: usize, names: &[String], dt: u64) {
     for m in names {
-        w.cut(Party::Node(node), Party::Worker(m.clone()), Cut::Drop, dt);
+        w.cut(
+            Party::Controller(node),
+            Party::Agent(m.clone()),
+            Cut::Drop,
+            dt,
+        );
     }
 }
--- a/tests/stories/outages.rs
+++ b/tests/stories/outages.rs
@@ -4,17 +4,17 @@
 use crate::parties;
 use crate::world::{Cut, Party, SEC, World, job, settled};
 use rand::RngExt;
-use walnuttrestle::protocol::Kind;
+use walnuttrestle::protocol::JobKind;
 
 #[test]
 fn a_store_outage_across_a_crash_loses_no_accepted_job() {
     let mut w = settled(10, 3);
-    w.user("req-1", job(Kind::Array, 3, 1.0), 8 * SEC);
+    w.user("req-1", job(JobKind::Array, 3, 1.0), 8 * SEC);
     w.run(2);
     w.store.outage = true;
     let l = w.leader().unwrap();
     w.crash(l, 5 * SEC);
-    w.user("req-2", job(Kind::Array, 1, 1.0), 3 * SEC);
+    w.user("req-2", job(JobKind::Array, 1, 1.0), 3 * SEC);
     w.run(15);
     let now = w.now;
     w.store.end_outage(now);
@@ -25,7 +25,7 @@
 #[test]
 fn a_short_store_outage_kills_nothing() {
     let mut w = settled(11, 3);
-    w.user("req-1", job(Kind::Service, 3, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 3, 1.0), 0);
     w.run(10);
     w.store.outage = true;
     w.run(14);
@@ -38,8 +38,8 @@
 #[test]
 fn a_long_store_outage_kills_nothing_while_all_controllers_vouch_for_one_another() {
     let mut w = settled(31, 3);
-    w.user("req-1", job(Kind::Service, 3, 1.0), 0);
-    w.user("req-2", job(Kind::Service, 1, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 3, 1.0), 0);
+    w.user("req-2", job(JobKind::Service, 1, 1.0), 0);
     w.run(10);
     w.cancel_surely("req-2");
     w.run(3);
@@ -55,7 +55,7 @@
 #[test]
 fn without_one_of_them_a_long_store_outage_ends_the_renewals_in_time() {
     let mut w = settled(32, 3);
-    w.user("req-1", job(Kind::Service, 3, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 3, 1.0), 0);
     w.run(10);
     w.store.outage = true;
     // What it has told its users last, nobody can vouch for.
@@ -72,8 +72,8 @@
 #[test]
 fn while_the_store_is_silent_polls_are_refused_at_once_and_ends_are_still_told() {
     let mut w = settled(17, 2);
-    w.user("req-1", job(Kind::Array, 1, 1.0), 2 * SEC);
-    w.declare("req-2", job(Kind::Service, 1, 1.0), 0);
+    w.user("req-1", job(JobKind::Array, 1, 1.0), 2 * SEC);
+    w.declare("req-2", job(JobKind::Service, 1, 1.0), 0);
     w.submit_once(0, "req-2");
     w.run(20);
     w.store.outage = true;
@@ -88,15 +88,15 @@
     );
 }
 
-/// The leader's process ends in an outage of the state service; whoever is left keeps the workers alive.
+/// The leader's process ends in an outage of the state service; whoever is left keeps the agents alive.
 fn leader_lost_in_an_outage(seed: u64, back: u64, pledges: bool) -> World {
     let mut w = settled(seed, 5);
     if pledges {
         w.with_pledges();
     }
-    w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-    w.user("req-2", job(Kind::Array, 4, 1.0), 20 * SEC);
-    w.user("req-3", job(Kind::Array, 4, 1.0), 300 * SEC);
+    w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+    w.user("req-2", job(JobKind::Array, 4, 1.0), 20 * SEC);
+    w.user("req-3", job(JobKind::Array, 4, 1.0), 300 * SEC);
     w.run(10);
     let early = w.rng.random_range(3 * SEC..8 * SEC);
     w.after(early, |w| w.cancel_surely("req-3"));
@@ -160,7 +160,7 @@
 fn a_leader_waits_for_what_others_may_have_renewed_by_its_right() {
     for seed in 760..772 {
         let mut w = settled(seed, 4);
-        w.user("req-1", job(Kind::Service, 4, 4.0), 0);
+        w.user("req-1", job(JobKind::Service, 4, 4.0), 0);
         w.run(12);
         let (l, b, c) = parties(&w);
         w.store.outage = true;
@@ -168,7 +168,12 @@
         let far: Vec<String> = w.on("req-1/0").into_iter().chain(w.on("req-1/1")).collect();
         assert!(!far.is_empty());
         for i in [b, c] {
-            w.cut(Party::Node(l), Party::Node(i), Cut::Drop, 60 * SEC);
+            w.cut(
+                Party::Controller(l),
+                Party::Controller(i),
+                Cut::Drop,
+                60 * SEC,
+            );
         }
         cut_from_workers(&mut w, l, &far, 60 * SEC);
         w.run(13);
@@ -199,16 +204,21 @@
     for seed in 780..792 {
         let mut w = settled(seed, 6);
         w.with_pledges();
-        w.user("req-1", job(Kind::Service, 6, 4.0), 0);
-        w.user("req-2", job(Kind::Array, 6, 4.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 6, 4.0), 0);
+        w.user("req-2", job(JobKind::Array, 6, 4.0), 300 * SEC);
         w.run(12);
         let (l, b, c) = parties(&w);
         w.store.outage = true;
         w.run(12);
         // Some machines come to the one that will be alone, the others stay.
-        let names: Vec<String> = w.workers.keys().cloned().collect();
+        let names: Vec<String> = w.agents.keys().cloned().collect();
         for i in [l, c] {
-            w.cut(Party::Node(b), Party::Node(i), Cut::Drop, 90 * SEC);
+            w.cut(
+                Party::Controller(b),
+                Party::Controller(i),
+                Cut::Drop,
+                90 * SEC,
+            );
             cut_from_workers(&mut w, i, &names[..2], 90 * SEC);
         }
         cut_from_workers(&mut w, b, &names[2..], 90 * SEC);
@@ -239,8 +249,8 @@
     for seed in 950..970 {
         let mut w = settled(seed, 5);
         w.with_pledges();
-        w.user("req-1", job(Kind::Service, 5, 1.0), 0);
-        w.user("req-2", job(Kind::Array, 5, 1.0), 300 * SEC);
+        w.user("req-1", job(JobKind::Service, 5, 1.0), 0);
+        w.user("req-2", job(JobKind::Array, 5, 1.0), 300 * SEC);
         w.run(10);
         w.after(2 * SEC, |w| w.cancel_surely("req-2"));
         w.run(4);
--- a/tests/stories/pipelines.rs
+++ b/tests/stories/pipelines.rs
@@ -1,25 +1,29 @@
 //! Jobs that wait for jobs.
 
 use crate::world::{SEC, World, after, job, settled};
-use walnuttrestle::protocol::{Kind, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// A pipeline of three steps and a diamond, each job handed to another controller.
 #[test]
 fn jobs_wait_for_the_jobs_they_need() {
     for seed in 100..106 {
         let mut w = settled(seed, 5);
-        w.user("req-1", job(Kind::Array, 4, 1.0), 6 * SEC);
+        w.user("req-1", job(JobKind::Array, 4, 1.0), 6 * SEC);
         w.run(2);
         w.user(
             "req-2",
-            after(&["req-1"], job(Kind::Array, 60, 0.1)),
+            after(&["req-1"], job(JobKind::Array, 60, 0.1)),
+            4 * SEC,
+        );
+        w.user(
+            "req-3",
+            after(&["req-1"], job(JobKind::Gang, 2, 1.0)),
             4 * SEC,
         );
-        w.user("req-3", after(&["req-1"], job(Kind::Gang, 2, 1.0)), 4 * SEC);
         w.run(2);
         let last = after(
             &["req-2", "req-3", "req-1", "req-2"],
-            job(Kind::Array, 2, 1.0),
+            job(JobKind::Array, 2, 1.0),
         );
         w.user("req-4", last, 2 * SEC);
         w.run(3);
@@ -30,7 +34,7 @@
         // One that comes when the others are over starts at once.
         w.user(
             "req-5",
-            after(&["req-4"], job(Kind::Array, 1, 1.0)),
+            after(&["req-4"], job(JobKind::Array, 1, 1.0)),
             2 * SEC,
         );
         w.run(12);
@@ -41,10 +45,10 @@
 #[test]
 fn a_job_that_needs_what_nobody_submitted_is_refused() {
     let mut w = settled(110, 2);
-    w.user("req-1", job(Kind::Service, 1, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 1, 1.0), 0);
     w.run(4);
     for (id, need) in [("req-2", "req-77"), ("req-3", "req-3"), ("req-4", "req-1")] {
-        w.declare(id, after(&[need], job(Kind::Array, 1, 1.0)), SEC);
+        w.declare(id, after(&[need], job(JobKind::Array, 1, 1.0)), SEC);
         for i in 0..3 {
             w.submit_once(i, id);
         }
@@ -57,14 +61,18 @@
     // More names than a record can hold are refused whoever they are.
     let many: Vec<String> = (0..900).map(|n| format!("req-{n:06}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    w.declare("req-6", after(&many, job(Kind::Array, 1, 1.0)), SEC);
+    w.declare("req-6", after(&many, job(JobKind::Array, 1, 1.0)), SEC);
     w.submit_once(0, "req-6");
     w.run(1);
     assert!(w.said.iter().any(|s| s.1 == "req-6" && s.2 == 400));
     // Nothing can be looked up while the store is out: no verdict then.
     w.store.outage = true;
     w.run(4);
-    w.declare("req-5", after(&["req-78"], job(Kind::Array, 1, 1.0)), SEC);
+    w.declare(
+        "req-5",
+        after(&["req-78"], job(JobKind::Array, 1, 1.0)),
+        SEC,
+    );
     let before = w.now;
     w.submit_once(0, "req-5");
     w.run(3);
@@ -78,22 +86,22 @@
 fn what_needs_a_cancelled_job_is_cancelled_with_it() {
     for seed in 120..128 {
         let mut w = settled(seed, 4);
-        w.user("req-1", job(Kind::Array, 2, 1.0), 100 * SEC);
+        w.user("req-1", job(JobKind::Array, 2, 1.0), 100 * SEC);
         w.run(2);
-        w.user("req-2", after(&["req-1"], job(Kind::Array, 2, 1.0)), SEC);
+        w.user("req-2", after(&["req-1"], job(JobKind::Array, 2, 1.0)), SEC);
         w.run(2);
-        w.user("req-3", after(&["req-2"], job(Kind::Gang, 2, 1.0)), SEC);
+        w.user("req-3", after(&["req-2"], job(JobKind::Gang, 2, 1.0)), SEC);
         w.run(2);
         if seed % 2 == 0 {
             let l = w.leader().unwrap();
             w.crash(l, 20 * SEC);
         }
         w.cancel_surely("req-1");
-        w.user("req-4", after(&["req-3"], job(Kind::Array, 1, 1.0)), SEC);
+        w.user("req-4", after(&["req-3"], job(JobKind::Array, 1, 1.0)), SEC);
         w.run(10);
         w.user(
             "req-5",
-            after(&["req-4", "req-1"], job(Kind::Array, 1, 1.0)),
+            after(&["req-4", "req-1"], job(JobKind::Array, 1, 1.0)),
             SEC,
         );
         w.run(40);
@@ -125,12 +133,12 @@
     let mut ends = std::collections::BTreeSet::new();
     for seed in 130..150 {
         let mut w = settled(seed, 3);
-        w.user("req-1", job(Kind::Array, 1, 1.0), 3 * SEC);
-        w.user("req-2", job(Kind::Array, 1, 1.0), SEC);
+        w.user("req-1", job(JobKind::Array, 1, 1.0), 3 * SEC);
+        w.user("req-2", job(JobKind::Array, 1, 1.0), SEC);
         w.run(4);
         w.user(
             "req-3",
-            after(&["req-1", "req-2"], job(Kind::Array, 1, 1.0)),
+            after(&["req-1", "req-2"], job(JobKind::Array, 1, 1.0)),
             SEC,
         );
         w.run((seed % 5) / 2);
@@ -149,9 +157,13 @@
 fn a_takeover_or_an_outage_between_the_end_and_the_release() {
     for step in 0..16 {
         let mut w = settled(150 + step, 3);
-        w.user("req-1", job(Kind::Array, 2, 1.0), 5 * SEC);
+        w.user("req-1", job(JobKind::Array, 2, 1.0), 5 * SEC);
         w.run(2);
-        w.user("req-2", after(&["req-1"], job(Kind::Gang, 2, 1.0)), 3 * SEC);
+        w.user(
+            "req-2",
+            after(&["req-1"], job(JobKind::Gang, 2, 1.0)),
+            3 * SEC,
+        );
         w.run(5);
         w.after(step * 150_000, move |w| {
             if step % 2 == 0 {
@@ -177,19 +189,19 @@
 #[test]
 fn a_job_that_waits_holds_no_part_of_limit_or_guarantee() {
     let mut w = settled(170, 4);
-    let red = |spec| Spec {
+    let red = |spec| JobSpec {
         team: "red".into(),
         ..spec
     };
     // Red may use 12 GPUs: what waits must not count.
-    w.user("req-1", red(job(Kind::Array, 4, 1.0)), 30 * SEC);
+    w.user("req-1", red(job(JobKind::Array, 4, 1.0)), 30 * SEC);
     w.run(2);
     w.user(
         "req-2",
-        after(&["req-1"], red(job(Kind::Array, 12, 1.0))),
+        after(&["req-1"], red(job(JobKind::Array, 12, 1.0))),
         SEC,
     );
-    w.user("req-3", red(job(Kind::Array, 8, 1.0)), 4 * SEC);
+    w.user("req-3", red(job(JobKind::Array, 8, 1.0)), 4 * SEC);
     w.run(16);
     assert!(w.job_done("req-3"));
     assert_eq!(w.told("req-2"), "pending");
@@ -200,22 +212,22 @@
     // the way of what could run.
     let mut w = settled(171, 2);
     w.no_capacity = true;
-    let green = |spec| Spec {
+    let green = |spec| JobSpec {
         team: "green".into(),
         ..spec
     };
-    w.user("req-1", green(job(Kind::Array, 4, 1.0)), 300 * SEC);
+    w.user("req-1", green(job(JobKind::Array, 4, 1.0)), 300 * SEC);
     w.run(6);
-    w.user("req-2", job(Kind::Array, 12, 1.0), 300 * SEC);
+    w.user("req-2", job(JobKind::Array, 12, 1.0), 300 * SEC);
     w.run(6);
     assert_eq!(w.starts.len(), 16, "there is no room left");
     w.user(
         "req-3",
-        after(&["req-1"], green(job(Kind::Array, 4, 1.0))),
+        after(&["req-1"], green(job(JobKind::Array, 4, 1.0))),
         SEC,
     );
     w.run(2);
-    w.user("req-4", green(job(Kind::Array, 4, 1.0)), 10 * SEC);
+    w.user("req-4", green(job(JobKind::Array, 4, 1.0)), 10 * SEC);
     w.run(40);
     assert!(w.job_done("req-4"));
 }
@@ -228,13 +240,13 @@
     w.run(8);
     w.crash(1, 2 * SEC);
     w.set_old(1, false);
-    w.user("req-1", job(Kind::Array, 1, 1.0), 100 * SEC);
+    w.user("req-1", job(JobKind::Array, 1, 1.0), 100 * SEC);
     w.run(8);
     w.store.refuses.push(1);
     w.run(12);
-    w.declare("req-2", after(&["req-1"], job(Kind::Array, 1, 1.0)), SEC);
+    w.declare("req-2", after(&["req-1"], job(JobKind::Array, 1, 1.0)), SEC);
     w.submit_once(1, "req-2");
-    w.declare("req-3", job(Kind::Array, 1, 1.0), SEC);
+    w.declare("req-3", job(JobKind::Array, 1, 1.0), SEC);
     w.submit_once(1, "req-3");
     w.run(10);
     let answer = |id: &str| w.said.iter().find(|s| s.1 == id).map(|s| s.2);
@@ -249,22 +261,22 @@
     let run = |needed: bool| {
         let mut w = settled(175, 2);
         w.no_capacity = true;
-        let with = |priority, spec| Spec { priority, ..spec };
-        let filler = Spec {
+        let with = |priority, spec| JobSpec { priority, ..spec };
+        let filler = JobSpec {
             checkpoint_s: 1.0,
             save_s: 1.0,
-            ..job(Kind::Array, 16, 1.0)
+            ..job(JobKind::Array, 16, 1.0)
         };
         w.user("req-1", with(Priority::Normal, filler), 200 * SEC);
         w.run(8);
         w.user(
             "req-2",
-            with(Priority::Low, job(Kind::Gang, 2, 1.0)),
+            with(Priority::Low, job(JobKind::Gang, 2, 1.0)),
             4 * SEC,
         );
         w.run(2);
         if needed {
-            let last = with(Priority::High, job(Kind::Array, 1, 1.0));
+            let last = with(Priority::High, job(JobKind::Array, 1, 1.0));
             w.user("req-3", after(&["req-2"], last), 2 * SEC);
         }
         w.run(40);
--- a/tests/stories/users.rs
+++ b/tests/stories/users.rs
@@ -2,12 +2,12 @@
 
 use crate::world::{SEC, job, settled};
 use rand::RngExt;
-use walnuttrestle::protocol::Kind;
+use walnuttrestle::protocol::JobKind;
 
 #[test]
 fn cancelled_on_one_controller_is_cancelled_on_all() {
     let mut w = settled(8, 2);
-    w.user("req-1", job(Kind::Array, 2, 1.0), 100 * SEC);
+    w.user("req-1", job(JobKind::Array, 2, 1.0), 100 * SEC);
     w.run(6);
     w.cancel(0, "req-1");
     w.run(1);
@@ -25,7 +25,7 @@
 fn cancel_races_with_the_end_and_one_of_them_stands() {
     for seed in 20..28 {
         let mut w = settled(seed, 2);
-        w.user("req-1", job(Kind::Array, 1, 1.0), 4 * SEC);
+        w.user("req-1", job(JobKind::Array, 1, 1.0), 4 * SEC);
         let dt = w.rng.random_range(5_500_000..8_500_000);
         w.after(dt, |w| w.cancel_surely("req-1"));
         w.run(40);
@@ -44,7 +44,7 @@
     w.poll(1, "nonsense");
     w.run(1);
     assert!(w.said.iter().all(|s| s.2 == 404), "{:?}", w.said);
-    w.user("req-1", job(Kind::Array, 1, 1.0), 2 * SEC);
+    w.user("req-1", job(JobKind::Array, 1, 1.0), 2 * SEC);
     w.run(20);
     w.submit_once(2, "req-1");
     w.run(1);
@@ -55,13 +55,13 @@
 #[test]
 fn users_of_a_controller_that_the_store_refuses_are_served_by_another() {
     let mut w = settled(36, 2);
-    w.user("req-1", job(Kind::Service, 1, 1.0), 0);
+    w.user("req-1", job(JobKind::Service, 1, 1.0), 0);
     w.run(10);
     let f = (0..3).find(|i| Some(*i) != w.leader()).unwrap();
     w.store.refuses.push(f);
     w.run(3);
     let from = w.said.len();
-    w.declare("req-2", job(Kind::Array, 1, 1.0), 2 * SEC);
+    w.declare("req-2", job(JobKind::Array, 1, 1.0), 2 * SEC);
     w.submit_once(f, "req-2");
     w.poll(f, "req-1");
     w.poll(f, "req-99");
--- a/tests/stories/versions.rs
+++ b/tests/stories/versions.rs
@@ -2,10 +2,10 @@
 
 use crate::world::store::Limits;
 use crate::world::{SEC, World, after, job, settled};
-use walnuttrestle::protocol::peer::Heartbeat;
-use walnuttrestle::protocol::records::JobRec;
+use walnuttrestle::protocol::peer_messages::Heartbeat;
+use walnuttrestle::protocol::records::JobRecord;
 use walnuttrestle::protocol::wire::{decode, encode};
-use walnuttrestle::protocol::{Kind, Spec};
+use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// Large arrays, a full queue and a takeover while the state service lowers its limits.
 #[test]
@@ -19,11 +19,11 @@
         let mut w = World::with_limits(seed, 3, 10, 60.0, Some(low));
         w.run(8);
         for n in 0..6 {
-            let spec = Spec {
+            let spec = JobSpec {
                 class: "bleed-trim".into(),
                 types: Some(vec!["box".into(), "l".repeat(190), "m".repeat(190)]),
                 deadline_s: Some(712.123_456_789),
-                ..job(Kind::Array, 240, 0.25)
+                ..job(JobKind::Array, 240, 0.25)
             };
             w.user(&format!("req-{n}"), spec, 8 * SEC);
         }
@@ -32,7 +32,7 @@
         w.run(4);
         let l = w.leader().unwrap();
         w.crash(l, 3 * SEC);
-        w.user("req-77", job(Kind::Array, 1, 1.0), SEC);
+        w.user("req-77", job(JobKind::Array, 1, 1.0), SEC);
         w.run(200);
         assert_eq!(w.store.too_large, 0);
         assert_eq!(w.store.too_fast, 0);
@@ -65,9 +65,9 @@
         };
         let mut w = World::all_old(200 + n as u64, 5, Some(low));
         w.run(8);
-        w.user("req-1", job(Kind::Array, 130, 0.5), 6 * SEC);
-        w.user("req-2", job(Kind::Service, 2, 1.0), 0);
-        w.user("req-3", job(Kind::Array, 2, 1.0), 200 * SEC);
+        w.user("req-1", job(JobKind::Array, 130, 0.5), 6 * SEC);
+        w.user("req-2", job(JobKind::Service, 2, 1.0), 0);
+        w.user("req-3", job(JobKind::Array, 2, 1.0), 200 * SEC);
         w.run(6);
         let upgrade = |w: &mut World, i: usize| {
             w.crash(i, 3 * SEC);
@@ -75,7 +75,7 @@
             w.run(6);
             // It works on what the old ones have written, and asks for what they do not know.
             let id = format!("req-9{i}");
-            let spec = after(&["req-1", "req-3"], job(Kind::Array, 1, 1.0));
+            let spec = after(&["req-1", "req-3"], job(JobKind::Array, 1, 1.0));
             w.declare(&id, spec, SEC);
             w.submit_once(i, &id);
             w.run(3);
@@ -109,7 +109,7 @@
         w.store.limits = Some(low);
         let last = if n % 2 == 0 { order[0] } else { order[2] };
         assert!(w.jobs[&format!("req-9{last}")].accepted, "{order:?}");
-        w.user("req-4", after(&["req-1"], job(Kind::Array, 3, 1.0)), SEC);
+        w.user("req-4", after(&["req-1"], job(JobKind::Array, 3, 1.0)), SEC);
         // Restarts need no new agreement.
         w.run(4);
         w.crash(order[1], 2 * SEC);
@@ -135,7 +135,7 @@
             .collect()
     };
     let job = bytes(OLD_JOB);
-    let rec: JobRec = decode(&job).unwrap();
+    let rec: JobRecord = decode(&job).unwrap();
     assert!(rec.spec.needs.is_empty() && rec.spec.tasks == 130);
     assert_eq!(rec.first.entry(3).unwrap().machine(), Some("n-000231"));
     // What we write without needs is the same to the byte, and the old version reads it.
@@ -166,8 +166,8 @@
     let mut w = World::with_limits(195, 3, 6, 60.0, Some(low));
     w.store.limits = Some(low);
     w.run(8);
-    w.user("req-1", job(Kind::Gang, 130, 0.125), 6 * SEC);
-    w.declare("req-2", job(Kind::Gang, 145, 0.125), SEC);
+    w.user("req-1", job(JobKind::Gang, 130, 0.125), 6 * SEC);
+    w.declare("req-2", job(JobKind::Gang, 145, 0.125), SEC);
     w.submit_once(1, "req-2");
     w.run(40);
     assert!(w.job_done("req-1"));
@@ -181,7 +181,7 @@
 fn a_rejected_transaction_is_no_verdict_on_a_job() {
     let mut w = settled(190, 10);
     for n in 0..4 {
-        w.user(&format!("req-{n}"), job(Kind::Array, 240, 0.25), 8 * SEC);
+        w.user(&format!("req-{n}"), job(JobKind::Array, 240, 0.25), 8 * SEC);
     }
     w.run(3);
     w.store.limits = Some(Limits {
@@ -190,7 +190,7 @@
         write_rps: 60.0,
     });
     for n in 10..40 {
-        w.user(&format!("req-{n}"), job(Kind::Array, 1, 0.25), SEC);
+        w.user(&format!("req-{n}"), job(JobKind::Array, 1, 0.25), SEC);
     }
     w.run(120);
     assert!(w.store.too_large > 0);
--- a/tests/wire_compatibility.rs
+++ b/tests/wire_compatibility.rs
@@ -5,28 +5,34 @@
 //! compares the result with the value. `UPDATE_FIXTURES=1 cargo test --test wire_compatibility` writes the files
 //! anew and fails, so that no such run passes for a comparison.
 
+use admission_control::parts::{Grant, Part};
 use rmpv::Value;
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
 use std::fmt::{Debug, Write};
 use std::path::PathBuf;
-use walnuttrestle::bookkeeping::store::{Ask, Rank, Reply, Store};
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::job::parse;
-use walnuttrestle::protocol::peer::{CancellationNews, Gist, Heartbeat, Knows, More};
+use walnuttrestle::protocol::peer_messages::{
+    CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension, RecordSummary,
+};
 use walnuttrestle::protocol::records::{
-    self, Bundle, Chunk, Entry, JobRec, LeadRec, PartsRec, RenewRec, Stage,
+    self, BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PlacementBatch, RenewalsRecord,
+    TaskChunk, TaskEntry,
 };
 use walnuttrestle::protocol::wire::{
-    Change, Command, Cond, Item, ItemPage, JobState, LeaseAnswer, LeaseRequest, Listed,
-    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, Misdirected, Orders, Phase,
-    Problem, Rent, Report, ReportAnswer, TaskReport, Txn, TxnAnswer, WatchAnswer, WatchEvent, Why,
-    decode, encode, from_value, to_value,
+    Change, Command, ExitReason, Item, ItemPage, JobState, LeaseRequest, LeaseResponse,
+    ListedMachine, MachineNames, MachinePage, MachineState, MachineType, MachineTypes, Misdirected,
+    Orders, Problem, RentRequest, Report, ReportResponse, TaskPhase, TaskReport, Transaction,
+    TransactionResponse, VersionCondition, WatchEvent, WatchResponse, decode, encode, from_value,
+    to_value,
+};
+use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority};
+use walnuttrestle::state::store_client::{
+    RequestPriority, StoreClient, StoreRequest, StoreResponse,
 };
-use walnuttrestle::protocol::{Kind, Micros, Priority, Spec};
 use walnuttrestle::transport::http::{put_request, put_response};
-use walnuttrestle::transport::{NetCmd, Outcome};
-use walnuttrestle_admission::parts::{Grant, Part};
+use walnuttrestle::transport::{NetworkCommand, Outcome};
 
 /// The cases of one fixture file.
 struct Fixtures {
@@ -165,11 +171,11 @@
 }
 
 /// A job without any optional field.
-fn plain_spec() -> Spec {
-    Spec {
+fn plain_spec() -> JobSpec {
+    JobSpec {
         class: "nightly".into(),
         team: "vision".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 3,
         cpus: 2.0,
@@ -191,9 +197,9 @@
 }
 
 /// A job with every optional field.
-fn full_spec() -> Spec {
-    Spec {
-        kind: Kind::Gang,
+fn full_spec() -> JobSpec {
+    JobSpec {
+        kind: JobKind::Gang,
         priority: Priority::Production,
         tasks: 100,
         types: Some(strings(["big", "small"])),
@@ -208,23 +214,23 @@
     }
 }
 
-fn plain_job() -> JobRec {
-    JobRec {
+fn plain_job() -> JobRecord {
+    JobRecord {
         spec: plain_spec(),
         at: Micros(1_700_000_000_000_000),
-        stage: Stage::Active,
+        stage: JobStage::Active,
         end: Micros::ZERO,
-        first: Chunk::default(),
+        first: TaskChunk::default(),
         cleaned: false,
     }
 }
 
-fn chunk() -> Chunk {
-    Chunk {
+fn chunk() -> TaskChunk {
+    TaskChunk {
         entries: vec![
-            Entry(0, 1, "n-000017".into(), 4_000_000_000, 7, false),
-            Entry(5, 300, String::new(), 0, 6, false),
-            Entry(47, 70_000, "n-000900".into(), u64::MAX, 8, true),
+            TaskEntry(0, 1, "n-000017".into(), 4_000_000_000, 7, false),
+            TaskEntry(5, 300, String::new(), 0, 6, false),
+            TaskEntry(47, 70_000, "n-000900".into(), u64::MAX, 8, true),
         ],
         done: (1 << 46) | 0b110,
     }
@@ -350,9 +356,9 @@
 }
 
 fn lead_and_small_records(fixtures: &mut Fixtures) {
-    let lead = LeadRec {
+    let lead = LeaderRecord {
         node: "kernel-1".into(),
-        inc: u64::MAX >> 1,
+        incarnation: u64::MAX >> 1,
         term: 7,
     };
     fixtures.record("lead", &lead);
@@ -364,24 +370,24 @@
     }
     fixtures.record("machine_types", &machine_types());
     fixtures.record("machine_types_none", &MachineTypes { types: Vec::new() });
-    fixtures.record("parts", &PartsRec::of(&grant()));
-    fixtures.record("parts_none", &PartsRec::default());
-    let parts: PartsRec = decode(&fixtures.used["parts"]).unwrap();
+    fixtures.record("parts", &BudgetSharesRecord::of(&grant()));
+    fixtures.record("parts_none", &BudgetSharesRecord::default());
+    let parts: BudgetSharesRecord = decode(&fixtures.used["parts"]).unwrap();
     assert_eq!(parts.grant(), grant());
-    let bundle = Bundle {
+    let bundle = PlacementBatch {
         places: vec![
             ("req-1".into(), chunk().entries),
             ("req-2".into(), Vec::new()),
         ],
     };
     fixtures.record("bundle", &bundle);
-    fixtures.record("bundle_empty", &Bundle::default());
+    fixtures.record("bundle_empty", &PlacementBatch::default());
 }
 
 fn job_records(fixtures: &mut Fixtures) {
-    let full = JobRec {
+    let full = JobRecord {
         spec: full_spec(),
-        stage: Stage::Cancelled,
+        stage: JobStage::Cancelled,
         end: Micros(1_700_000_100_000_001),
         first: chunk(),
         cleaned: true,
@@ -389,24 +395,24 @@
     };
     fixtures.record("job_plain", &plain_job());
     fixtures.record("job_full", &full);
-    let done = JobRec {
-        stage: Stage::Done,
-        spec: Spec {
-            kind: Kind::Service,
+    let done = JobRecord {
+        stage: JobStage::Done,
+        spec: JobSpec {
+            kind: JobKind::Service,
             priority: Priority::Low,
             ..plain_spec()
         },
         ..full.clone()
     };
     fixtures.record("job_done", &done);
-    let kind = |kind| Spec {
+    let kind = |kind| JobSpec {
         kind,
         ..plain_spec()
     };
-    fixtures.record("spec_array", &kind(Kind::Array));
-    fixtures.record("spec_gang", &kind(Kind::Gang));
-    fixtures.record("spec_service", &kind(Kind::Service));
-    let priority = |priority| Spec {
+    fixtures.record("spec_array", &kind(JobKind::Array));
+    fixtures.record("spec_gang", &kind(JobKind::Gang));
+    fixtures.record("spec_service", &kind(JobKind::Service));
+    let priority = |priority| JobSpec {
         priority,
         ..plain_spec()
     };
@@ -415,7 +421,7 @@
     fixtures.record("spec_high", &priority(Priority::High));
     fixtures.record("spec_production", &priority(Priority::Production));
     fixtures.record("chunk", &chunk());
-    fixtures.record("chunk_empty", &Chunk::default());
+    fixtures.record("chunk_empty", &TaskChunk::default());
     old_job_records(fixtures);
 }
 
@@ -436,7 +442,7 @@
         ("c", map([("e", list([])), ("d", 0.into())])),
     ]);
     fixtures.read_as("job_of_first_version", &first_version, &plain_job());
-    let rewritten: JobRec = decode(&fixtures.used["job_of_first_version"]).unwrap();
+    let rewritten: JobRecord = decode(&fixtures.used["job_of_first_version"]).unwrap();
     let stored = &fixtures.used["job_of_first_version"];
     assert_eq!(hex(&encode(&rewritten)), hex(stored));
     let newer = map([
@@ -446,18 +452,18 @@
         ("unknown_field", 1.into()),
     ]);
     fixtures.read_as("job_with_unknown_field", &newer, &plain_job());
-    fixtures.read_as("chunk_without_fields", &map([]), &Chunk::default());
+    fixtures.read_as("chunk_without_fields", &map([]), &TaskChunk::default());
 }
 
 fn renewal_records(fixtures: &mut Fixtures) {
     let machines = strings(["n-000017", "n-000018", "n-000900", "x", "xy", "é1", "éa"]);
-    let record = RenewRec::new(7, machines.iter());
+    let record = RenewalsRecord::new(7, machines.iter());
     fixtures.record("renewal", &record);
-    let decoded: RenewRec = decode(&fixtures.used["renewal"]).unwrap();
+    let decoded: RenewalsRecord = decode(&fixtures.used["renewal"]).unwrap();
     assert_eq!(decoded.term, 7);
     assert_eq!(decoded.machines(), machines);
-    fixtures.record("renewal_none", &RenewRec::new(7, [].into_iter()));
-    let halves = RenewRec::split(7, machines.iter(), 60);
+    fixtures.record("renewal_none", &RenewalsRecord::new(7, [].into_iter()));
+    let halves = RenewalsRecord::split(7, machines.iter(), 60);
     assert!(halves.len() > 1, "one record");
     for (part, record) in halves.iter().enumerate() {
         fixtures.record(&format!("renewal_split_{part}"), record);
@@ -476,19 +482,19 @@
         format: number,
         asks: if since(format::PARTS) { 30_000 } else { 0 },
         epoch: if since(format::PARTS) { 4 } else { 0 },
-        more: since(format::RIGHTS).then_some(More {
+        more: since(format::RIGHTS).then_some(HeartbeatExtension {
             run: 77,
             right: Some(7),
             used_ago: Some(1_500_000),
             quiet: true,
         }),
-        gist: since(format::RIGHTS).then(|| Gist {
+        record_summary: since(format::RIGHTS).then(|| RecordSummary {
             lead: ("kernel-0".into(), 3, 7),
             revision: 411,
             cancelled: strings(["req-000009", "req-10"]),
             known: vec![("kernel-2".into(), 12)],
         }),
-        knows: since(format::CANCELLATIONS).then_some(Knows {
+        knows: since(format::CANCELLATIONS).then_some(CancellationCursor {
             complete: 400,
             heard: (78, 3),
         }),
@@ -510,10 +516,10 @@
         leader_silent_ms: None,
         newest: None,
         served: false,
-        gist: None,
+        record_summary: None,
         knows: None,
         news: None,
-        more: (number >= format::RIGHTS).then(More::default),
+        more: (number >= format::RIGHTS).then(HeartbeatExtension::default),
         ..heartbeat(number)
     }
 }
@@ -569,7 +575,7 @@
     Value::Map(fields)
 }
 
-fn submission_case(fixtures: &mut Fixtures, name: &str, body: &Value, id: &str, spec: &Spec) {
+fn submission_case(fixtures: &mut Fixtures, name: &str, body: &Value, id: &str, spec: &JobSpec) {
     let stored = fixtures.written(name, &bytes_of(body));
     let (parsed_id, parsed) = parse(&stored).expect(name);
     assert_eq!(parsed_id, id, "{name}: another id");
@@ -661,7 +667,7 @@
     );
 }
 
-fn task_report(phase: Phase) -> TaskReport {
+fn task_report(phase: TaskPhase) -> TaskReport {
     TaskReport {
         task: "req-17/3".into(),
         attempt: 2,
@@ -709,12 +715,12 @@
 fn agent_api() {
     let mut fixtures = Fixtures::open("agent_api.hex");
     reports(&mut fixtures);
-    let answer = ReportAnswer {
+    let answer = ReportResponse {
         term: 7,
         commands: commands(),
     };
     fixtures.both_ways("report_answer", &answer);
-    let empty = ReportAnswer {
+    let empty = ReportResponse {
         term: 7,
         commands: Vec::new(),
     };
@@ -739,28 +745,28 @@
 
 fn reports(fixtures: &mut Fixtures) {
     let phases = [
-        Phase::Fetching,
-        Phase::Waiting,
-        Phase::Running,
-        Phase::Saving,
-        Phase::Exited,
+        TaskPhase::Fetching,
+        TaskPhase::Waiting,
+        TaskPhase::Running,
+        TaskPhase::Saving,
+        TaskPhase::Exited,
     ];
     let phases = report(phases.map(task_report).to_vec());
     fixtures.both_ways("report_of_each_phase", &phases);
     let causes = [
-        Why::Done,
-        Why::Stopped,
-        Why::Peers,
-        Why::Alone,
-        Why::Error,
-        Why::NoRoom,
-        Why::Busy,
-        Why::Unknown,
+        ExitReason::Done,
+        ExitReason::Stopped,
+        ExitReason::Peers,
+        ExitReason::Alone,
+        ExitReason::Error,
+        ExitReason::NoRoom,
+        ExitReason::Busy,
+        ExitReason::Unknown,
     ];
     let causes = causes.map(|why| TaskReport {
         why: Some(why),
-        saved: Some(why == Why::Stopped),
-        ..task_report(Phase::Exited)
+        saved: Some(why == ExitReason::Stopped),
+        ..task_report(TaskPhase::Exited)
     });
     let causes = Report {
         notice_s: Some(30.5),
@@ -770,7 +776,7 @@
     worker_report(fixtures);
 }
 
-/// A report as a worker writes it: without optional fields, and with a task that names them.
+/// A report as a agent writes it: without optional fields, and with a task that names them.
 fn worker_report(fixtures: &mut Fixtures) {
     let running = map([
         ("sheet", "req-17/3".into()),
@@ -796,16 +802,16 @@
         ("sheets", list([running, stopped])),
     ]);
     let stopped = TaskReport {
-        why: Some(Why::Peers),
+        why: Some(ExitReason::Peers),
         saved: Some(true),
-        ..task_report(Phase::Exited)
+        ..task_report(TaskPhase::Exited)
     };
-    let value = report(vec![task_report(Phase::Running), stopped]);
+    let value = report(vec![task_report(TaskPhase::Running), stopped]);
     fixtures.read_as("report_of_a_worker", &body, &value);
 }
 
-fn listed(state: MachineState) -> Listed {
-    Listed {
+fn listed(state: MachineState) -> ListedMachine {
+    ListedMachine {
         id: "n-000017".into(),
         address: None,
         kind: "big".into(),
@@ -819,7 +825,7 @@
 #[test]
 fn cloud_api() {
     let mut fixtures = Fixtures::open("cloud_api.hex");
-    let rent = Rent {
+    let rent = RentRequest {
         request: "kernel-1-7-12".into(),
         kind: "big".into(),
         zone: "a".into(),
@@ -834,7 +840,7 @@
     let page = MachinePage {
         machines: vec![
             listed(MachineState::Booting),
-            Listed {
+            ListedMachine {
                 address: Some("10.1.4.17:9000".into()),
                 spot: true,
                 age_s: 61.5,
@@ -887,8 +893,8 @@
     fixtures.read_as("page_of_the_cloud", &page, &value);
 }
 
-fn transaction() -> Txn {
-    let condition = |key: &str, version| Cond {
+fn transaction() -> Transaction {
+    let condition = |key: &str, version| VersionCondition {
         key: key.into(),
         version,
     };
@@ -905,20 +911,20 @@
     let delete = Change::Delete {
         key: records::chunk_key("req-17", 1),
     };
-    Txn {
+    Transaction {
         conds: vec![condition(records::LEAD, 412), condition(records::LIVE, 0)],
         changes: vec![job, live, delete],
     }
 }
 
 /// Method, path and body of a request to the state service.
-fn request_bytes(ask: Ask) -> Vec<u8> {
+fn request_bytes(ask: StoreRequest) -> Vec<u8> {
     let address = "127.0.0.1:7000".parse().unwrap();
-    let mut store = Store::new(address, 100.0, 100.0, 100.0);
+    let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let mut sent = Vec::new();
-    store.ask(Rank::First, (), ask);
+    store.ask(RequestPriority::First, (), ask);
     store.pump(Micros::millis(10_000), &mut 0, &mut sent);
-    let [NetCmd::Call(call)] = sent.as_slice() else {
+    let [NetworkCommand::Call(call)] = sent.as_slice() else {
         panic!("not one call: {sent:?}");
     };
     let head = format!("{} {}\n", call.method, call.path);
@@ -926,17 +932,17 @@
 }
 
 /// What the state service's answer to a request is taken for.
-fn reply_to(ask: Ask, status: u16, body: &[u8]) -> Reply {
+fn reply_to(ask: StoreRequest, status: u16, body: &[u8]) -> StoreResponse {
     let address = "127.0.0.1:7000".parse().unwrap();
-    let mut store = Store::new(address, 100.0, 100.0, 100.0);
+    let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let (mut id, mut sent) = (0, Vec::new());
-    store.ask(Rank::First, (), ask);
+    store.ask(RequestPriority::First, (), ask);
     store.pump(Micros::millis(10_000), &mut id, &mut sent);
     let outcome = Outcome::Reply {
         status,
         body: body.to_vec(),
     };
-    store.on_answer(id, &outcome).expect("the request").3
+    store.on_response(id, &outcome).expect("the request").3
 }
 
 #[test]
@@ -951,23 +957,29 @@
 }
 
 fn store_requests(fixtures: &mut Fixtures) {
-    let first_page = Ask::List {
+    let first_page = StoreRequest::List {
         after: String::new(),
     };
-    let next_page = Ask::List {
+    let next_page = StoreRequest::List {
         after: "wt/j/req-17".into(),
     };
-    let watch = Ask::Watch {
+    let watch = StoreRequest::Watch {
         after: 412,
         block_ms: 2500,
     };
     let requests = [
-        ("request_transaction", Ask::Txn(transaction())),
+        (
+            "request_transaction",
+            StoreRequest::Transaction(transaction()),
+        ),
         ("request_first_page", first_page),
         ("request_next_page", next_page),
         ("request_watch", watch),
-        ("request_lease", Ask::NewLease(Micros::millis(3_000))),
-        ("request_renewal", Ask::Renew(91)),
+        (
+            "request_lease",
+            StoreRequest::NewLease(Micros::millis(3_000)),
+        ),
+        ("request_renewal", StoreRequest::Renew(91)),
     ];
     for (name, ask) in requests {
         fixtures.written(name, &request_bytes(ask));
@@ -976,24 +988,24 @@
 }
 
 fn transaction_answers(fixtures: &mut Fixtures) {
-    let committed = TxnAnswer {
+    let committed = TransactionResponse {
         revision: 413,
         failed: Vec::new(),
     };
     let body = map([("edition", 413.into())]);
     fixtures.read_as("committed", &body, &committed);
     let body = &fixtures.used["committed"];
-    let reply = reply_to(Ask::Txn(transaction()), 200, body);
-    assert_eq!(reply, Reply::Committed(413));
-    let conflict = TxnAnswer {
+    let reply = reply_to(StoreRequest::Transaction(transaction()), 200, body);
+    assert_eq!(reply, StoreResponse::Committed(413));
+    let conflict = TransactionResponse {
         revision: 0,
         failed: strings(["wt/lead", "wt/live"]),
     };
     let failed = list(["wt/lead".into(), "wt/live".into()]);
     fixtures.read_as("conflict", &map([("failed", failed)]), &conflict);
     let body = &fixtures.used["conflict"];
-    let reply = reply_to(Ask::Txn(transaction()), 409, body);
-    assert_eq!(reply, Reply::Conflict(conflict.failed));
+    let reply = reply_to(StoreRequest::Transaction(transaction()), 409, body);
+    assert_eq!(reply, StoreResponse::Conflict(conflict.failed));
 }
 
 fn listing_answers(fixtures: &mut Fixtures) {
@@ -1031,11 +1043,11 @@
         ("edition", 413.into()),
     ]);
     fixtures.read_as("page_of_the_service", &body, &page);
-    let ask = Ask::List {
+    let ask = StoreRequest::List {
         after: String::new(),
     };
     let reply = reply_to(ask, 200, &fixtures.used["page_of_the_service"]);
-    assert_eq!(reply, Reply::Page(page));
+    assert_eq!(reply, StoreResponse::Page(page));
 }
 
 fn watch_answers(fixtures: &mut Fixtures) {
@@ -1051,7 +1063,7 @@
         deleted: Some("wt/live".into()),
         version: 414,
     };
-    let answer = WatchAnswer {
+    let answer = WatchResponse {
         revision: 414,
         events: vec![put, deleted],
     };
@@ -1064,19 +1076,19 @@
     let deleted = map([("drop", "wt/live".into()), ("stamp", 414.into())]);
     let body = map([("edition", 414.into()), ("news", list([put, deleted]))]);
     fixtures.read_as("watch_answer_of_the_service", &body, &answer);
-    let ask = Ask::Watch {
+    let ask = StoreRequest::Watch {
         after: 412,
         block_ms: 0,
     };
     let reply = reply_to(ask, 200, &fixtures.used["watch_answer_of_the_service"]);
-    assert_eq!(reply, Reply::Events(answer));
+    assert_eq!(reply, StoreResponse::Events(answer));
 }
 
 fn lease_messages(fixtures: &mut Fixtures) {
     fixtures.both_ways("lease_request", &LeaseRequest { ttl_ms: 3_000 });
-    let answer = LeaseAnswer { lease: 91 };
+    let answer = LeaseResponse { lease: 91 };
     fixtures.both_ways("lease_answer", &answer);
     let body = &fixtures.used["lease_answer"];
-    let reply = reply_to(Ask::NewLease(Micros::millis(3_000)), 200, body);
-    assert_eq!(reply, Reply::Lease(91));
+    let reply = reply_to(StoreRequest::NewLease(Micros::millis(3_000)), 200, body);
+    assert_eq!(reply, StoreResponse::Lease(91));
 }
--- a/tests/world/worker.rs
+++ b/tests/world/agent.rs
@@ -1,4 +1,4 @@
-//! An in-memory worker: sessions, leases, tokens and tasks as PROTOCOL describes them.
+//! An in-memory agent: sessions, leases, tokens and tasks as PROTOCOL describes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::wire::*;
@@ -7,14 +7,14 @@
 
 #[derive(Debug, Clone)]
 pub struct Task {
-    pub phase: Phase,
-    pub why: Option<Why>,
+    pub phase: TaskPhase,
+    pub why: Option<ExitReason>,
     pub saved: bool,
     /// When the present phase ends by itself.
     pub until: u64,
 }
 
-pub struct FakeWorker {
+pub struct FakeAgent {
     pub name: String,
     pub zone: String,
     pub spot: bool,
@@ -39,9 +39,9 @@
     pub images: BTreeSet<String>,
 }
 
-impl FakeWorker {
-    pub fn new(name: &str, zone: &str, index: usize, now: u64) -> FakeWorker {
-        FakeWorker {
+impl FakeAgent {
+    pub fn new(name: &str, zone: &str, index: usize, now: u64) -> FakeAgent {
+        FakeAgent {
             name: name.into(),
             zone: zone.into(),
             spot: false,
@@ -93,16 +93,16 @@
     /// On the machine: has its image and has not exited.
     pub fn holds(&self) -> impl Iterator<Item = (&Key, &Task)> {
         let alive = self.alive;
-        self.tasks
-            .iter()
-            .filter(move |(_, t)| alive && !matches!(t.phase, Phase::Exited | Phase::Fetching))
+        self.tasks.iter().filter(move |(_, t)| {
+            alive && !matches!(t.phase, TaskPhase::Exited | TaskPhase::Fetching)
+        })
     }
 
-    pub fn exit(&mut self, key: &Key, why: Why, saved: bool) {
+    pub fn exit(&mut self, key: &Key, why: ExitReason, saved: bool) {
         if let Some(t) = self.tasks.get_mut(key) {
-            t.phase = Phase::Exited;
+            t.phase = TaskPhase::Exited;
             t.why = Some(why);
-            self.failed += u32::from(why == Why::Error);
+            self.failed += u32::from(why == ExitReason::Error);
             t.saved = saved;
             self.report_at = 0;
         }
--- a/tests/world/asks.rs
+++ b/tests/world/asks.rs
@@ -5,7 +5,7 @@
 impl World {
     /// Machines a task is on.
     pub fn on(&self, task: &str) -> BTreeSet<String> {
-        self.workers
+        self.agents
             .values()
             .filter(|w| w.holds().any(|((t, _), _)| t == task))
             .map(|w| w.name.clone())
@@ -35,7 +35,7 @@
     pub fn placed_on(&self, task: &str) -> Option<String> {
         let (id, n) = task.rsplit_once('/')?;
         let node = self.nodes[self.leader()?].node.as_ref()?;
-        let job = node.mirror.jobs.get(id)?;
+        let job = node.cache.jobs.get(id)?;
         let entry = job.entry(n.parse().ok()?)?;
         entry.machine().map(str::to_string)
     }
@@ -52,12 +52,12 @@
 
     /// The names of all machines.
     pub fn names(&self) -> Vec<String> {
-        self.workers.keys().cloned().collect()
+        self.agents.keys().cloned().collect()
     }
 
     /// How many tasks have failed, on whatever machine.
     pub fn failures(&self) -> u32 {
-        self.failures + self.workers.values().map(|w| w.failed).sum::<u32>()
+        self.failures + self.agents.values().map(|w| w.failed).sum::<u32>()
     }
 
     pub fn job_done(&self, id: &str) -> bool {
@@ -67,11 +67,11 @@
     /// Jobs that a node holds as not yet over.
     pub fn held(&self, i: usize) -> usize {
         let node = self.nodes[i].node.as_ref();
-        node.map_or(0, |n| n.mirror.jobs.len())
+        node.map_or(0, |n| n.cache.jobs.len())
     }
 
     /// A controller, if it runs.
-    pub fn node(&self, i: usize) -> Option<&Node> {
+    pub fn node(&self, i: usize) -> Option<&Controller> {
         self.nodes[i].node.as_ref()
     }
 
@@ -91,20 +91,20 @@
             };
             out += &format!(
                 "node {i}: synced {} revision {} lead {:?} live {:?} wake {}\n",
-                n.mirror.synced, n.mirror.revision, n.mirror.lead, n.mirror.live, s.wake
+                n.cache.synced, n.cache.revision, n.cache.lead, n.cache.live, s.wake
             );
             if let Some(l) = &n.leader {
                 out += &format!(
                     "  leads: term {} proof {} dirty {} edits {:?} batches {:?} stopping {:?}\n",
-                    l.term, l.proof, l.dirty, l.edits, l.touched, l.stopping
+                    l.term, l.last_confirmed_read, l.dirty, l.edits, l.touched, l.stopping
                 );
-                for (m, w) in &l.workers {
+                for (m, w) in &l.agents {
                     out += &format!(
                         "  {m}: session {} term {} heard {} over {:?} starts {:?} tasks {:?}\n",
                         w.session, w.term, w.heard, w.over, w.starts, w.tasks
                     );
                 }
-                for (id, j) in &n.mirror.jobs {
+                for (id, j) in &n.cache.jobs {
                     out += &format!("  {id}: {:?} {:?}\n", j.rec.stage, j.rec.first);
                     for e in j.entries() {
                         out += &format!("    {:?} {:?}\n", e, l.standing(id, e));
@@ -112,7 +112,7 @@
                 }
             }
         }
-        for w in self.workers.values() {
+        for w in self.agents.values() {
             out += &format!(
                 "{} alive {} session {} term {} node {} {:?}\n",
                 w.name, w.alive, w.session, w.term, w.node, w.tasks
--- a/tests/world/balancer.rs
+++ b/tests/world/balancer.rs
@@ -15,7 +15,7 @@
 
 /// What the load balancer thinks of a controller.
 #[derive(Default)]
-struct Seen {
+struct ReportedTask {
     healthy: bool,
     ever: bool,
     last: VecDeque<bool>,
@@ -40,7 +40,7 @@
 
 #[derive(Default)]
 pub struct Balancer {
-    nodes: Vec<Seen>,
+    nodes: Vec<ReportedTask>,
     lines: BTreeMap<String, Line>,
     /// Since when all troubles are over.
     calm: Option<u64>,
@@ -50,7 +50,7 @@
     /// Users come through a load balancer from now on.
     pub fn balance(&mut self) {
         let n = self.nodes();
-        self.balancer.nodes = (0..n).map(|_| Seen::default()).collect();
+        self.balancer.nodes = (0..n).map(|_| ReportedTask::default()).collect();
         self.probe();
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// A user who submits a job, and then asks about it every five seconds, through the load balancer.
-    pub fn caller(&mut self, id: &str, spec: Spec, run: u64) {
+    pub fn caller(&mut self, id: &str, spec: JobSpec, run: u64) {
         self.declare(id, spec, run);
         self.balancer.lines.insert(id.into(), Line::default());
         self.ask(id.to_string());
--- a/tests/world/check.rs
+++ b/tests/world/check.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A controller sends starts only this soon after it has read the records.
-const START_PROOF: u64 = 4 * SEC + 50_000;
+const MAX_START_STALENESS: u64 = 4 * SEC + 50_000;
 
 impl World {
     /// All jobs before this one, directly or through others.
@@ -29,7 +29,7 @@
             machine: machine.to_string(),
         });
         let image = self.jobs.get(id).map(|t| t.spec.image.clone());
-        if let (Some(w), Some(image)) = (self.workers.get_mut(machine), image) {
+        if let (Some(w), Some(image)) = (self.agents.get_mut(machine), image) {
             w.images.insert(image);
         }
         *self.starts.entry(task.to_string()).or_default() += 1;
@@ -37,10 +37,10 @@
             self.broken("invented", format!("{task} started"));
             return;
         };
-        let w = &self.workers[machine];
+        let w = &self.agents[machine];
         let (zone, spot) = (w.zone.clone(), w.spot);
         let others: Vec<(String, String, String)> = self
-            .workers
+            .agents
             .values()
             .flat_map(|w| {
                 w.holds()
@@ -88,10 +88,10 @@
         }
     }
 
-    /// A controller sends commands to a worker. How long after its user was told of a cancellation a start of the job
+    /// A controller sends commands to a agent. How long after its user was told of a cancellation a start of the job
     /// may still be sent: as long as a proof of the records is good for starts, with a tick more.
     pub(super) fn check_orders(&mut self, to: &Party, call: &Call) {
-        let Party::Worker(_) = to else { return };
+        let Party::Agent(_) = to else { return };
         let Some(orders) = decode::<Orders>(&call.body) else {
             return;
         };
@@ -101,7 +101,7 @@
             };
             let id = task.rsplit_once('/').map_or("", |(id, _)| id);
             let told = self.jobs.get(id).and_then(|t| t.told_cancelled);
-            if told.is_some_and(|told| self.now > told + START_PROOF) {
+            if told.is_some_and(|told| self.now > told + MAX_START_STALENESS) {
                 self.broken(
                     "started_cancelled",
                     format!("{task} by a command sent then"),
@@ -113,7 +113,7 @@
     pub(super) fn check_all(&mut self) {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut late = None;
-        for w in self.workers.values() {
+        for w in self.agents.values() {
             for ((task, _), _) in w.holds() {
                 let Some((id, _)) = task.rsplit_once('/') else {
                     continue;
--- a/tests/world/close.rs
+++ b/tests/world/close.rs
@@ -28,7 +28,7 @@
         let ended = |t: &JobTruth| {
             t.accepted
                 && !t.asked_cancel
-                && t.spec.kind != Kind::Service
+                && t.spec.kind != JobKind::Service
                 && t.done.len() as u32 == t.spec.tasks
         };
         let new: Vec<String> = self
@@ -71,7 +71,7 @@
         let mut hung = 0;
         for id in ids {
             if hang > 0 && hung < 8 {
-                for w in self.workers.values_mut() {
+                for w in self.agents.values_mut() {
                     let mut there = w.tasks.keys().map(|(t, _)| t.rsplit_once('/'));
                     if there.any(|t| t.is_some_and(|(j, _)| j == id)) && w.hung_until <= self.now {
                         w.hung_until = until;
@@ -87,7 +87,7 @@
 
     /// A submission of which one field is changed or (none) left out.
     fn bent(&mut self, field: &str, to: Option<Value>) -> Vec<u8> {
-        let spec = job(Kind::Array, 2, 1.0);
+        let spec = job(JobKind::Array, 2, 1.0);
         let mut value = to_value(&spec);
         if let Value::Map(m) = &mut value {
             let id = format!("req-7{:06}", self.serial);
