--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -1,10 +1,10 @@
-//! Workers and the cloud.
+//! Agents and the cloud.
 
 use super::*;
 
 impl World {
     pub(super) fn hung(&self, name: &str) -> Option<u64> {
-        self.workers
+        self.agents
             .get(name)
             .map(|w| w.hung_until)
             .filter(|u| *u > self.now)
@@ -12,7 +12,7 @@
 
     pub(super) fn execute(&mut self, name: &str, commands: Vec<Command>) {
         for c in commands {
-            let Some(w) = self.workers.get_mut(name) else {
+            let Some(w) = self.agents.get_mut(name) else {
                 return;
             };
             match c {
@@ -25,26 +25,26 @@
                     let busy = w
                         .tasks
                         .iter()
-                        .any(|((t, _), s)| *t == task && s.phase != Phase::Exited);
+                        .any(|((t, _), s)| *t == task && s.phase != TaskPhase::Exited);
                     let image = self.jobs.get(&id).map(|t| t.spec.image.clone());
                     let cached = image.is_some_and(|i| w.images.contains(&i));
                     let t = if busy {
                         Task {
-                            phase: Phase::Exited,
-                            why: Some(Why::Busy),
+                            phase: TaskPhase::Exited,
+                            why: Some(ExitReason::Busy),
                             saved: false,
                             until: 0,
                         }
                     } else if !self.jobs.contains_key(&id) {
                         Task {
-                            phase: Phase::Exited,
-                            why: Some(Why::Unknown),
+                            phase: TaskPhase::Exited,
+                            why: Some(ExitReason::Unknown),
                             saved: false,
                             until: 0,
                         }
                     } else {
                         Task {
-                            phase: Phase::Fetching,
+                            phase: TaskPhase::Fetching,
                             why: None,
                             saved: false,
                             until: self.now + if cached { 0 } else { FETCH },
@@ -63,19 +63,22 @@
                     let key = (task, attempt);
                     if let Some(t) = w.tasks.get_mut(&key) {
                         match t.phase {
-                            Phase::Exited => {}
-                            Phase::Running if save > 0.0 && grace_s >= save => {
-                                t.phase = Phase::Saving;
+                            TaskPhase::Exited => {}
+                            TaskPhase::Running if save > 0.0 && grace_s >= save => {
+                                t.phase = TaskPhase::Saving;
                                 t.until = self.now + (save * 1e6) as u64;
                             }
-                            Phase::Saving if grace_s > 0.0 => {}
-                            _ => w.exit(&key, Why::Stopped, false),
+                            TaskPhase::Saving if grace_s > 0.0 => {}
+                            _ => w.exit(&key, ExitReason::Stopped, false),
                         }
                     }
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task, attempt);
-                    if w.tasks.get(&key).is_some_and(|t| t.phase == Phase::Exited) {
+                    if w.tasks
+                        .get(&key)
+                        .is_some_and(|t| t.phase == TaskPhase::Exited)
+                    {
                         w.tasks.remove(&key);
                     }
                 }
@@ -86,11 +89,11 @@
     pub(super) fn worker_tick(&mut self, name: &str) {
         let now = self.now;
         let nodes = self.nodes.len();
-        if !self.workers[name].alive {
+        if !self.agents[name].alive {
             return;
         }
         // A lease runs out on a hung machine, too: only within it may the machine continue.
-        let w = self.workers.get_mut(name).unwrap();
+        let w = self.agents.get_mut(name).unwrap();
         if now > w.lease_from + self.lease_s * SEC {
             w.kill_all();
             w.lease_from = now;
@@ -98,12 +101,12 @@
         if self.hung(name).is_some() {
             return;
         }
-        let w = self.workers.get_mut(name).unwrap();
+        let w = self.agents.get_mut(name).unwrap();
         // Phases that end by themselves.
-        let due: Vec<worker::Key> = w
+        let due: Vec<agent::Key> = w
             .tasks
             .iter()
-            .filter(|(_, t)| t.phase != Phase::Exited && t.until > 0 && t.until <= now)
+            .filter(|(_, t)| t.phase != TaskPhase::Exited && t.until > 0 && t.until <= now)
             .map(|(k, _)| k.clone())
             .collect();
         for key in due {
@@ -111,21 +114,21 @@
             let n: u32 = key.0.rsplit_once('/').unwrap().1.parse().unwrap();
             let truth = self.jobs[&id].clone();
             let broken = self.broken_jobs.contains(&id);
-            let whole = truth.spec.kind != Kind::Gang || self.complete(&key, &truth);
-            let w = self.workers.get_mut(name).unwrap();
+            let whole = truth.spec.kind != JobKind::Gang || self.complete(&key, &truth);
+            let w = self.agents.get_mut(name).unwrap();
             let errors = w.errors || broken;
             let t = w.tasks.get_mut(&key).unwrap();
             match t.phase {
-                Phase::Fetching if errors => w.exit(&key, Why::Error, false),
-                Phase::Fetching => {
+                TaskPhase::Fetching if errors => w.exit(&key, ExitReason::Error, false),
+                TaskPhase::Fetching => {
                     if truth.done.contains(&n) {
-                        w.exit(&key, Why::Done, false);
-                    } else if truth.spec.kind == Kind::Gang {
-                        t.phase = Phase::Waiting;
+                        w.exit(&key, ExitReason::Done, false);
+                    } else if truth.spec.kind == JobKind::Gang {
+                        t.phase = TaskPhase::Waiting;
                         t.until = 0;
                     } else {
-                        t.phase = Phase::Running;
-                        t.until = if truth.spec.kind == Kind::Service {
+                        t.phase = TaskPhase::Running;
+                        t.until = if truth.spec.kind == JobKind::Service {
                             0
                         } else {
                             now + truth.run + u64::from(n) * truth.apart
@@ -135,16 +138,16 @@
                     self.check_start(name, &key.0);
                 }
                 // While its machine hung, the others have gone.
-                Phase::Running if !whole => w.exit(&key, Why::Peers, false),
-                Phase::Running => {
-                    w.exit(&key, Why::Done, false);
+                TaskPhase::Running if !whole => w.exit(&key, ExitReason::Peers, false),
+                TaskPhase::Running => {
+                    w.exit(&key, ExitReason::Done, false);
                     self.jobs.get_mut(&id).unwrap().done.insert(n);
                 }
-                Phase::Saving => w.exit(&key, Why::Stopped, true),
+                TaskPhase::Saving => w.exit(&key, ExitReason::Stopped, true),
                 _ => {}
             }
         }
-        let w = self.workers.get_mut(name).unwrap();
+        let w = self.agents.get_mut(name).unwrap();
         if let Some((_, number, sent)) = w.flying
             && now > sent + 4 * SEC
         {
@@ -170,7 +173,7 @@
                 let copy = Ev::Report(name.clone(), to, number, body.clone());
                 self.schedule(at + late, copy);
             }
-            match self.across(&Party::Node(node), &Party::Worker(name.clone())) {
+            match self.across(&Party::Controller(node), &Party::Agent(name.clone())) {
                 Some((Cut::Drop, _)) => return,
                 Some((Cut::Hold, until)) => at = until + 1000,
                 None => {}
@@ -180,35 +183,35 @@
     }
 
     /// All tasks of a gang's attempt are there, or one of them has completed it.
-    pub(super) fn complete(&self, key: &worker::Key, truth: &JobTruth) -> bool {
+    pub(super) fn complete(&self, key: &agent::Key, truth: &JobTruth) -> bool {
         let id = key.0.rsplit_once('/').map(|(id, _)| id);
-        let there = self.workers.values().flat_map(|w| w.holds());
+        let there = self.agents.values().flat_map(|w| w.holds());
         let mates = there.filter(|((k, attempt), _)| {
             *attempt == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id
         });
         // They complete together: while the machine of one stands still, none does.
-        let hung = |w: &FakeWorker| {
+        let hung = |w: &FakeAgent| {
             let mut held = w.holds().map(|((k, attempt), _)| (k, attempt));
             let mate =
                 |(k, a): (&String, &u64)| *a == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id;
             w.hung_until > self.now && held.any(mate)
         };
         !truth.done.is_empty()
-            || mates.count() as u32 == truth.spec.tasks && !self.workers.values().any(hung)
+            || mates.count() as u32 == truth.spec.tasks && !self.agents.values().any(hung)
     }
 
     /// Gangs: start together, fail together.
     pub(super) fn gangs(&mut self) {
         let now = self.now;
-        type Member = (String, worker::Key, Phase);
+        type Member = (String, agent::Key, TaskPhase);
         let mut members: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
-        for w in self.workers.values() {
+        for w in self.agents.values() {
             for (k, t) in w.holds() {
                 let id = k.0.rsplit_once('/').unwrap().0.to_string();
                 if self
                     .jobs
                     .get(&id)
-                    .is_some_and(|t| t.spec.kind == Kind::Gang)
+                    .is_some_and(|t| t.spec.kind == JobKind::Gang)
                 {
                     members.entry((id, k.1)).or_default().push((
                         w.name.clone(),
@@ -222,28 +225,28 @@
             let truth = self.jobs[&id].clone();
             let all = list.len() as u32 == truth.spec.tasks;
             let hung = list.iter().any(|(m, _, _)| self.hung(m).is_some());
-            if all && !hung && list.iter().all(|(_, _, p)| *p == Phase::Waiting) {
+            if all && !hung && list.iter().all(|(_, _, p)| *p == TaskPhase::Waiting) {
                 for (m, k, _) in &list {
-                    let t = self.workers.get_mut(m).unwrap().tasks.get_mut(k).unwrap();
-                    t.phase = Phase::Running;
+                    let t = self.agents.get_mut(m).unwrap().tasks.get_mut(k).unwrap();
+                    t.phase = TaskPhase::Running;
                     t.until = now + truth.run;
                 }
             } else if !all || hung {
                 for (m, k, p) in &list {
-                    if *p == Phase::Running {
+                    if *p == TaskPhase::Running {
                         let due = now + GANG_PEER_S * SEC / 2;
-                        let w = self.workers.get_mut(m).unwrap();
+                        let w = self.agents.get_mut(m).unwrap();
                         let done = truth.done.len() as u32 >= 1;
                         if w.hung_until > now {
                             continue;
                         }
                         if done {
                             let n: u32 = k.0.rsplit_once('/').unwrap().1.parse().unwrap();
-                            w.exit(k, Why::Done, false);
+                            w.exit(k, ExitReason::Done, false);
                             self.jobs.get_mut(&id).unwrap().done.insert(n);
                         } else {
                             let _ = due;
-                            w.exit(k, Why::Peers, false);
+                            w.exit(k, ExitReason::Peers, false);
                         }
                     }
                 }
@@ -273,10 +276,10 @@
                 (200, encode(&MachineTypes { types: vec![t] }))
             }
             ("GET", _) => {
-                let mut machines: Vec<Listed> = self
-                    .workers
+                let mut machines: Vec<ListedMachine> = self
+                    .agents
                     .values()
-                    .map(|w| Listed {
+                    .map(|w| ListedMachine {
                         id: w.name.clone(),
                         address: None,
                         kind: "box".into(),
@@ -298,7 +301,7 @@
                 (200, encode(&page))
             }
             ("POST", "/machines") => {
-                let r: Rent = decode(&call.body).expect("a rental");
+                let r: RentRequest = decode(&call.body).expect("a rental");
                 if let Some(names) = self.rented.get(&r.request) {
                     let machines = names.clone();
                     let first = self.rented_at[&r.request];
@@ -307,7 +310,7 @@
                     }
                     return (200, encode(&MachineNames { machines }));
                 }
-                let room = 12usize.saturating_sub(self.workers.len() + self.booting.len());
+                let room = 12usize.saturating_sub(self.agents.len() + self.booting.len());
                 if room == 0 || self.no_capacity {
                     return (503, Vec::new());
                 }
@@ -326,7 +329,7 @@
             _ => {
                 let names: MachineNames = decode(&call.body).expect("names");
                 for n in names.machines {
-                    let gone = self.workers.remove(&n);
+                    let gone = self.agents.remove(&n);
                     self.failures += gone.map_or(0, |w| w.failed);
                     self.booting.retain(|(_, b, ..)| *b != n);
                     self.deleted.insert(n);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,8 +1,9 @@
-//! A seeded world in memory: controllers, state service, cloud, workers, users and the network
+//! A seeded world in memory: controllers, state service, cloud, agents, users and the network
 //! between them, on one simulated clock, with a checker that knows nothing of the scheduler.
 
 #![allow(dead_code)]
 
+pub mod agent;
 mod asks;
 mod balancer;
 mod check;
@@ -16,21 +17,20 @@
 pub mod trouble;
 mod users;
 mod waits;
-pub mod worker;
 
+use agent::{FakeAgent, Task};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use store::{FakeStore, Limits};
 use trouble::{Mute, Troubles};
-use walnuttrestle::coordination::node::{Clock, Node};
-use walnuttrestle::coordination::policy::Policy;
+use walnuttrestle::controller::{Clock, Controller};
+use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::settings::NextStateParams;
 use walnuttrestle::protocol::wire::*;
-use walnuttrestle::protocol::{Kind, Micros, Settings, Spec};
-use walnuttrestle::transport::{Call, NetCmd, NetEvent, Outcome};
-use worker::{FakeWorker, Task};
+use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
+use walnuttrestle::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 
 pub const SEC: u64 = 1_000_000;
 pub const CANCEL_S: u64 = 30;
@@ -42,10 +42,10 @@
 /// Who talks over the network.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Party {
-    Node(usize),
-    Store,
+    Controller(usize),
+    StoreClient,
     Cloud,
-    Worker(String),
+    Agent(String),
 }
 
 enum Ev {
@@ -56,22 +56,22 @@
     Return(usize, u64, u64, Outcome),
     Timeout(usize, u64, u64),
     Restart(usize),
-    /// A worker's report arrives at a node; the number names the report.
+    /// A agent's report arrives at a node; the number names the report.
     Report(String, usize, u64, Vec<u8>),
-    ReportAnswer(String, u64, u16, Vec<u8>),
+    ReportResponse(String, u64, u16, Vec<u8>),
     Tick,
     Do(Box<dyn FnOnce(&mut World)>),
 }
 
 struct Slot {
-    node: Option<Node>,
+    node: Option<Controller>,
     run: u64,
     wake: u64,
     /// Runs the first version.
     old: bool,
     /// Stands still until then; what comes meanwhile waits.
     frozen: u64,
-    held: Vec<NetEvent>,
+    held: Vec<NetworkEvent>,
 }
 
 /// How a cut treats what is sent across it.
@@ -85,7 +85,7 @@
 
 #[derive(Debug, Clone)]
 pub struct JobTruth {
-    pub spec: Spec,
+    pub spec: JobSpec,
     pub run: u64,
     /// Each task runs for so much longer than the one before.
     pub apart: u64,
@@ -133,7 +133,7 @@
     nodes: Vec<Slot>,
     pub store: FakeStore,
     watchers: BTreeMap<u64, (usize, u64, u64)>,
-    pub workers: BTreeMap<String, FakeWorker>,
+    pub agents: BTreeMap<String, FakeAgent>,
     booting: Vec<(u64, String, String, bool)>,
     pub cloud_down: bool,
     pub failed: BTreeSet<String>,
@@ -190,7 +190,7 @@
 
 pub fn settings(i: usize, nodes: usize) -> Settings {
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
-    let siblings: String = (0..nodes)
+    let peers: String = (0..nodes)
         .filter(|j| *j != i)
         .map(|j| {
             format!(
@@ -205,7 +205,7 @@
 zone="{}"
 serve_on="10.0.0.{n}:8080"
 internal_addr="10.0.0.{n}:8081"
-{siblings}
+{peers}
 [external]
 cloud="10.2.0.2:8443"
 state="10.2.0.1:2379"
@@ -258,8 +258,8 @@
     w
 }
 
-pub fn job(kind: Kind, tasks: u32, gpus: f64) -> Spec {
-    Spec {
+pub fn job(kind: JobKind, tasks: u32, gpus: f64) -> JobSpec {
+    JobSpec {
         class: "c".into(),
         team: "blue".into(),
         kind,
@@ -272,7 +272,7 @@
         image_gb: 1.0,
         types: None,
         zone: None,
-        one_zone: kind == Kind::Gang,
+        one_zone: kind == JobKind::Gang,
         spread: false,
         spot: false,
         estimate_s: 10.0,
@@ -284,8 +284,8 @@
 }
 
 /// The same job, waiting for others.
-pub fn after(needs: &[&str], spec: Spec) -> Spec {
-    Spec {
+pub fn after(needs: &[&str], spec: JobSpec) -> JobSpec {
+    JobSpec {
         needs: needs.iter().map(|n| n.to_string()).collect(),
         ..spec
     }
@@ -323,7 +323,7 @@
             nodes: Vec::new(),
             store: FakeStore::default(),
             watchers: BTreeMap::new(),
-            workers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             booting: Vec::new(),
             cloud_down: false,
             failed: BTreeSet::new(),
@@ -401,9 +401,9 @@
     pub fn machine(&mut self, zone: &str, spot: bool) -> String {
         self.machines += 1;
         let name = format!("n-{:06}", self.machines);
-        let mut worker = FakeWorker::new(&name, zone, self.machines as usize, self.now);
-        worker.spot = spot;
-        self.workers.insert(name.clone(), worker);
+        let mut agent = FakeAgent::new(&name, zone, self.machines as usize, self.now);
+        agent.spot = spot;
+        self.agents.insert(name.clone(), agent);
         name
     }
 
@@ -430,7 +430,7 @@
         let clock = self.clock();
         let mut settings = settings(i, n);
         settings.params.state.write_rps = self.write_rps;
-        settings.params.workers.lease_s = self.lease_s as f64;
+        settings.params.agents.lease_s = self.lease_s as f64;
         let next = self.next.filter(|_| !self.nodes[i].old);
         settings.params.state.next = next.map(|l| NextStateParams {
             rps: None,
@@ -442,7 +442,7 @@
             pledges: f64::from(u8::from(self.pledges)),
             ..Policy::default()
         };
-        let node = Node::new(settings, policy, seed, clock);
+        let node = Controller::new(settings, policy, seed, clock);
         self.nodes[i].node = Some(node);
         self.nodes[i].run += 1;
         self.nodes[i].wake = 0;
@@ -518,7 +518,7 @@
                         body
                     };
                     let lag = self.lag_watch.get(&i).copied().unwrap_or(0);
-                    self.answer_late(Party::Store, i, run, id, 200, body, lag);
+                    self.answer_late(Party::StoreClient, i, run, id, 200, body, lag);
                 }
             }
             if let Some(b) = &self.on_break {
@@ -539,12 +539,12 @@
             Ev::Timeout(i, run, id) => {
                 if self.open.remove(&(i, run, id)).is_some() && self.nodes[i].run == run {
                     let outcome = Outcome::Lost;
-                    self.deliver(i, vec![NetEvent::Answer { id, outcome }]);
+                    self.deliver(i, vec![NetworkEvent::Answer { id, outcome }]);
                 }
             }
             Ev::Return(i, run, id, outcome) => {
                 if self.open.remove(&(i, run, id)).is_some() && self.nodes[i].run == run {
-                    self.deliver(i, vec![NetEvent::Answer { id, outcome }]);
+                    self.deliver(i, vec![NetworkEvent::Answer { id, outcome }]);
                 }
             }
             Ev::Arrive(i, run, id, call) => self.arrive(i, run, id, call),
@@ -555,7 +555,7 @@
                 let p = Pending::Report(name, number);
                 self.request(node, p, "POST", "/hello".into(), body);
             }
-            Ev::ReportAnswer(name, number, status, body) => {
+            Ev::ReportResponse(name, number, status, body) => {
                 self.report_answered(&name, number, status, &body);
             }
             Ev::Tick => self.tick(),
@@ -575,11 +575,11 @@
         };
         for (_, name, zone, spot) in up {
             let index = name.trim_start_matches("n-").parse().unwrap();
-            let mut w = FakeWorker::new(&name, &zone, index, now);
+            let mut w = FakeAgent::new(&name, &zone, index, now);
             w.spot = spot;
-            self.workers.insert(name, w);
+            self.agents.insert(name, w);
         }
-        let names: Vec<String> = self.workers.keys().cloned().collect();
+        let names: Vec<String> = self.agents.keys().cloned().collect();
         for n in names {
             self.worker_tick(&n);
         }
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -1,4 +1,4 @@
-//! The network between controllers, workers, state service and cloud.
+//! The network between controllers, agents, state service and cloud.
 
 use super::*;
 
@@ -20,24 +20,24 @@
     pub(super) fn party(&self, call: &Call) -> Party {
         let text = call.addr.to_string();
         if text == "10.2.0.1:2379" {
-            Party::Store
+            Party::StoreClient
         } else if text == "10.2.0.2:8443" {
             Party::Cloud
         } else if let Some(n) = text
             .strip_prefix("10.0.0.")
             .and_then(|r| r.split(':').next())
         {
-            Party::Node(n.parse::<usize>().unwrap() - 1)
+            Party::Controller(n.parse::<usize>().unwrap() - 1)
         } else {
             let rest = text.strip_prefix("10.1.").and_then(|r| r.split(':').next());
             let (high, low) = rest.and_then(|r| r.split_once('.')).unwrap();
             let index = high.parse::<usize>().unwrap() * 200 + low.parse::<usize>().unwrap();
-            Party::Worker(format!("n-{index:06}"))
+            Party::Agent(format!("n-{index:06}"))
         }
     }
 
     /// Hands messages to a node and carries out what it wants.
-    pub(super) fn deliver(&mut self, i: usize, events: Vec<NetEvent>) {
+    pub(super) fn deliver(&mut self, i: usize, events: Vec<NetworkEvent>) {
         let clock = self.clock();
         let old = self.nodes[i].old;
         if self.nodes[i].frozen > self.now {
@@ -60,8 +60,8 @@
         for cmd in cmds {
             self.trace.add(self.now, i, &cmd);
             match cmd {
-                NetCmd::Call(call) => self.send(i, run, call),
-                NetCmd::Respond {
+                NetworkCommand::Call(call) => self.send(i, run, call),
+                NetworkCommand::Respond {
                     conn, status, body, ..
                 } => self.respond(i, conn, status, body),
             }
@@ -76,20 +76,21 @@
     /// Counts what the controllers ask of others, by what it costs there.
     pub(super) fn count(&mut self, to: &Party, call: &Call) {
         match to {
-            Party::Store => {
+            Party::StoreClient => {
                 self.costs.requests += 1;
-                if let Some(t) = decode::<Txn>(&call.body).filter(|_| call.path == "/multi") {
+                if let Some(t) = decode::<Transaction>(&call.body).filter(|_| call.path == "/multi")
+                {
                     self.costs.changes += t.changes.len();
                 }
             }
-            Party::Worker(_) => self.costs.orders += 1,
+            Party::Agent(_) => self.costs.orders += 1,
             _ => {}
         }
     }
 
     pub(super) fn send(&mut self, i: usize, run: u64, mut call: Call) {
         let to = self.party(&call);
-        if self.nodes[i].old && to == Party::Store && call.path == "/multi" {
+        if self.nodes[i].old && to == Party::StoreClient && call.path == "/multi" {
             match old::writes(call.body) {
                 Some(body) => call.body = body,
                 // It never asks for this: the call is not made.
@@ -102,18 +103,18 @@
         self.open.insert(key, ());
         self.schedule(self.now + call.timeout.0, Ev::Timeout(i, run, call.id));
         let mut at = self.now + self.latency();
-        if self.troubles.lost(&Party::Node(i), &to, self.now) {
+        if self.troubles.lost(&Party::Controller(i), &to, self.now) {
             return;
         }
-        match self.across(&Party::Node(i), &to) {
+        match self.across(&Party::Controller(i), &to) {
             Some((Cut::Drop, _)) => return,
             Some((Cut::Hold, until)) => at = until + self.latency(),
             None => {}
         }
-        if let (Party::Worker(_), Some(d)) = (&to, self.delay_orders) {
+        if let (Party::Agent(_), Some(d)) = (&to, self.delay_orders) {
             at += d;
         }
-        if let Party::Worker(name) = &to
+        if let Party::Agent(name) = &to
             && self.troubles.mute(name, i, Mute::Commands, self.now)
         {
             return;
@@ -156,15 +157,15 @@
         late: u64,
     ) {
         let mut at = self.now + self.latency() + late;
-        if from == Party::Store {
+        if from == Party::StoreClient {
             at += self.slow_store;
         }
-        if self.troubles.lost(&from, &Party::Node(i), self.now)
+        if self.troubles.lost(&from, &Party::Controller(i), self.now)
             || self.troubles.answer_is_lost(&(i, run, id))
         {
             return;
         }
-        match self.across(&Party::Node(i), &from) {
+        match self.across(&Party::Controller(i), &from) {
             Some((Cut::Drop, _)) => return,
             Some((Cut::Hold, until)) => at = until + 1000,
             None => {}
@@ -187,15 +188,15 @@
                     return;
                 }
                 let mut at = self.now + self.latency();
-                match self.across(&Party::Node(i), &Party::Worker(name.clone())) {
+                match self.across(&Party::Controller(i), &Party::Agent(name.clone())) {
                     Some((Cut::Drop, _)) => return,
                     Some((Cut::Hold, until)) => at = until + 1000,
                     None => {}
                 }
-                self.schedule(at, Ev::ReportAnswer(name, number, status, body));
+                self.schedule(at, Ev::ReportResponse(name, number, status, body));
             }
             Some(Pending::Peer(from, run, id, beat)) => {
-                let who = Party::Node(i);
+                let who = Party::Controller(i);
                 let old = beat && (self.nodes[i].old || self.nodes[from].old);
                 let body = if old { old::heartbeat(body) } else { body };
                 self.answer(who, from, run, id, status, body);
@@ -212,7 +213,7 @@
     pub(super) fn arrive(&mut self, i: usize, run: u64, id: u64, call: Call) {
         let to = self.party(&call);
         match &to {
-            Party::Store => {
+            Party::StoreClient => {
                 self.serial += 1;
                 let ticket = self.serial;
                 match self
@@ -235,13 +236,13 @@
                 let (status, body) = self.cloud(&call);
                 self.answer(to, i, run, id, status, body);
             }
-            Party::Worker(name) => {
+            Party::Agent(name) => {
                 if let Some(until) = self.hung(name) {
                     self.schedule(until + 20, Ev::Arrive(i, run, id, call));
                     return;
                 }
                 let now = self.now;
-                let Some(w) = self.workers.get_mut(name).filter(|w| w.alive) else {
+                let Some(w) = self.agents.get_mut(name).filter(|w| w.alive) else {
                     return;
                 };
                 if now > w.lease_from + self.lease_s * SEC {
@@ -258,10 +259,10 @@
                 if status == 200 {
                     self.execute(name, o.commands);
                 }
-                let body = encode(&self.workers.get_mut(name).unwrap().report());
+                let body = encode(&self.agents.get_mut(name).unwrap().report());
                 self.answer(to, i, run, id, status, body);
             }
-            Party::Node(j) => {
+            Party::Controller(j) => {
                 if self.nodes[*j].node.is_none() {
                     return;
                 }
@@ -276,7 +277,7 @@
                 };
                 self.conns
                     .insert((*j, conn), Pending::Peer(i, run, id, beat));
-                let ev = NetEvent::Request {
+                let ev = NetworkEvent::Request {
                     conn,
                     internal: true,
                     method: call.method.into(),
@@ -292,11 +293,11 @@
         let nodes = self.nodes.len();
         if let Some(until) = self.hung(name) {
             let (n, b) = (name.to_string(), body.to_vec());
-            self.schedule(until + 10, Ev::ReportAnswer(n, number, status, b));
+            self.schedule(until + 10, Ev::ReportResponse(n, number, status, b));
             return;
         }
         let now = self.now;
-        let Some(w) = self.workers.get_mut(name).filter(|w| w.alive) else {
+        let Some(w) = self.agents.get_mut(name).filter(|w| w.alive) else {
             return;
         };
         let Some((session, flying, sent)) = w.flying else {
@@ -309,7 +310,7 @@
         match status {
             200 => {
                 // Without a token it is dropped.
-                let Some(a) = decode::<ReportAnswer>(body) else {
+                let Some(a) = decode::<ReportResponse>(body) else {
                     return;
                 };
                 if a.term < w.term || session != w.session {
--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -4,14 +4,14 @@
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 use walnuttrestle::protocol::wire::*;
-use walnuttrestle::protocol::{Kind, Micros, Priority};
-use walnuttrestle::transport::NetEvent;
+use walnuttrestle::protocol::{JobKind, Micros, Priority};
+use walnuttrestle::transport::NetworkEvent;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OldSpec {
     docket: String,
     crew: String,
-    shape: Kind,
+    shape: JobKind,
     rank: Priority,
     sheets: u32,
     cpus: f64,
@@ -88,7 +88,7 @@
 /// What the first version makes of an answer of the state service.
 pub fn reads(path: &str, body: Vec<u8>) -> Vec<u8> {
     if path.starts_with("/watch") {
-        let mut a: WatchAnswer = decode(&body).expect("a watch's answer");
+        let mut a: WatchResponse = decode(&body).expect("a watch's answer");
         a.events.retain(|e| {
             let key = e.put.as_deref().or(e.deleted.as_deref());
             key.is_none_or(seen)
@@ -122,7 +122,7 @@
 
 /// What the first version writes; none: it would not write this.
 pub fn writes(body: Vec<u8>) -> Option<Vec<u8>> {
-    let mut txn: Txn = decode(&body)?;
+    let mut txn: Transaction = decode(&body)?;
     for c in &mut txn.changes {
         match c {
             Change::Put { put, value, .. } if seen(put) => {
@@ -145,9 +145,9 @@
 
 /// A request as the first version understands it: fields of a submission that it does not know are
 /// as good as absent.
-pub fn hears(event: NetEvent) -> NetEvent {
+pub fn hears(event: NetworkEvent) -> NetworkEvent {
     match event {
-        NetEvent::Request {
+        NetworkEvent::Request {
             conn,
             internal,
             method,
@@ -158,7 +158,7 @@
             if let Value::Map(m) = &mut value {
                 m.retain(|(k, _)| k.as_str() != Some("awaits"));
             }
-            NetEvent::Request {
+            NetworkEvent::Request {
                 conn,
                 internal,
                 method,
--- a/tests/world/pretend.rs
+++ b/tests/world/pretend.rs
@@ -1,4 +1,4 @@
-//! Faults for the checker: what no controller or worker does.
+//! Faults for the checker: what no controller or agent does.
 
 use super::*;
 
@@ -8,7 +8,7 @@
         let index: usize = machine.trim_start_matches("n-").parse().unwrap();
         let orders = Orders {
             term: self.term(),
-            session: self.workers[machine].session,
+            session: self.agents[machine].session,
             commands: vec![Command::Start {
                 task: task.into(),
                 attempt,
@@ -29,14 +29,14 @@
     }
 
     /// A task runs on a machine although nobody has started it.
-    pub fn pretend_running(&mut self, machine: &str, key: worker::Key) {
+    pub fn pretend_running(&mut self, machine: &str, key: agent::Key) {
         let task = Task {
-            phase: Phase::Running,
+            phase: TaskPhase::Running,
             why: None,
             saved: false,
             until: u64::MAX,
         };
-        let w = self.workers.get_mut(machine).expect("a machine");
+        let w = self.agents.get_mut(machine).expect("a machine");
         w.tasks.insert(key, task);
     }
 
@@ -54,7 +54,7 @@
     /// A controller's copy holds machine types of later: none that there was.
     pub fn forget_types(&mut self, node: usize) {
         if let Some(n) = self.nodes[node].node.as_mut() {
-            n.mirror.types = Some(Vec::new());
+            n.cache.types = Some(Vec::new());
         }
     }
 
@@ -67,9 +67,9 @@
         self.request_on(internal, node, pending, "POST", path.into(), body);
     }
 
-    /// What a worker would report now.
+    /// What a agent would report now.
     pub fn report_of(&mut self, machine: &str) -> Report {
-        let w = self.workers.get_mut(machine).expect("a machine");
+        let w = self.agents.get_mut(machine).expect("a machine");
         w.report()
     }
 
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -124,7 +124,7 @@
     }
 
     /// What the limits say to a transaction.
-    fn over_limits(&mut self, now: u64, txn: &Txn) -> Option<u16> {
+    fn over_limits(&mut self, now: u64, txn: &Transaction) -> Option<u16> {
         let l = self.limits?;
         let long = |c: &Change| match c {
             Change::Put { value, .. } => json_len(value) as f64 > l.value_kb * 1024.0,
@@ -149,8 +149,8 @@
         None
     }
 
-    fn events(&self, after: u64) -> WatchAnswer {
-        WatchAnswer {
+    fn events(&self, after: u64) -> WatchResponse {
+        WatchResponse {
             revision: self.revision,
             events: self
                 .log
@@ -253,7 +253,7 @@
                 ))
             }
             ("POST", "/multi") => {
-                let txn: Txn = decode(body).expect("a transaction");
+                let txn: Transaction = decode(body).expect("a transaction");
                 if let Some(status) = self.over_limits(now, &txn) {
                     return Some((status, Vec::new()));
                 }
@@ -264,7 +264,7 @@
                     .map(|c| c.key.clone())
                     .collect();
                 if !failed.is_empty() {
-                    let a = TxnAnswer {
+                    let a = TransactionResponse {
                         revision: self.revision,
                         failed,
                     };
@@ -291,7 +291,7 @@
                         }
                     }
                 }
-                let a = TxnAnswer {
+                let a = TransactionResponse {
                     revision: self.revision,
                     failed: Vec::new(),
                 };
@@ -303,7 +303,7 @@
                 let life = r.ttl_ms * 1000;
                 self.leases.insert(self.next_lease, (now + life, life));
                 let lease = self.next_lease;
-                Some((200, encode(&LeaseAnswer { lease })))
+                Some((200, encode(&LeaseResponse { lease })))
             }
             ("POST", renew) => {
                 let id: u64 = renew
@@ -314,7 +314,7 @@
                 match self.leases.get_mut(&id) {
                     Some((end, life)) => {
                         *end = now + *life;
-                        Some((200, encode(&LeaseAnswer { lease: id })))
+                        Some((200, encode(&LeaseResponse { lease: id })))
                     }
                     None => Some((404, Vec::new())),
                 }
--- a/tests/world/trace.rs
+++ b/tests/world/trace.rs
@@ -3,7 +3,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
-use walnuttrestle::transport::NetCmd;
+use walnuttrestle::transport::NetworkCommand;
 
 /// Names the file to which each world appends its digest when it ends; without it nothing is written.
 const FILE_VARIABLE: &str = "TRACE_FILE";
@@ -18,17 +18,17 @@
 
 impl Trace {
     /// Adds one command: simulated time, sender, addressee and encoded bytes. No type name or log text goes in.
-    pub fn add(&mut self, now: u64, controller: usize, command: &NetCmd) {
+    pub fn add(&mut self, now: u64, controller: usize, command: &NetworkCommand) {
         self.commands += 1;
         (now, controller).hash(&mut self.digest);
         match command {
-            NetCmd::Respond {
+            NetworkCommand::Respond {
                 conn,
                 status,
                 body,
                 retry_after,
             } => (0, conn, status, body, retry_after).hash(&mut self.digest),
-            NetCmd::Call(call) => {
+            NetworkCommand::Call(call) => {
                 let head = (1, call.addr, call.method, &call.path, &call.body);
                 head.hash(&mut self.digest);
                 call.timeout.0.hash(&mut self.digest);
--- a/tests/world/trouble.rs
+++ b/tests/world/trouble.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
-use walnuttrestle::protocol::wire::{Change, Txn, decode};
+use walnuttrestle::protocol::wire::{Change, Transaction, decode};
 use walnuttrestle::transport::Call;
 
 /// What does not reach a machine.
@@ -38,7 +38,7 @@
     pub copies: Option<Copies>,
     /// Copies come to where the first went.
     pub copies_stay: bool,
-    /// Copies of what controllers have asked of workers and of the state service.
+    /// Copies of what controllers have asked of agents and of the state service.
     pub repeats: Option<Copies>,
     /// Copies of what controllers have told and asked one another.
     pub between: Option<Copies>,
@@ -115,7 +115,7 @@
         of: (usize, u64, u64),
         rng: &mut ChaCha8Rng,
     ) {
-        let written = *to == Party::Store && call.path == "/multi" && self.lost_answers > 0.0;
+        let written = *to == Party::StoreClient && call.path == "/multi" && self.lost_answers > 0.0;
         if written && rng.random_bool(self.lost_answers) {
             self.unanswered.insert(of);
         }
@@ -163,8 +163,8 @@
     ) -> Option<u64> {
         if let Some((prefix, left, late)) = &mut self.late_key
             && *left > 0
-            && *to == Party::Store
-            && let Some(txn) = decode::<Txn>(&call.body)
+            && *to == Party::StoreClient
+            && let Some(txn) = decode::<Transaction>(&call.body)
         {
             let is = |c: &Change| matches!(c, Change::Put { put, .. } if put.starts_with(*prefix));
             if txn.changes.iter().any(is) {
@@ -172,7 +172,7 @@
                 return Some(*late);
             }
         }
-        let written = *to == Party::Store && call.path == "/multi" && self.late_writes > 0.0;
+        let written = *to == Party::StoreClient && call.path == "/multi" && self.late_writes > 0.0;
         let late = written && rng.random_bool(self.late_writes);
         late.then(|| rng.random_range(2_000_000..12_000_000))
     }
@@ -217,10 +217,10 @@
     }
 
     pub(super) fn repeat(&self, call: &Call, to: &Party, rng: &mut ChaCha8Rng) -> Option<u64> {
-        if let (Party::Node(_), Some(copies)) = (to, self.between) {
+        if let (Party::Controller(_), Some(copies)) = (to, self.between) {
             return copies.draw(rng);
         }
-        let copied = matches!(to, Party::Worker(_) | Party::Store) && call.method == "POST";
+        let copied = matches!(to, Party::Agent(_) | Party::StoreClient) && call.method == "POST";
         self.repeats.filter(|_| copied)?.draw(rng)
     }
 }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -30,7 +30,7 @@
         self.serial += 1;
         let conn = self.serial;
         self.conns.insert((i, conn), pending);
-        let ev = NetEvent::Request {
+        let ev = NetworkEvent::Request {
             conn,
             internal,
             method: method.into(),
@@ -41,7 +41,7 @@
     }
 
     /// Declares a job; `submit` sends it.
-    pub fn declare(&mut self, id: &str, spec: Spec, run: u64) {
+    pub fn declare(&mut self, id: &str, spec: JobSpec, run: u64) {
         let truth = JobTruth {
             spec,
             run,
@@ -73,13 +73,13 @@
     }
 
     /// A user who submits, retries, and polls until the end, on changing nodes.
-    pub fn user(&mut self, id: &str, spec: Spec, run: u64) {
+    pub fn user(&mut self, id: &str, spec: JobSpec, run: u64) {
         let all: Vec<usize> = (0..self.nodes.len()).collect();
         self.user_of(&all, id, spec, run);
     }
 
     /// The same, on some of the nodes only.
-    pub fn user_of(&mut self, of: &[usize], id: &str, spec: Spec, run: u64) {
+    pub fn user_of(&mut self, of: &[usize], id: &str, spec: JobSpec, run: u64) {
         self.declare(id, spec, run);
         fn step(w: &mut World, of: Vec<usize>, id: String) {
             let i = of[w.rng.random_range(0..of.len())];
@@ -185,7 +185,7 @@
             let needs = t.spec.needs.clone();
             let known = |n: &String| {
                 let need = self.jobs.get(n);
-                need.is_some_and(|t| t.accepted && t.spec.kind != Kind::Service)
+                need.is_some_and(|t| t.accepted && t.spec.kind != JobKind::Service)
             };
             if !needs.is_empty() && needs.iter().all(known) {
                 self.broken("refused", format!("{id}: all that it needs is accepted"));
--- a/tests/world/waits.rs
+++ b/tests/world/waits.rs
@@ -44,13 +44,13 @@
 
     /// Jobs that wait although there is room for more of them.
     fn left_waiting(&self) -> Vec<String> {
-        let mut rooms: Vec<(&FakeWorker, [f64; 3])> = Vec::new();
+        let mut rooms: Vec<(&FakeAgent, [f64; 3])> = Vec::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut there: BTreeSet<&str> = BTreeSet::new();
         let mut busy: BTreeSet<&str> = BTreeSet::new();
-        for w in self.workers.values() {
+        for w in self.agents.values() {
             let mut free = HOLDS;
-            for ((task, _), _) in w.tasks.iter().filter(|(_, t)| t.phase != Phase::Exited) {
+            for ((task, _), _) in w.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited) {
                 let id = task.rsplit_once('/').map_or("", |(id, _)| id);
                 let Some(t) = self.jobs.get(id) else { continue };
                 let need = [t.spec.cpus, t.spec.gpus, t.spec.memory_gb];
@@ -67,7 +67,7 @@
             let done = t.done.len() as u32 >= t.spec.tasks;
             let over = t.asked_cancel || t.told_cancelled.is_some() || done;
             let needs = self.before(id).iter().any(|n| n.told_done.is_none());
-            let gang = t.spec.kind == Kind::Gang && busy.contains(id.as_str());
+            let gang = t.spec.kind == JobKind::Gang && busy.contains(id.as_str());
             let whole = (0..t.spec.tasks)
                 .all(|n| t.done.contains(&n) || there.contains(format!("{id}/{n}").as_str()));
             t.accepted && !over && !needs && !gang && !whole && !self.broken_jobs.contains(*id)
@@ -75,7 +75,7 @@
         let room = |t: &JobTruth| {
             let s = &t.spec;
             let need = [s.cpus, s.gpus, s.memory_gb];
-            let many = if s.kind == Kind::Gang { s.tasks } else { 1 };
+            let many = if s.kind == JobKind::Gang { s.tasks } else { 1 };
             let limit = self.limits.get(&s.team).copied().unwrap_or(f64::INFINITY);
             let used = used.get(s.team.as_str()).copied().unwrap_or(0.0);
             if used + s.gpus * f64::from(many) > limit + 1e-6 || s.spread {
