--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension, MOST_CANCELLATIONS,
+    CancellationCursor, CancellationNews, HeartbeatExtension, MOST_CANCELLATIONS, PeerHeartbeat,
 };
 
 /// Cancellations in the time between two heartbeats.
@@ -15,8 +15,8 @@
 /// What a controller has learnt in its time, more than it keeps.
 const LEARNT: u64 = 20_000;
 
-fn beat(format: u32) -> Heartbeat {
-    Heartbeat {
+fn beat(format: u32) -> PeerHeartbeat {
+    PeerHeartbeat {
         node: "kernel-1".into(),
         leading: Some(7),
         leader_silent_ms: Some(300),
@@ -46,7 +46,7 @@
 /// A question and its answer, from one's log to what the other has heard; returns the bytes of both.
 fn exchange(log: &Log, heard: &mut Heard, complete: u64) -> usize {
     let cursor = heard.cursor(0);
-    let question = Heartbeat {
+    let question = PeerHeartbeat {
         knows: Some(CancellationCursor {
             complete,
             heard: (cursor.run, cursor.next),
@@ -54,12 +54,12 @@
         ..beat(format::NEWEST)
     };
     let asked = question.encode();
-    let knows = Heartbeat::decode(&asked).ok().and_then(|h| h.knows);
+    let knows = PeerHeartbeat::decode(&asked).ok().and_then(|h| h.knows);
     let from = knows.map_or(0, |k| k.from(1));
     let batch = log
         .batch(from, complete, MOST_CANCELLATIONS)
         .unwrap_or_default();
-    let answer = Heartbeat {
+    let answer = PeerHeartbeat {
         news: Some(CancellationNews {
             lead: 12,
             from: batch.from,
@@ -71,9 +71,9 @@
         ..beat(format::NEWEST)
     };
     let answered = answer.encode();
-    if let Ok(Heartbeat {
+    if let Ok(PeerHeartbeat {
         news: Some(news), ..
-    }) = Heartbeat::decode(&answered)
+    }) = PeerHeartbeat::decode(&answered)
     {
         heard.take(0, 1, &news.batch(), 1);
     }
@@ -98,7 +98,7 @@
     g.bench_function("format before", |b| {
         b.iter(|| {
             let bytes = beat(format::RIGHTS).encode();
-            Heartbeat::decode(&bytes).is_ok()
+            PeerHeartbeat::decode(&bytes).is_ok()
         })
     });
     for (name, complete) in [("calm", LEARNT), ("refused", LEARNT - NEW)] {
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -8,14 +8,16 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::time::Duration;
 use walnuttrestle::agents::leader_state::LeaderState;
-use walnuttrestle::controller::{Clock, Controller};
+use walnuttrestle::controller::Controller;
 use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::Clock;
+use walnuttrestle::protocol::agent_api::{AgentHeartbeat, TaskPhase, TaskStatus};
+use walnuttrestle::protocol::cloud_api::{MachineType, MachineTypes};
+use walnuttrestle::protocol::codec::to_value;
+use walnuttrestle::protocol::key_value_api::{Item, ItemPage};
 use walnuttrestle::protocol::records::{
     BASE, JobRecord, JobStage, LEAD, LeaderRecord, TYPES, TaskChunk, TaskEntry, job_key,
 };
-use walnuttrestle::protocol::wire::{
-    Item, ItemPage, MachineType, MachineTypes, Report, TaskPhase, TaskReport, to_value,
-};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::scheduling::job_queue::Backlog;
 use walnuttrestle::scheduling::pass;
@@ -205,20 +207,20 @@
             let at = k * machines + m;
             (at < machines * (PLACES - 1) / TASKS * TASKS).then_some(at)
         });
-        let tasks = on.map(|at| TaskReport {
+        let tasks = on.map(|at| TaskStatus {
             task: format!("req-{:06}/{}", at / TASKS, at % TASKS),
             attempt: 1,
             phase: TaskPhase::Running,
             why: None,
             saved: None,
         });
-        let report = Report {
+        let report = AgentHeartbeat {
             machine: name(m),
             address: "127.0.0.1:9".into(),
             kind: "box".into(),
             zone: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: 1,
             term: 1,
             notice_s: None,
--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -262,11 +262,7 @@
         (Without::Told, [0, 0, 0, 0], parts(2, true, 3, 0)),
     ] {
         let seen = look(without, off, model);
-        assert!(
-            matches!(seen, Seen::Broken { .. }),
-            "{}",
-            seen.story()
-        );
+        assert!(matches!(seen, Seen::Broken { .. }), "{}", seen.story());
         println!("{}", seen.story());
     }
 }
--- a/crates/lease-delegation/src/cancellations.rs
+++ b/crates/lease-delegation/src/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations, passed from controller to controller without the state service.
 //!
-//! A controller may keep a agent alive only while it knows of every cancellation that a user was told of. The
+//! A controller may keep an agent alive only while it knows of every cancellation that a user was told of. The
 //! records show them; while the state service does not serve a controller, its peers do, each with a log of
 //! what it knows, in the order in which it has learnt it. What is known this way stops tasks and does nothing
 //! else: it is no part of the copy of the records, and never lets anything start.
--- a/crates/lease-delegation/src/giver.rs
+++ b/crates/lease-delegation/src/giver.rs
@@ -6,7 +6,7 @@
 /// How long things last, in microseconds, with whatever is to spare for drift and late timers.
 #[derive(Debug, Clone, Copy)]
 pub struct GrantTerms {
-    /// A agent keeps its tasks for so long after its last answered report.
+    /// An agent keeps its tasks for so long after its last answered report.
     pub lease: Time,
     /// Whatever a holder has renewed by a right is over this long after the right was last given.
     pub bound: Time,
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -1,12 +1,20 @@
 //! Commands to agents: what follows from records and reports, sent directly and with answers.
 
 use crate::agents::leader_state::{LeaderState, MAX_START_STALENESS};
-use crate::controller::{Clock, Controller, PendingCall, cond, put};
+use crate::controller::Controller;
 use crate::leadership::peers::known_cancelled;
+use crate::messages::PendingCall;
+use crate::protocol::Clock;
 use crate::protocol::Micros;
+use crate::protocol::agent_api::{AgentCommands, AgentHeartbeat, Command, ExitReason, TaskPhase};
+use crate::protocol::codec::encode;
+use crate::protocol::key_value_api::Change;
+use crate::protocol::key_value_api::Transaction;
+use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::records::{JobStage, LEAD, LeaderRecord};
-use crate::protocol::wire::{Command, ExitReason, Orders, Report, TaskPhase, Transaction, encode};
-use crate::state::agent::{Agent, AttemptKey, ReportedTask, Start, TaskLiveness, read_report};
+use crate::state::agent::{
+    Agent, AttemptKey, ReportedTask, Start, TaskLiveness, parse_agent_heartbeat,
+};
 use crate::state::record_cache::RecordCache;
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
@@ -17,16 +25,16 @@
 /// A machine that has heard nothing for long is asked at this pace.
 const DEAF_FOR_LONG: Micros = Micros::millis(6000);
 const DEAF_AGAIN: Micros = Micros::millis(5000);
-/// Ended attempts that a agent must not forget yet make its reports long: beyond so many the leader raises its
+/// Ended attempts that an agent must not forget yet make its reports long: beyond so many the leader raises its
 /// term, which fences all copies of their starts, but not again and again.
 const MOST_KEPT: usize = 40;
 const FENCE_EVERY: Micros = Micros::millis(60_000);
 /// A stop is repeated at this pace until the task is gone.
 const STOP_AGAIN: Micros = Micros::millis(1500);
 /// All agents are looked at for due commands at this pace, for what must be repeated; whatever
-/// happens to a agent or to the jobs on it has it looked at sooner.
+/// happens to an agent or to the jobs on it has it looked at sooner.
 const SWEEP_EVERY: Micros = Micros::millis(1000);
-/// A agent that we answered this recently shows our term by itself with its next report.
+/// An agent that we answered this recently shows our term by itself with its next report.
 const TERM_SHOWS: Micros = Micros::millis(1200);
 /// How long a direct command may take.
 const ORDER_TIMEOUT: Micros = Micros::millis(2500);
@@ -67,7 +75,7 @@
     format!("{job}/{task}")
 }
 
-/// What a agent is to be told now, in an `answer` to its report or directly. Forgets are told only with answers.
+/// What an agent is to be told now, in an `answer` to its report or directly. Forgets are told only with answers.
 /// `heard`: what peers have told to be cancelled.
 fn due(
     l: &LeaderState,
@@ -106,7 +114,9 @@
         let job = cache.jobs.get(&t.job);
         let entry = job.and_then(|j| j.entry(t.task));
         let placed = entry.is_some_and(|e| {
-            e.machine() == Some(machine) && e.attempt() == t.attempt && e.session() == w.session
+            e.machine() == Some(machine)
+                && e.attempt() == t.attempt
+                && e.agent_epoch() == w.agent_epoch
         });
         let active = job.is_some_and(|j| j.active());
         if t.phase == TaskPhase::Exited {
@@ -153,12 +163,12 @@
             continue;
         };
         let Some(e) = job.entry(*task) else { continue };
-        if e.machine() != Some(machine) || e.session() != w.session {
+        if e.machine() != Some(machine) || e.agent_epoch() != w.agent_epoch {
             continue;
         }
         let attempt = e.attempt();
         match l.standing(id, e) {
-            TaskLiveness::NotStarted | TaskLiveness::Unclear => {
+            TaskLiveness::NotStarted | TaskLiveness::Unknown => {
                 let loose = w.has_loose(id, *task, attempt);
                 // What we cannot read may say that it is cancelled.
                 let known = !cache.is_unreadable(id);
@@ -182,7 +192,12 @@
 impl Controller {
     /// Commands for the answer to a report. Starts go with it only if the report was relayed,
     /// since then the agent may be out of our reach.
-    pub fn commands_for(&mut self, clock: Clock, report: &Report, relayed: bool) -> Vec<Command> {
+    pub fn commands_for(
+        &mut self,
+        clock: Clock,
+        report: &AgentHeartbeat,
+        relayed: bool,
+    ) -> Vec<Command> {
         let machine = &report.machine;
         let Some(l) = &mut self.leader else {
             return Vec::new();
@@ -211,7 +226,7 @@
 
     /// Sends direct commands to the agents that something has happened to, and now and then looks
     /// at all of them; returns when that will be next.
-    pub fn send_orders(&mut self, clock: Clock) -> Micros {
+    pub fn send_commands(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(l) = &mut self.leader else {
             return Micros::FAR;
@@ -239,14 +254,14 @@
             let Some(w) = l.agents.get_mut(&machine) else {
                 continue;
             };
-            // A agent that has not seen our term is told it with an empty list: that fences
+            // An agent that has not seen our term is told it with an empty list: that fences
             // whatever an older leader has sent.
             let shows = w
                 .answered
                 .is_some_and(|t| t >= l.since && now < t + TERM_SHOWS);
             let deaf = !w.hearing.hears();
             // One that seems to hear nothing is asked as well: its answer shows that it does.
-            let push = w.session > 0 && (deaf || w.term != l.term && !shows);
+            let push = w.agent_epoch > 0 && (deaf || w.term != l.term && !shows);
             if d.commands.is_empty() && !push {
                 continue;
             }
@@ -265,16 +280,16 @@
                 }
                 s.direct = true;
             }
-            let orders = Orders {
+            let orders = AgentCommands {
                 term: l.term,
-                session: w.session,
+                agent_epoch: w.agent_epoch,
                 commands: std::mem::take(&mut d.commands),
             };
-            let tag = PendingCall::Orders {
+            let tag = PendingCall::AgentCommands {
                 machine: machine.clone(),
                 starts: d.starts,
                 term: l.term,
-                session: w.session,
+                agent_epoch: w.agent_epoch,
             };
             calls.push((tag, addr, encode(&orders)));
         }
@@ -301,24 +316,24 @@
             term: l.term + 1,
         };
         let txn = Transaction {
-            conds: vec![cond(LEAD, l.version)],
-            changes: vec![put(LEAD, &rec, None)],
+            conds: vec![VersionCondition::new(LEAD, l.version)],
+            changes: vec![Change::put(LEAD, &rec, None)],
         };
         self.store.ask(
-            RequestPriority::First,
-            crate::controller::StoreRequestPurpose::Raise,
+            RequestPriority::Urgent,
+            crate::messages::StoreRequestPurpose::RaiseTerm,
             StoreRequest::Transaction(txn),
         );
     }
 
     /// Direct commands came back.
-    pub fn on_orders(
+    pub fn on_commands_response(
         &mut self,
         clock: Clock,
         machine: &str,
         starts: Vec<(String, u32, u64)>,
         term: u64,
-        session: u64,
+        agent_epoch: u64,
         outcome: Outcome,
     ) {
         let Some(l) = &mut self.leader else { return };
@@ -331,7 +346,7 @@
             Outcome::Reply { status, body } => (status, body),
             Outcome::NotSent => {
                 w.order_again = clock.now + ORDER_AGAIN;
-                if session == w.session {
+                if agent_epoch == w.agent_epoch {
                     for key in starts {
                         // Never sent, unless an earlier try was.
                         not_executed(w, &key);
@@ -342,13 +357,13 @@
             Outcome::Lost => (0, Vec::new()),
         };
         let report = match status {
-            200 | 409 => read_report(&body).filter(|r| r.machine == machine),
+            200 | 409 => parse_agent_heartbeat(&body).filter(|r| r.machine == machine),
             _ => None,
         };
         match (status, report) {
             (200, Some(r)) => {
                 w.hearing.answered(clock.now);
-                if session == w.session {
+                if agent_epoch == w.agent_epoch {
                     for key in starts {
                         if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
                             s.answered = true;
@@ -356,21 +371,24 @@
                         }
                     }
                 }
-                self.take_report(clock, &r);
+                self.apply_heartbeat(clock, &r);
             }
             (409, Some(r)) => {
                 w.hearing.answered(clock.now);
-                if session == w.session {
+                if agent_epoch == w.agent_epoch {
                     for key in starts {
                         not_executed(w, &key);
                     }
                 }
                 w.order_again = clock.now + Micros::millis(200);
                 let higher = r.term > l.term;
-                self.take_report(clock, &r);
+                self.apply_heartbeat(clock, &r);
                 if higher {
                     log::info!("{machine} has seen term {}, above ours", r.term);
-                    self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
+                    self.request_read_barrier(
+                        clock,
+                        crate::messages::PendingRequest::ConfirmLeadership,
+                    );
                 }
             }
             _ => {
@@ -378,7 +396,7 @@
                 let deaf = w.hearing.suspected_since();
                 let long = deaf.is_some_and(|t| clock.now.since(t) > DEAF_FOR_LONG);
                 w.order_again = clock.now + if long { DEAF_AGAIN } else { ORDER_AGAIN };
-                if session == w.session {
+                if agent_epoch == w.agent_epoch {
                     for key in starts {
                         if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
                             s.loose = true;
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -3,10 +3,14 @@
 
 use crate::agents::failure_history::FailureHistory;
 use crate::cloud::inventory::Inventory;
-use crate::controller::{Clock, Controller, PendingCall};
+use crate::controller::Controller;
 use crate::leadership::peers::known_cancelled;
+use crate::messages::PendingCall;
+use crate::protocol::Clock;
+use crate::protocol::agent_api::{
+    AgentHeartbeat, AgentHeartbeatResponse, ExitReason, Misdirected, TaskPhase,
+};
 use crate::protocol::records::TaskEntry;
-use crate::protocol::wire::{ExitReason, Misdirected, Report, ReportResponse, TaskPhase};
 use crate::protocol::{JobKind, Micros, Settings};
 use crate::records::record_writer::RecordWriter;
 use crate::state::agent::{Agent, News, ReportedTask, TaskLiveness};
@@ -60,7 +64,7 @@
     pub renewed: BTreeSet<String>,
     renewed_seen: BTreeMap<String, (u64, Micros)>,
     /// Since when we have been of no use as a leader; far: the lead is being given away.
-    pub yielding: Option<Micros>,
+    pub useless_since: Option<Micros>,
     /// Machines on which room is being made for a job, until when.
     pub reserved: BTreeMap<String, (String, Micros)>,
     revoking: bool,
@@ -82,11 +86,11 @@
     pub kept: crate::scheduling::pass::Kept,
 }
 
-/// A agent unheard for this many report intervals gets no new tasks.
+/// An agent unheard for this many report intervals gets no new tasks.
 pub const FRESH_REPORTS: f64 = 2.5;
 /// Starts are sent, and passes made, only this soon after a proof.
 pub const MAX_START_STALENESS: Micros = Micros::millis(4000);
-/// After a takeover it takes a agent up to this many report intervals, and as many tries, to reach
+/// After a takeover it takes an agent up to this many report intervals, and as many tries, to reach
 /// the new leader.
 const LEARNING_REPORTS: f64 = 3.0;
 /// A session that has lasted for so many leases has been renewed, so its agent hears.
@@ -95,9 +99,9 @@
 const LEASES_EVERY: Micros = Micros::millis(200);
 /// A leader gives the lead away no sooner than this after it has taken it.
 const YIELD_NOT_BEFORE: Micros = Micros::millis(15_000);
-/// A agent that reports to us has been heard within this many report intervals.
+/// An agent that reports to us has been heard within this many report intervals.
 const HEARD_REPORTS: f64 = 1.5;
-/// Leases are looked through this soon after a agent has been met; after a takeover hundreds come at once.
+/// Leases are looked through this soon after an agent has been met; after a takeover hundreds come at once.
 const MET_LEASES: Micros = Micros::millis(1_000);
 /// With nothing new, a pass comes this often all the same.
 const QUIET_PASS: Micros = Micros::millis(5_000);
@@ -127,7 +131,7 @@
             strangers_over: false,
             renewed: BTreeSet::new(),
             renewed_seen: BTreeMap::new(),
-            yielding: None,
+            useless_since: None,
             reserved: BTreeMap::new(),
             revoking: false,
             renewals_seen: u64::MAX,
@@ -151,10 +155,10 @@
             return TaskLiveness::Gone;
         }
         match self.agents.get(machine) {
-            Some(w) => w.standing(self.term, job, e.task(), e.attempt(), e.session()),
+            Some(w) => w.standing(self.term, job, e.task(), e.attempt(), e.agent_epoch()),
             // Nobody has met it under our term, and nobody can still be renewing its lease.
             None if self.strangers_over && !self.renewed.contains(machine) => TaskLiveness::Gone,
-            None => TaskLiveness::Unclear,
+            None => TaskLiveness::Unknown,
         }
     }
 
@@ -257,9 +261,9 @@
             } else if end <= now {
                 log::info!(
                     "{name}: lease has run out, session {} is over",
-                    agent.session
+                    agent.agent_epoch
                 );
-                agent.over = Some(agent.session);
+                agent.over = Some(agent.agent_epoch);
                 self.dirty = true;
             } else {
                 next = next.min(end);
@@ -309,8 +313,14 @@
 }
 
 impl Controller {
-    /// A agent's report, while we lead.
-    pub fn leader_report(&mut self, clock: Clock, conn: u64, report: Report, relayed: bool) {
+    /// An agent's report, while we lead.
+    pub fn leader_heartbeat(
+        &mut self,
+        clock: Clock,
+        conn: u64,
+        report: AgentHeartbeat,
+        relayed: bool,
+    ) {
         let grace = self.staleness_bound();
         let Some(l) = &mut self.leader else { return };
         if clock.now >= l.vouched.max(l.last_confirmed_read) + grace {
@@ -324,7 +334,7 @@
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        if !self.take_report(clock, &report) {
+        if !self.apply_heartbeat(clock, &report) {
             // A copy, or overtaken by the answer to a direct command: the agent has said something newer. Were it
             // answered with our term it might be renewed, and we would not count on it; nor may a copy of what a
             // dead machine once said keep us waiting. Without a term the agent drops the answer and stays.
@@ -334,7 +344,7 @@
         }
         let lease = Micros::secs(self.settings.params.agents.lease_s);
         if let Some(w) = self.leader.as_mut().and_then(|l| l.agents.get_mut(&name)) {
-            w.settle_answers(report.session, report.seq);
+            w.settle_answers(report.agent_epoch, report.seq);
             if !relayed {
                 w.hearing.reported(clock.now);
             }
@@ -342,7 +352,7 @@
                 w.hearing.showed(clock.now);
             }
         }
-        if !self.served() && self.may_start_cancelled(&name) {
+        if !self.store_available() && self.may_start_cancelled(&name) {
             // Nor can a higher term fence that start now, or its machine be given up: it comes too late only if
             // the session ends.
             log::info!("{name}: not renewed, a cancelled task may still be started on it");
@@ -355,7 +365,7 @@
         if let Some(w) = l.agents.get_mut(&name) {
             w.answered = Some(clock.now);
         }
-        self.respond(conn, 200, &ReportResponse { term, commands });
+        self.respond(conn, 200, &AgentHeartbeatResponse { term, commands });
     }
 
     /// Whether a start of a task whose job is cancelled may still be on its way to a machine.
@@ -368,13 +378,13 @@
         })
     }
 
-    /// Takes in a agent's message, from a report or a direct answer; tells whether it is newer than what we have.
-    pub fn take_report(&mut self, clock: Clock, report: &Report) -> bool {
+    /// Takes in an agent's message, from a report or a direct answer; tells whether it is newer than what we have.
+    pub fn apply_heartbeat(&mut self, clock: Clock, report: &AgentHeartbeat) -> bool {
         let Some(l) = &mut self.leader else {
             return false;
         };
         let name = &report.machine;
-        if !l.agents.contains_key(name) || l.agents[name].session == 0 {
+        if !l.agents.contains_key(name) || l.agents[name].agent_epoch == 0 {
             // Its lease may run out long before that of those who never come.
             l.leases_at = l.leases_at.min(clock.now + MET_LEASES);
         }
@@ -403,7 +413,7 @@
         true
     }
 
-    /// What follows from a agent's list of tasks; `old` is the one before.
+    /// What follows from an agent's list of tasks; `old` is the one before.
     fn take_news(&mut self, clock: Clock, name: &str, old: &[ReportedTask]) {
         let Some(l) = &mut self.leader else { return };
         let Some(w) = l.agents.get_mut(name) else {
@@ -521,24 +531,26 @@
     /// Answers of agents and the cloud.
     pub fn on_leader_call_response(&mut self, clock: Clock, tag: PendingCall, outcome: Outcome) {
         match tag {
-            PendingCall::Orders {
+            PendingCall::AgentCommands {
                 machine,
                 starts,
                 term,
-                session,
-            } => self.on_orders(clock, &machine, starts, term, session, outcome),
-            PendingCall::Cloud(ask) => self.on_cloud(clock, ask, outcome),
-            PendingCall::Heartbeat(..) | PendingCall::Relay(..) | PendingCall::User(..) => {}
+                agent_epoch,
+            } => self.on_commands_response(clock, &machine, starts, term, agent_epoch, outcome),
+            PendingCall::Cloud(ask) => self.on_cloud_response(clock, ask, outcome),
+            PendingCall::PeerHeartbeat(..)
+            | PendingCall::RelayedHeartbeat(..)
+            | PendingCall::ForwardedRequest(..) => {}
         }
     }
 
     /// What is due by time while we lead.
-    pub fn leader_time(&mut self, clock: Clock) -> Micros {
+    pub fn drive_leader(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let pace = self
             .policy
             .pass_interval(self.settings.params.limits.core_share)
-            .times(self.turns.stretch(now));
+            .times(self.request_scheduler.stretch(now));
         let mut next = Micros::FAR;
         let pledged = Micros(self.peers.quiet.until());
         if let Some(l) = &mut self.leader {
@@ -564,8 +576,8 @@
         }
         self.revoke(clock);
         next = next.min(self.fold(clock));
-        next = next.min(self.fleet_time(clock));
-        next = next.min(self.send_orders(clock));
+        next = next.min(self.drive_inventory(clock));
+        next = next.min(self.send_commands(clock));
         next
     }
 
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,10 +1,15 @@
 //! Acceptances: submissions that wait in their lanes, are written, and are answered.
 
-use crate::api::client_api::{PendingRequest, state_of};
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::api::client_api::state_of;
+use crate::controller::Controller;
+use crate::messages::PendingRequest;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
+use crate::protocol::key_value_api::Change;
+use crate::protocol::key_value_api::Transaction;
+use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::records::{JobRecord, JobStage, TaskChunk, job_key};
 use crate::protocol::settings::Team;
-use crate::protocol::wire::Transaction;
 use crate::protocol::{JobSpec, Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::lanes::{Taken, Ticket};
@@ -66,7 +71,7 @@
 
 impl Controller {
     pub(crate) fn accept(&mut self, clock: Clock, conn: u64, id: String, spec: JobSpec) {
-        if let Some(a) = self.front.accepting.get_mut(&id) {
+        if let Some(a) = self.client_api.accepting.get_mut(&id) {
             match a.stand {
                 Stand::Flying(_) => a.joined.push(conn),
                 Stand::Waits(_) | Stand::Rests(..) => a.conns.push(conn),
@@ -76,7 +81,7 @@
         // More than can be written while its user waits is refused at once: whoever came last in the
         // lane that holds most, so that no class is refused on account of another.
         let most = (self.store.write_rate() * QUEUE_S) as usize + 1;
-        let f = &mut self.front;
+        let f = &mut self.client_api;
         let busy = f.accepting.len() - f.lanes.len();
         f.lanes.limit(most.saturating_sub(busy).max(1));
         let first = Micros(f.refusals.first(&id, clock.now.0));
@@ -112,8 +117,8 @@
             tried: false,
             alone: false,
         };
-        self.front.accepting.insert(id, a);
-        self.front.look_at = Micros::ZERO;
+        self.client_api.accepting.insert(id, a);
+        self.client_api.look_at = Micros::ZERO;
     }
 
     /// Seconds after which a refused submission had better come again; its first try is remembered.
@@ -124,7 +129,7 @@
         first: Micros,
         spec: &JobSpec,
     ) -> u32 {
-        let f = &mut self.front;
+        let f = &mut self.client_api;
         f.count_refusal(clock.now);
         f.refusals.refuse(id, first.0, clock.now.0);
         let ahead = f.lanes.waiting(&spec.team, &spec.class);
@@ -146,7 +151,7 @@
     /// How many acceptances wait to be written.
     pub fn accepts_due(&mut self, now: Micros) -> usize {
         let settings = &self.settings;
-        let f = &mut self.front;
+        let f = &mut self.client_api;
         while let Some((at, id)) = f.resting.pop_first() {
             if at > now {
                 f.resting.insert((at, id));
@@ -174,20 +179,20 @@
         let mut changes = Vec::new();
         let mut conds = Vec::new();
         while ids.len() < most
-            && let Some((team, class, ticket, id)) = self.front.lanes.pop()
+            && let Some((team, class, ticket, id)) = self.client_api.lanes.pop()
         {
-            let Some(a) = self.front.accepting.get_mut(&id) else {
+            let Some(a) = self.client_api.accepting.get_mut(&id) else {
                 continue;
             };
             if a.alone && !ids.is_empty() {
                 let weight = weight_of(&self.settings, &team);
-                self.front.lanes.back(team, weight, class, ticket, id);
+                self.client_api.lanes.back(team, weight, class, ticket, id);
                 break;
             }
             a.stand = Stand::Flying(ticket);
             let key = job_key(&id);
-            changes.push(put(&key, &a.rec, None));
-            conds.push(cond(&key, 0));
+            changes.push(Change::put(&key, &a.rec, None));
+            conds.push(VersionCondition::new(&key, 0));
             ids.push(id);
             if a.alone {
                 break;
@@ -196,23 +201,23 @@
         if ids.is_empty() {
             return;
         }
-        self.front.batches += 1;
+        self.client_api.batches += 1;
         let txn = Transaction { conds, changes };
         self.store.ask(
-            RequestPriority::Usual,
-            StoreRequestPurpose::Accept(ids),
+            RequestPriority::Normal,
+            StoreRequestPurpose::AcceptJobs(ids),
             StoreRequest::Transaction(txn),
         );
     }
 
     /// An acceptance came back.
-    pub fn on_accepted(&mut self, clock: Clock, ids: Vec<String>, reply: StoreResponse) {
-        self.front.batches -= 1;
-        self.front.look_at = Micros::ZERO;
+    pub fn on_acceptance_result(&mut self, clock: Clock, ids: Vec<String>, reply: StoreResponse) {
+        self.client_api.batches -= 1;
+        self.client_api.look_at = Micros::ZERO;
         let alone = ids.len() == 1;
         for id in ids {
             let key = job_key(&id);
-            let Some(a) = self.front.accepting.get_mut(&id) else {
+            let Some(a) = self.client_api.accepting.get_mut(&id) else {
                 continue;
             };
             match &reply {
@@ -290,7 +295,7 @@
 
     /// An acceptance was not written; it is tried again from then on.
     pub(crate) fn rest(&mut self, id: &str, again: Micros) {
-        let f = &mut self.front;
+        let f = &mut self.client_api;
         if let Some(a) = f.accepting.get_mut(id)
             && let Stand::Flying(ticket) = a.stand
         {
@@ -303,7 +308,7 @@
     }
 
     pub(crate) fn forget_accepting(&mut self, id: &str) -> Option<Accepting> {
-        let f = &mut self.front;
+        let f = &mut self.client_api;
         let a = f.accepting.remove(id)?;
         match a.stand {
             Stand::Waits(ticket) => {
@@ -317,13 +322,13 @@
     }
 
     /// Refuses what has waited for its turn in vain; returns when to look again.
-    pub fn front_time(&mut self, clock: Clock) -> Micros {
-        if clock.now < self.front.look_at {
-            return self.front.look_at;
+    pub fn drive_acceptances(&mut self, clock: Clock) -> Micros {
+        if clock.now < self.client_api.look_at {
+            return self.client_api.look_at;
         }
         let mut late = Vec::new();
         let mut next = Micros::FAR;
-        for (id, a) in &self.front.accepting {
+        for (id, a) in &self.client_api.accepting {
             match a.stand {
                 Stand::Flying(_) => {}
                 _ if a.since + SUBMIT_PATIENCE <= clock.now => late.push(id.clone()),
@@ -334,13 +339,13 @@
         for id in late {
             self.give_up(clock, &id);
         }
-        self.front.look_at = next;
+        self.client_api.look_at = next;
         next
     }
 
     /// Hands acceptances and job records to the store in turn, as far as it can take them at
     /// once; what must wait goes on gathering. Returns when to look again.
-    pub(crate) fn write_turns(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn write_due_records(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let most = self.settings.params.state.least_txn_ops();
         loop {
@@ -376,7 +381,7 @@
             } else {
                 self.write_accepts(room);
             }
-            self.store.pump(now, &mut self.next_id, &mut self.out);
+            self.store.pump(now, &mut self.last_call_id, &mut self.out);
         }
     }
 }
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -1,13 +1,20 @@
 //! Users: submissions, polls and cancellations, on any controller.
 
 use crate::api::acceptance::Accepting;
-use crate::controller::{
-    Clock, Controller, FORWARD_PREFIX, PendingCall, StoreRequestPurpose, cond, put,
-};
+use crate::controller::Controller;
+use crate::messages::PendingCall;
+use crate::messages::PendingRequest;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
+use crate::protocol::client_api::JobState;
+use crate::protocol::cloud_api::MachineType;
+use crate::protocol::codec::json_len;
 use crate::protocol::format::PIPELINES;
 use crate::protocol::job::{Malformed, parse, valid_id};
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::key_value_api::{Change, Transaction};
+use crate::protocol::peer_messages::FORWARD_PREFIX;
 use crate::protocol::records::{BUNDLED, CHUNK, JobRecord, JobStage, job_key};
-use crate::protocol::wire::{Change, JobState, MachineType, Transaction, json_len};
 use crate::protocol::{JobKind, JobSpec, Micros, Settings};
 use crate::scheduling::placement;
 use crate::state::record_cache::{Job, JobLookup};
@@ -17,47 +24,6 @@
 use admission_control::refusal::Refusals;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What waits for the copy to catch up.
-#[derive(Debug, Clone)]
-pub enum PendingRequest {
-    /// A poll.
-    Poll {
-        /// Request.
-        conn: u64,
-        /// Job.
-        id: String,
-    },
-    /// A repeated submission of a known job.
-    Resubmit {
-        /// Request.
-        conn: u64,
-        /// Job.
-        id: String,
-        /// The acceptance had failed on the job's key: it must exist, so 404 is no answer.
-        status: u16,
-    },
-    /// A submission that names a job which the copy does not hold.
-    Submit {
-        /// Request.
-        conn: u64,
-        /// Job.
-        id: String,
-        /// What was submitted.
-        spec: Box<JobSpec>,
-    },
-    /// A cancellation.
-    Cancel {
-        /// Request.
-        conn: u64,
-        /// Job.
-        id: String,
-    },
-    /// The leader's proof that its term holds.
-    Proof,
-    /// Job records whose transaction failed or got no answer.
-    RecordWriter(u64),
-}
-
 /// Users' requests in progress.
 pub struct ClientApi {
     pub(crate) accepting: BTreeMap<String, Accepting>,
@@ -226,7 +192,7 @@
         }
         if method == "POST"
             && rest.is_empty()
-            && !self.all_read(PIPELINES)
+            && !self.all_peers_read(PIPELINES)
             && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
         {
             // A peer of the first version would accept it without the jobs that it needs.
@@ -237,11 +203,11 @@
             "POST" => ("POST", SUBMIT_HANDED_ON),
             _ => return false,
         };
-        let Some(addr) = self.better_placed(clock) else {
+        let Some(addr) = self.peer_with_store(clock) else {
             return false;
         };
         let path = format!("{FORWARD_PREFIX}{path}");
-        let tag = PendingCall::User(conn);
+        let tag = PendingCall::ForwardedRequest(conn);
         self.call(tag, addr, method, &path, body.to_vec(), timeout);
         true
     }
@@ -260,7 +226,7 @@
     }
 
     /// Tells a user the state of a job. That one is cancelled is not told while a peer goes by our pledge to
-    /// tell nothing new: it may be renewing the lease of a agent that runs the job.
+    /// tell nothing new: it may be renewing the lease of an agent that runs the job.
     pub(crate) fn tell(&mut self, clock: Clock, conn: u64, status: u16, state: &JobState) {
         let newest = self.cache.newest;
         if state.status == word(JobStage::Cancelled)
@@ -339,7 +305,7 @@
                            or the gang is too wide";
                 self.refuse(conn, 400, why);
             }
-            Ok(None) if !spec.needs.is_empty() && !self.all_read(PIPELINES) => {
+            Ok(None) if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) => {
                 // A controller of the first version drops what it does not know from a record.
                 let why = "jobs can wait for jobs once all controllers run this version";
                 self.refuse(conn, 503, why);
@@ -400,10 +366,12 @@
                 if over || !catch_up {
                     self.tell(clock, conn, 200, &state);
                 } else {
-                    self.request_read_barrier(clock, PendingRequest::Poll { conn, id });
+                    self.request_read_barrier(clock, PendingRequest::Status { conn, id });
                 }
             }
-            None if catch_up => self.request_read_barrier(clock, PendingRequest::Poll { conn, id }),
+            None if catch_up => {
+                self.request_read_barrier(clock, PendingRequest::Status { conn, id })
+            }
             None => self.refuse(conn, 404, "no such job"),
         }
     }
@@ -421,19 +389,19 @@
                     ..job.rec.clone()
                 };
                 let (key, version) = (job_key(&id), job.version);
-                let waiting = self.front.cancelling.entry(id.clone()).or_default();
+                let waiting = self.client_api.cancelling.entry(id.clone()).or_default();
                 waiting.push(conn);
                 if waiting.len() == 1 {
                     // The entries written here must hold what bundles say at this moment, or the
                     // job would look as if nothing of it were anywhere.
-                    let bundled = cond(BUNDLED, self.cache.bundles.head());
+                    let bundled = VersionCondition::new(BUNDLED, self.cache.bundles.head());
                     let txn = Transaction {
-                        conds: vec![cond(&key, version), bundled],
-                        changes: vec![put(&key, &rec, None)],
+                        conds: vec![VersionCondition::new(&key, version), bundled],
+                        changes: vec![Change::put(&key, &rec, None)],
                     };
                     self.store.ask(
-                        RequestPriority::First,
-                        StoreRequestPurpose::Cancel(id),
+                        RequestPriority::Urgent,
+                        StoreRequestPurpose::CancelJob(id),
                         StoreRequest::Transaction(txn),
                     );
                 }
@@ -450,14 +418,14 @@
     }
 
     /// A cancellation came back.
-    pub fn on_cancelled(
+    pub fn on_cancellation_result(
         &mut self,
         clock: Clock,
         id: String,
         ask: StoreRequest,
         reply: StoreResponse,
     ) {
-        let conns = self.front.cancelling.remove(&id).unwrap_or_default();
+        let conns = self.client_api.cancelling.remove(&id).unwrap_or_default();
         match reply {
             StoreResponse::Committed(rev) => {
                 if let StoreRequest::Transaction(t) = &ask {
@@ -500,28 +468,28 @@
     /// The copy has caught up.
     pub fn resume_request(&mut self, clock: Clock, w: PendingRequest) {
         match w {
-            PendingRequest::Poll { conn, id } => self.on_poll(clock, conn, id, false),
+            PendingRequest::Status { conn, id } => self.on_poll(clock, conn, id, false),
             PendingRequest::Resubmit { conn, id, status } => {
                 self.on_known(clock, conn, &id, status)
             }
             PendingRequest::Submit { conn, id, spec } => self.on_job(clock, conn, id, *spec, false),
             PendingRequest::Cancel { conn, id } => self.on_cancel(clock, conn, id, false),
-            PendingRequest::Proof => {}
-            PendingRequest::RecordWriter(n) => self.settle_edits(n),
+            PendingRequest::ConfirmLeadership => {}
+            PendingRequest::SettleJobWrites(n) => self.settle_edits(n),
         }
     }
 
     /// The copy could not catch up: refuse at once.
-    pub fn cannot_catch_up(&mut self, w: PendingRequest) {
+    pub fn fail_without_barrier(&mut self, w: PendingRequest) {
         match w {
-            PendingRequest::Poll { conn, .. }
+            PendingRequest::Status { conn, .. }
             | PendingRequest::Resubmit { conn, .. }
             | PendingRequest::Submit { conn, .. }
             | PendingRequest::Cancel { conn, .. } => {
                 self.refuse(conn, 503, "the state service does not answer");
             }
-            PendingRequest::Proof => {}
-            PendingRequest::RecordWriter(n) => self.unsettled_edits(n),
+            PendingRequest::ConfirmLeadership => {}
+            PendingRequest::SettleJobWrites(n) => self.unsettled_edits(n),
         }
     }
 }
@@ -531,7 +499,10 @@
     id: &str,
     job: &Job,
     rec: &JobRecord,
-) -> (crate::protocol::wire::VersionCondition, Change) {
+) -> (crate::protocol::key_value_api::VersionCondition, Change) {
     let key = job_key(id);
-    (cond(&key, job.version), put(&key, rec, None))
+    (
+        VersionCondition::new(&key, job.version),
+        Change::put(&key, rec, None),
+    )
 }
--- a/src/api/request_scheduler.rs
+++ b/src/api/request_scheduler.rs
@@ -44,7 +44,7 @@
         return RequestClass::Vital;
     };
     match (method.as_str(), rest) {
-        _ if *internal && !path.starts_with(crate::controller::FORWARD_PREFIX) => {
+        _ if *internal && !path.starts_with(crate::protocol::peer_messages::FORWARD_PREFIX) => {
             RequestClass::Vital
         }
         ("GET", _) => RequestClass::Poll,
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -1,10 +1,10 @@
 //! What to rent and what to return: a plan that looks and changes nothing.
 
 use crate::agents::leader_state::LeaderState;
-use crate::controller::Clock;
 use crate::policy::Policy;
+use crate::protocol::Clock;
+use crate::protocol::cloud_api::MachineType;
 use crate::protocol::records::JobStage;
-use crate::protocol::wire::MachineType;
 use crate::protocol::{JobSpec, Micros, Settings};
 use crate::scheduling::backfill::{Lack, Met};
 use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
@@ -237,7 +237,7 @@
             kind: names.find(kind).unwrap_or(u32::MAX),
             zone: names.find(zone).unwrap_or(u32::MAX),
             spot,
-            session: 0,
+            agent_epoch: 0,
             total,
             free: total,
             open: true,
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -1,31 +1,26 @@
 //! Machines: renting, adopting, giving up and returning them.
 
 use crate::cloud::autoscaler::{InstanceOffer, ScalingPlan};
-use crate::controller::{Clock, Controller, PendingCall, StoreRequestPurpose, cond, put};
+use crate::controller::Controller;
+use crate::messages::CloudRequest;
+use crate::messages::PendingCall;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
 use crate::protocol::Micros;
-use crate::protocol::records::{BASE, LEAD, TYPES};
-use crate::protocol::wire::{
-    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, RentRequest, Report,
-    Transaction, decode, encode,
+use crate::protocol::agent_api::AgentHeartbeat;
+use crate::protocol::cloud_api::{
+    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, RentRequest,
 };
+use crate::protocol::codec::{decode, encode};
+use crate::protocol::key_value_api::Change;
+use crate::protocol::key_value_api::Transaction;
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::records::{BASE, LEAD, TYPES};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::state::token_bucket::TokenBucket;
 use crate::transport::Outcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A call to the cloud.
-#[derive(Debug, Clone)]
-pub enum CloudRequest {
-    /// Machine types.
-    Types,
-    /// A page of the list.
-    List,
-    /// A rental.
-    RentRequest(RentRequest),
-    /// Deletion of these machines.
-    Delete(Vec<String>),
-}
-
 /// A machine that is, or may be, rented.
 #[derive(Debug, Clone)]
 pub struct Machine {
@@ -113,7 +108,7 @@
     }
 
     /// Its agent has reported.
-    pub fn met(&mut self, name: &str, r: &Report, now: Micros) {
+    pub fn met(&mut self, name: &str, r: &AgentHeartbeat, now: Micros) {
         if let Some(m) = self.machines.get_mut(name) {
             if !m.met {
                 m.met = true;
@@ -162,7 +157,7 @@
 
 impl Controller {
     /// What the fleet is due; returns when to look again.
-    pub fn fleet_time(&mut self, clock: Clock) -> Micros {
+    pub fn drive_inventory(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let rps = self.settings.params.cloud.rps;
         let Some(l) = &mut self.leader else {
@@ -216,7 +211,7 @@
                     format!("/machines?after={after}&most=500"),
                     Vec::new(),
                 ),
-                CloudRequest::RentRequest(r) => ("POST", "/machines".to_string(), encode(r)),
+                CloudRequest::RentInstances(r) => ("POST", "/machines".to_string(), encode(r)),
                 CloudRequest::Delete(names) => (
                     "POST",
                     "/machines/release".to_string(),
@@ -238,7 +233,7 @@
     }
 
     /// The cloud has answered, or not.
-    pub fn on_cloud(&mut self, clock: Clock, ask: CloudRequest, outcome: Outcome) {
+    pub fn on_cloud_response(&mut self, clock: Clock, ask: CloudRequest, outcome: Outcome) {
         let now = clock.now;
         let (status, body) = match outcome {
             Outcome::Reply { status, body } => (status, body),
@@ -266,7 +261,7 @@
                     }
                 }
             }
-            CloudRequest::RentRequest(r) => {
+            CloudRequest::RentInstances(r) => {
                 let offer = (r.kind.clone(), r.zone.clone(), r.spot);
                 if status == 200
                     && let Some(names) = decode::<MachineNames>(&body)
@@ -337,15 +332,15 @@
         }
         let Some(l) = &self.leader else { return };
         let txn = Transaction {
-            conds: vec![crate::controller::cond(
+            conds: vec![crate::protocol::key_value_api::VersionCondition::new(
                 crate::protocol::records::LEAD,
                 l.version,
             )],
-            changes: vec![put(TYPES, &MachineTypes { types }, None)],
+            changes: vec![Change::put(TYPES, &MachineTypes { types }, None)],
         };
         self.store.ask(
-            RequestPriority::First,
-            StoreRequestPurpose::Types,
+            RequestPriority::Urgent,
+            StoreRequestPurpose::RecordMachineTypes,
             StoreRequest::Transaction(txn),
         );
     }
@@ -370,12 +365,15 @@
             // Written once and for all: nothing is rented before the first list has been read.
             let n = (f.machines.len().max(page.machines.len())) as u64;
             let txn = Transaction {
-                conds: vec![cond(LEAD, l.version), cond(BASE, 0)],
-                changes: vec![put(BASE, &n, None)],
+                conds: vec![
+                    VersionCondition::new(LEAD, l.version),
+                    VersionCondition::new(BASE, 0),
+                ],
+                changes: vec![Change::put(BASE, &n, None)],
             };
             self.store.ask(
-                RequestPriority::Usual,
-                StoreRequestPurpose::Types,
+                RequestPriority::Normal,
+                StoreRequestPurpose::RecordMachineTypes,
                 StoreRequest::Transaction(txn),
             );
         }
@@ -417,7 +415,8 @@
         for (rent, flying) in f.renting.values_mut() {
             if plan.ready && !*flying {
                 *flying = true;
-                f.wanted.push_back(CloudRequest::RentRequest(rent.clone()));
+                f.wanted
+                    .push_back(CloudRequest::RentInstances(rent.clone()));
             }
         }
         for ((kind, zone, spot), mut n) in plan.rent {
@@ -437,7 +436,7 @@
                 };
                 n -= rent.count;
                 f.renting.insert(request, (rent.clone(), true));
-                f.wanted.push_back(CloudRequest::RentRequest(rent));
+                f.wanted.push_back(CloudRequest::RentInstances(rent));
             }
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -5,20 +5,25 @@
 pub mod store_responses;
 
 use crate::agents::leader_state::LeaderState;
-use crate::api::client_api::{ClientApi, PendingRequest};
+use crate::api::client_api::ClientApi;
 use crate::api::request_scheduler::{RequestScheduler, ScheduledRequest};
 use crate::leadership::budget_shares::BudgetShares;
 use crate::leadership::connectivity::Connectivity;
 use crate::leadership::delegated_renewal::DelegatedRenewals;
 use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL, room_for_two_vain};
 use crate::leadership::peers::Peers;
+use crate::messages::PendingCall;
+use crate::messages::PendingRequest;
+use crate::messages::StoreRequestPurpose;
 use crate::policy::Policy;
-use crate::protocol::peer_messages::Heartbeat;
-use crate::protocol::wire::{
-    Change, Misdirected, Problem, Report, VersionCondition, encode, to_value,
-};
+use crate::protocol::Clock;
+use crate::protocol::agent_api::Misdirected;
+use crate::protocol::client_api::Problem;
+use crate::protocol::codec::encode;
+use crate::protocol::peer_messages::FORWARD_PREFIX;
+use crate::protocol::peer_messages::PeerHeartbeat;
 use crate::protocol::{Micros, Settings};
-use crate::state::agent::read_report;
+use crate::state::agent::parse_agent_heartbeat;
 use crate::state::record_cache::RecordCache;
 use crate::state::store_client::{RequestPriority, StoreClient, StoreRequest, StoreResponse};
 use crate::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
@@ -26,86 +31,12 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The steady clock and the time of day.
-#[derive(Debug, Clone, Copy)]
-pub struct Clock {
-    /// Steady.
-    pub now: Micros,
-    /// Time of day since 1970.
-    pub wall: Micros,
-}
-
-/// Why the store was asked.
-#[derive(Debug, Clone)]
-pub enum StoreRequestPurpose {
-    /// A page of a reading of all records.
-    Load,
-    /// The standing watch.
-    Follow,
-    /// Catching up.
-    Barrier,
-    /// Acceptance of these jobs.
-    Accept(Vec<String>),
-    /// Cancellation of a job.
-    Cancel(String),
-    /// A lease to lead with.
-    ClaimLease,
-    /// Taking the lead.
-    Claim,
-    /// Renewal of the leader's lease.
-    Renew,
-    /// Hanging the leader's key on a new lease: getting the lease.
-    RelieveLease,
-    /// Hanging the leader's key on a new lease.
-    Relieve,
-    /// A new term for the leader itself.
-    Raise,
-    /// The leader's job records.
-    RecordWriter(u64),
-    /// Machine types.
-    Types,
-    /// Parts of the budget of changes.
-    Parts,
-    /// Giving the lead away.
-    Yield,
-    /// What we renew on the leader's behalf: these machines.
-    DelegatedRenewals(Vec<String>),
-    /// The newest format that we read, or that a peer no longer reads what it did.
-    Format,
-}
-
-/// Calls to others than the store.
-#[derive(Debug, Clone)]
-pub enum PendingCall {
-    /// Commands to a agent.
-    Orders {
-        /// Machine.
-        machine: String,
-        /// Starts among them.
-        starts: Vec<(String, u32, u64)>,
-        /// Term they were sent with.
-        term: u64,
-        /// Session they were meant for.
-        session: u64,
-    },
-    /// The cloud.
-    Cloud(crate::cloud::inventory::CloudRequest),
-    /// A heartbeat: to which peer, and when.
-    Heartbeat(usize, Micros),
-    /// A user's request handed on to a peer that the state service serves.
-    User(u64),
-    /// A agent's report handed on to the leader.
-    Relay(u64, Box<Report>),
-}
-
-/// Path under which peers take users' requests from one another.
-pub const FORWARD_PREFIX: &str = "/user";
 /// A follower that has heard nothing of the state service for this long asks it. Without users it would not
 /// notice an outage, since its watch stays open, and pledge nothing.
-const PROBE_AFTER: Micros = Micros::millis(2000);
-const PROBE_EVERY: Micros = Micros::millis(1000);
+const STORE_PROBE_AFTER: Micros = Micros::millis(2000);
+const STORE_PROBE_INTERVAL: Micros = Micros::millis(1000);
 /// A leader catches up with the store at least this often.
-const PROOF_EVERY: Micros = Micros::millis(1000);
+const CONFIRMATION_INTERVAL: Micros = Micros::millis(1000);
 
 /// A controller.
 pub struct Controller {
@@ -122,58 +53,58 @@
     /// Copy of its records.
     pub cache: RecordCache,
     /// Users.
-    pub front: ClientApi,
+    pub client_api: ClientApi,
     /// The leader, while we lead.
     pub leader: Option<LeaderState>,
     /// Leases renewed on the leader's behalf.
     pub renewals: DelegatedRenewals,
     /// Users' requests that wait for the processor.
-    pub turns: RequestScheduler,
+    pub request_scheduler: RequestScheduler,
     /// Effects gathered in this step.
     pub out: Vec<NetworkCommand>,
     /// Number of the last call.
-    pub next_id: u64,
-    pub(crate) calls: BTreeMap<u64, PendingCall>,
-    pub(crate) claim: ElectionState,
-    pub(crate) lease: Option<u64>,
-    pub(crate) renew_at: Micros,
-    pub(crate) renewing: bool,
-    pub(crate) load_after: String,
-    pub(crate) load_at: Option<Micros>,
+    pub last_call_id: u64,
+    pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
+    pub(crate) election: ElectionState,
+    pub(crate) leader_lease: Option<u64>,
+    pub(crate) lease_renewal_due: Micros,
+    pub(crate) lease_renewal_in_flight: bool,
+    pub(crate) listing_cursor: String,
+    pub(crate) listing_due: Option<Micros>,
     /// All records are being read, one page at a time.
-    pub(crate) loading: bool,
-    pub(crate) follow_at: Option<Micros>,
+    pub(crate) listing: bool,
+    pub(crate) watch_due: Option<Micros>,
     /// The standing watch is open.
-    pub(crate) following: bool,
-    pub(crate) barrier_sent: Option<Micros>,
-    pub(crate) barrier_flying: Vec<PendingRequest>,
-    pub(crate) barrier_next: Vec<PendingRequest>,
+    pub(crate) watch_open: bool,
+    pub(crate) barrier_sent_at: Option<Micros>,
+    pub(crate) barrier_in_flight: Vec<PendingRequest>,
+    pub(crate) barrier_waiting: Vec<PendingRequest>,
     /// Whose turn it is to write: job records, or acceptances.
     pub(crate) turn: bool,
     pub(crate) barrier_at: Micros,
     /// What peers have told, and what we have told them.
     pub(crate) peers: Peers,
     /// Start of the last read of all changes.
-    pub(crate) read_at: Micros,
+    pub(crate) confirmed_read_at: Micros,
     /// When the state service last answered us, and when we last asked for nothing but a sign of life.
-    pub(crate) store_heard: Micros,
-    pub(crate) probed: Micros,
+    pub(crate) store_heard_at: Micros,
+    pub(crate) store_probed_at: Micros,
     /// Whom we still reach.
-    pub(crate) reach: Connectivity,
+    pub(crate) connectivity: Connectivity,
     /// Highest term that anybody has shown us; below it we never lead, whatever an old copy says.
-    pub(crate) highest: u64,
+    pub(crate) highest_term_seen: u64,
     /// Our share of the store's budgets.
     pub(crate) budget: BudgetShares,
     /// When we last gave the lead away.
-    pub(crate) yielded: Option<Micros>,
+    pub(crate) transferred_at: Option<Micros>,
     /// When we started.
-    pub(crate) born: Micros,
+    pub(crate) started_at: Micros,
     /// Version of the record of the lead, and since when we know it.
-    pub(crate) lead_seen: (u64, Micros),
+    pub(crate) leader_record_seen: (u64, Micros),
     /// When our record of the format we read is looked at again; none: it is being written.
-    pub(crate) format_at: Option<Micros>,
+    pub(crate) format_record_due: Option<Micros>,
     /// It has been logged that all controllers read our format.
-    pub(crate) rolled_out: bool,
+    pub(crate) format_rollout_logged: bool,
 }
 
 impl Controller {
@@ -183,7 +114,7 @@
         let incarnation = rng.random::<u64>() >> 1;
         let peers = Peers::new(settings.peers.len(), &policy, clock.now);
         let budget = BudgetShares::new(&settings);
-        let reach = Connectivity::new(clock.now, room_for_two_vain(&settings));
+        let connectivity = Connectivity::new(clock.now, room_for_two_vain(&settings));
         let (rps, wps, burst) = budget.rates(&settings);
         let store = StoreClient::new(settings.external.state, rps, wps, burst);
         Controller {
@@ -193,39 +124,39 @@
             rng,
             store,
             cache: RecordCache::default(),
-            front: ClientApi::default(),
+            client_api: ClientApi::default(),
             leader: None,
             renewals: DelegatedRenewals::default(),
-            turns: RequestScheduler::default(),
+            request_scheduler: RequestScheduler::default(),
             out: Vec::new(),
-            next_id: 0,
-            calls: BTreeMap::new(),
-            claim: ElectionState::Idle,
-            lease: None,
-            renew_at: Micros::FAR,
-            renewing: false,
-            load_after: String::new(),
-            load_at: Some(clock.now),
-            loading: true,
-            follow_at: None,
-            following: false,
-            barrier_sent: None,
-            barrier_flying: Vec::new(),
-            barrier_next: Vec::new(),
+            last_call_id: 0,
+            pending_calls: BTreeMap::new(),
+            election: ElectionState::Idle,
+            leader_lease: None,
+            lease_renewal_due: Micros::FAR,
+            lease_renewal_in_flight: false,
+            listing_cursor: String::new(),
+            listing_due: Some(clock.now),
+            listing: true,
+            watch_due: None,
+            watch_open: false,
+            barrier_sent_at: None,
+            barrier_in_flight: Vec::new(),
+            barrier_waiting: Vec::new(),
             turn: false,
             barrier_at: Micros::ZERO,
             peers,
-            read_at: Micros::ZERO,
-            store_heard: clock.now,
-            probed: clock.now,
-            reach,
-            highest: 0,
+            confirmed_read_at: Micros::ZERO,
+            store_heard_at: clock.now,
+            store_probed_at: clock.now,
+            connectivity,
+            highest_term_seen: 0,
             budget,
-            yielded: None,
-            born: clock.now,
-            lead_seen: (0, clock.now),
-            format_at: Some(clock.now),
-            rolled_out: false,
+            transferred_at: None,
+            started_at: clock.now,
+            leader_record_seen: (0, clock.now),
+            format_record_due: Some(clock.now),
+            format_rollout_logged: false,
         }
     }
 
@@ -235,8 +166,8 @@
         clock: Clock,
         events: Vec<NetworkEvent>,
     ) -> (Vec<NetworkCommand>, Micros) {
-        self.reach.look(clock.now);
-        for turn in self.turns.step(clock.now, events) {
+        self.connectivity.look(clock.now);
+        for turn in self.request_scheduler.step(clock.now, events) {
             match turn {
                 ScheduledRequest::Handle(NetworkEvent::Request {
                     conn,
@@ -253,12 +184,13 @@
                 }
             }
         }
-        let mut next = self.on_time(clock);
-        if self.turns.waiting() {
+        let mut next = self.run_timers(clock);
+        if self.request_scheduler.waiting() {
             next = clock.now;
         }
-        let next = next.min(self.write_turns(clock));
-        self.store.pump(clock.now, &mut self.next_id, &mut self.out);
+        let next = next.min(self.write_due_records(clock));
+        self.store
+            .pump(clock.now, &mut self.last_call_id, &mut self.out);
         let next = self.store.wake(clock.now).map_or(next, |t| t.min(next));
         (std::mem::take(&mut self.out), next)
     }
@@ -305,10 +237,10 @@
         body: Vec<u8>,
         timeout: Micros,
     ) {
-        self.next_id += 1;
-        self.calls.insert(self.next_id, tag);
+        self.last_call_id += 1;
+        self.pending_calls.insert(self.last_call_id, tag);
         self.out.push(NetworkCommand::Call(Call {
-            id: self.next_id,
+            id: self.last_call_id,
             addr,
             method,
             path: path.to_string(),
@@ -328,7 +260,7 @@
     ) {
         if internal {
             match path {
-                "/heartbeat" => match Heartbeat::decode(body) {
+                "/heartbeat" => match PeerHeartbeat::decode(body) {
                     Ok(h) => {
                         let body = self.respond_to_heartbeat(clock, h).encode();
                         self.out.push(NetworkCommand::Respond {
@@ -343,9 +275,9 @@
                         self.refuse(conn, 400, "not a heartbeat");
                     }
                 },
-                "/hello" => match read_report(body) {
+                "/hello" => match parse_agent_heartbeat(body) {
                     Some(r) if self.leader.as_ref().is_some_and(|l| r.term <= l.term) => {
-                        self.leader_report(clock, conn, r, true);
+                        self.leader_heartbeat(clock, conn, r, true);
                     }
                     _ => self.refuse(conn, 503, "not leading"),
                 },
@@ -369,13 +301,13 @@
             ("GET", "/healthz", _) => {
                 if !self.cache.synced {
                     self.refuse(conn, 503, "still reading the records");
-                } else if self.reach.sends_users_away() {
+                } else if self.connectivity.sends_users_away() {
                     self.refuse(conn, 503, "neither the state service nor a sibling answers");
                 } else {
                     self.respond(conn, 200, &());
                 }
             }
-            ("POST", "/hello", _) => self.on_report(clock, conn, body),
+            ("POST", "/hello", _) => self.on_agent_heartbeat(clock, conn, body),
             ("POST", "/submissions", _) => self.on_submit(clock, conn, body),
             ("GET", _, Some(id)) if !id.contains('/') => {
                 let id = id.to_string();
@@ -395,15 +327,15 @@
         }
     }
 
-    fn on_report(&mut self, clock: Clock, conn: u64, body: &[u8]) {
-        let Some(report) = read_report(body) else {
+    fn on_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
+        let Some(report) = parse_agent_heartbeat(body) else {
             self.refuse(conn, 400, "not a report");
             return;
         };
         if report.zone != self.settings.zone {
-            self.reach.elsewhere(clock.now);
+            self.connectivity.elsewhere(clock.now);
         }
-        if self.leader.is_some() && self.reach.sends_on(&report.machine, clock.now) {
+        if self.leader.is_some() && self.connectivity.sends_on(&report.machine, clock.now) {
             log::info!("{}: sent on, we hear nobody", report.machine);
             self.respond(conn, 421, &Misdirected::default());
             return;
@@ -412,34 +344,36 @@
             && report.term > leader.term
         {
             // Somebody has led after us.
-            self.highest = self.highest.max(report.term);
+            self.highest_term_seen = self.highest_term_seen.max(report.term);
             self.step_down("a worker has seen a higher term");
             let none = Misdirected::default();
             self.respond(conn, 421, &none);
             return;
         }
         if self.leader.is_some() {
-            self.leader_report(clock, conn, report, false);
+            self.leader_heartbeat(clock, conn, report, false);
             return;
         }
-        self.follower_report(clock, conn, report);
+        self.follower_heartbeat(clock, conn, report);
     }
 
     fn on_response(&mut self, clock: Clock, id: u64, outcome: Outcome) {
         if let Some((tag, ask, sent, reply)) = self.store.on_response(id, &outcome) {
             if !matches!(reply, StoreResponse::Refused | StoreResponse::Lost) {
-                self.store_heard = clock.now;
-                self.reach.store(clock.now);
+                self.store_heard_at = clock.now;
+                self.connectivity.store(clock.now);
             }
             self.on_store_response(clock, tag, ask, sent, reply);
             return;
         }
-        match self.calls.remove(&id) {
-            Some(PendingCall::Heartbeat(i, sent)) => {
+        match self.pending_calls.remove(&id) {
+            Some(PendingCall::PeerHeartbeat(i, sent)) => {
                 self.on_heartbeat_response(clock, i, sent, outcome)
             }
-            Some(PendingCall::User(conn)) => self.on_forwarded_response(conn, outcome),
-            Some(PendingCall::Relay(conn, report)) => self.on_relay(clock, conn, *report, outcome),
+            Some(PendingCall::ForwardedRequest(conn)) => self.on_forwarded_response(conn, outcome),
+            Some(PendingCall::RelayedHeartbeat(conn, report)) => {
+                self.on_relay(clock, conn, *report, outcome)
+            }
             Some(tag) => self.on_leader_call_response(clock, tag, outcome),
             None => {}
         }
@@ -448,15 +382,15 @@
     /// The copy has changed: look who leads.
     pub(crate) fn on_cache_updated(&mut self, clock: Clock) {
         let version = self.cache.lead.as_ref().map_or(0, |(_, v)| *v);
-        if self.lead_seen.0 != version {
-            self.lead_seen = (version, clock.now);
+        if self.leader_record_seen.0 != version {
+            self.leader_record_seen = (version, clock.now);
         }
         let ours = self
             .cache
             .lead
             .as_ref()
             .filter(|(l, _)| l.node == self.settings.node && l.incarnation == self.incarnation)
-            .filter(|(l, _)| l.term >= self.highest)
+            .filter(|(l, _)| l.term >= self.highest_term_seen)
             .map(|(l, v)| (l.term, *v));
         match (ours, &mut self.leader) {
             (None, Some(_)) => self.step_down("another controller leads"),
@@ -476,9 +410,9 @@
             (Some((term, version)), None) => {
                 log::info!("leading with term {term}");
                 self.leader = Some(LeaderState::new(term, version, clock));
-                self.renew_at = clock.now;
-                self.take_share(clock);
-                self.request_read_barrier(clock, PendingRequest::Proof);
+                self.lease_renewal_due = clock.now;
+                self.apply_budget_share(clock);
+                self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
             }
             (None, None) => {}
         }
@@ -489,104 +423,105 @@
         if let Some(l) = self.leader.take() {
             log::info!("standing down from term {}: {why}", l.term);
         }
-        self.renew_at = Micros::FAR;
+        self.lease_renewal_due = Micros::FAR;
     }
 
-    fn on_time(&mut self, clock: Clock) -> Micros {
+    fn run_timers(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let mut next = now + Micros::millis(1000);
-        if let Some(at) = self.load_at {
+        if let Some(at) = self.listing_due {
             if at <= now {
-                self.load_at = None;
-                let after = self.load_after.clone();
+                self.listing_due = None;
+                let after = self.listing_cursor.clone();
                 self.store.ask(
-                    RequestPriority::First,
-                    StoreRequestPurpose::Load,
+                    RequestPriority::Urgent,
+                    StoreRequestPurpose::ListRecords,
                     StoreRequest::List { after },
                 );
             } else {
                 next = next.min(at);
             }
         }
-        if let Some(at) = self.follow_at {
+        if let Some(at) = self.watch_due {
             if at <= now {
-                self.follow_at = None;
+                self.watch_due = None;
                 let ask = StoreRequest::Watch {
                     after: self.cache.revision,
                     block_ms: 10_000,
                 };
-                self.following = true;
+                self.watch_open = true;
                 self.store
-                    .ask(RequestPriority::First, StoreRequestPurpose::Follow, ask);
+                    .ask(RequestPriority::Urgent, StoreRequestPurpose::Watch, ask);
             } else {
                 next = next.min(at);
             }
         }
-        if self.barrier_sent.is_none() && !self.barrier_next.is_empty() {
+        if self.barrier_sent_at.is_none() && !self.barrier_waiting.is_empty() {
             self.send_read_barrier(clock);
-            if self.barrier_sent.is_none() {
+            if self.barrier_sent_at.is_none() {
                 next = next.min(self.barrier_at + self.barrier_gap());
             }
         }
-        self.take_share(clock);
-        next = next.min(self.give_parts(clock));
-        next = next.min(self.formats(clock));
-        next = next.min(self.heartbeats(clock));
-        next = next.min(self.candidacy(clock));
-        next = next.min(self.front_time(clock));
+        self.apply_budget_share(clock);
+        next = next.min(self.grant_budget_shares(clock));
+        next = next.min(self.negotiate_format(clock));
+        next = next.min(self.send_peer_heartbeats(clock));
+        next = next.min(self.consider_candidacy(clock));
+        next = next.min(self.drive_acceptances(clock));
         if self.leader.is_none() {
-            next = next.min(self.renewals_time(clock));
+            next = next.min(self.drive_renewals(clock));
         }
         if self.leader.is_none() && self.cache.synced {
-            let at = (self.store_heard + PROBE_AFTER).max(self.probed + PROBE_EVERY);
+            let at = (self.store_heard_at + STORE_PROBE_AFTER)
+                .max(self.store_probed_at + STORE_PROBE_INTERVAL);
             if at <= now {
-                self.probed = now;
-                if self.barrier_sent.is_none() {
-                    self.request_read_barrier(clock, PendingRequest::Proof);
+                self.store_probed_at = now;
+                if self.barrier_sent_at.is_none() {
+                    self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
                 }
             }
-            next = next.min(at.max(now + PROBE_EVERY));
+            next = next.min(at.max(now + STORE_PROBE_INTERVAL));
         }
         if self.leader.is_none() && self.renewals.active() {
             let last_confirmed_read = self.renewals.last_confirmed_read();
-            if last_confirmed_read + PROOF_EVERY <= now {
-                if self.barrier_sent.is_none() {
-                    self.request_read_barrier(clock, PendingRequest::Proof);
+            if last_confirmed_read + CONFIRMATION_INTERVAL <= now {
+                if self.barrier_sent_at.is_none() {
+                    self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
                 }
             } else {
-                next = next.min(last_confirmed_read + PROOF_EVERY);
+                next = next.min(last_confirmed_read + CONFIRMATION_INTERVAL);
             }
         }
         if self.leader.is_some() {
-            if self.renew_at <= now && !self.renewing {
-                if let Some(l) = self.lease {
-                    self.renewing = true;
+            if self.lease_renewal_due <= now && !self.lease_renewal_in_flight {
+                if let Some(l) = self.leader_lease {
+                    self.lease_renewal_in_flight = true;
                     self.store.ask(
-                        RequestPriority::First,
-                        StoreRequestPurpose::Renew,
+                        RequestPriority::Urgent,
+                        StoreRequestPurpose::RenewLeaderLease,
                         StoreRequest::Renew(l),
                     );
                 } else {
-                    self.renewing = true;
+                    self.lease_renewal_in_flight = true;
                     self.store.ask(
-                        RequestPriority::First,
-                        StoreRequestPurpose::RelieveLease,
+                        RequestPriority::Urgent,
+                        StoreRequestPurpose::ReplacementLease,
                         StoreRequest::NewLease(LEADER_LEASE_TTL),
                     );
                 }
             }
-            if !self.renewing {
-                next = next.min(self.renew_at);
+            if !self.lease_renewal_in_flight {
+                next = next.min(self.lease_renewal_due);
             }
             let last_confirmed_read = self.leader.as_ref().map_or(now, |l| l.last_confirmed_read);
-            if last_confirmed_read + PROOF_EVERY <= now {
-                if self.barrier_sent.is_none() {
-                    self.request_read_barrier(clock, PendingRequest::Proof);
+            if last_confirmed_read + CONFIRMATION_INTERVAL <= now {
+                if self.barrier_sent_at.is_none() {
+                    self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
                 }
             } else {
-                next = next.min(last_confirmed_read + PROOF_EVERY);
+                next = next.min(last_confirmed_read + CONFIRMATION_INTERVAL);
             }
-            next = next.min(self.leader_time(clock));
+            next = next.min(self.drive_leader(clock));
             next = next.min(self.consider_transfer(clock));
         }
         next
@@ -600,20 +535,3 @@
         Micros::secs(w.cancel_s - w.lease_s - margin)
     }
 }
-
-/// A condition on a key's version.
-pub fn cond(key: &str, version: u64) -> VersionCondition {
-    VersionCondition {
-        key: key.to_string(),
-        version,
-    }
-}
-
-/// A put.
-pub fn put<T: serde::Serialize>(key: &str, value: &T, lease: Option<u64>) -> Change {
-    Change::Put {
-        put: key.to_string(),
-        value: to_value(value),
-        lease,
-    }
-}
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -1,7 +1,8 @@
 //! The thin controller::runtime: threads, clocks and sockets around the actors.
 
-use crate::controller::{Clock, Controller};
+use crate::controller::Controller;
 use crate::policy::Policy;
+use crate::protocol::Clock;
 use crate::protocol::{Micros, Settings};
 use crate::transport::net::{Listeners, Net};
 use crossbeam_channel::TryRecvError;
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -1,16 +1,19 @@
 //! Answers of the state service, and what follows from each.
 
-use crate::api::client_api::PendingRequest;
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::controller::Controller;
 use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL};
-use crate::leadership::format_negotiation::FORMAT_AGAIN;
+use crate::leadership::format_negotiation::FORMAT_CHECK_INTERVAL;
+use crate::messages::PendingRequest;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
 use crate::protocol::Micros;
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::key_value_api::{Change, Transaction};
 use crate::protocol::records::{LEAD, LIVE};
-use crate::protocol::wire::{Change, Transaction};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
 /// Renewed at this pace.
-pub(crate) const RENEW_EVERY: Micros = Micros::millis(1200);
+pub(crate) const LEASE_RENEWAL_INTERVAL: Micros = Micros::millis(1200);
 /// The standing watch is opened anew after this many of our requests' time at the soonest: the rest of the budget is for
 /// what users wait for longer.
 const FOLLOW_SHARE: f64 = 5.0;
@@ -25,171 +28,181 @@
         reply: StoreResponse,
     ) {
         match (tag, reply) {
-            (StoreRequestPurpose::Load, StoreResponse::Page(page)) => {
+            (StoreRequestPurpose::ListRecords, StoreResponse::Page(page)) => {
                 let last = page.items.last().map(|i| i.key.clone());
                 if self.cache.apply_page(page) {
                     log::info!("records read up to revision {}", self.cache.revision);
-                    self.load_after.clear();
+                    self.listing_cursor.clear();
                     self.peers.record_summary = None;
-                    self.loading = false;
-                    self.follow_at = (!self.following).then_some(clock.now);
+                    self.listing = false;
+                    self.watch_due = (!self.watch_open).then_some(clock.now);
                     self.on_cache_updated(clock);
                 } else {
-                    self.load_after = last.unwrap_or_default();
-                    self.load_at = Some(clock.now);
+                    self.listing_cursor = last.unwrap_or_default();
+                    self.listing_due = Some(clock.now);
                 }
             }
-            (StoreRequestPurpose::Load, _) => self.load_at = Some(clock.now + Micros::millis(250)),
-            (StoreRequestPurpose::Follow, reply) => {
-                self.following = false;
+            (StoreRequestPurpose::ListRecords, _) => {
+                self.listing_due = Some(clock.now + Micros::millis(250))
+            }
+            (StoreRequestPurpose::Watch, reply) => {
+                self.watch_open = false;
                 match reply {
                     StoreResponse::Events(a) => {
                         self.cache.apply(a);
                         self.on_confirmed_read(sent);
                         let gap = (FOLLOW_SHARE / self.store.request_rate()).clamp(0.04, 0.4);
-                        self.follow_at = Some(clock.now.max(sent + Micros::secs(gap)));
+                        self.watch_due = Some(clock.now.max(sent + Micros::secs(gap)));
                         self.on_cache_updated(clock);
                     }
                     StoreResponse::TooOld => self.reload(clock),
-                    _ => self.follow_at = Some(clock.now + Micros::millis(300)),
+                    _ => self.watch_due = Some(clock.now + Micros::millis(300)),
                 }
             }
-            (StoreRequestPurpose::Barrier, StoreResponse::Events(a)) => {
+            (StoreRequestPurpose::ReadBarrier, StoreResponse::Events(a)) => {
                 self.cache.apply(a);
-                self.barrier_sent = None;
+                self.barrier_sent_at = None;
                 self.on_confirmed_read(sent);
                 self.on_cache_updated(clock);
-                for w in std::mem::take(&mut self.barrier_flying) {
+                for w in std::mem::take(&mut self.barrier_in_flight) {
                     self.resume_request(clock, w);
                 }
                 self.send_read_barrier(clock);
             }
-            (StoreRequestPurpose::Barrier, reply) => {
+            (StoreRequestPurpose::ReadBarrier, reply) => {
                 if reply == StoreResponse::TooOld {
                     self.reload(clock);
                 }
-                self.barrier_sent = None;
-                for w in std::mem::take(&mut self.barrier_flying) {
-                    self.cannot_catch_up(w);
+                self.barrier_sent_at = None;
+                for w in std::mem::take(&mut self.barrier_in_flight) {
+                    self.fail_without_barrier(w);
                 }
                 self.send_read_barrier(clock);
             }
-            (StoreRequestPurpose::Accept(ids), reply) => self.on_accepted(clock, ids, reply),
-            (StoreRequestPurpose::Cancel(id), reply) => self.on_cancelled(clock, id, ask, reply),
-            (StoreRequestPurpose::ClaimLease, StoreResponse::Lease(l)) => {
-                self.lease = Some(l);
+            (StoreRequestPurpose::AcceptJobs(ids), reply) => {
+                self.on_acceptance_result(clock, ids, reply)
+            }
+            (StoreRequestPurpose::CancelJob(id), reply) => {
+                self.on_cancellation_result(clock, id, ask, reply)
+            }
+            (StoreRequestPurpose::LeaderLease, StoreResponse::Lease(l)) => {
+                self.leader_lease = Some(l);
                 // Somebody else may have claimed while the lease was asked for.
                 if self.leadership_vacant(clock) || self.should_relieve_leader(clock) {
-                    self.send_claim();
+                    self.claim_leadership();
                 } else {
-                    self.claim = ElectionState::Idle;
+                    self.election = ElectionState::Idle;
                 }
             }
-            (StoreRequestPurpose::ClaimLease, _) => self.claim = ElectionState::Idle,
-            (StoreRequestPurpose::Claim, StoreResponse::Committed(rev)) => {
+            (StoreRequestPurpose::LeaderLease, _) => self.election = ElectionState::Idle,
+            (StoreRequestPurpose::ClaimLeadership, StoreResponse::Committed(rev)) => {
                 if let StoreRequest::Transaction(t) = ask {
                     self.apply_own_commit(&t, rev);
                 }
-                self.claim = ElectionState::Idle;
+                self.election = ElectionState::Idle;
                 self.on_cache_updated(clock);
                 // The commit shows that the term is ours, and not what was cancelled before it.
                 if let Some(l) = &mut self.leader {
-                    l.last_confirmed_read = l.last_confirmed_read.max(self.read_at);
+                    l.last_confirmed_read = l.last_confirmed_read.max(self.confirmed_read_at);
                 }
-                self.request_read_barrier(clock, PendingRequest::Proof);
+                self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
             }
-            (StoreRequestPurpose::Claim, _) => {
+            (StoreRequestPurpose::ClaimLeadership, _) => {
                 // After a lost answer the records tell, and a second claim fails if the first
                 // was carried out.
-                self.claim = ElectionState::Idle;
-                self.request_read_barrier(clock, PendingRequest::Proof);
+                self.election = ElectionState::Idle;
+                self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
             }
-            (StoreRequestPurpose::Renew, reply) => {
-                self.renewing = false;
+            (StoreRequestPurpose::RenewLeaderLease, reply) => {
+                self.lease_renewal_in_flight = false;
                 match reply {
-                    StoreResponse::Lease(_) => self.renew_at = sent + RENEW_EVERY,
+                    StoreResponse::Lease(_) => {
+                        self.lease_renewal_due = sent + LEASE_RENEWAL_INTERVAL
+                    }
                     StoreResponse::LeaseGone => {
-                        self.renewing = true;
+                        self.lease_renewal_in_flight = true;
                         self.store.ask(
-                            RequestPriority::First,
-                            StoreRequestPurpose::RelieveLease,
+                            RequestPriority::Urgent,
+                            StoreRequestPurpose::ReplacementLease,
                             StoreRequest::NewLease(LEADER_LEASE_TTL),
                         );
                     }
-                    _ => self.renew_at = clock.now + Micros::millis(300),
+                    _ => self.lease_renewal_due = clock.now + Micros::millis(300),
                 }
             }
-            (StoreRequestPurpose::RelieveLease, StoreResponse::Lease(l)) => {
-                self.lease = Some(l);
+            (StoreRequestPurpose::ReplacementLease, StoreResponse::Lease(l)) => {
+                self.leader_lease = Some(l);
                 match &self.leader {
                     Some(leader) => {
                         let txn = Transaction {
-                            conds: vec![cond(LEAD, leader.version)],
-                            changes: vec![put(LIVE, &self.settings.node, Some(l))],
+                            conds: vec![VersionCondition::new(LEAD, leader.version)],
+                            changes: vec![Change::put(LIVE, &self.settings.node, Some(l))],
                         };
                         self.store.ask(
-                            RequestPriority::First,
-                            StoreRequestPurpose::Relieve,
+                            RequestPriority::Urgent,
+                            StoreRequestPurpose::AttachReplacementLease,
                             StoreRequest::Transaction(txn),
                         );
                     }
-                    None => self.renewing = false,
+                    None => self.lease_renewal_in_flight = false,
                 }
             }
-            (StoreRequestPurpose::RelieveLease, _) => {
-                self.renewing = false;
-                self.renew_at = clock.now + Micros::millis(300);
+            (StoreRequestPurpose::ReplacementLease, _) => {
+                self.lease_renewal_in_flight = false;
+                self.lease_renewal_due = clock.now + Micros::millis(300);
             }
-            (StoreRequestPurpose::Relieve, reply) => {
-                self.renewing = false;
-                self.renew_at = clock.now + Micros::millis(300);
+            (StoreRequestPurpose::AttachReplacementLease, reply) => {
+                self.lease_renewal_in_flight = false;
+                self.lease_renewal_due = clock.now + Micros::millis(300);
                 if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) =
                     (&reply, &ask)
                 {
                     self.apply_own_commit(t, *rev);
                 }
                 if matches!(reply, StoreResponse::Conflict(_)) {
-                    self.request_read_barrier(clock, PendingRequest::Proof);
+                    self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
                 }
             }
-            (StoreRequestPurpose::Raise, reply) => {
+            (StoreRequestPurpose::RaiseTerm, reply) => {
                 if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) =
                     (&reply, &ask)
                 {
                     self.apply_own_commit(t, *rev);
                     self.on_cache_updated(clock);
                 } else {
-                    self.request_read_barrier(clock, PendingRequest::Proof);
+                    self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
                 }
                 if let Some(l) = &mut self.leader {
                     l.raising = false;
                 }
             }
-            (StoreRequestPurpose::RecordWriter(n), reply) => self.on_edits(clock, n, ask, reply),
-            (StoreRequestPurpose::Types, StoreResponse::Committed(rev)) => {
+            (StoreRequestPurpose::WriteJobs(n), reply) => {
+                self.on_job_writes_result(clock, n, ask, reply)
+            }
+            (StoreRequestPurpose::RecordMachineTypes, StoreResponse::Committed(rev)) => {
                 if let StoreRequest::Transaction(t) = ask {
                     self.apply_own_commit(&t, rev);
                 }
             }
-            (StoreRequestPurpose::Types, _) => {}
-            (StoreRequestPurpose::Parts, reply) => self.on_parts(clock, ask, reply),
-            (StoreRequestPurpose::Yield, StoreResponse::Committed(rev)) => {
+            (StoreRequestPurpose::RecordMachineTypes, _) => {}
+            (StoreRequestPurpose::BudgetShares, reply) => self.on_budget_shares(clock, ask, reply),
+            (StoreRequestPurpose::TransferLeadership, StoreResponse::Committed(rev)) => {
                 if let StoreRequest::Transaction(t) = ask {
                     self.apply_own_commit(&t, rev);
                 }
-                self.yielded = Some(clock.now);
+                self.transferred_at = Some(clock.now);
                 self.step_down("others reach the workers");
             }
-            (StoreRequestPurpose::Yield, _) => {
+            (StoreRequestPurpose::TransferLeadership, _) => {
                 if let Some(l) = &mut self.leader {
-                    l.yielding = None;
+                    l.useless_since = None;
                 }
             }
-            (StoreRequestPurpose::DelegatedRenewals(named), reply) => {
-                self.on_renewals(clock, named, ask, sent, reply)
+            (StoreRequestPurpose::RecordRenewals(named), reply) => {
+                self.on_renewals_result(clock, named, ask, sent, reply)
             }
-            (StoreRequestPurpose::Format, reply) => {
-                self.format_at = Some(clock.now + FORMAT_AGAIN);
+            (StoreRequestPurpose::RecordFormat, reply) => {
+                self.format_record_due = Some(clock.now + FORMAT_CHECK_INTERVAL);
                 if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) = (reply, ask)
                 {
                     self.apply_own_commit(&t, rev);
@@ -212,13 +225,13 @@
     /// Reads all records anew, unless that is being done already: pages of the reading before would lead the new one
     /// past keys that it has not met, and these would be taken for deleted.
     pub(crate) fn reload(&mut self, clock: Clock) {
-        if self.loading {
+        if self.listing {
             return;
         }
         log::info!("rereading the records");
-        self.loading = true;
-        self.follow_at = None;
-        self.load_after.clear();
-        self.load_at = Some(clock.now);
+        self.listing = true;
+        self.watch_due = None;
+        self.listing_cursor.clear();
+        self.listing_due = Some(clock.now);
     }
 }
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -6,11 +6,15 @@
 //! whole (crates/admission, `parts`). What is not lent the leader uses itself. Grants end by themselves;
 //! in calm times nothing is written, and the shares are as they were.
 
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
-use crate::leadership::election::LEADER_SILENT;
+use crate::controller::Controller;
+use crate::leadership::election::LEADER_SILENCE_LIMIT;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
 use crate::protocol::format::PARTS as FORMAT;
+use crate::protocol::key_value_api::Change;
+use crate::protocol::key_value_api::Transaction;
+use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::records::{BudgetSharesRecord, LEAD, PARTS};
-use crate::protocol::wire::Transaction;
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::fair::Asked;
@@ -140,12 +144,12 @@
 
 impl Controller {
     /// Keeps to our share of the store's budgets, which follows from who is heard.
-    pub(crate) fn take_share(&mut self, clock: Clock) {
+    pub(crate) fn apply_budget_share(&mut self, clock: Clock) {
         // Nobody has been heard right after a start.
-        let young = clock.now < self.born + LEADER_SILENT;
+        let young = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
         let heard = |node: &str| {
             let view = self.peers.view.get(node);
-            young || view.is_some_and(|v| clock.now.since(v.heard) < LEADER_SILENT)
+            young || view.is_some_and(|v| clock.now.since(v.heard) < LEADER_SILENCE_LIMIT)
         };
         let peers = &self.settings.peers;
         let n = peers.iter().filter(|x| heard(&x.node)).count();
@@ -177,8 +181,8 @@
     /// What we could use beyond what is ours in any case, a second.
     fn ask(&mut self, clock: Clock) -> Milli {
         let (edits, _) = self.edits_due(clock.now);
-        let waits = (self.front.waiting() + edits) as f64 / CLEAR_S;
-        let wanted = (waits + self.front.refused_lately(clock.now)) * 1000.0;
+        let waits = (self.client_api.waiting() + edits) as f64 / CLEAR_S;
+        let wanted = (waits + self.client_api.refused_lately(clock.now)) * 1000.0;
         let own = match self.leader {
             Some(_) => fixed(&self.settings, true) - rules(&self.settings).whole,
             None => fixed(&self.settings, false),
@@ -189,7 +193,7 @@
     }
 
     /// Says what we ask for; the leader gives the parts that are due. Returns when to look again.
-    pub(crate) fn give_parts(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn grant_budget_shares(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         if now < self.budget.give_at {
             return self.budget.give_at;
@@ -209,7 +213,7 @@
         for x in &s.peers {
             // Nobody who is silent, or does not know what a part is, gets any.
             let view = self.peers.view.get(&x.node);
-            let heard = view.filter(|v| now.since(v.heard) < LEADER_SILENT);
+            let heard = view.filter(|v| now.since(v.heard) < LEADER_SILENCE_LIMIT);
             if let Some(v) = heard
                 && self.cache.format_of(&x.node).0 >= FORMAT
             {
@@ -239,24 +243,32 @@
         let next = grant.next(clock.wall.0, own, &wants, &rules);
         log::debug!("parts, epoch {}: {:?}", next.epoch, next.parts);
         let txn = Transaction {
-            conds: vec![cond(LEAD, l.version), cond(PARTS, version)],
-            changes: vec![put(PARTS, &BudgetSharesRecord::of(&next), None)],
+            conds: vec![
+                VersionCondition::new(LEAD, l.version),
+                VersionCondition::new(PARTS, version),
+            ],
+            changes: vec![Change::put(PARTS, &BudgetSharesRecord::of(&next), None)],
         };
         self.budget.giving = true;
         self.store.ask(
-            RequestPriority::First,
-            StoreRequestPurpose::Parts,
+            RequestPriority::Urgent,
+            StoreRequestPurpose::BudgetShares,
             StoreRequest::Transaction(txn),
         );
         self.budget.give_at
     }
 
     /// A grant came back. Whatever became of it, the next one is made upon what is on record then.
-    pub(crate) fn on_parts(&mut self, clock: Clock, ask: StoreRequest, reply: StoreResponse) {
+    pub(crate) fn on_budget_shares(
+        &mut self,
+        clock: Clock,
+        ask: StoreRequest,
+        reply: StoreResponse,
+    ) {
         self.budget.giving = false;
         if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) = (reply, ask) {
             self.apply_own_commit(&t, rev);
-            self.take_share(clock);
+            self.apply_budget_share(clock);
         }
     }
 }
--- a/src/leadership/connectivity.rs
+++ b/src/leadership/connectivity.rs
@@ -2,7 +2,7 @@
 //!
 //! One that hears neither the state service nor any peer may be cut off by itself, or the others may be gone. It
 //! cannot tell, so it does what harms in neither case: it sends users away by its health check, since others may
-//! serve them; and it sends a agent on once, so that whoever leads by now can have it. A agent that comes back
+//! serve them; and it sends an agent on once, so that whoever leads by now can have it. An agent that comes back
 //! found nobody else, and is kept as long as line 10 of docs/safety.md allows. Where a lease has no room for trying
 //! the others in vain, agents are kept that long in any case.
 
@@ -18,7 +18,7 @@
 /// load balancer's own pauses double, up to a minute.
 const DAMPED: Micros = Micros::millis(120_000);
 const MOST_DAMPED: u32 = 3;
-/// A agent is sent on once in this time.
+/// An agent is sent on once in this time.
 const SENT_ON: Micros = Micros::millis(30_000);
 /// Names remembered; all are forgotten at once beyond that.
 const NAMES: usize = 8_192;
@@ -60,7 +60,7 @@
         self.peers = now;
     }
 
-    /// A agent of another zone has come to us.
+    /// An agent of another zone has come to us.
     pub fn elsewhere(&mut self, now: Micros) {
         self.elsewhere = now;
     }
@@ -100,7 +100,7 @@
         self.away.2
     }
 
-    /// Whether a agent had better look for somebody else first. Not where nobody of another zone comes any more:
+    /// Whether an agent had better look for somebody else first. Not where nobody of another zone comes any more:
     /// then the zone may be cut off, and we all that its agents have.
     pub fn sends_on(&mut self, machine: &str, now: Micros) -> bool {
         let open = self.elsewhere > self.store.max(self.peers) + ALONE;
--- a/src/leadership/delegated_renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -1,4 +1,4 @@
-//! Leases kept alive on behalf of a leader that a agent cannot reach.
+//! Leases kept alive on behalf of a leader that an agent cannot reach.
 //!
 //! When a zone is cut off, the controller inside it may still reach the state service. It then
 //! answers the zone's agents with the leader's term and without any commands but stops of
@@ -10,12 +10,19 @@
 //! While the state service is silent nothing can be recorded. Then a lease is renewed by right: one that the
 //! leader gave, or the one that falls to everybody once the leader's process has ended (crates/rights).
 
-use crate::controller::{Clock, Controller, PendingCall, StoreRequestPurpose, cond, put};
+use crate::controller::Controller;
+use crate::messages::PendingCall;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
 use crate::protocol::Micros;
-use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
-use crate::protocol::wire::{
-    Command, Misdirected, Report, ReportResponse, TaskPhase, Transaction, encode,
+use crate::protocol::agent_api::{
+    AgentHeartbeat, AgentHeartbeatResponse, Command, Misdirected, TaskPhase,
 };
+use crate::protocol::codec::encode;
+use crate::protocol::key_value_api::Change;
+use crate::protocol::key_value_api::Transaction;
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
 use crate::state::agent::split_task;
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use crate::transport::{NetworkCommand, Outcome};
@@ -39,7 +46,7 @@
     /// something left of the budget.
     gap: Micros,
     flying: bool,
-    waiting: Vec<(u64, Report)>,
+    waiting: Vec<(u64, AgentHeartbeat)>,
     redirected: BTreeMap<String, Micros>,
     /// The newest message that each agent has sent here: whatever else comes with its number or a lower one is
     /// a copy, and keeps no lease alive.
@@ -50,11 +57,11 @@
 
 /// A leader unheard for this long may be out of reach for the agents here, too.
 const SILENT: Micros = Micros::millis(1600);
-/// A agent that comes back this soon after it was sent to the leader has not reached it.
+/// An agent that comes back this soon after it was sent to the leader has not reached it.
 const BOUNCED: Micros = Micros::millis(12_000);
-/// How long reports of a agent are handed on before it is sent to the leader again.
+/// How long reports of an agent are handed on before it is sent to the leader again.
 const HOLD: Micros = Micros::millis(8_000);
-/// The same for a agent that was sent there in vain.
+/// The same for an agent that was sent there in vain.
 const HOLD_BOUNCED: Micros = Micros::millis(30_000);
 /// How long the leader may take; the agent waits 4 s in all.
 const RELAY_TIMEOUT: Micros = Micros::millis(1_500);
@@ -74,14 +81,14 @@
         !self.machines.is_empty()
     }
 
-    /// Notes a agent's message; tells whether it is newer than what it has sent here before.
-    fn is_news(&mut self, r: &Report) -> bool {
+    /// Notes an agent's message; tells whether it is newer than what it has sent here before.
+    fn is_news(&mut self, r: &AgentHeartbeat) -> bool {
         if self.newest.len() > MOST_NAMES && !self.newest.contains_key(&r.machine) {
             self.newest.clear();
         }
         let of = self.newest.entry(r.machine.clone()).or_default();
-        let news = (r.session, r.seq) > *of;
-        *of = (*of).max((r.session, r.seq));
+        let news = (r.agent_epoch, r.seq) > *of;
+        *of = (*of).max((r.agent_epoch, r.seq));
         news
     }
 
@@ -92,8 +99,8 @@
 }
 
 impl Controller {
-    /// A agent's report, while we do not lead.
-    pub fn follower_report(&mut self, clock: Clock, conn: u64, report: Report) {
+    /// An agent's report, while we do not lead.
+    pub fn follower_heartbeat(&mut self, clock: Clock, conn: u64, report: AgentHeartbeat) {
         if !self.renewals.is_news(&report) {
             self.respond(conn, 421, &Misdirected::default());
             return;
@@ -113,9 +120,9 @@
             self.respond(conn, 421, &Misdirected::default());
             return;
         };
-        let silent = self.leader_ended()
+        let silent = self.leader_process_restarted()
             || self
-                .leader_unheard(clock, &leader)
+                .leader_silence(clock, &leader)
                 .is_some_and(|s| s >= SILENT);
         let r = &mut self.renewals;
         let bounced = r
@@ -126,7 +133,7 @@
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        // A agent that has seen this term has been with the leader, and comes because it no
+        // An agent that has seen this term has been with the leader, and comes because it no
         // longer reaches it; a lease has no room for sending it there in vain.
         let hold = if bounced { HOLD_BOUNCED } else { HOLD };
         let since = *r
@@ -144,7 +151,7 @@
             if let Some(addr) = addr {
                 log::debug!("{}: its report goes on to {leader}", report.machine);
                 let body = encode(&report);
-                let tag = PendingCall::Relay(conn, Box::new(report));
+                let tag = PendingCall::RelayedHeartbeat(conn, Box::new(report));
                 self.call(tag, addr, "POST", "/hello", body, RELAY_TIMEOUT);
                 return;
             }
@@ -164,7 +171,7 @@
     }
 
     /// The leader has answered a report that we handed on, or not.
-    pub fn on_relay(&mut self, clock: Clock, conn: u64, report: Report, outcome: Outcome) {
+    pub fn on_relay(&mut self, clock: Clock, conn: u64, report: AgentHeartbeat, outcome: Outcome) {
         if let Outcome::Reply { status: 200, body } = outcome {
             self.out.push(NetworkCommand::Respond {
                 conn,
@@ -189,7 +196,7 @@
     }
 
     /// Answers a report on the leader's behalf, once it is on record that we do.
-    fn adopt(&mut self, clock: Clock, conn: u64, report: Report, term: u64, version: u64) {
+    fn adopt(&mut self, clock: Clock, conn: u64, report: AgentHeartbeat, term: u64, version: u64) {
         let r = &mut self.renewals;
         if r.under != (term, version) {
             // Another term: what we recorded under the old one no longer counts.
@@ -202,9 +209,9 @@
         let r = &mut self.renewals;
         if r.recorded.contains(&report.machine) {
             self.renew_for(clock, conn, &report);
-        } else if !self.served() && self.has_right(clock, &report) {
+        } else if !self.store_available() && self.has_right(clock, &report) {
             self.renew_by_right(clock, conn, &report);
-        } else if self.reach.alone(clock.now) {
+        } else if self.connectivity.alone(clock.now) {
             // Nothing can be put on record from here: the agent should not wait for it.
             self.respond(conn, 421, &Misdirected::default());
         } else {
@@ -221,20 +228,20 @@
         let mine = self.cache.renewals_of(&self.settings.node);
         let ours = mine.into_iter().flatten().filter(|(r, _)| r.term == term);
         for machine in ours.flat_map(|(r, _)| r.machines()) {
-            self.renewals.machines.insert(machine, self.born);
+            self.renewals.machines.insert(machine, self.started_at);
         }
     }
 
-    /// Whether a agent that has seen the leader's term may be renewed without a record. One that has not seen
+    /// Whether an agent that has seen the leader's term may be renewed without a record. One that has not seen
     /// it the leader may not know, and would not wait for.
-    fn has_right(&self, clock: Clock, report: &Report) -> bool {
+    fn has_right(&self, clock: Clock, report: &AgentHeartbeat) -> bool {
         self.known_leader().is_some_and(|lead| {
             let (known, grace) = (self.known_until(), self.staleness_bound());
             report.term == lead.term && self.peers.right.may(&lead, known.0, clock.now.0, grace.0)
         })
     }
 
-    fn renew_by_right(&mut self, clock: Clock, conn: u64, report: &Report) {
+    fn renew_by_right(&mut self, clock: Clock, conn: u64, report: &AgentHeartbeat) {
         if self.peers.right.used_ago(clock.now.0).is_none() {
             log::info!("renewing leases by right, under term {}", report.term);
         }
@@ -243,7 +250,7 @@
         self.answer_renewed(conn, report, report.term);
     }
 
-    fn renew_for(&mut self, clock: Clock, conn: u64, report: &Report) {
+    fn renew_for(&mut self, clock: Clock, conn: u64, report: &AgentHeartbeat) {
         let grace = self.staleness_bound();
         let known = self.known_until();
         let r = &mut self.renewals;
@@ -265,7 +272,7 @@
     }
 
     /// Answers a report with no commands but stops of what has been cancelled.
-    fn answer_renewed(&mut self, conn: u64, report: &Report, term: u64) {
+    fn answer_renewed(&mut self, conn: u64, report: &AgentHeartbeat, term: u64) {
         let commands = report
             .tasks
             .iter()
@@ -278,7 +285,7 @@
                 grace_s: 0.0,
             })
             .collect();
-        self.respond(conn, 200, &ReportResponse { term, commands });
+        self.respond(conn, 200, &AgentHeartbeatResponse { term, commands });
     }
 
     fn write_renewals(&mut self, clock: Clock) {
@@ -299,7 +306,7 @@
         while parts.len() < held.len() {
             parts.push(blank.clone());
         }
-        let mut conds = vec![cond(LEAD, r.under.1)];
+        let mut conds = vec![VersionCondition::new(LEAD, r.under.1)];
         let mut changes = Vec::new();
         for (n, rec) in parts.iter().enumerate() {
             let key = renew_key(&self.settings.node, n);
@@ -308,20 +315,20 @@
                 continue;
             }
             // A write that got no answer and is carried out late must not replace a newer record.
-            conds.push(cond(&key, held.map_or(0, |(_, v)| *v)));
-            changes.push(put(&key, rec, None));
+            conds.push(VersionCondition::new(&key, held.map_or(0, |(_, v)| *v)));
+            changes.push(Change::put(&key, rec, None));
         }
         let rate = self.store.write_rate() * WRITE_SHARE;
         self.renewals.gap = Micros::secs(changes.len() as f64 / rate);
         self.store.ask(
-            RequestPriority::First,
-            StoreRequestPurpose::DelegatedRenewals(named),
+            RequestPriority::Urgent,
+            StoreRequestPurpose::RecordRenewals(named),
             StoreRequest::Transaction(Transaction { conds, changes }),
         );
     }
 
     /// The record came back.
-    pub fn on_renewals(
+    pub fn on_renewals_result(
         &mut self,
         clock: Clock,
         named: Vec<String>,
@@ -343,7 +350,10 @@
                 if r.last_confirmed_read == Micros::ZERO {
                     r.last_confirmed_read = sent;
                 }
-                self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
+                self.request_read_barrier(
+                    clock,
+                    crate::messages::PendingRequest::ConfirmLeadership,
+                );
             }
             let mut more = false;
             for (conn, report) in waiting {
@@ -359,7 +369,7 @@
             }
             return;
         }
-        self.request_read_barrier(clock, crate::api::client_api::PendingRequest::Proof);
+        self.request_read_barrier(clock, crate::messages::PendingRequest::ConfirmLeadership);
         for (conn, report) in waiting {
             if !self.renewals.recorded.contains(&report.machine) {
                 self.renewals.machines.remove(&report.machine);
@@ -399,7 +409,7 @@
     }
 
     /// Drops machines whose lease has run out since our last answer; returns when to look again.
-    pub fn renewals_time(&mut self, clock: Clock) -> Micros {
+    pub fn drive_renewals(&mut self, clock: Clock) -> Micros {
         let lease = Micros::secs(self.settings.params.agents.lease_s * 1.002 + 0.5);
         let r = &mut self.renewals;
         if r.flying {
@@ -413,7 +423,7 @@
             if let (Some(term), Some((lead, version))) = (stale, &self.cache.lead)
                 && term == lead.term
             {
-                let over = self.born + lease;
+                let over = self.started_at + lease;
                 if clock.now < over || clock.now < r.written + Micros::millis(1000) {
                     return over.max(clock.now + Micros::millis(1000));
                 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,9 +1,12 @@
 //! Leadership: who leads, when to claim the lead, and when to give it away.
 
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::controller::Controller;
 use crate::leadership::peers::PeerStatus;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::key_value_api::{Change, Transaction};
 use crate::protocol::records::{LEAD, LIVE, LeaderRecord};
-use crate::protocol::wire::{Change, Transaction};
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use rand::RngExt;
@@ -11,8 +14,8 @@
 /// The leader's lease in the store lives this long unrenewed. Only liveness hangs on it.
 pub(crate) const LEADER_LEASE_TTL: Micros = Micros::millis(4000);
 /// A leader silent for this long on all links of all peers is taken for dead.
-pub(crate) const LEADER_SILENT: Micros = Micros::millis(2500);
-/// A agent waits 4 s for an answer, and 1 s more before it tries the next controller.
+pub(crate) const LEADER_SILENCE_LIMIT: Micros = Micros::millis(2500);
+/// An agent waits 4 s for an answer, and 1 s more before it tries the next controller.
 const VAIN_TRY: Micros = Micros::millis(5000);
 /// Reports come up to a quarter of their interval late.
 const LATEST_REPORT: f64 = 1.25;
@@ -29,10 +32,10 @@
 pub(crate) enum ElectionState {
     Idle,
     Waiting(Micros),
-    Asking,
+    Claiming,
 }
 
-/// Whether a lease outlasts a agent's trying two controllers in vain.
+/// Whether a lease outlasts an agent's trying two controllers in vain.
 pub(crate) fn room_for_two_vain(s: &Settings) -> bool {
     let w = &s.params.agents;
     (VAIN_TRY + VAIN_TRY).as_secs() + w.report_s * LATEST_REPORT <= w.lease_s
@@ -53,14 +56,14 @@
             Some((l, _)) => {
                 self.previous_run_leads()
                     || self.cache.live.is_none()
-                    || self.leader_ended()
-                    || self.leader_lost(clock, &l.node)
+                    || self.leader_process_restarted()
+                    || self.leader_suspected(clock, &l.node)
             }
             None => true,
         }
     }
 
-    /// Whether the controller after this one, by name, is in another zone. A agent that cannot reach
+    /// Whether the controller after this one, by name, is in another zone. An agent that cannot reach
     /// the leader tries the next one, and a lease may have room for one vain try only: if a cut between
     /// zones is the reason, the next one should be on its side.
     pub(crate) fn next_controller_in_other_zone(&self, node: &str) -> bool {
@@ -80,7 +83,7 @@
         let Some((lead, _)) = &self.cache.lead else {
             return false;
         };
-        let calm = |v: &PeerStatus| v.served && clock.now.since(v.heard) < LEADER_SILENT;
+        let calm = |v: &PeerStatus| v.served && clock.now.since(v.heard) < LEADER_SILENCE_LIMIT;
         let first = s
             .peers
             .iter()
@@ -91,8 +94,8 @@
             && !self.next_controller_in_other_zone(&lead.node)
             && self.next_controller_in_other_zone(&s.node)
             && first
-            && clock.now.since(self.lead_seen.1) >= CALM
-            && self.served()
+            && clock.now.since(self.leader_record_seen.1) >= CALM
+            && self.store_available()
             && s.peers
                 .iter()
                 .all(|x| self.peers.view.get(&x.node).is_some_and(calm))
@@ -105,15 +108,15 @@
         all.any(|(r, _)| Some(r.term) == term && !r.is_empty())
     }
 
-    pub(crate) fn candidacy(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn consider_candidacy(&mut self, clock: Clock) -> Micros {
         if self.leader.is_some() || !self.cache.synced {
             return Micros::FAR;
         }
-        if let Some(at) = self.yielded.filter(|at| clock.now < *at + YIELDED) {
+        if let Some(at) = self.transferred_at.filter(|at| clock.now < *at + YIELDED) {
             return at + YIELDED;
         }
         let previous_run_leads = self.previous_run_leads();
-        match self.claim {
+        match self.election {
             ElectionState::Idle if self.leadership_vacant(clock) => {
                 // A little apart, so that not all claim at once; first whoever has agents with it.
                 let apart = if previous_run_leads {
@@ -128,32 +131,32 @@
                     self.rng.random_range(250..400)
                 };
                 let at = clock.now + Micros::millis(apart);
-                self.claim = ElectionState::Waiting(at);
+                self.election = ElectionState::Waiting(at);
                 if apart == 0 {
-                    return self.candidacy(clock);
+                    return self.consider_candidacy(clock);
                 }
                 at
             }
             ElectionState::Idle if self.should_relieve_leader(clock) => {
                 log::info!("taking the lead over from a controller that cuts would hide");
-                self.claim = ElectionState::Asking;
+                self.election = ElectionState::Claiming;
                 self.store.ask(
-                    RequestPriority::First,
-                    StoreRequestPurpose::ClaimLease,
+                    RequestPriority::Urgent,
+                    StoreRequestPurpose::LeaderLease,
                     StoreRequest::NewLease(LEADER_LEASE_TTL),
                 );
                 Micros::FAR
             }
             ElectionState::Waiting(at) if at <= clock.now => {
                 if self.leadership_vacant(clock) {
-                    self.claim = ElectionState::Asking;
+                    self.election = ElectionState::Claiming;
                     self.store.ask(
-                        RequestPriority::First,
-                        StoreRequestPurpose::ClaimLease,
+                        RequestPriority::Urgent,
+                        StoreRequestPurpose::LeaderLease,
                         StoreRequest::NewLease(LEADER_LEASE_TTL),
                     );
                 } else {
-                    self.claim = ElectionState::Idle;
+                    self.election = ElectionState::Idle;
                 }
                 Micros::FAR
             }
@@ -172,30 +175,30 @@
         };
         l.see_renewals(&self.cache);
         if !l.cannot_serve(&self.settings, now) || !l.caught_up(&self.cache) {
-            l.yielding = None;
+            l.useless_since = None;
             return now + YIELD_LOOK;
         }
-        let since = *l.yielding.get_or_insert(now);
+        let since = *l.useless_since.get_or_insert(now);
         if now < since + YIELD_AFTER {
             return since + YIELD_AFTER;
         }
-        l.yielding = Some(Micros::FAR);
+        l.useless_since = Some(Micros::FAR);
         log::info!("giving the lead away: others reach the workers");
         let txn = Transaction {
-            conds: vec![cond(LEAD, l.version)],
+            conds: vec![VersionCondition::new(LEAD, l.version)],
             changes: vec![Change::Delete {
                 key: LIVE.to_string(),
             }],
         };
         self.store.ask(
-            RequestPriority::First,
-            StoreRequestPurpose::Yield,
+            RequestPriority::Urgent,
+            StoreRequestPurpose::TransferLeadership,
             StoreRequest::Transaction(txn),
         );
         Micros::FAR
     }
 
-    pub(crate) fn send_claim(&mut self) {
+    pub(crate) fn claim_leadership(&mut self) {
         let (term, version) = self
             .cache
             .lead
@@ -208,17 +211,17 @@
         };
         let txn = Transaction {
             conds: vec![
-                cond(LEAD, version),
-                cond(LIVE, self.cache.live.unwrap_or(0)),
+                VersionCondition::new(LEAD, version),
+                VersionCondition::new(LIVE, self.cache.live.unwrap_or(0)),
             ],
             changes: vec![
-                put(LEAD, &rec, None),
-                put(LIVE, &self.settings.node, self.lease),
+                Change::put(LEAD, &rec, None),
+                Change::put(LIVE, &self.settings.node, self.leader_lease),
             ],
         };
         self.store.ask(
-            RequestPriority::First,
-            StoreRequestPurpose::Claim,
+            RequestPriority::Urgent,
+            StoreRequestPurpose::ClaimLeadership,
             StoreRequest::Transaction(txn),
         );
     }
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -1,10 +1,12 @@
 //! Peers: what controllers tell one another in heartbeats, who vouches for what, and who is heard.
 
-use crate::controller::{Clock, Controller, PendingCall};
-use crate::leadership::election::LEADER_SILENT;
+use crate::controller::Controller;
+use crate::leadership::election::LEADER_SILENCE_LIMIT;
+use crate::messages::PendingCall;
 use crate::policy::Policy;
+use crate::protocol::Clock;
 use crate::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension, MOST_CANCELLATIONS,
+    CancellationCursor, CancellationNews, HeartbeatExtension, MOST_CANCELLATIONS, PeerHeartbeat,
     RecordSummary,
 };
 use crate::protocol::records::JobStage;
@@ -18,7 +20,7 @@
 
 /// Heartbeats among controllers.
 const HEARTBEAT_TIMEOUT: Micros = Micros::millis(2000);
-const HEARTBEAT_EVERY: Micros = Micros::millis(700);
+const HEARTBEAT_INTERVAL: Micros = Micros::millis(700);
 /// A pledge to tell users nothing new is kept for this long, if nobody hears that it is over. Peers count on
 /// a little less, for clocks that drift.
 const PLEDGE: Micros = Micros::millis(15_000);
@@ -87,11 +89,11 @@
 }
 
 impl Controller {
-    pub(crate) fn heartbeats(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn send_peer_heartbeats(&mut self, clock: Clock) -> Micros {
         if self.peers.beat_at <= clock.now {
             // Whether or not anybody asks: the copy would keep the names for good, the log is bounded.
             self.log_cancelled();
-            self.peers.beat_at = clock.now + HEARTBEAT_EVERY;
+            self.peers.beat_at = clock.now + HEARTBEAT_INTERVAL;
             for i in 0..self.settings.peers.len() {
                 if !self.peers.flying[i] {
                     self.ask_sibling(clock, i);
@@ -117,7 +119,7 @@
         s.flying[i] = true;
         s.said_quiet[i] = beat.more.is_some_and(|m| m.quiet);
         let addr = self.settings.peers[i].address;
-        let tag = PendingCall::Heartbeat(i, clock.now);
+        let tag = PendingCall::PeerHeartbeat(i, clock.now);
         self.call(
             tag,
             addr,
@@ -138,9 +140,9 @@
         }
     }
 
-    fn heartbeat(&self, clock: Clock) -> Heartbeat {
+    fn heartbeat(&self, clock: Clock) -> PeerHeartbeat {
         let grace = self.staleness_bound();
-        Heartbeat {
+        PeerHeartbeat {
             node: self.settings.node.clone(),
             leading: self
                 .leader
@@ -153,7 +155,7 @@
                 .as_ref()
                 .map(|(_, t)| clock.now.since(*t).0 / 1000),
             newest: self.cache.synced.then_some(self.cache.newest),
-            served: self.served(),
+            served: self.store_available(),
             format: format::NEWEST,
             asks: self.budget.asks(),
             epoch: self.cache.parts.as_ref().map_or(0, |(g, _)| g.epoch),
@@ -161,7 +163,7 @@
                 run: self.incarnation,
                 right: None,
                 used_ago: self.peers.right.used_ago(clock.now.0),
-                quiet: self.policy.pledges >= 1.0 && !self.served(),
+                quiet: self.policy.pledges >= 1.0 && !self.store_available(),
             }),
             record_summary: None,
             knows: None,
@@ -172,7 +174,7 @@
     /// What a peer that has not read the records has to know of them; only while nobody can read them, so that
     /// it stays true.
     fn record_summary_for(&self, clock: Clock) -> Option<RecordSummary> {
-        let known = self.known_ago(clock);
+        let known = self.peer_knowledge_ages(clock);
         // What we have heard belongs to it: what we know of others rests on that, too.
         let heard = self.peers.heard.jobs();
         if !self.cache.synced {
@@ -197,10 +199,10 @@
     }
 
     /// For each peer, how long ago we last knew of everything that it had told users.
-    fn known_ago(&self, clock: Clock) -> Vec<(String, u64)> {
+    fn peer_knowledge_ages(&self, clock: Clock) -> Vec<(String, u64)> {
         let peers = self.settings.peers.iter().enumerate();
         let ago = |i| {
-            let until = self.peers.vouched.of(i).max(self.read_at.0);
+            let until = self.peers.vouched.of(i).max(self.confirmed_read_at.0);
             clock.now.0.saturating_sub(until)
         };
         peers.map(|(i, s)| (s.node.clone(), ago(i))).collect()
@@ -222,7 +224,7 @@
             next: batch.next,
             more: batch.more,
             jobs: batch.jobs,
-            known: self.known_ago(clock),
+            known: self.peer_knowledge_ages(clock),
         })
     }
 
@@ -315,7 +317,7 @@
     /// Answers a peer's heartbeat. While the state service does not serve us, the answer is a pledge to tell
     /// users nothing that the peer may not know of, and if we lead, it gives the right to renew leases: with
     /// both, others can keep the agents alive should we be lost.
-    pub(crate) fn respond_to_heartbeat(&mut self, clock: Clock, h: Heartbeat) -> Heartbeat {
+    pub(crate) fn respond_to_heartbeat(&mut self, clock: Clock, h: PeerHeartbeat) -> PeerHeartbeat {
         let (theirs, from, unread) = (h.more, h.node.clone(), h.newest.is_none());
         let knows = h.knows;
         self.on_heartbeat(clock, h);
@@ -323,7 +325,7 @@
         if let Some(knows) = knows {
             beat.news = self.cancellation_news(clock, &knows);
         }
-        let (served, peer) = (self.served(), self.peer(&from));
+        let (served, peer) = (self.store_available(), self.peer(&from));
         let (Some(more), Some(theirs), Some(i)) = (&mut beat.more, theirs, peer) else {
             return beat;
         };
@@ -361,7 +363,8 @@
     pub(crate) fn known_leader(&self) -> Option<KnownLeader> {
         let (node, run, term, since) = match (&self.cache.lead, &self.peers.record_summary) {
             (Some((l, version)), _) if self.cache.synced => {
-                let since = Some(self.lead_seen.1).filter(|_| self.lead_seen.0 == *version);
+                let since = Some(self.leader_record_seen.1)
+                    .filter(|_| self.leader_record_seen.0 == *version);
                 (&l.node, l.incarnation, l.term, since)
             }
             (_, Some((g, since))) if !self.cache.synced => {
@@ -380,7 +383,7 @@
     }
 
     /// The leader's process has ended and started again.
-    pub(crate) fn leader_ended(&self) -> bool {
+    pub(crate) fn leader_process_restarted(&self) -> bool {
         self.known_leader().is_some_and(|l| l.ended)
     }
 
@@ -388,7 +391,7 @@
     /// from all peers.
     pub(crate) fn known_until(&self) -> Micros {
         let told = self.peers.vouched.all().map_or(Micros::ZERO, Micros);
-        self.read_at.max(told)
+        self.confirmed_read_at.max(told)
     }
 
     /// A peer has answered a heartbeat of ours, or not. If it knows of no cancellation and no
@@ -405,7 +408,7 @@
             return;
         };
         let name = &self.settings.peers[i].node;
-        let h = match Heartbeat::decode(&body) {
+        let h = match PeerHeartbeat::decode(&body) {
             Ok(h) if h.node == *name => h,
             Ok(h) => {
                 log::warn!("an answer of {name} is dropped: it is {}'s", h.node);
@@ -464,9 +467,9 @@
         }
     }
 
-    fn on_heartbeat(&mut self, clock: Clock, h: Heartbeat) {
-        self.reach.peer(clock.now);
-        self.highest = self.highest.max(h.leading.unwrap_or(0));
+    fn on_heartbeat(&mut self, clock: Clock, h: PeerHeartbeat) {
+        self.connectivity.peer(clock.now);
+        self.highest_term_seen = self.highest_term_seen.max(h.leading.unwrap_or(0));
         if let (Some(theirs), Some(l)) = (h.leading, &self.leader)
             && theirs > l.term
         {
@@ -483,7 +486,7 @@
         }
         let before = self.peers.view.get(&h.node);
         let since = before
-            .filter(|v| clock.now.since(v.heard) < LEADER_SILENT)
+            .filter(|v| clock.now.since(v.heard) < LEADER_SILENCE_LIMIT)
             .map_or(clock.now, |v| v.since);
         let view = PeerStatus {
             heard: clock.now,
@@ -501,19 +504,19 @@
 
     /// Whether everybody who can be asked has lost sight of the leader. A takeover while it
     /// still lives costs a moment and is safe: the term fences it.
-    pub(crate) fn leader_lost(&self, clock: Clock, leader: &str) -> bool {
+    pub(crate) fn leader_suspected(&self, clock: Clock, leader: &str) -> bool {
         let Some((heard, at)) = &self.peers.leader_heard else {
             return false;
         };
-        if heard != leader || clock.now.since(*at) < LEADER_SILENT {
+        if heard != leader || clock.now.since(*at) < LEADER_SILENCE_LIMIT {
             return false;
         }
         // One that is cut off by itself must not take the lead from the rest: somebody else has
         // to miss the leader, too. Otherwise the lease in the store decides. Where controllers could
         // not reach one another and can again, it is luck whom one hears first: somebody's word counts
         // only once they have been heard for as long as a leader may be silent.
-        let recent = |v: &PeerStatus| clock.now.since(v.heard) < LEADER_SILENT;
-        let steady = |v: &PeerStatus| clock.now.since(v.since) >= LEADER_SILENT;
+        let recent = |v: &PeerStatus| clock.now.since(v.heard) < LEADER_SILENCE_LIMIT;
+        let steady = |v: &PeerStatus| clock.now.since(v.since) >= LEADER_SILENCE_LIMIT;
         let views = self.peers.view.iter();
         let others: Vec<&PeerStatus> = views
             .filter(|(n, v)| *n != leader && recent(v))
@@ -522,13 +525,13 @@
         others.iter().any(|v| steady(v))
             && others.iter().all(|v| {
                 let silent = v.leader_silent_ms;
-                silent.is_none_or(|ms| ms * 1000 >= LEADER_SILENT.0)
+                silent.is_none_or(|ms| ms * 1000 >= LEADER_SILENCE_LIMIT.0)
             })
     }
 
     /// How long nothing has been heard from the controller that leads, in whatever role; none:
     /// it was never heard.
-    pub fn leader_unheard(&self, clock: Clock, leader: &str) -> Option<Micros> {
+    pub fn leader_silence(&self, clock: Clock, leader: &str) -> Option<Micros> {
         self.peers
             .view
             .get(leader)
@@ -536,14 +539,14 @@
     }
 
     /// We have read the records, and the state service serves us.
-    pub fn served(&self) -> bool {
+    pub fn store_available(&self) -> bool {
         self.cache.synced && !self.store.silent()
     }
 
     /// The address of a peer that the state service serves while it does not serve us; the
     /// leader first.
-    pub fn better_placed(&self, clock: Clock) -> Option<std::net::SocketAddr> {
-        if self.served() {
+    pub fn peer_with_store(&self, clock: Clock) -> Option<std::net::SocketAddr> {
+        if self.store_available() {
             return None;
         }
         let leader = self.cache.lead.as_ref().map(|(l, _)| l.node.as_str());
@@ -553,7 +556,7 @@
                 .peers
                 .view
                 .get(&s.node)
-                .is_some_and(|v| v.served && clock.now.since(v.heard) < LEADER_SILENT);
+                .is_some_and(|v| v.served && clock.now.since(v.heard) < LEADER_SILENCE_LIMIT);
             if fit && (found.is_none() || leader == Some(s.node.as_str())) {
                 found = Some(s.address);
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod cloud;
 pub mod controller;
 pub mod leadership;
+pub mod messages;
 pub mod policy;
 pub mod protocol;
 pub mod records;
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -4,7 +4,7 @@
 //! controller records the newest format that it reads (`records::format_key`) and tells it in its
 //! heartbeats; one without such a record is of the first version. Whatever a format adds is written
 //! only once every controller named in the settings has recorded that it reads it. A later change of
-//! the records takes the next number here, and asks `Controller::all_read` for it.
+//! the records takes the next number here, and asks `Controller::all_peers_read` for it.
 
 /// Records and heartbeats of the first version, which names no format.
 pub const FIRST: u32 = 1;
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -195,7 +195,7 @@
     fn word<T: for<'a> Deserialize<'a>>(&self, name: &'static str) -> Result<T, Malformed> {
         self.get(name)
             .filter(|v| v.is_str())
-            .and_then(super::wire::from_value)
+            .and_then(super::codec::from_value)
             .ok_or(Malformed::Field(name))
     }
 }
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -5,6 +5,9 @@
 use lease_delegation::cancellations::Batch;
 use serde::{Deserialize, Serialize};
 
+/// Path under which peers take users' requests from one another.
+pub const FORWARD_PREFIX: &str = "/user";
+
 /// Cancellations in one heartbeat at most; the rest follows with the next.
 pub const MOST_CANCELLATIONS: usize = 512;
 /// Peers of which a heartbeat may tell.
@@ -12,7 +15,7 @@
 
 /// Why a message of a peer is not believed.
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum BadHeartbeat {
+pub enum InvalidPeerHeartbeat {
     /// It is shorter than its format has it, or not of it.
     #[error("it cannot be read as format {0}")]
     Unreadable(u32),
@@ -29,7 +32,7 @@
 
 /// Sent to every peer at a steady pace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// Sender.
     pub node: String,
     /// Term the sender leads with, if it leads and has proof of it.
@@ -147,7 +150,7 @@
     pub quiet: bool,
 }
 
-impl Heartbeat {
+impl PeerHeartbeat {
     /// As bytes.
     pub fn encode(&self) -> Vec<u8> {
         let known = postcard::to_stdvec(self).unwrap_or_default();
@@ -165,8 +168,8 @@
 
     /// From bytes. What a newer format may have behind what we know is passed over; whatever else is not as its
     /// format has it makes the whole message worth nothing.
-    pub fn decode(b: &[u8]) -> Result<Heartbeat, BadHeartbeat> {
-        let (mut beat, rest) = take::<Heartbeat>(b, format::FIRST)?;
+    pub fn decode(b: &[u8]) -> Result<PeerHeartbeat, InvalidPeerHeartbeat> {
+        let (mut beat, rest) = take::<PeerHeartbeat>(b, format::FIRST)?;
         if rest.is_empty() {
             // The first version ends here, and names no format.
             beat.format = format::FIRST;
@@ -174,7 +177,7 @@
         }
         let (told, mut rest) = take::<u32>(rest, format::FIRST)?;
         if told == 0 {
-            return Err(BadHeartbeat::NoFormat);
+            return Err(InvalidPeerHeartbeat::NoFormat);
         }
         beat.format = told;
         if told >= format::PARTS {
@@ -190,18 +193,21 @@
             ((beat.knows, beat.news), rest) = (of, after);
         }
         if beat.news.as_ref().is_some_and(|n| !n.possible()) {
-            return Err(BadHeartbeat::Cancellations);
+            return Err(InvalidPeerHeartbeat::Cancellations);
         }
         match rest.len() {
             // Before format `PARTS` whatever followed was not looked at.
             n if n > 0 && (format::PARTS..=format::NEWEST).contains(&told) => {
-                Err(BadHeartbeat::TooLong(n))
+                Err(InvalidPeerHeartbeat::TooLong(n))
             }
             _ => Ok(beat),
         }
     }
 }
 
-fn take<'b, T: Deserialize<'b>>(b: &'b [u8], told: u32) -> Result<(T, &'b [u8]), BadHeartbeat> {
-    postcard::take_from_bytes(b).map_err(|_| BadHeartbeat::Unreadable(told))
+fn take<'b, T: Deserialize<'b>>(
+    b: &'b [u8],
+    told: u32,
+) -> Result<(T, &'b [u8]), InvalidPeerHeartbeat> {
+    postcard::take_from_bytes(b).map_err(|_| InvalidPeerHeartbeat::Unreadable(told))
 }
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,6 +1,6 @@
 //! What we keep in the state service.
 
-use super::wire::json_len;
+use super::codec::json_len;
 use super::{JobSpec, Micros};
 use admission_control::parts::{Grant, Part};
 use serde::{Deserialize, Serialize};
@@ -258,7 +258,7 @@
         Some(self.2.as_str()).filter(|m| !m.is_empty())
     }
     /// The agent's session.
-    pub fn session(&self) -> u64 {
+    pub fn agent_epoch(&self) -> u64 {
         self.3
     }
     /// Term that placed it.
--- a/src/protocol/records/tests.rs
+++ b/src/protocol/records/tests.rs
@@ -11,7 +11,7 @@
         .chain(["é1".into(), "éa".into(), "x".into(), "xy".into()])
         .collect();
     let rec = RenewalsRecord::new(7, names.iter());
-    assert!(crate::protocol::wire::encode(&rec).len() < 4096);
+    assert!(crate::protocol::codec::encode(&rec).len() < 4096);
     assert_eq!(rec.machines(), names.iter().cloned().collect::<Vec<_>>());
     let parts = RenewalsRecord::split(7, names.iter(), 1843);
     assert!(parts.len() <= 4 && parts.iter().all(|p| json_len(p) <= 1843));
--- a/src/protocol/time.rs
+++ b/src/protocol/time.rs
@@ -62,3 +62,12 @@
         write!(f, "{:.3}s", self.as_secs())
     }
 }
+
+/// The steady clock and the time of day.
+#[derive(Debug, Clone, Copy)]
+pub struct Clock {
+    /// Steady.
+    pub now: Micros,
+    /// Time of day since 1970.
+    pub wall: Micros,
+}
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -7,10 +7,14 @@
 //! with what the budget leaves. `docs/safety.md` argues why that is safe.
 
 use crate::agents::leader_state::LeaderState;
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::controller::Controller;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
+use crate::protocol::codec::json_len;
 use crate::protocol::format::BUNDLES;
+use crate::protocol::key_value_api::VersionCondition;
+use crate::protocol::key_value_api::{Change, Transaction};
 use crate::protocol::records::{BUNDLED, LEAD, PlacementBatch, TaskEntry, bundle_key, job_key};
-use crate::protocol::wire::{Change, Transaction, json_len};
 use crate::protocol::{JobKind, Micros};
 use crate::records::record_writer::{Limits, PendingWrite, edited};
 use crate::state::record_cache::{Job, RecordCache};
@@ -33,7 +37,7 @@
     /// jobs whose changes are due, most urgent first.
     pub(crate) fn write_bundle(&mut self, clock: Clock, ready: &[String], limits: Limits) -> bool {
         let worth = (self.store.write_rate() * WORTH_S) as usize;
-        if !self.all_read(BUNDLES) {
+        if !self.all_peers_read(BUNDLES) {
             return false;
         }
         let Some(l) = &mut self.leader else {
@@ -51,8 +55,12 @@
         let n = self.cache.bundles.free(&flying);
         let key = bundle_key(n);
         // A number comes again once its bundle is spent: one whose answer was lost must not be carried out after it.
-        let newest = cond(BUNDLED, self.cache.bundles.head());
-        let mut conds = vec![cond(LEAD, l.version), cond(&key, 0), newest];
+        let newest = VersionCondition::new(BUNDLED, self.cache.bundles.head());
+        let mut conds = vec![
+            VersionCondition::new(LEAD, l.version),
+            VersionCondition::new(&key, 0),
+            newest,
+        ];
         let mut bundle = PlacementBatch::default();
         let mut bytes = json_len(&bundle);
         let mut jobs = Vec::new();
@@ -80,7 +88,7 @@
             }
             bytes += more;
             // Its version shows that nobody has cancelled the job meanwhile.
-            conds.push(cond(&job_key(id), job.version));
+            conds.push(VersionCondition::new(&job_key(id), job.version));
             bundle.places.push(row);
             jobs.push((id.clone(), w.rest.places));
             if conds.len() >= limits.ops * CONDITIONS {
@@ -94,7 +102,10 @@
         log::info!("bundle {n}: {tasks} places of {} jobs", jobs.len());
         let txn = Transaction {
             conds,
-            changes: vec![put(&key, &bundle, None), put(BUNDLED, &n, None)],
+            changes: vec![
+                Change::put(&key, &bundle, None),
+                Change::put(BUNDLED, &n, None),
+            ],
         };
         for ((id, rest), (_, places)) in jobs.iter().zip(bundle.places) {
             l.edits.fly_places(id, rest.clone(), places);
@@ -103,8 +114,8 @@
             .edits
             .begin(jobs.into_iter().map(|(id, _)| id).collect(), txn.clone());
         self.store.ask(
-            RequestPriority::Usual,
-            StoreRequestPurpose::RecordWriter(batch),
+            RequestPriority::Normal,
+            StoreRequestPurpose::WriteJobs(batch),
             StoreRequest::Transaction(txn),
         );
         true
@@ -122,7 +133,7 @@
             Some(_) => {}
         }
         // A controller that has gone back does not see them: then they are brought in at once.
-        let hurry = !self.all_read(BUNDLES);
+        let hurry = !self.all_peers_read(BUNDLES);
         let each = (self.store.write_rate() * FOLD_SHARE).max(1.0) as usize;
         let Some(l) = &mut self.leader else {
             return Micros::FAR;
@@ -137,12 +148,15 @@
                 let key = bundle_key(n);
                 log::debug!("bundle {n} is spent");
                 let txn = Transaction {
-                    conds: vec![cond(LEAD, l.version), cond(&key, version)],
+                    conds: vec![
+                        VersionCondition::new(LEAD, l.version),
+                        VersionCondition::new(&key, version),
+                    ],
                     changes: vec![Change::Delete { key }],
                 };
                 self.store.ask(
-                    RequestPriority::Last,
-                    StoreRequestPurpose::Types,
+                    RequestPriority::Background,
+                    StoreRequestPurpose::RecordMachineTypes,
                     StoreRequest::Transaction(txn),
                 );
                 continue;
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -4,13 +4,17 @@
 //! A change is fixed only when the store can take it at once. Until then further news of the same
 //! job join it, so that a burst costs a write per job and not one per task.
 
-use crate::api::client_api::{PendingRequest, put_job};
-use crate::controller::{Clock, Controller, StoreRequestPurpose, cond, put};
+use crate::api::client_api::put_job;
+use crate::controller::Controller;
+use crate::messages::PendingRequest;
+use crate::messages::StoreRequestPurpose;
+use crate::protocol::Clock;
+use crate::protocol::codec::json_len;
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
 use crate::protocol::records::{
     BUNDLED, CHUNK, JobRecord, JobStage, LEAD, TaskChunk, TaskEntry, bundle_number, chunk_key,
     job_key,
 };
-use crate::protocol::wire::{Change, Transaction, VersionCondition, json_len};
 use crate::protocol::{JobKind, Micros};
 use crate::state::record_cache::Job;
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
@@ -266,7 +270,7 @@
             return;
         }
         let Some(l) = &mut self.leader else { return };
-        let mut conds = vec![cond(LEAD, l.version)];
+        let mut conds = vec![VersionCondition::new(LEAD, l.version)];
         let mut changes = Vec::new();
         let mut jobs = Vec::new();
         for id in ready {
@@ -301,14 +305,20 @@
         let txn = Transaction { conds, changes };
         let n = l.edits.begin(jobs, txn.clone());
         self.store.ask(
-            RequestPriority::Usual,
-            StoreRequestPurpose::RecordWriter(n),
+            RequestPriority::Normal,
+            StoreRequestPurpose::WriteJobs(n),
             StoreRequest::Transaction(txn),
         );
     }
 
     /// Job records came back.
-    pub fn on_edits(&mut self, clock: Clock, n: u64, ask: StoreRequest, reply: StoreResponse) {
+    pub fn on_job_writes_result(
+        &mut self,
+        clock: Clock,
+        n: u64,
+        ask: StoreRequest,
+        reply: StoreResponse,
+    ) {
         if self
             .leader
             .as_ref()
@@ -323,7 +333,7 @@
                 }
                 self.end_batch(n);
                 self.on_changed_jobs();
-                self.send_orders(clock);
+                self.send_commands(clock);
             }
             StoreResponse::Rejected => {
                 if let (Some(l), StoreRequest::Transaction(t)) = (&mut self.leader, &ask) {
@@ -340,7 +350,7 @@
                 // Certainly not written; it is all found out again.
                 self.end_batch(n);
             }
-            _ => self.request_read_barrier(clock, PendingRequest::RecordWriter(n)),
+            _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(n)),
         }
     }
 
@@ -379,8 +389,8 @@
         if holds {
             let txn = batch.txn.clone();
             self.store.ask(
-                RequestPriority::Usual,
-                StoreRequestPurpose::RecordWriter(n),
+                RequestPriority::Normal,
+                StoreRequestPurpose::WriteJobs(n),
                 StoreRequest::Transaction(txn),
             );
         } else {
@@ -395,8 +405,8 @@
         {
             let txn = b.txn.clone();
             self.store.ask(
-                RequestPriority::Last,
-                StoreRequestPurpose::RecordWriter(n),
+                RequestPriority::Background,
+                StoreRequestPurpose::WriteJobs(n),
                 StoreRequest::Transaction(txn),
             );
         }
@@ -538,8 +548,8 @@
             continue;
         }
         let key = chunk_key(id, n);
-        conds.push(cond(&key, held.map_or(0, |(_, v)| *v)));
-        changes.push(put(&key, &c, None));
+        conds.push(VersionCondition::new(&key, held.map_or(0, |(_, v)| *v)));
+        changes.push(Change::put(&key, &c, None));
     }
     Written {
         conds,
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -13,7 +13,7 @@
         kind: 1,
         zone: 2,
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         total: [4.0; 3],
         free: [free; 3],
         open: true,
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -14,7 +14,7 @@
             kind,
             zone: rng.random_range(10..12),
             spot: rng.random_bool(0.3),
-            session: 1,
+            agent_epoch: 1,
             total,
             free: total.map(|t| (t * rng.random_range(0.0..1.05)).round()),
             open: rng.random_bool(0.8),
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -2,10 +2,10 @@
 //! trouble. Looks only; what is to be done about what it finds is `pass`'s business.
 
 use crate::agents::leader_state::{FRESH_REPORTS, LeaderState, grace};
-use crate::controller::Clock;
 use crate::policy::Policy;
+use crate::protocol::Clock;
+use crate::protocol::agent_api::{ExitReason, TaskPhase};
 use crate::protocol::records::{CHUNK, TaskEntry};
-use crate::protocol::wire::{ExitReason, TaskPhase};
 use crate::protocol::{JobKind, Micros, Settings};
 use crate::scheduling::backfill::{Item, Victim, WIDE_MOST};
 use crate::scheduling::job_queue::{Row, Slot, Stand};
@@ -173,7 +173,7 @@
             kind: names.id(&w.kind),
             zone: names.id(&w.zone),
             spot: w.spot,
-            session: w.session,
+            agent_epoch: w.agent_epoch,
             total,
             free: total,
             leaving: [0.0; 3],
@@ -234,7 +234,7 @@
                 id,
                 e.task(),
                 e.attempt(),
-                e.session(),
+                e.agent_epoch(),
             ),
             None => self.leader.standing(id, e),
         };
@@ -301,7 +301,7 @@
                 continue;
             }
             latest = latest.max(e.attempt());
-            runs |= s == TaskLiveness::There(TaskPhase::Running);
+            runs |= s == TaskLiveness::Present(TaskPhase::Running);
             if spec.kind == JobKind::Gang {
                 members.push((e.task(), s));
             }
@@ -319,7 +319,7 @@
                     let save = grace(job);
                     if save > 0.0
                         && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
-                        && s == TaskLiveness::There(TaskPhase::Running)
+                        && s == TaskLiveness::Present(TaskPhase::Running)
                     {
                         let all = match spec.kind {
                             JobKind::Gang => 0..spec.tasks,
@@ -382,7 +382,7 @@
             if lost > 0 {
                 self.found.broken.push((id.to_string(), latest));
                 // Members that save on command are left to it.
-                let saving = TaskLiveness::There(TaskPhase::Saving);
+                let saving = TaskLiveness::Present(TaskPhase::Saving);
                 if members.iter().all(|(_, s)| *s != saving) {
                     let all = members.iter().map(|(t, _)| (id.to_string(), *t, 0.0));
                     self.found.stops.extend(all);
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -4,8 +4,9 @@
 
 use crate::agents::leader_state::{LeaderState, grace};
 use crate::cloud::autoscaler::{self, Need, ScalingPlan, Wants as _};
-use crate::controller::{Clock, Controller};
+use crate::controller::Controller;
 use crate::policy::Policy;
+use crate::protocol::Clock;
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{JobKind, JobSpec, Micros, Settings};
 use crate::scheduling::backfill::{self, Item, Met, PLACES};
@@ -38,7 +39,7 @@
     /// Machine.
     pub machine: String,
     /// The agent's session.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Ahead of an earlier job.
     pub backfilled: bool,
 }
@@ -276,7 +277,7 @@
     let fleet = autoscaler::plan(&sight, &scene.backlog.names, &wants, &plan.lacks);
     let start = |p: backfill::Place| Start {
         machine: hosts.names[p.host].to_string(),
-        session: rooms[p.host].session,
+        agent_epoch: rooms[p.host].agent_epoch,
         job: p.job,
         task: p.task,
         backfilled: p.backfilled,
@@ -425,7 +426,14 @@
         if let Some(of) = l.stopping.get_mut(&s.job) {
             of.remove(&s.task);
         }
-        let entry = TaskEntry(s.task, attempt, s.machine, s.session, l.term, s.backfilled);
+        let entry = TaskEntry(
+            s.task,
+            attempt,
+            s.machine,
+            s.agent_epoch,
+            l.term,
+            s.backfilled,
+        );
         l.edits.want(&s.job, now).places.push(entry);
     }
 }
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -114,7 +114,7 @@
     /// Spot machine.
     pub spot: bool,
     /// The agent's session.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Room of an empty machine.
     pub total: Amounts,
     /// Room left.
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -28,7 +28,7 @@
                 kind: rng.random_range(0..2),
                 zone: rng.random_range(10..12),
                 spot: rng.random_bool(0.3),
-                session: 1,
+                agent_epoch: 1,
                 total,
                 free: [64.0, rng.random_range(0..9) as f64, 256.0],
                 open: rng.random_bool(0.9),
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -1,11 +1,12 @@
 //! What each agent last said, and what follows from it about tasks recorded on it.
 
 use crate::protocol::Micros;
-use crate::protocol::wire::{ExitReason, Report, TaskPhase, decode};
+use crate::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase};
+use crate::protocol::codec::decode;
 use crate::state::agent_reachability::AgentReachability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A task as a agent last reported it.
+/// A task as an agent last reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportedTask {
     /// Job.
@@ -26,10 +27,10 @@
     Some((job, n.parse().ok()?))
 }
 
-/// A agent's report, from a request or from an answer to commands. One that cannot be read as a whole is dropped as a
+/// An agent's report, from a request or from an answer to commands. One that cannot be read as a whole is dropped as a
 /// whole: a task left out of it would look as if it were not there.
-pub fn read_report(body: &[u8]) -> Option<Report> {
-    let Some(report) = decode::<Report>(body) else {
+pub fn parse_agent_heartbeat(body: &[u8]) -> Option<AgentHeartbeat> {
+    let Some(report) = decode::<AgentHeartbeat>(body) else {
         log::warn!("a report is dropped: it cannot be read");
         return None;
     };
@@ -61,7 +62,7 @@
     pub answer_to: Option<u64>,
 }
 
-/// What a message from a agent brought.
+/// What a message from an agent brought.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
     /// It is older than what we have.
@@ -72,7 +73,7 @@
     Changed(Vec<ReportedTask>),
 }
 
-/// Names an attempt of a task on a agent.
+/// Names an attempt of a task on an agent.
 pub type AttemptKey = (String, u32, u64);
 
 /// One agent.
@@ -89,7 +90,7 @@
     /// Spot machine.
     pub spot: bool,
     /// Session.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// When we first heard of that session: its lease runs from a moment before, whatever became of the
     /// one before it.
     pub began: Micros,
@@ -132,7 +133,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskLiveness {
     /// Reported there, not exited.
-    There(TaskPhase),
+    Present(TaskPhase),
     /// Exited there.
     Ended(ExitReason),
     /// Proven not to be there any more.
@@ -140,7 +141,7 @@
     /// No start of ours was ever sent, and nobody else's can still be carried out.
     NotStarted,
     /// Cannot be told: presumed there.
-    Unclear,
+    Unknown,
 }
 
 impl TaskLiveness {
@@ -148,7 +149,7 @@
     /// is still `wanted`, since its start may be sent at any moment.
     pub fn presumed(self, wanted: impl FnOnce() -> bool) -> bool {
         match self {
-            TaskLiveness::There(_) | TaskLiveness::Unclear => true,
+            TaskLiveness::Present(_) | TaskLiveness::Unknown => true,
             TaskLiveness::NotStarted => wanted(),
             TaskLiveness::Gone | TaskLiveness::Ended(_) => false,
         }
@@ -158,21 +159,21 @@
 impl Agent {
     /// Takes over a report if it is newer than the last one, and tells what it changed. Most
     /// reports change nothing: those copy nothing either.
-    pub fn update(&mut self, r: &Report, now: Micros) -> News {
-        if (r.session, r.seq) <= (self.session, self.seq) {
+    pub fn update(&mut self, r: &AgentHeartbeat, now: Micros) -> News {
+        if (r.agent_epoch, r.seq) <= (self.agent_epoch, self.seq) {
             return News::Old;
         }
-        let before = (self.session, self.term, self.notice.is_some());
-        if r.session > self.session {
+        let before = (self.agent_epoch, self.term, self.notice.is_some());
+        if r.agent_epoch > self.agent_epoch {
             // A new session has none of the old tasks, and no command for the old one counts.
-            if self.session > 0 {
+            if self.agent_epoch > 0 {
                 self.hearing.began(now);
             }
             self.began = now;
             self.starts.clear();
             self.stops.clear();
         }
-        self.session = r.session;
+        self.agent_epoch = r.agent_epoch;
         self.seq = r.seq;
         if r.term > self.term {
             self.term = r.term;
@@ -196,7 +197,7 @@
                     && split_task(&t.task).is_some_and(|(j, n)| s.task == n && s.job == j)
             });
         if same {
-            return if before == (self.session, self.term, self.notice.is_some()) {
+            return if before == (self.agent_epoch, self.term, self.notice.is_some()) {
                 News::None
             } else {
                 News::Changed(self.tasks.clone())
@@ -217,8 +218,8 @@
 
     /// A report (not an answer to commands) with this number has come: starts sent with earlier
     /// answers have been carried out by now, or never will be.
-    pub fn settle_answers(&mut self, session: u64, seq: u64) {
-        if session != self.session {
+    pub fn settle_answers(&mut self, agent_epoch: u64, seq: u64) {
+        if agent_epoch != self.agent_epoch {
             return;
         }
         self.starts.retain(|_, s| {
@@ -230,15 +231,15 @@
         });
     }
 
-    /// A agent that has just been met.
-    pub fn new(r: &Report) -> Agent {
+    /// An agent that has just been met.
+    pub fn new(r: &AgentHeartbeat) -> Agent {
         Agent {
             address: None,
             shown_address: String::new(),
             kind: r.kind.clone(),
             zone: r.zone.clone(),
             spot: r.spot,
-            session: 0,
+            agent_epoch: 0,
             began: Micros::ZERO,
             seq: 0,
             term: 0,
@@ -268,7 +269,7 @@
 
     /// Whether the session is proven over.
     pub fn is_over(&self) -> bool {
-        self.over.is_some_and(|o| self.session <= o)
+        self.over.is_some_and(|o| self.agent_epoch <= o)
     }
 
     fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&Start> {
@@ -312,30 +313,30 @@
         job: &str,
         task: u32,
         attempt: u64,
-        session: u64,
+        agent_epoch: u64,
     ) -> TaskLiveness {
-        if self.over.is_some_and(|o| session <= o) || session < self.session {
+        if self.over.is_some_and(|o| agent_epoch <= o) || agent_epoch < self.agent_epoch {
             return TaskLiveness::Gone;
         }
-        if session > self.session {
-            return TaskLiveness::Unclear;
+        if agent_epoch > self.agent_epoch {
+            return TaskLiveness::Unknown;
         }
         if let Some(s) = self.find(job, task, attempt) {
             return match (s.phase, s.why) {
                 (TaskPhase::Exited, why) => TaskLiveness::Ended(why.unwrap_or(ExitReason::Error)),
-                (phase, _) => TaskLiveness::There(phase),
+                (phase, _) => TaskLiveness::Present(phase),
             };
         }
         if self.term != our_term {
             // An older term's start may still be on its way.
-            return TaskLiveness::Unclear;
+            return TaskLiveness::Unknown;
         }
         match self.start_of(job, task, attempt) {
             None => TaskLiveness::NotStarted,
             // Sent with an older term of ours, which the agent no longer accepts.
             Some(s) if s.term < self.term => TaskLiveness::NotStarted,
             Some(s) if s.answered && !s.loose && s.answer_to.is_none() => TaskLiveness::Gone,
-            Some(_) => TaskLiveness::Unclear,
+            Some(_) => TaskLiveness::Unknown,
         }
     }
 }
--- a/src/state/agent_reachability.rs
+++ b/src/state/agent_reachability.rs
@@ -1,4 +1,4 @@
-//! Whether a agent hears us. Its reports prove what they say, and nothing about the other direction: a
+//! Whether an agent hears us. Its reports prove what they say, and nothing about the other direction: a
 //! machine may be heard for minutes while no answer and no command reaches it.
 //!
 //! Signs that it hears: it shows our term; it has answered a direct command; or it has kept a session for longer
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -1,11 +1,13 @@
 //! A copy of our records in the state service, fed by listings, watches and own commits.
 
+use crate::protocol::cloud_api::{MachineType, MachineTypes};
+use crate::protocol::codec::from_value;
+use crate::protocol::key_value_api::{ItemPage, WatchResponse};
 use crate::protocol::records::{
     BASE, BUNDLED, BUNDLES, BudgetSharesRecord, CHUNK, CHUNKS, FORMATS, JOBS, JobRecord, JobStage,
     LEAD, LIVE, LeaderRecord, PARTS, PlacementBatch, RENEWALS, RenewalsRecord, TYPES, TaskChunk,
     TaskEntry, bundle_key, bundle_number, renew_key,
 };
-use crate::protocol::wire::{ItemPage, MachineType, MachineTypes, WatchResponse, from_value};
 use crate::protocol::{JobKind, Micros, format};
 pub use crate::state::cached_job::{FinishedJob, Job, JobLookup};
 use crate::state::image_caches::ImageCaches;
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -1,9 +1,9 @@
 //! Paced access to the state service. Owns the request and write budgets; urgent requests go
 //! first. Retrying is the callers' business: only they know what a lost answer means.
 
-use crate::protocol::wire::{
+use crate::protocol::codec::{decode, encode};
+use crate::protocol::key_value_api::{
     Change, ItemPage, LeaseRequest, LeaseResponse, Transaction, TransactionResponse, WatchResponse,
-    decode, encode,
 };
 use crate::protocol::{Micros, records};
 use crate::state::token_bucket::TokenBucket;
@@ -66,11 +66,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
     /// Leadership, cancellations, read barriers.
-    First = 0,
+    Urgent = 0,
     /// Acceptance and placements.
-    Usual = 1,
+    Normal = 1,
     /// The rest.
-    Last = 2,
+    Background = 2,
 }
 
 struct Queued<T> {
@@ -156,7 +156,7 @@
     }
 
     /// Sends what the budgets allow.
-    pub fn pump(&mut self, now: Micros, next_id: &mut u64, out: &mut Vec<NetworkCommand>) {
+    pub fn pump(&mut self, now: Micros, last_call_id: &mut u64, out: &mut Vec<NetworkCommand>) {
         loop {
             let Some(rank) = (0..3).find(|r| !self.queues[*r].is_empty()) else {
                 return;
@@ -174,7 +174,7 @@
                 }
                 // Leadership and cancellations do not wait for the budget that others have used up: a
                 // claim would outlive its lease, and nobody would ever lead.
-                let ready = if r == RequestPriority::First as usize {
+                let ready = if r == RequestPriority::Urgent as usize {
                     self.writes.ready_ahead(now, writes)
                 } else {
                     self.writes.ready(now, writes)
@@ -185,9 +185,9 @@
                 self.requests.take(1.0);
                 self.writes.take(writes);
                 if let Some(q) = self.queues[r].pop_front() {
-                    *next_id += 1;
-                    out.push(NetworkCommand::Call(self.call(*next_id, &q.ask)));
-                    self.flying.insert(*next_id, (q.tag, q.ask, now));
+                    *last_call_id += 1;
+                    out.push(NetworkCommand::Call(self.call(*last_call_id, &q.ask)));
+                    self.flying.insert(*last_call_id, (q.tag, q.ask, now));
                 }
                 sent = true;
                 break;
@@ -203,7 +203,7 @@
         self.queues
             .iter()
             .enumerate()
-            .filter_map(|(rank, q)| Some((rank == RequestPriority::First as usize, q.front()?)))
+            .filter_map(|(rank, q)| Some((rank == RequestPriority::Urgent as usize, q.front()?)))
             .map(|(first, q)| {
                 let r = self.requests.when(now, 1.0, false);
                 match write_count(&q.ask) {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -4,7 +4,8 @@
 
 use rand::RngExt;
 use walnuttrestle::protocol::JobKind;
-use walnuttrestle::protocol::wire::{Report, encode};
+use walnuttrestle::protocol::agent_api::AgentHeartbeat;
+use walnuttrestle::protocol::codec::encode;
 use world::{SEC, World, job, settled};
 
 /// A body with some bytes changed, or cut short.
@@ -32,7 +33,7 @@
         w.user("req-2", job(JobKind::Array, 3, 1.0), 40 * SEC);
         w.run(8);
         // A machine of which nobody else speaks, so that a report of it that can still be read is no lie about others.
-        let report = Report {
+        let report = AgentHeartbeat {
             machine: "n-000900".into(),
             address: "10.1.4.100:9000".into(),
             ..w.report_of("n-000001")
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -59,7 +59,7 @@
         w.run(dt);
         let key = ("req-1/0".to_string(), 1);
         if lease_over {
-            // A agent whose clock stood still, too, would not know that its lease is over.
+            // An agent whose clock stood still, too, would not know that its lease is over.
             assert!(w.agents[&m].tasks.is_empty());
             w.pretend_running(&m, key);
         }
--- a/tests/every_copy.rs
+++ b/tests/every_copy.rs
@@ -5,13 +5,13 @@
 use model_checker::{Model, Seen, explore};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::Micros;
-use walnuttrestle::protocol::wire::{ExitReason, Report, TaskPhase, TaskReport};
+use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
 use walnuttrestle::state::agent::{Agent, Start, TaskLiveness};
 
 /// How often the agent says something: its messages are all that makes the model large.
 const MOST: u64 = 6;
 
-/// What a agent says: session, number, highest term, and the attempt if it is there (true: it has ended).
+/// What an agent says: session, number, highest term, and the attempt if it is there (true: it has ended).
 type Said = (u64, u64, u64, Option<bool>);
 
 /// A start that was sent: term and session it was sent with.
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    session: u64,
+    agent_epoch: u64,
     seq: u64,
     term: u64,
     task: Option<bool>,
@@ -53,9 +53,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Line {
-    /// (session, tally) orders what a agent sends.
+    /// (session, tally) orders what an agent sends.
     Order,
-    /// A agent that has not shown our term proves nothing absent.
+    /// An agent that has not shown our term proves nothing absent.
     Term,
     /// A start without an answer may come late.
     Loose,
@@ -69,8 +69,8 @@
     most: u64,
 }
 
-fn report((session, seq, term, task): Said) -> Report {
-    let tasks = task.map(|ended| TaskReport {
+fn report((agent_epoch, seq, term, task): Said) -> AgentHeartbeat {
+    let tasks = task.map(|ended| TaskStatus {
         task: "j/0".into(),
         attempt: 1,
         phase: if ended {
@@ -81,13 +81,13 @@
         why: ended.then_some(ExitReason::Stopped),
         saved: None,
     });
-    Report {
+    AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
         kind: "box".into(),
         zone: "a".into(),
         spot: false,
-        session,
+        agent_epoch,
         seq,
         term,
         notice_s: None,
@@ -120,7 +120,7 @@
 
     fn standing(&self, s: &State) -> TaskLiveness {
         let Some(view) = &s.view else {
-            return TaskLiveness::Unclear;
+            return TaskLiveness::Unknown;
         };
         let w = agent(view);
         let ours = if self.without(Line::Term) {
@@ -139,10 +139,10 @@
         };
         let mut w = agent(view);
         if self.without(Line::Order) {
-            (w.session, w.seq) = (said.0, 0);
+            (w.agent_epoch, w.seq) = (said.0, 0);
         }
         w.update(&report(said), Micros::ZERO);
-        if (w.session, w.seq) == (said.0, said.1) {
+        if (w.agent_epoch, w.seq) == (said.0, said.1) {
             let known = w.starts.values().next();
             let known = known.map(|k| (k.direct, k.answered, k.loose, k.term));
             s.view = Some((said, known));
@@ -151,7 +151,7 @@
 
     fn say(&self, s: &mut State) -> Said {
         s.seq += 1;
-        let said = (s.session, s.seq, s.term, s.task);
+        let said = (s.agent_epoch, s.seq, s.term, s.task);
         s.said.insert(said);
         said
     }
@@ -163,7 +163,7 @@
 
     fn start(&self) -> Vec<State> {
         vec![State {
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
             term: 1,
             task: None,
@@ -192,14 +192,14 @@
         if s.task == Some(false) {
             add(Step::Ends, &|n| n.task = Some(true));
         }
-        if s.session == 1 {
-            add(Step::NewSession, &|n| (n.session, n.task) = (2, None));
+        if s.agent_epoch == 1 {
+            add(Step::NewSession, &|n| (n.agent_epoch, n.task) = (2, None));
         }
         if s.leader == 1 {
             add(Step::Takeover, &|n| (n.leader, n.view) = (2, None));
         }
         for sent in &s.sent {
-            let taken = sent.0 >= s.term && sent.1 == s.session;
+            let taken = sent.0 >= s.term && sent.1 == s.agent_epoch;
             let carry = |n: &mut State| {
                 if taken {
                     n.term = sent.0;
@@ -230,14 +230,14 @@
         };
         let (said, known) = view;
         let standing = self.standing(s);
-        if said.2 != s.leader && may_say && said.0 == s.session {
+        if said.2 != s.leader && may_say && said.0 == s.agent_epoch {
             add(Step::ShowsTerm, &|n| {
                 n.term = n.term.max(n.leader);
                 _ = self.say(n);
             });
         }
         let waits = known.is_some_and(|k| k.0);
-        let unsure = matches!(standing, TaskLiveness::NotStarted | TaskLiveness::Unclear);
+        let unsure = matches!(standing, TaskLiveness::NotStarted | TaskLiveness::Unknown);
         if said.2 == s.leader && said.0 == 1 && unsure && !s.given_up && !waits {
             add(Step::Starts, &|n| {
                 n.sent.insert((n.leader, 1));
@@ -275,7 +275,7 @@
             }
         });
         let ended = said.3 == Some(true) && s.task == Some(true) && said.2 == s.leader;
-        if s.given_up && ended && said.0 == s.session && !kept {
+        if s.given_up && ended && said.0 == s.agent_epoch && !kept {
             add(Step::Forgets, &|n| n.task = None);
         }
         all
@@ -312,10 +312,7 @@
             most: MOST,
         };
         let seen = explore(&small, 2_000_000);
-        stories.insert(
-            format!("{line:?}"),
-            matches!(seen, Seen::Broken { .. }),
-        );
+        stories.insert(format!("{line:?}"), matches!(seen, Seen::Broken { .. }));
     }
     assert!(stories.values().all(|missed| *missed), "{stories:?}");
 }
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -3,13 +3,13 @@
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    BadHeartbeat, CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension,
-    MOST_CANCELLATIONS, RecordSummary,
+    CancellationCursor, CancellationNews, HeartbeatExtension, InvalidPeerHeartbeat,
+    MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
 
-fn beat(jobs: usize) -> Heartbeat {
+fn beat(jobs: usize) -> PeerHeartbeat {
     let job = |n: usize| (format!("req-{n:06}"), 400 + n as u64);
-    Heartbeat {
+    PeerHeartbeat {
         node: "kernel-1".into(),
         leading: Some(7),
         leader_silent_ms: Some(300),
@@ -49,7 +49,7 @@
 fn what_is_sent_is_what_is_heard() {
     for jobs in [0, 1, MOST_CANCELLATIONS] {
         let sent = beat(jobs);
-        assert_eq!(Heartbeat::decode(&sent.encode()), Ok(sent));
+        assert_eq!(PeerHeartbeat::decode(&sent.encode()), Ok(sent));
     }
 }
 
@@ -60,12 +60,12 @@
     let known = postcard::to_stdvec(&ours).unwrap();
     let known = postcard::to_extend(&(format::RIGHTS, 30_000u64, 4u64), known).unwrap();
     let sent = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), known).unwrap();
-    let heard = Heartbeat::decode(&sent).unwrap();
+    let heard = PeerHeartbeat::decode(&sent).unwrap();
     assert_eq!((heard.format, heard.more), (format::RIGHTS, ours.more));
     assert_eq!((heard.knows, heard.news), (None, None));
     // What a version of that format reads of ours is the same to the byte.
     let all = ours.encode();
-    let (_, rest) = postcard::take_from_bytes::<Heartbeat>(&all).unwrap();
+    let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&all).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
     let (more, record_summary): (HeartbeatExtension, Option<RecordSummary>) =
         postcard::from_bytes(rest).unwrap();
@@ -77,13 +77,13 @@
 
 #[test]
 fn a_newer_format_is_read_as_far_as_it_is_known() {
-    let sent = Heartbeat {
+    let sent = PeerHeartbeat {
         format: format::NEWEST + 1,
         ..beat(2)
     };
     let mut bytes = sent.encode();
     bytes.extend([1, 2, 3]);
-    assert_eq!(Heartbeat::decode(&bytes), Ok(sent));
+    assert_eq!(PeerHeartbeat::decode(&bytes), Ok(sent));
 }
 
 #[test]
@@ -91,9 +91,9 @@
     let bad = |change: fn(&mut CancellationNews)| {
         let mut b = beat(2);
         b.news.iter_mut().for_each(change);
-        Heartbeat::decode(&b.encode())
+        PeerHeartbeat::decode(&b.encode())
     };
-    let impossible = Err(BadHeartbeat::Cancellations);
+    let impossible = Err(InvalidPeerHeartbeat::Cancellations);
     assert_eq!(bad(|n| n.jobs[1].0 = "req-".into()), impossible);
     assert_eq!(bad(|n| n.jobs[0].0 = "../req-1".into()), impossible);
     assert_eq!(bad(|n| n.next = 2), impossible);
@@ -102,20 +102,23 @@
         impossible
     );
     assert_eq!(
-        Heartbeat::decode(&beat(MOST_CANCELLATIONS + 1).encode()),
+        PeerHeartbeat::decode(&beat(MOST_CANCELLATIONS + 1).encode()),
         impossible
     );
-    let none = Heartbeat {
+    let none = PeerHeartbeat {
         format: 0,
         ..beat(1)
     };
     assert_eq!(
-        Heartbeat::decode(&none.encode()),
-        Err(BadHeartbeat::NoFormat)
+        PeerHeartbeat::decode(&none.encode()),
+        Err(InvalidPeerHeartbeat::NoFormat)
     );
     let mut long = beat(1).encode();
     long.push(0);
-    assert_eq!(Heartbeat::decode(&long), Err(BadHeartbeat::TooLong(1)));
+    assert_eq!(
+        PeerHeartbeat::decode(&long),
+        Err(InvalidPeerHeartbeat::TooLong(1))
+    );
 }
 
 /// The first version's message ends where ours names its format. Any other cut is noticed; at that one, what is left
@@ -126,7 +129,7 @@
     let bytes = sent.encode();
     let first = postcard::to_stdvec(&sent).unwrap().len();
     for n in 0..bytes.len() {
-        let heard = Heartbeat::decode(&bytes[..n]);
+        let heard = PeerHeartbeat::decode(&bytes[..n]);
         assert_eq!(heard.is_ok(), n == first, "cut at {n}: {heard:?}");
     }
 }
@@ -142,7 +145,7 @@
 
     #[test]
     fn no_bytes_whatsoever_do_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        if let Ok(h) = Heartbeat::decode(&bytes)
+        if let Ok(h) = PeerHeartbeat::decode(&bytes)
             && let Some(news) = h.news
         {
             prop_assert!(news.jobs.len() <= MOST_CANCELLATIONS);
@@ -154,7 +157,7 @@
         let mut bytes = beat(4).encode();
         let at = at % bytes.len();
         bytes[at] = to;
-        if let Ok(Heartbeat { news: Some(news), .. }) = Heartbeat::decode(&bytes) {
+        if let Ok(PeerHeartbeat { news: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
             prop_assert!(news.from <= news.next);
             let fine = |id: &String| walnuttrestle::protocol::job::valid_id(id);
             prop_assert!(news.jobs.iter().all(|(id, _)| fine(id)));
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -39,7 +39,7 @@
         "nothing starts twice"
     );
     assert!(
-        w.agents.values().all(|x| x.session == 1),
+        w.agents.values().all(|x| x.agent_epoch == 1),
         "no lease ran out"
     );
     // The records once, signs of life, barriers of polls; each agent is told the term once at the most.
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,13 +1,13 @@
 //! When a leader takes leases for run out.
 
 use walnuttrestle::agents::leader_state::LeaderState;
-use walnuttrestle::controller::Clock;
-use walnuttrestle::protocol::wire::Report;
+use walnuttrestle::protocol::Clock;
+use walnuttrestle::protocol::agent_api::AgentHeartbeat;
 use walnuttrestle::protocol::{Micros, Settings};
 use walnuttrestle::state::agent::Agent;
 use walnuttrestle::state::record_cache::RecordCache;
 
-/// After a cut the answer to a direct command may be the first that shows a agent's new session, while
+/// After a cut the answer to a direct command may be the first that shows an agent's new session, while
 /// our last answer to it was to the old one, a lease ago and longer.
 #[test]
 fn a_session_that_only_a_direct_answer_has_shown_has_its_own_lease() {
@@ -19,13 +19,13 @@
         now: at(0),
         wall: at(0),
     };
-    let report = |session: u64, seq: u64| Report {
+    let report = |agent_epoch: u64, seq: u64| AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
         kind: "box".into(),
         zone: "a".into(),
         spot: false,
-        session,
+        agent_epoch,
         seq,
         term: 1,
         notice_s: None,
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -2,10 +2,11 @@
 
 mod world;
 
+use walnuttrestle::protocol::codec::to_value;
+use walnuttrestle::protocol::key_value_api::{Item, ItemPage};
 use walnuttrestle::protocol::records::{
     JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry, bundle_key, chunk_key, job_key,
 };
-use walnuttrestle::protocol::wire::{Item, ItemPage, to_value};
 use walnuttrestle::protocol::{JobKind, Micros};
 use walnuttrestle::state::record_cache::{Job, JobLookup, RecordCache};
 
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 use walnuttrestle::agents::failure_history::FailureHistory;
 use walnuttrestle::agents::leader_state::LeaderState;
-use walnuttrestle::controller::Clock;
 use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::Clock;
+use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
+use walnuttrestle::protocol::cloud_api::{MachineType, MachineTypes};
+use walnuttrestle::protocol::codec::to_value;
 use walnuttrestle::protocol::records::{JobRecord, JobStage, TYPES, TaskChunk, TaskEntry};
 use walnuttrestle::protocol::settings::Team;
-use walnuttrestle::protocol::wire::{
-    ExitReason, MachineType, MachineTypes, Report, TaskPhase, TaskReport, to_value,
-};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::records::record_writer::PendingWrite;
 use walnuttrestle::scheduling::pass::{self, Decision};
@@ -177,9 +177,9 @@
                 let at = self.rng.random_range(0..machines.len() + 1);
                 let machine = machines.get(at).cloned().unwrap_or_default();
                 let attempt = self.rng.random_range(1..3);
-                let session = self.rng.random_range(1..3);
+                let agent_epoch = self.rng.random_range(1..3);
                 let backfilled = self.chance(0.4);
-                first.set(TaskEntry(t, attempt, machine, session, 1, backfilled));
+                first.set(TaskEntry(t, attempt, machine, agent_epoch, 1, backfilled));
             } else if spec.kind != JobKind::Service && self.chance(0.1) {
                 first.finish(t);
             }
@@ -223,7 +223,7 @@
                     ExitReason::Peers,
                     ExitReason::Stopped,
                 ];
-                tasks.push(TaskReport {
+                tasks.push(TaskStatus {
                     task: format!("{job}/{t}"),
                     attempt: e.attempt(),
                     phase,
@@ -233,7 +233,7 @@
             }
         }
         if rng.random_bool(0.03) {
-            tasks.push(TaskReport {
+            tasks.push(TaskStatus {
                 task: "req-7/0".into(),
                 attempt: 9,
                 phase: TaskPhase::Running,
@@ -241,13 +241,13 @@
                 saved: None,
             });
         }
-        let report = Report {
+        let report = AgentHeartbeat {
             machine: machine.clone(),
             address: "127.0.0.1:9".into(),
             kind: ["big", "small"][m as usize % 2].into(),
             zone: ["a", "b"][m as usize / 2 % 2].into(),
             spot: m % 5 == 4,
-            session: 1 + u64::from(*seq > 6),
+            agent_epoch: 1 + u64::from(*seq > 6),
             seq: *seq,
             term: if rng.random_bool(0.9) {
                 self.leader.term
@@ -283,7 +283,7 @@
             }
             5 => {
                 if let Some(w) = self.leader.agents.get_mut(&machine) {
-                    w.over = Some(w.session);
+                    w.over = Some(w.agent_epoch);
                 }
             }
             6 => {
@@ -359,7 +359,7 @@
             self.leader.started += 1;
             let order = self.leader.order_of.entry(s.job.clone()).or_default();
             order.insert(s.task, self.leader.started);
-            let entry = TaskEntry(s.task, 5, s.machine, s.session, 1, s.backfilled);
+            let entry = TaskEntry(s.task, 5, s.machine, s.agent_epoch, 1, s.backfilled);
             if self.rng.random_bool(0.5) {
                 self.leader.edits.want(&s.job, now).places.push(entry);
             } else if self.rng.random_bool(0.5) {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use walnuttrestle::agents::failure_history::FailureHistory;
 use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, grace};
-use walnuttrestle::controller::Clock;
 use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::Clock;
+use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
 use walnuttrestle::protocol::records::{CHUNK, TaskEntry};
-use walnuttrestle::protocol::wire::{ExitReason, TaskPhase};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::scheduling::backfill::{Item, Victim};
 use walnuttrestle::scheduling::pass::Start;
@@ -146,7 +146,7 @@
         job,
         task,
         machine: hosts.names[host].clone(),
-        session: hosts.list[host].session,
+        agent_epoch: hosts.list[host].agent_epoch,
         backfilled,
     };
     found.starts = plan.places.into_iter().map(start).collect();
@@ -193,7 +193,7 @@
             kind: names.id(&w.kind),
             zone: names.id(&w.zone),
             spot: w.spot,
-            session: w.session,
+            agent_epoch: w.agent_epoch,
             total,
             free: total,
             leaving: [0.0; 3],
@@ -271,7 +271,7 @@
             continue;
         }
         latest = latest.max(e.attempt());
-        runs |= s == TaskLiveness::There(TaskPhase::Running);
+        runs |= s == TaskLiveness::Present(TaskPhase::Running);
         if spec.kind == JobKind::Gang {
             standing.push((e.task(), s));
         }
@@ -290,7 +290,7 @@
                 let save = grace(job);
                 if save > 0.0
                     && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
-                    && s == TaskLiveness::There(TaskPhase::Running)
+                    && s == TaskLiveness::Present(TaskPhase::Running)
                 {
                     let all = match spec.kind {
                         JobKind::Gang => 0..spec.tasks,
@@ -355,7 +355,7 @@
         if lost > 0 {
             found.broken.push((id.to_string(), latest));
             // Members that save on command are left to it.
-            let saving = TaskLiveness::There(TaskPhase::Saving);
+            let saving = TaskLiveness::Present(TaskPhase::Saving);
             if standing.iter().all(|(_, s)| *s != saving) {
                 let all = standing.iter().map(|(t, _)| (id.to_string(), *t, 0.0));
                 found.ordered_stops.extend(all);
--- a/tests/stories/cuts.rs
+++ b/tests/stories/cuts.rs
@@ -6,7 +6,7 @@
 use crate::world::{Cut, Party, SEC, after, job, settled};
 use rand::RngExt;
 use walnuttrestle::protocol::JobKind;
-use walnuttrestle::protocol::wire::TaskPhase;
+use walnuttrestle::protocol::agent_api::TaskPhase;
 
 #[test]
 fn a_start_whose_answer_is_lost_and_that_comes_late_runs_once() {
--- a/tests/stories/versions.rs
+++ b/tests/stories/versions.rs
@@ -2,9 +2,9 @@
 
 use crate::world::store::Limits;
 use crate::world::{SEC, World, after, job, settled};
-use walnuttrestle::protocol::peer_messages::Heartbeat;
+use walnuttrestle::protocol::codec::{decode, encode};
+use walnuttrestle::protocol::peer_messages::PeerHeartbeat;
 use walnuttrestle::protocol::records::JobRecord;
-use walnuttrestle::protocol::wire::{decode, encode};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// Large arrays, a full queue and a takeover while the state service lowers its limits.
@@ -142,11 +142,11 @@
     assert_eq!(encode(&rec), job);
     assert!(decode::<crate::world::old::OldJobRec>(&job).is_some());
     let beat = bytes("086b65726e656c2d31012901ac02014d01");
-    let mut heard = Heartbeat::decode(&beat).unwrap();
+    let mut heard = PeerHeartbeat::decode(&beat).unwrap();
     assert_eq!((heard.format, heard.newest), (1, Some(77)));
     heard.format = 2;
     let sent = heard.encode();
-    assert_eq!(Heartbeat::decode(&sent).unwrap().format, 2);
+    assert_eq!(PeerHeartbeat::decode(&sent).unwrap().format, 2);
     let old: crate::world::old::OldHeartbeat = postcard::from_bytes(&sent).unwrap();
     assert_eq!(old.node, "kernel-1");
     assert_eq!(crate::world::old::heartbeat(sent), beat);
--- a/tests/wire_compatibility.rs
+++ b/tests/wire_compatibility.rs
@@ -11,22 +11,28 @@
 use std::collections::BTreeMap;
 use std::fmt::{Debug, Write};
 use std::path::PathBuf;
+use walnuttrestle::protocol::agent_api::{
+    AgentCommands, AgentHeartbeat, AgentHeartbeatResponse, Command, ExitReason, Misdirected,
+    TaskPhase, TaskStatus,
+};
+use walnuttrestle::protocol::client_api::{JobState, Problem};
+use walnuttrestle::protocol::cloud_api::{
+    ListedMachine, MachineNames, MachinePage, MachineState, MachineType, MachineTypes, RentRequest,
+};
+use walnuttrestle::protocol::codec::{decode, encode, from_value, to_value};
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::job::parse;
+use walnuttrestle::protocol::key_value_api::{
+    Change, Item, ItemPage, LeaseRequest, LeaseResponse, Transaction, TransactionResponse,
+    VersionCondition, WatchEvent, WatchResponse,
+};
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, Heartbeat, HeartbeatExtension, RecordSummary,
+    CancellationCursor, CancellationNews, HeartbeatExtension, PeerHeartbeat, RecordSummary,
 };
 use walnuttrestle::protocol::records::{
     self, BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PlacementBatch, RenewalsRecord,
     TaskChunk, TaskEntry,
 };
-use walnuttrestle::protocol::wire::{
-    Change, Command, ExitReason, Item, ItemPage, JobState, LeaseRequest, LeaseResponse,
-    ListedMachine, MachineNames, MachinePage, MachineState, MachineType, MachineTypes, Misdirected,
-    Orders, Problem, RentRequest, Report, ReportResponse, TaskPhase, TaskReport, Transaction,
-    TransactionResponse, VersionCondition, WatchEvent, WatchResponse, decode, encode, from_value,
-    to_value,
-};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority};
 use walnuttrestle::state::store_client::{
     RequestPriority, StoreClient, StoreRequest, StoreResponse,
@@ -471,9 +477,9 @@
 }
 
 /// A heartbeat that tells all that the format has.
-fn heartbeat(number: u32) -> Heartbeat {
+fn heartbeat(number: u32) -> PeerHeartbeat {
     let since = |first: u32| number >= first;
-    Heartbeat {
+    PeerHeartbeat {
         node: "kernel-1".into(),
         leading: Some(7),
         leader_silent_ms: Some(300),
@@ -510,8 +516,8 @@
 }
 
 /// A heartbeat with every optional field absent.
-fn bare_heartbeat(number: u32) -> Heartbeat {
-    Heartbeat {
+fn bare_heartbeat(number: u32) -> PeerHeartbeat {
+    PeerHeartbeat {
         leading: None,
         leader_silent_ms: None,
         newest: None,
@@ -536,12 +542,12 @@
     }
 }
 
-fn heartbeat_case(fixtures: &mut Fixtures, name: &str, heartbeat: &Heartbeat) {
+fn heartbeat_case(fixtures: &mut Fixtures, name: &str, heartbeat: &PeerHeartbeat) {
     let encoded = heartbeat.encode();
     let behind = written_behind(heartbeat.format);
     let of_its_format = encoded.strip_suffix(behind).expect(name);
     let stored = fixtures.written(name, of_its_format);
-    let decoded = Heartbeat::decode(&stored).expect(name);
+    let decoded = PeerHeartbeat::decode(&stored).expect(name);
     assert_eq!(&decoded, heartbeat, "{name}: another value");
     let again = [stored.as_slice(), behind].concat();
     assert_eq!(hex(&decoded.encode()), hex(&again), "{name}: other bytes");
@@ -557,13 +563,13 @@
         let name = format!("format_{number}_bare");
         heartbeat_case(&mut fixtures, &name, &bare_heartbeat(number));
     }
-    let newer = Heartbeat {
+    let newer = PeerHeartbeat {
         format: format::NEWEST + 1,
         ..heartbeat(format::NEWEST)
     };
     let with_unknown_end = [newer.encode(), b"later".to_vec()].concat();
     let stored = fixtures.case("format_7_with_unknown_end", with_unknown_end);
-    assert_eq!(Heartbeat::decode(&stored), Ok(newer));
+    assert_eq!(PeerHeartbeat::decode(&stored), Ok(newer));
     fixtures.finish();
 }
 
@@ -667,8 +673,8 @@
     );
 }
 
-fn task_report(phase: TaskPhase) -> TaskReport {
-    TaskReport {
+fn task_report(phase: TaskPhase) -> TaskStatus {
+    TaskStatus {
         task: "req-17/3".into(),
         attempt: 2,
         phase,
@@ -677,14 +683,14 @@
     }
 }
 
-fn report(tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(tasks: Vec<TaskStatus>) -> AgentHeartbeat {
+    AgentHeartbeat {
         machine: "n-000017".into(),
         address: "10.1.4.17:9000".into(),
         kind: "big".into(),
         zone: "a".into(),
         spot: true,
-        session: 4_000_000_000,
+        agent_epoch: 4_000_000_000,
         seq: 300,
         term: 7,
         notice_s: None,
@@ -715,19 +721,19 @@
 fn agent_api() {
     let mut fixtures = Fixtures::open("agent_api.hex");
     reports(&mut fixtures);
-    let answer = ReportResponse {
+    let answer = AgentHeartbeatResponse {
         term: 7,
         commands: commands(),
     };
     fixtures.both_ways("report_answer", &answer);
-    let empty = ReportResponse {
+    let empty = AgentHeartbeatResponse {
         term: 7,
         commands: Vec::new(),
     };
     fixtures.both_ways("report_answer_empty", &empty);
-    let orders = Orders {
+    let orders = AgentCommands {
         term: 7,
-        session: 4_000_000_000,
+        agent_epoch: 4_000_000_000,
         commands: commands(),
     };
     fixtures.both_ways("orders", &orders);
@@ -763,12 +769,12 @@
         ExitReason::Busy,
         ExitReason::Unknown,
     ];
-    let causes = causes.map(|why| TaskReport {
+    let causes = causes.map(|why| TaskStatus {
         why: Some(why),
         saved: Some(why == ExitReason::Stopped),
         ..task_report(TaskPhase::Exited)
     });
-    let causes = Report {
+    let causes = AgentHeartbeat {
         notice_s: Some(30.5),
         ..report(causes.to_vec())
     };
@@ -776,7 +782,7 @@
     worker_report(fixtures);
 }
 
-/// A report as a agent writes it: without optional fields, and with a task that names them.
+/// A report as an agent writes it: without optional fields, and with a task that names them.
 fn worker_report(fixtures: &mut Fixtures) {
     let running = map([
         ("sheet", "req-17/3".into()),
@@ -801,7 +807,7 @@
         ("baton", 7.into()),
         ("sheets", list([running, stopped])),
     ]);
-    let stopped = TaskReport {
+    let stopped = TaskStatus {
         why: Some(ExitReason::Peers),
         saved: Some(true),
         ..task_report(TaskPhase::Exited)
@@ -922,7 +928,7 @@
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let mut sent = Vec::new();
-    store.ask(RequestPriority::First, (), ask);
+    store.ask(RequestPriority::Urgent, (), ask);
     store.pump(Micros::millis(10_000), &mut 0, &mut sent);
     let [NetworkCommand::Call(call)] = sent.as_slice() else {
         panic!("not one call: {sent:?}");
@@ -936,7 +942,7 @@
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let (mut id, mut sent) = (0, Vec::new());
-    store.ask(RequestPriority::First, (), ask);
+    store.ask(RequestPriority::Urgent, (), ask);
     store.pump(Micros::millis(10_000), &mut id, &mut sent);
     let outcome = Outcome::Reply {
         status,
--- a/tests/world/agent.rs
+++ b/tests/world/agent.rs
@@ -1,7 +1,7 @@
 //! An in-memory agent: sessions, leases, tokens and tasks as PROTOCOL describes them.
 
 use std::collections::{BTreeMap, BTreeSet};
-use walnuttrestle::protocol::wire::*;
+use walnuttrestle::protocol::agent_api::*;
 
 pub type Key = (String, u64);
 
@@ -21,7 +21,7 @@
     pub index: usize,
     pub alive: bool,
     pub hung_until: u64,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
     pub term: u64,
     pub notice: Option<f64>,
@@ -48,7 +48,7 @@
             index,
             alive: true,
             hung_until: 0,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
             term: 0,
             notice: None,
@@ -64,22 +64,22 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> AgentHeartbeat {
         self.seq += 1;
-        Report {
+        AgentHeartbeat {
             machine: self.name.clone(),
             address: format!("10.1.{}.{}:9000", self.index / 200, self.index % 200),
             kind: "box".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
             term: self.term,
             notice_s: self.notice,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
@@ -110,7 +110,7 @@
 
     pub fn kill_all(&mut self) {
         self.tasks.clear();
-        self.session += 1;
+        self.agent_epoch += 1;
         self.report_at = 0;
     }
 }
--- a/tests/world/asks.rs
+++ b/tests/world/asks.rs
@@ -101,7 +101,7 @@
                 for (m, w) in &l.agents {
                     out += &format!(
                         "  {m}: session {} term {} heard {} over {:?} starts {:?} tasks {:?}\n",
-                        w.session, w.term, w.heard, w.over, w.starts, w.tasks
+                        w.agent_epoch, w.term, w.heard, w.over, w.starts, w.tasks
                     );
                 }
                 for (id, j) in &n.cache.jobs {
@@ -115,7 +115,7 @@
         for w in self.agents.values() {
             out += &format!(
                 "{} alive {} session {} term {} node {} {:?}\n",
-                w.name, w.alive, w.session, w.term, w.node, w.tasks
+                w.name, w.alive, w.agent_epoch, w.term, w.node, w.tasks
             );
         }
         out
--- a/tests/world/check.rs
+++ b/tests/world/check.rs
@@ -88,11 +88,11 @@
         }
     }
 
-    /// A controller sends commands to a agent. How long after its user was told of a cancellation a start of the job
+    /// A controller sends commands to an agent. How long after its user was told of a cancellation a start of the job
     /// may still be sent: as long as a proof of the records is good for starts, with a tick more.
     pub(super) fn check_orders(&mut self, to: &Party, call: &Call) {
         let Party::Agent(_) = to else { return };
-        let Some(orders) = decode::<Orders>(&call.body) else {
+        let Some(orders) = decode::<AgentCommands>(&call.body) else {
             return;
         };
         for c in orders.commands {
--- a/tests/world/close.rs
+++ b/tests/world/close.rs
@@ -14,7 +14,10 @@
         for (name, number, body) in self.troubles.for_leader(leader, term) {
             for node in 0..self.nodes.len() {
                 let at = self.now + self.rng.random_range(0..400_000);
-                self.schedule(at, Ev::Report(name.clone(), node, number, body.clone()));
+                self.schedule(
+                    at,
+                    Ev::AgentHeartbeat(name.clone(), node, number, body.clone()),
+                );
             }
         }
         if self.troubles.cancel_at_end > 0.0 {
--- a/tests/world/machines.rs
+++ b/tests/world/machines.rs
@@ -159,7 +159,7 @@
         if w.flying.is_none() && w.report_at <= now {
             let body = encode(&w.report());
             let number = w.seq;
-            w.flying = Some((w.session, number, now));
+            w.flying = Some((w.agent_epoch, number, now));
             w.report_at = now + 2 * SEC;
             let node = w.node;
             let name = name.to_string();
@@ -170,7 +170,7 @@
             self.troubles.keep(copy, &mut self.rng);
             let mut at = now + self.latency() + self.troubles.lag(&mut self.rng);
             if let Some((to, late)) = self.troubles.copy(node, nodes, &mut self.rng) {
-                let copy = Ev::Report(name.clone(), to, number, body.clone());
+                let copy = Ev::AgentHeartbeat(name.clone(), to, number, body.clone());
                 self.schedule(at + late, copy);
             }
             match self.across(&Party::Controller(node), &Party::Agent(name.clone())) {
@@ -178,7 +178,7 @@
                 Some((Cut::Hold, until)) => at = until + 1000,
                 None => {}
             }
-            self.schedule(at, Ev::Report(name, node, number, body));
+            self.schedule(at, Ev::AgentHeartbeat(name, node, number, body));
         }
     }
 
