--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -25,10 +25,15 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use store::{FakeStore, Limits};
 use trouble::{Mute, Troubles};
-use walnuttrestle::controller::{Clock, Controller};
+use walnuttrestle::controller::Controller;
 use walnuttrestle::policy::Policy;
+use walnuttrestle::protocol::Clock;
+use walnuttrestle::protocol::agent_api::*;
+use walnuttrestle::protocol::client_api::*;
+use walnuttrestle::protocol::cloud_api::*;
+use walnuttrestle::protocol::codec::*;
+use walnuttrestle::protocol::key_value_api::*;
 use walnuttrestle::protocol::settings::NextStateParams;
-use walnuttrestle::protocol::wire::*;
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 
@@ -56,9 +61,9 @@
     Return(usize, u64, u64, Outcome),
     Timeout(usize, u64, u64),
     Restart(usize),
-    /// A agent's report arrives at a node; the number names the report.
-    Report(String, usize, u64, Vec<u8>),
-    ReportResponse(String, u64, u16, Vec<u8>),
+    /// An agent's report arrives at a node; the number names the report.
+    AgentHeartbeat(String, usize, u64, Vec<u8>),
+    AgentHeartbeatResponse(String, u64, u16, Vec<u8>),
     Tick,
     Do(Box<dyn FnOnce(&mut World)>),
 }
@@ -105,7 +110,7 @@
     Health,
     /// Something that must be refused: what, and with which status.
     Odd(&'static str, u16),
-    Report(String, u64),
+    AgentHeartbeat(String, u64),
     Peer(usize, u64, u64, bool),
 }
 
@@ -466,7 +471,7 @@
         self.nodes[i].held.clear();
         self.reset(i);
         self.conns.retain(|(n, _), p| match p {
-            Pending::Report(..) => *n != i,
+            Pending::AgentHeartbeat(..) => *n != i,
             _ => *n != i,
         });
         self.schedule(self.now + back, Ev::Restart(i));
@@ -548,14 +553,14 @@
                 }
             }
             Ev::Arrive(i, run, id, call) => self.arrive(i, run, id, call),
-            Ev::Report(name, node, number, body) => {
+            Ev::AgentHeartbeat(name, node, number, body) => {
                 if self.nodes[node].node.is_none() {
                     return;
                 }
-                let p = Pending::Report(name, number);
+                let p = Pending::AgentHeartbeat(name, number);
                 self.request(node, p, "POST", "/hello".into(), body);
             }
-            Ev::ReportResponse(name, number, status, body) => {
+            Ev::AgentHeartbeatResponse(name, number, status, body) => {
                 self.report_answered(&name, number, status, &body);
             }
             Ev::Tick => self.tick(),
--- a/tests/world/net.rs
+++ b/tests/world/net.rs
@@ -183,7 +183,7 @@
 
     pub(super) fn respond(&mut self, i: usize, conn: u64, status: u16, body: Vec<u8>) {
         match self.conns.remove(&(i, conn)) {
-            Some(Pending::Report(name, number)) => {
+            Some(Pending::AgentHeartbeat(name, number)) => {
                 if self.troubles.mute(&name, i, Mute::Answers, self.now) {
                     return;
                 }
@@ -193,7 +193,7 @@
                     Some((Cut::Hold, until)) => at = until + 1000,
                     None => {}
                 }
-                self.schedule(at, Ev::ReportResponse(name, number, status, body));
+                self.schedule(at, Ev::AgentHeartbeatResponse(name, number, status, body));
             }
             Some(Pending::Peer(from, run, id, beat)) => {
                 let who = Party::Controller(i);
@@ -249,8 +249,8 @@
                     w.kill_all();
                     w.lease_from = now;
                 }
-                let o: Orders = decode(&call.body).expect("orders");
-                let status = if o.term < w.term || o.session != w.session {
+                let o: AgentCommands = decode(&call.body).expect("orders");
+                let status = if o.term < w.term || o.agent_epoch != w.agent_epoch {
                     409
                 } else {
                     w.term = o.term;
@@ -293,14 +293,14 @@
         let nodes = self.nodes.len();
         if let Some(until) = self.hung(name) {
             let (n, b) = (name.to_string(), body.to_vec());
-            self.schedule(until + 10, Ev::ReportResponse(n, number, status, b));
+            self.schedule(until + 10, Ev::AgentHeartbeatResponse(n, number, status, b));
             return;
         }
         let now = self.now;
         let Some(w) = self.agents.get_mut(name).filter(|w| w.alive) else {
             return;
         };
-        let Some((session, flying, sent)) = w.flying else {
+        let Some((agent_epoch, flying, sent)) = w.flying else {
             return;
         };
         if flying != number || now > sent + 4 * SEC {
@@ -310,10 +310,10 @@
         match status {
             200 => {
                 // Without a token it is dropped.
-                let Some(a) = decode::<ReportResponse>(body) else {
+                let Some(a) = decode::<AgentHeartbeatResponse>(body) else {
                     return;
                 };
-                if a.term < w.term || session != w.session {
+                if a.term < w.term || agent_epoch != w.agent_epoch {
                     return;
                 }
                 if a.term > w.term {
--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -3,7 +3,8 @@
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
-use walnuttrestle::protocol::wire::*;
+use walnuttrestle::protocol::codec::*;
+use walnuttrestle::protocol::key_value_api::*;
 use walnuttrestle::protocol::{JobKind, Micros, Priority};
 use walnuttrestle::transport::NetworkEvent;
 
--- a/tests/world/pretend.rs
+++ b/tests/world/pretend.rs
@@ -6,9 +6,9 @@
     /// A controller sends a start.
     pub fn pretend_start(&mut self, node: usize, machine: &str, task: &str, attempt: u64) {
         let index: usize = machine.trim_start_matches("n-").parse().unwrap();
-        let orders = Orders {
+        let orders = AgentCommands {
             term: self.term(),
-            session: self.agents[machine].session,
+            agent_epoch: self.agents[machine].agent_epoch,
             commands: vec![Command::Start {
                 task: task.into(),
                 attempt,
@@ -62,13 +62,13 @@
     pub fn send_bytes(&mut self, node: usize, internal: bool, path: &str, body: Vec<u8>) {
         let pending = match path {
             "/submissions" => Pending::Odd("bytes", 400),
-            _ => Pending::Report("none".into(), 0),
+            _ => Pending::AgentHeartbeat("none".into(), 0),
         };
         self.request_on(internal, node, pending, "POST", path.into(), body);
     }
 
-    /// What a agent would report now.
-    pub fn report_of(&mut self, machine: &str) -> Report {
+    /// What an agent would report now.
+    pub fn report_of(&mut self, machine: &str) -> AgentHeartbeat {
         let w = self.agents.get_mut(machine).expect("a machine");
         w.report()
     }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -4,7 +4,8 @@
 
 use rmpv::Value;
 use std::collections::BTreeMap;
-use walnuttrestle::protocol::wire::*;
+use walnuttrestle::protocol::codec::*;
+use walnuttrestle::protocol::key_value_api::*;
 
 /// A request that waits for a change.
 pub struct Waiting {
--- a/tests/world/trouble.rs
+++ b/tests/world/trouble.rs
@@ -4,7 +4,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
-use walnuttrestle::protocol::wire::{Change, Transaction, decode};
+use walnuttrestle::protocol::codec::decode;
+use walnuttrestle::protocol::key_value_api::{Change, Transaction};
 use walnuttrestle::transport::Call;
 
 /// What does not reach a machine.
