--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -19,7 +19,7 @@
     BASE, JobRecord, JobStage, LEAD, LeaderRecord, TYPES, TaskChunk, TaskEntry, job_key,
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
-use walnuttrestle::scheduling::job_queue::Backlog;
+use walnuttrestle::scheduling::job_queue::JobQueue;
 use walnuttrestle::scheduling::pass;
 use walnuttrestle::state::agent::{Agent, ReportedTask};
 use walnuttrestle::state::record_cache::RecordCache;
@@ -347,7 +347,7 @@
             for (what, open) in [("full", 0), ("with room", 1)] {
                 let node = queued(machines, jobs, tasks, open);
                 let Some(l) = &node.leader else { continue };
-                let mut kept = pass::Kept::default();
+                let mut kept = pass::PassState::default();
                 let at = format!("{what}, {machines} machines, {jobs} jobs");
                 let now = clock();
                 let mut new = || {
@@ -373,7 +373,7 @@
     for jobs in [1_000, 10_000, 100_000] {
         let node = queued(1_250, jobs, 10, 1);
         group.bench_function(BenchmarkId::new("kept from records", jobs), |b| {
-            b.iter(|| Backlog::build(node.cache.jobs.iter()).queued());
+            b.iter(|| JobQueue::build(node.cache.jobs.iter()).queued());
         });
         let items: Vec<Item> = waiting(jobs, 10)
             .map(|(id, rec)| Item {
@@ -411,7 +411,7 @@
     }
     cache.take_changed();
     let copy = resident();
-    let backlog = Backlog::build(cache.jobs.iter());
+    let backlog = JobQueue::build(cache.jobs.iter());
     let both = resident();
     assert_eq!(backlog.queued(), JOBS);
     let each = |bytes: u64| bytes / JOBS as u64;
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -13,7 +13,7 @@
 use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::records::{JobStage, LEAD, LeaderRecord};
 use crate::state::agent::{
-    Agent, AttemptKey, ReportedTask, Start, TaskLiveness, parse_agent_heartbeat,
+    Agent, AttemptKey, DirectStart, ReportedTask, TaskLiveness, parse_agent_heartbeat,
 };
 use crate::state::record_cache::RecordCache;
 use crate::state::store_client::{RequestPriority, StoreRequest};
@@ -210,9 +210,9 @@
             for key in d.starts.into_iter().filter(|_| relayed) {
                 let s = w.starts.entry(key).or_default();
                 if s.term != l.term {
-                    *s = Start {
+                    *s = DirectStart {
                         term: l.term,
-                        ..Start::default()
+                        ..DirectStart::default()
                     };
                 }
                 s.answer_to = Some(report.seq);
@@ -273,9 +273,9 @@
             for key in &d.starts {
                 let s = w.starts.entry(key.clone()).or_default();
                 if s.term != l.term {
-                    *s = Start {
+                    *s = DirectStart {
                         term: l.term,
-                        ..Start::default()
+                        ..DirectStart::default()
                     };
                 }
                 s.direct = true;
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -83,7 +83,7 @@
     /// Order of the starts, by job and task.
     pub order_of: BTreeMap<String, BTreeMap<u32, u64>>,
     /// What is kept from pass to pass.
-    pub kept: crate::scheduling::pass::Kept,
+    pub kept: crate::scheduling::pass::PassState,
 }
 
 /// An agent unheard for this many report intervals gets no new tasks.
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -6,10 +6,12 @@
 use crate::protocol::cloud_api::MachineType;
 use crate::protocol::records::JobStage;
 use crate::protocol::{JobSpec, Micros, Settings};
-use crate::scheduling::backfill::{Lack, Met};
+use crate::scheduling::backfill::{QueueCandidate, UnmetDemand};
 use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
-use crate::scheduling::cluster_snapshot::Hosts;
-use crate::scheduling::placement::{self, Allow, Amounts, Host, NameTable, Shape, slots};
+use crate::scheduling::cluster_snapshot::HostTable;
+use crate::scheduling::placement::{
+    self, Host, NameTable, PlacementConstraints, Resources, TaskRequirements, slots,
+};
 use crate::state::record_cache::{Job, RecordCache};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,32 +38,32 @@
 }
 
 /// What a job needs that found no room.
-pub struct Need<'a> {
+pub struct CapacityDemand<'a> {
     /// All of its tasks, or none.
     pub gang: bool,
     /// Jobs with the same number find room in the same places.
     pub reach: u32,
     /// What one task takes.
-    pub need: &'a Amounts,
+    pub need: &'a Resources,
     /// Which machines it may use.
-    pub allow: &'a Arc<Allow>,
+    pub allow: &'a Arc<PlacementConstraints>,
     /// The only zones in which further tasks may be, because of those that the job has; none: any.
     pub zones: Option<Vec<u32>>,
 }
 
 /// Looks up what found no room. The job itself is looked up only if something may be rented for it.
-pub trait Wants<'a> {
+pub trait DemandSource<'a> {
     /// What a job needs.
-    fn need<'n>(&'n self, of: Met<'n>) -> Need<'n>;
+    fn need<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n>;
     /// The job.
-    fn job(&self, of: Met<'_>) -> Option<(&'a String, &'a Job)>;
+    fn job(&self, of: QueueCandidate<'_>) -> Option<(&'a String, &'a Job)>;
 }
 
 /// What looks for room in the same places: jobs of one reach, with tasks in the same zones.
-type Alike = (u32, Option<Vec<u32>>);
+type InstanceClass = (u32, Option<Vec<u32>>);
 
-impl Need<'_> {
-    fn alike(&self) -> Alike {
+impl CapacityDemand<'_> {
+    fn alike(&self) -> InstanceClass {
         (self.reach, self.zones.clone())
     }
 
@@ -72,22 +74,22 @@
     }
 
     /// The same as what the job allows, zone by zone where it is bound to some.
-    fn allowed(&self) -> Vec<Allow> {
+    fn allowed(&self) -> Vec<PlacementConstraints> {
         let Some(zones) = &self.zones else {
-            return vec![Allow::clone(self.allow)];
+            return vec![PlacementConstraints::clone(self.allow)];
         };
         let own = zones
             .iter()
             .filter(|z| self.allow.zone.is_none_or(|a| a == **z));
-        own.map(|z| Allow {
+        own.map(|z| PlacementConstraints {
             zone: Some(*z),
-            ..Allow::clone(self.allow)
+            ..PlacementConstraints::clone(self.allow)
         })
         .collect()
     }
 
-    fn shape(&self) -> Shape {
-        Shape {
+    fn shape(&self) -> TaskRequirements {
+        TaskRequirements {
             need: *self.need,
             allow: self.allow.clone(),
             saves: false,
@@ -120,13 +122,13 @@
 }
 
 /// Machines that are not there yet, or are about to take tasks, and what has been promised of them.
-struct Coming {
+struct ProvisioningInstances {
     rooms: CapacityIndex,
     /// What found no room on them.
-    vain: HashMap<Alike, InfeasibleRequests>,
+    vain: HashMap<InstanceClass, InfeasibleRequests>,
 }
 
-impl Coming {
+impl ProvisioningInstances {
     fn add(&mut self, host: Option<Host>) {
         if let Some(h) = host {
             self.rooms.push(h);
@@ -136,7 +138,12 @@
     }
 
     /// Promises room to tasks; returns how many found none.
-    fn place<'j>(&mut self, need: &Need<'_>, n: u32, job: impl Fn() -> Option<&'j Job>) -> u32 {
+    fn place<'j>(
+        &mut self,
+        need: &CapacityDemand<'_>,
+        n: u32,
+        job: impl Fn() -> Option<&'j Job>,
+    ) -> u32 {
         let many = if need.gang { n } else { 1 };
         let vain = self.vain.entry(need.alike()).or_default();
         if vain.covers(need.need, many) {
@@ -176,7 +183,7 @@
 
 /// What planning looks at.
 #[derive(Clone, Copy)]
-pub struct Sight<'a> {
+pub struct FleetSnapshot<'a> {
     /// The leader.
     pub leader: &'a LeaderState,
     /// The records.
@@ -188,7 +195,7 @@
     /// Now.
     pub clock: Clock,
     /// The machines.
-    pub hosts: &'a Hosts<'a>,
+    pub hosts: &'a HostTable<'a>,
     /// The same as they are after this pass.
     pub rooms: &'a [Host],
     /// Long enough in the lead to know who is there.
@@ -197,12 +204,12 @@
 
 /// What to rent for what lacks room, unless we are too new to know, and what to return.
 pub fn plan<'a>(
-    sight: &Sight<'_>,
+    sight: &FleetSnapshot<'_>,
     names: &NameTable,
-    wants: &impl Wants<'a>,
-    lacks: &[Lack<'_>],
+    wants: &impl DemandSource<'a>,
+    lacks: &[UnmetDemand<'_>],
 ) -> ScalingPlan {
-    let Sight {
+    let FleetSnapshot {
         leader: l,
         cache,
         policy,
@@ -224,7 +231,7 @@
         return plan;
     }
     let types: &[MachineType] = cache.types.as_deref().unwrap_or_default();
-    let mut coming = Coming {
+    let mut coming = ProvisioningInstances {
         rooms: CapacityIndex::default(),
         vain: HashMap::new(),
     };
@@ -275,7 +282,7 @@
     let mut ordered = 0;
     let most = policy.most_machines as usize;
     // For what nothing is on offer.
-    let mut unoffered: HashMap<Alike, InfeasibleRequests> = HashMap::new();
+    let mut unoffered: HashMap<InstanceClass, InfeasibleRequests> = HashMap::new();
     for lack in lacks {
         // Promises are only made to find out what else to rent.
         if ordered >= RENTED_A_PASS || (most > 0 && total >= most) {
@@ -346,11 +353,11 @@
 
 /// Machines to be returned, and why.
 fn give_up(
-    sight: &Sight<'_>,
+    sight: &FleetSnapshot<'_>,
     silent_zones: &BTreeSet<String>,
     lacking: bool,
 ) -> Vec<(String, &'static str)> {
-    let Sight {
+    let FleetSnapshot {
         leader: l,
         cache,
         settings,
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -7,17 +7,17 @@
 
 use crate::protocol::{JobKind, JobSpec, Micros, Priority};
 use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
-use crate::scheduling::job_queue::Brief;
-use crate::scheduling::pending_jobs::{BackfillOrder, Far, rank};
-use crate::scheduling::placement::{self, Amounts, Host, Picker, Shape, slots};
-use crate::scheduling::preemption::{Claim, Way, in_the_way, make_way};
+use crate::scheduling::job_queue::JobSummary;
+use crate::scheduling::pending_jobs::{BackfillOrder, PendingJobs, rank};
+use crate::scheduling::placement::{self, Host, HostPicker, Resources, TaskRequirements, slots};
+use crate::scheduling::preemption::{EvictionPlan, PreemptionRequest, in_the_way, make_way};
 use crate::scheduling::quota::QuotaTracker;
 use crate::scheduling::recovery::Recovery;
 use foldhash::HashMap;
 
 /// A job with tasks to start.
 #[derive(Debug)]
-pub struct Item<'a> {
+pub struct QueueEntry<'a> {
     /// Job id.
     pub id: &'a str,
     /// When it was accepted.
@@ -25,7 +25,7 @@
     /// The job.
     pub spec: &'a JobSpec,
     /// The same, in numbers.
-    pub shape: Shape,
+    pub shape: TaskRequirements,
     /// Its team, by name.
     pub team: u32,
     /// Jobs with the same number find room in the same places.
@@ -52,7 +52,7 @@
     pub starved: bool,
 }
 
-impl<'a> Item<'a> {
+impl<'a> QueueEntry<'a> {
     fn rank(&self) -> BackfillOrder<'a> {
         rank(self.starved, self.estimate_s, (self.at, self.id))
     }
@@ -60,7 +60,7 @@
 
 /// A running task that may have to make room.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Victim<'a> {
+pub struct PreemptibleTask<'a> {
     /// Job.
     pub job: &'a str,
     /// Task.
@@ -68,7 +68,7 @@
     /// Index of its machine.
     pub host: usize,
     /// What it takes.
-    pub need: Amounts,
+    pub need: Resources,
     /// Order of its start; later is larger.
     pub order: u64,
     /// Started ahead of an earlier job.
@@ -96,7 +96,7 @@
 
 /// Marks the victims of classes that have little. `used`: by class, what its tasks take, each as the
 /// part of all machines that is scarcest for it.
-pub fn spare(victims: &mut [Victim<'_>], used: &HashMap<u32, f64>) {
+pub fn spare(victims: &mut [PreemptibleTask<'_>], used: &HashMap<u32, f64>) {
     for v in victims {
         v.spared = used.get(&v.class).is_none_or(|u| *u <= SPARED);
     }
@@ -104,7 +104,7 @@
 
 /// A start that the pass decided on.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct TaskPlacement {
     /// Job.
     pub job: String,
     /// Task.
@@ -117,33 +117,33 @@
 
 /// A job that a pass has met.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Met<'a> {
+pub enum QueueCandidate<'a> {
     /// Number among those near.
     Near(usize),
     /// One far.
-    Far(&'a Brief),
+    PendingJobs(&'a JobSummary),
 }
 
 /// Room that could not be found.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Lack<'a> {
+pub struct UnmetDemand<'a> {
     /// Job.
-    pub of: Met<'a>,
+    pub of: QueueCandidate<'a>,
     /// How many tasks.
     pub tasks: u32,
 }
 
 /// What a pass decided.
 #[derive(Debug, Default)]
-pub struct Plan<'a> {
+pub struct SchedulingPlan<'a> {
     /// Tasks to start.
-    pub places: Vec<Place>,
+    pub places: Vec<TaskPlacement>,
     /// Tasks to stop: job and task.
     pub stops: Vec<(String, u32)>,
     /// Machines on which room is being made, and for which job.
     pub reserved: Vec<(usize, String)>,
     /// What found no room, in the order in which it was met.
-    pub lacks: Vec<Lack<'a>>,
+    pub lacks: Vec<UnmetDemand<'a>>,
 }
 
 /// Most places of one pass; a gang may exceed it.
@@ -162,7 +162,7 @@
 
 /// A wide array that is gone on with when all others have been met.
 struct Cut<'a> {
-    met: Met<'a>,
+    met: QueueCandidate<'a>,
     /// Tasks that have been seen to.
     first: u32,
     backfill: bool,
@@ -170,36 +170,36 @@
 
 /// A pass on its way.
 struct Pass<'p, 'a> {
-    far: &'p Far<'a>,
+    far: &'p PendingJobs<'a>,
     rooms: &'p mut CapacityIndex,
-    victims: &'p [Victim<'a>],
+    victims: &'p [PreemptibleTask<'a>],
     /// Victims that stop alone and save.
-    savers: Vec<&'p Victim<'a>>,
+    savers: Vec<&'p PreemptibleTask<'a>>,
     room: &'p mut QuotaTracker,
-    typical: Amounts,
+    typical: Resources,
     b_max: f64,
     tries: usize,
     /// What has found no room, by reach.
     vain: Vec<InfeasibleRequests>,
     /// Claims to which nothing gives way.
-    hopeless: Vec<Claim>,
+    hopeless: Vec<PreemptionRequest>,
     /// What wide arrays may still take before all others have been met.
     wide: u32,
     /// Wide arrays of which more could be started, and whether it would be backfilled.
     cut: Vec<Cut<'a>>,
-    plan: Plan<'a>,
+    plan: SchedulingPlan<'a>,
 }
 
 /// Starts what fits, in order. `near`: in the order of `Recovery::order`; `b_max`: the largest demand
 /// seen, that of all these jobs included.
 pub fn pass<'a>(
-    near: &[Item<'a>],
-    far: &Far<'a>,
+    near: &[QueueEntry<'a>],
+    far: &PendingJobs<'a>,
     rooms: &mut CapacityIndex,
-    victims: &[Victim<'a>],
+    victims: &[PreemptibleTask<'a>],
     room: &mut QuotaTracker,
     b_max: f64,
-) -> Plan<'a> {
+) -> SchedulingPlan<'a> {
     let mut p = Pass {
         far,
         typical: rooms.first().map_or([1.0; 3], |h| h.total),
@@ -213,7 +213,7 @@
         hopeless: Vec::new(),
         wide: WIDE_PLACES,
         cut: Vec::new(),
-        plan: Plan::default(),
+        plan: SchedulingPlan::default(),
     };
     p.walk(near);
     p.widen(near);
@@ -225,18 +225,18 @@
         self.plan.places.len() >= PLACES
     }
 
-    fn ratio(&self, tasks: u32, need: &Amounts) -> f64 {
+    fn ratio(&self, tasks: u32, need: &Resources) -> f64 {
         tasks as f64 * placement::size(&self.typical, need) / self.b_max
     }
 
-    fn walk(&mut self, near: &[Item<'a>]) {
+    fn walk(&mut self, near: &[QueueEntry<'a>]) {
         let far = self.far;
         let mut replicas = far.replicas().peekable();
         let mut others = far.others().peekable();
         let mut here = near.iter().enumerate().peekable();
         // The first gang or array that did not fit, by its arrival; later ones come afterwards.
         let mut blocked: Option<(Micros, &str)> = None;
-        let mut later: Vec<(usize, &Item<'a>)> = Vec::new();
+        let mut later: Vec<(usize, &QueueEntry<'a>)> = Vec::new();
         loop {
             if self.full() {
                 return;
@@ -258,9 +258,15 @@
                     continue;
                 }
                 let before = self.plan.places.len();
-                let short = self.start(Met::Near(n), item, false);
+                let short = self.start(QueueCandidate::Near(n), item, false);
                 let placed = self.plan.places.len() > before;
-                (Met::Near(n), (item.at, item.id), service, short, placed)
+                (
+                    QueueCandidate::Near(n),
+                    (item.at, item.id),
+                    service,
+                    short,
+                    placed,
+                )
             } else {
                 let service = first == replica;
                 let row = if service {
@@ -272,12 +278,18 @@
                 let before = self.plan.places.len();
                 let short = self.visit(brief, false);
                 let placed = self.plan.places.len() > before;
-                (Met::Far(brief), at, service, short, placed)
+                (
+                    QueueCandidate::PendingJobs(brief),
+                    at,
+                    service,
+                    short,
+                    placed,
+                )
             };
             if short == 0 {
                 continue;
             }
-            self.plan.lacks.push(Lack {
+            self.plan.lacks.push(UnmetDemand {
                 of: met,
                 tasks: short,
             });
@@ -305,15 +317,19 @@
             };
             let (met, r, short) = if near_first {
                 let Some((n, item)) = later.next() else { break };
-                let met = Met::Near(n);
+                let met = QueueCandidate::Near(n);
                 (met, item.rank(), self.start(met, item, true))
             } else {
                 let Some((r, brief)) = row else { break };
                 row = rows.next();
-                (Met::Far(brief), r, self.visit(brief, true))
+                (
+                    QueueCandidate::PendingJobs(brief),
+                    r,
+                    self.visit(brief, true),
+                )
             };
             if short > 0 {
-                self.plan.lacks.push(Lack {
+                self.plan.lacks.push(UnmetDemand {
                     of: met,
                     tasks: short,
                 });
@@ -327,7 +343,7 @@
     }
 
     /// Starts what fits of a job far; returns how many tasks found no room, its team's limit aside.
-    fn visit(&mut self, row: &'a Brief, backfill: bool) -> u32 {
+    fn visit(&mut self, row: &'a JobSummary, backfill: bool) -> u32 {
         let form = self.far.form_of(row);
         let gang = form.kind == JobKind::Gang;
         let n = far_tasks(gang, row);
@@ -352,7 +368,7 @@
         let Some(item) = self.far.item(row) else {
             return 0;
         };
-        let short = self.start(Met::Far(row), &item, backfill);
+        let short = self.start(QueueCandidate::PendingJobs(row), &item, backfill);
         if gang && short > 0 {
             self.vain[form.reach as usize].add(&row.need, n);
         }
@@ -360,23 +376,23 @@
     }
 
     /// The kind of a job.
-    fn kind(&self, near: &[Item<'a>], met: Met<'a>) -> JobKind {
+    fn kind(&self, near: &[QueueEntry<'a>], met: QueueCandidate<'a>) -> JobKind {
         match met {
-            Met::Near(n) => near[n].spec.kind,
-            Met::Far(brief) => self.far.form_of(brief).kind,
+            QueueCandidate::Near(n) => near[n].spec.kind,
+            QueueCandidate::PendingJobs(brief) => self.far.form_of(brief).kind,
         }
     }
 
     /// A job as a pass handles it; one far is `made` for that.
     fn item<'i>(
         &self,
-        near: &'i [Item<'a>],
-        met: Met<'a>,
-        made: &'i mut Option<Item<'a>>,
-    ) -> Option<&'i Item<'a>> {
+        near: &'i [QueueEntry<'a>],
+        met: QueueCandidate<'a>,
+        made: &'i mut Option<QueueEntry<'a>>,
+    ) -> Option<&'i QueueEntry<'a>> {
         match met {
-            Met::Near(n) => Some(&near[n]),
-            Met::Far(brief) => {
+            QueueCandidate::Near(n) => Some(&near[n]),
+            QueueCandidate::PendingJobs(brief) => {
                 *made = self.far.item(brief);
                 made.as_ref()
             }
@@ -387,8 +403,8 @@
     /// of its tasks have found no room.
     fn press(
         &mut self,
-        near: &[Item<'a>],
-        met: Met<'a>,
+        near: &[QueueEntry<'a>],
+        met: QueueCandidate<'a>,
         at: (Micros, &str),
         short: u32,
         top: bool,
@@ -404,17 +420,19 @@
         };
         let kind = self.kind(near, met);
         let guaranteed = match met {
-            Met::Near(n) => near[n].guaranteed,
-            Met::Far(brief) => self.far.guaranteed(self.far.form_of(brief).team, at),
+            QueueCandidate::Near(n) => near[n].guaranteed,
+            QueueCandidate::PendingJobs(brief) => {
+                self.far.guaranteed(self.far.form_of(brief).team, at)
+            }
         };
         if !presses(kind, guaranteed) {
             return;
         }
         let claim = match met {
-            Met::Near(n) => Claim::of(&near[n], top),
-            Met::Far(brief) => {
+            QueueCandidate::Near(n) => PreemptionRequest::of(&near[n], top),
+            QueueCandidate::PendingJobs(brief) => {
                 let form = self.far.form_of(brief);
-                Claim {
+                PreemptionRequest {
                     kind,
                     priority: self.far.priority(form, at.1),
                     team: form.team,
@@ -440,21 +458,21 @@
             self.victims,
             &mut self.plan,
         ) {
-            Way::Kept => {}
+            EvictionPlan::PassState => {}
             // What gives way to nobody now will not do so later in this pass.
-            Way::None => self.hopeless.push(claim),
-            Way::Weighed => self.tries -= 1,
+            EvictionPlan::None => self.hopeless.push(claim),
+            EvictionPlan::Weighed => self.tries -= 1,
         }
     }
 
-    fn take(&mut self, host: usize, item: &Item<'_>) {
+    fn take(&mut self, host: usize, item: &QueueEntry<'_>) {
         self.rooms.take(host, &item.shape.need);
         self.room.take(item.team, &item.shape.need);
         self.rooms.gets(host, item.shape.image);
     }
 
     /// Starts what fits of one job; returns how many tasks found no room, its team's limit aside.
-    fn start(&mut self, met: Met<'a>, item: &Item<'_>, backfill: bool) -> u32 {
+    fn start(&mut self, met: QueueCandidate<'a>, item: &QueueEntry<'_>, backfill: bool) -> u32 {
         let spec = item.spec;
         let n = item.tasks.len() as u32;
         let may = self.room.slots(item.team, &item.shape.need).min(n);
@@ -484,7 +502,7 @@
             };
             for (task, host) in item.tasks.iter().zip(found) {
                 self.take(host, item);
-                self.plan.places.push(Place {
+                self.plan.places.push(TaskPlacement {
                     job: item.id.to_string(),
                     task: *task,
                     host,
@@ -499,7 +517,7 @@
     /// What a wide array takes of the room that is free before all others have been met: half, or it would take
     /// each place that falls free ahead of them for as long as it lasts; and one place to begin with. Returns that
     /// after all the room.
-    fn share(&self, item: &Item<'_>) -> (u32, u32) {
+    fn share(&self, item: &QueueEntry<'_>) -> (u32, u32) {
         let (need, allow) = (&item.shape.need, &item.shape.allow);
         let all = self.rooms.candidates(item.id, need, allow);
         let all = all.into_iter().map(|h| slots(&self.rooms[h].free, need));
@@ -509,7 +527,7 @@
     }
 
     /// Goes on with wide arrays once all others have been met.
-    fn widen(&mut self, near: &[Item<'a>]) {
+    fn widen(&mut self, near: &[QueueEntry<'a>]) {
         for Cut {
             met,
             first,
@@ -529,7 +547,7 @@
     }
 
     /// Starts tasks one by one; returns how many found no room.
-    fn spread(&mut self, item: &Item<'_>, tasks: &[u32], backfill: bool) -> u32 {
+    fn spread(&mut self, item: &QueueEntry<'_>, tasks: &[u32], backfill: bool) -> u32 {
         let spec = item.spec;
         let shape = &item.shape;
         let ratio = self.ratio(spec.tasks, &shape.need);
@@ -540,7 +558,7 @@
         let has = |i: usize| item.present.iter().any(|(_, m)| *m == Some(i));
         let all = self.rooms.candidates(item.id, &shape.need, &shape.allow);
         let all = all.into_iter();
-        let mut picker = Picker::new(self.rooms, all, item.id, shape, ratio, service, has);
+        let mut picker = HostPicker::new(self.rooms, all, item.id, shape, ratio, service, has);
         let mut clearing = None;
         for (k, task) in tasks.iter().enumerate() {
             let fits = |zone: u32| {
@@ -577,7 +595,7 @@
             self.take(host, item);
             picker.taken(self.rooms, host);
             zones.push(self.rooms[host].zone);
-            self.plan.places.push(Place {
+            self.plan.places.push(TaskPlacement {
                 job: item.id.to_string(),
                 task: *task,
                 host,
@@ -589,7 +607,7 @@
 }
 
 /// How many tasks of a job far a pass would start.
-pub fn far_tasks(gang: bool, row: &Brief) -> u32 {
+pub fn far_tasks(gang: bool, row: &JobSummary) -> u32 {
     if gang {
         row.left
     } else {
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,9 +1,9 @@
 //! Tests.
 
 use super::*;
-use crate::scheduling::job_queue::Backlog;
-use crate::scheduling::pending_jobs::Scene;
-use crate::scheduling::placement::Allow;
+use crate::scheduling::job_queue::JobQueue;
+use crate::scheduling::pending_jobs::SchedulingContext;
+use crate::scheduling::placement::PlacementConstraints;
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,15 +23,15 @@
     }
 }
 
-fn item<'a>(spec: &'a JobSpec, fetch_s: f64) -> Item<'a> {
-    Item {
+fn item<'a>(spec: &'a JobSpec, fetch_s: f64) -> QueueEntry<'a> {
+    QueueEntry {
         id: "req-2",
         at: Micros::ZERO,
         spec,
         lost: 0,
-        shape: Shape {
+        shape: TaskRequirements {
             need: [1.0; 3],
-            allow: Arc::new(Allow {
+            allow: Arc::new(PlacementConstraints {
                 kinds: None,
                 zone: None,
                 spot: false,
@@ -54,8 +54,8 @@
     }
 }
 
-fn victim(priority: Priority) -> Victim<'static> {
-    Victim {
+fn victim(priority: Priority) -> PreemptibleTask<'static> {
+    PreemptibleTask {
         job: "req-1",
         task: 3,
         host: 1,
@@ -73,13 +73,21 @@
     }
 }
 
-fn run(item: Item<'_>, hosts: &[Host], victims: &[Victim<'_>]) -> Plan<'static> {
+fn run(
+    item: QueueEntry<'_>,
+    hosts: &[Host],
+    victims: &[PreemptibleTask<'_>],
+) -> SchedulingPlan<'static> {
     run_all(&[item], hosts, victims)
 }
 
-fn run_all(items: &[Item<'_>], hosts: &[Host], victims: &[Victim<'_>]) -> Plan<'static> {
-    let backlog = Backlog::default();
-    let scene = Scene {
+fn run_all(
+    items: &[QueueEntry<'_>],
+    hosts: &[Host],
+    victims: &[PreemptibleTask<'_>],
+) -> SchedulingPlan<'static> {
+    let backlog = JobQueue::default();
+    let scene = SchedulingContext {
         backlog: &backlog,
         jobs: &BTreeMap::new(),
         within: Default::default(),
@@ -87,15 +95,15 @@
         fetch_rate: 1.0,
         wall: Micros::ZERO,
     };
-    let far = Far::new(&scene, [].into_iter());
+    let far = PendingJobs::new(&scene, [].into_iter());
     let mut rooms = CapacityIndex::new(hosts.to_vec());
     let mut room = QuotaTracker::default();
     let mut plan = pass(items, &far, &mut rooms, victims, &mut room, 1.0);
-    let lacks = plan.lacks.drain(..).map(|l| Lack {
-        of: Met::Near(0),
+    let lacks = plan.lacks.drain(..).map(|l| UnmetDemand {
+        of: QueueCandidate::Near(0),
         tasks: l.tasks,
     });
-    Plan {
+    SchedulingPlan {
         lacks: lacks.collect(),
         places: plan.places,
         stops: plan.stops,
@@ -138,13 +146,13 @@
 #[test]
 fn a_very_wide_array_leaves_half_of_a_pass_to_those_behind_it() {
     let array = JobSpec::sample(JobKind::Array);
-    let of = |id: &'static str, tasks: u32| Item {
+    let of = |id: &'static str, tasks: u32| QueueEntry {
         id,
         tasks: (0..tasks).collect(),
         ..item(&array, 1.0)
     };
     let fleet: Vec<Host> = (0..60).map(|_| host(4.0, &[])).collect();
-    let count = |p: &Plan<'_>, id: &str| p.places.iter().filter(|x| x.job == id).count();
+    let count = |p: &SchedulingPlan<'_>, id: &str| p.places.iter().filter(|x| x.job == id).count();
     let queue = [of("req-1", 128), of("req-2", 128), of("req-3", 20)];
     let plan = run_all(&queue, &fleet, &[]);
     assert_eq!(count(&plan, "req-3"), 20);
@@ -159,7 +167,7 @@
 #[test]
 fn what_a_team_is_owed_comes_back_on_several_machines_at_once() {
     let array = JobSpec::sample(JobKind::Array);
-    let waits = |tasks: u32, guaranteed| Item {
+    let waits = |tasks: u32, guaranteed| QueueEntry {
         tasks: (0..tasks).collect(),
         guaranteed,
         ..item(&array, 1.0)
@@ -170,8 +178,8 @@
         host(0.0, &[]),
         host(0.0, &[]),
     ];
-    let guests: Vec<Victim<'_>> = (0..16)
-        .map(|n| Victim {
+    let guests: Vec<PreemptibleTask<'_>> = (0..16)
+        .map(|n| PreemptibleTask {
             task: n as u32,
             host: n % 4,
             order: n as u64,
@@ -198,28 +206,29 @@
         ..JobSpec::sample(JobKind::Gang)
     };
     let full = [host(0.0, &[]), host(0.0, &[])];
-    let array = Victim {
+    let array = PreemptibleTask {
         saves: false,
         ..victim(Priority::Normal)
     };
-    let waits = |aged| Item {
+    let waits = |aged| QueueEntry {
         aged,
         ..item(&gang, 1.0)
     };
-    let stops =
-        |item, victim: &Victim<'static>| run(item, &full, std::slice::from_ref(victim)).stops;
+    let stops = |item, victim: &PreemptibleTask<'static>| {
+        run(item, &full, std::slice::from_ref(victim)).stops
+    };
     assert!(stops(waits(false), &array).is_empty());
     assert_eq!(stops(waits(true), &array), [("req-1".to_string(), 3)]);
     // Not of a class that has little, not of its own priority, and no gang.
-    let spared = Victim {
+    let spared = PreemptibleTask {
         spared: true,
         ..array.clone()
     };
-    let equal = Victim {
+    let equal = PreemptibleTask {
         priority: Priority::High,
         ..array.clone()
     };
-    let other = Victim {
+    let other = PreemptibleTask {
         single: false,
         ..array.clone()
     };
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -4,7 +4,7 @@
 //! kept by how much is free on them: whether anything could take a task, and what could, is found
 //! without looking at the full ones.
 
-use crate::scheduling::placement::{Allow, Amounts, Host, may_take, slots};
+use crate::scheduling::placement::{Host, PlacementConstraints, Resources, may_take, slots};
 use std::collections::BTreeMap;
 use std::ops::Deref;
 
@@ -14,9 +14,9 @@
 const SLACK: f64 = 1e-5;
 
 /// How much is free, in parts of a machine of this kind, for each of the three amounts.
-type Level = [u8; 3];
+type CapacityLevel = [u8; 3];
 
-fn level(total: &Amounts, room: &Amounts, slack: f64) -> Level {
+fn level(total: &Resources, room: &Resources, slack: f64) -> CapacityLevel {
     std::array::from_fn(|r| {
         if total[r] > 0.0 {
             ((room[r] + slack) / total[r] * PARTS)
@@ -30,17 +30,17 @@
 
 /// Machines of one type, zone and way of renting.
 #[derive(Debug, Clone)]
-struct Pool {
+struct HostBucket {
     kind: u32,
     zone: u32,
     spot: bool,
-    total: Amounts,
-    levels: BTreeMap<Level, Vec<u32>>,
+    total: Resources,
+    levels: BTreeMap<CapacityLevel, Vec<u32>>,
 }
 
-impl Pool {
+impl HostBucket {
     /// Machines with at least this much room, as far as levels tell, those with least first.
-    fn roomy(&self, need: &Amounts) -> impl DoubleEndedIterator<Item = usize> {
+    fn roomy(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
         let least = level(&self.total, need, 0.0);
         // The first of the three orders the map: smaller ones are not looked at.
         self.levels
@@ -52,9 +52,9 @@
 
 /// Where a machine is kept: its pool, its level, and its place among those.
 #[derive(Debug, Clone, Copy)]
-struct Seat {
+struct BucketPosition {
     pool: u32,
-    level: Level,
+    level: CapacityLevel,
     at: u32,
 }
 
@@ -62,9 +62,9 @@
 #[derive(Debug, Default, Clone)]
 pub struct CapacityIndex {
     hosts: Vec<Host>,
-    pools: Vec<Pool>,
+    pools: Vec<HostBucket>,
     /// None: it takes nothing new, and is kept nowhere.
-    seats: Vec<Option<Seat>>,
+    seats: Vec<Option<BucketPosition>>,
 }
 
 impl Deref for CapacityIndex {
@@ -95,12 +95,13 @@
 
     fn pool(&mut self, h: usize) -> usize {
         let h = &self.hosts[h];
-        let same =
-            |p: &Pool| (p.kind, p.zone, p.spot) == (h.kind, h.zone, h.spot) && p.total == h.total;
+        let same = |p: &HostBucket| {
+            (p.kind, p.zone, p.spot) == (h.kind, h.zone, h.spot) && p.total == h.total
+        };
         match self.pools.iter().position(same) {
             Some(i) => i,
             None => {
-                self.pools.push(Pool {
+                self.pools.push(HostBucket {
                     kind: h.kind,
                     zone: h.zone,
                     spot: h.spot,
@@ -127,7 +128,7 @@
         }
         let pool = self.pool(h);
         let list = self.pools[pool].levels.entry(now).or_default();
-        self.seats[h] = Some(Seat {
+        self.seats[h] = Some(BucketPosition {
             pool: pool as u32,
             level: now,
             at: list.len() as u32,
@@ -135,7 +136,7 @@
         list.push(h as u32);
     }
 
-    fn unseat(&mut self, h: usize, s: Seat) {
+    fn unseat(&mut self, h: usize, s: BucketPosition) {
         self.seats[h] = None;
         let levels = &mut self.pools[s.pool as usize].levels;
         let Some(list) = levels.get_mut(&s.level) else {
@@ -153,7 +154,7 @@
     }
 
     /// A task takes room.
-    pub fn take(&mut self, h: usize, need: &Amounts) {
+    pub fn take(&mut self, h: usize, need: &Resources) {
         self.hosts[h].take(need);
         self.seat(h);
     }
@@ -169,25 +170,25 @@
     }
 
     /// Pools of machines that may be used.
-    fn allowed(&self, allow: &Allow) -> impl Iterator<Item = &Pool> {
+    fn allowed(&self, allow: &PlacementConstraints) -> impl Iterator<Item = &HostBucket> {
         let pools = self.pools.iter();
         pools.filter(|p| allow.takes(p.kind, p.zone, p.spot))
     }
 
     /// Machines with at least this much room, as far as levels tell.
-    fn roomy(&self, need: &Amounts, allow: &Allow) -> impl Iterator<Item = usize> {
+    fn roomy(&self, need: &Resources, allow: &PlacementConstraints) -> impl Iterator<Item = usize> {
         self.allowed(allow).flat_map(|p| p.roomy(need))
     }
 
     /// Whether any machine would take a task that needs so much; none is kept for its job.
-    pub fn any(&self, need: &Amounts, allow: &Allow) -> bool {
+    pub fn any(&self, need: &Resources, allow: &PlacementConstraints) -> bool {
         self.roomy(need, allow)
             .any(|h| may_take(&self.hosts[h], "", need, allow))
     }
 
     /// Machines that would take so many tasks between them, or all there are; those with most room first,
     /// which are the ones rented last. Nobody's machines are kept for anybody here.
-    pub fn enough(&self, need: &Amounts, allow: &Allow, n: u32) -> Vec<usize> {
+    pub fn enough(&self, need: &Resources, allow: &PlacementConstraints, n: u32) -> Vec<usize> {
         let mut left = n;
         let mut found = Vec::new();
         for h in self.allowed(allow).flat_map(|p| p.roomy(need).rev()) {
@@ -203,7 +204,12 @@
     }
 
     /// All machines that would take a task of this job, in no order.
-    pub fn candidates(&self, id: &str, need: &Amounts, allow: &Allow) -> Vec<usize> {
+    pub fn candidates(
+        &self,
+        id: &str,
+        need: &Resources,
+        allow: &PlacementConstraints,
+    ) -> Vec<usize> {
         self.roomy(need, allow)
             .filter(|h| may_take(&self.hosts[*h], id, need, allow))
             .collect()
@@ -213,21 +219,21 @@
 /// What has found no room: whatever needs as much or more, and is as many or more, finds none either,
 /// as long as room only gets less.
 #[derive(Debug, Default, Clone)]
-pub struct InfeasibleRequests(Vec<(Amounts, u32)>);
+pub struct InfeasibleRequests(Vec<(Resources, u32)>);
 
 /// More than these are not worth comparing with.
 const MOST_VAIN: usize = 24;
 
 impl InfeasibleRequests {
     /// Whether `n` tasks that need so much each would look for room in vain.
-    pub fn covers(&self, need: &Amounts, n: u32) -> bool {
+    pub fn covers(&self, need: &Resources, n: u32) -> bool {
         self.0
             .iter()
             .any(|(v, m)| *m <= n && (0..3).all(|r| v[r] <= need[r]))
     }
 
     /// They have looked in vain.
-    pub fn add(&mut self, need: &Amounts, n: u32) {
+    pub fn add(&mut self, need: &Resources, n: u32) {
         self.0
             .retain(|(v, m)| !(n <= *m && (0..3).all(|r| need[r] <= v[r])));
         if self.0.len() < MOST_VAIN {
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -32,13 +32,13 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut plain = fleet(&mut rng);
         let mut rooms = CapacityIndex::new(plain.clone());
-        let allow = Allow {
+        let allow = PlacementConstraints {
             kinds: rng.random_bool(0.3).then(|| vec![0]),
             zone: rng.random_bool(0.3).then_some(10),
             spot: rng.random_bool(0.5),
         };
         for step in 0..30 {
-            let need: Amounts = [
+            let need: Resources = [
                 rng.random_range(0.0..30.0),
                 [0.0, 1.0, 8.0][rng.random_range(0..3)],
                 rng.random_range(0..90) as f64,
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -7,12 +7,12 @@
 use crate::protocol::agent_api::{ExitReason, TaskPhase};
 use crate::protocol::records::{CHUNK, TaskEntry};
 use crate::protocol::{JobKind, Micros, Settings};
-use crate::scheduling::backfill::{Item, Victim, WIDE_MOST};
-use crate::scheduling::job_queue::{Row, Slot, Stand};
-use crate::scheduling::pending_jobs::Scene;
-use crate::scheduling::placement::{Amounts, Host, NameTable, add, size};
+use crate::scheduling::backfill::{PreemptibleTask, QueueEntry, WIDE_MOST};
+use crate::scheduling::job_queue::{QueueState, QueuedJob, Slot};
+use crate::scheduling::pending_jobs::SchedulingContext;
+use crate::scheduling::placement::{Host, NameTable, Resources, add, size};
 use crate::scheduling::quota::QuotaTracker;
-use crate::scheduling::recovery::Lost;
+use crate::scheduling::recovery::LostTask;
 use crate::state::agent::{Agent, TaskLiveness};
 use crate::state::record_cache::{Job, RecordCache};
 use foldhash::{HashMap, HashMapExt};
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// The machines as a pass sees them.
-pub struct Hosts<'a> {
+pub struct HostTable<'a> {
     /// The machines, with what is free on them.
     pub list: Vec<Host>,
     /// Their names, in the same order.
@@ -29,7 +29,7 @@
     index: HashMap<&'a str, u32>,
 }
 
-impl Hosts<'_> {
+impl HostTable<'_> {
     /// Index of a machine.
     pub fn find(&self, machine: &str) -> Option<usize> {
         self.index.get(machine).map(|i| *i as usize)
@@ -38,7 +38,7 @@
 
 /// What a pass found out besides.
 #[derive(Debug, Default)]
-pub struct Findings {
+pub struct ClusterSnapshot {
     /// Jobs that are over and of which nothing is anywhere.
     pub cleans: Vec<String>,
     /// Tasks that were reported as done and whose record does not say so.
@@ -50,17 +50,17 @@
     /// A job is held off for now: there has to be another pass.
     pub held_off: bool,
     /// Tasks without their places.
-    pub lost: Lost,
+    pub lost: LostTask,
     /// Tasks with a place on record.
     pub placed: usize,
 }
 
 /// Which images a machine has, in numbers, as long as nothing on it changes.
 #[derive(Debug, Default)]
-pub struct KnownImages(HashMap<Arc<str>, JobLookup>);
+pub struct ImageAvailability(HashMap<Arc<str>, KnownImages>);
 
 #[derive(Debug)]
-struct JobLookup {
+struct KnownImages {
     version: u64,
     cache_gb: f64,
     list: Arc<Vec<u32>>,
@@ -69,7 +69,7 @@
 /// Machines remembered there; those of long ago are forgotten all at once.
 const MOST_KNOWN: usize = 8_000;
 
-impl KnownImages {
+impl ImageAvailability {
     fn of(
         &mut self,
         machine: &str,
@@ -88,7 +88,7 @@
         }
         let images = cache.images.of(machine, cache_gb);
         let list = Arc::new(images.map(|i| names.id(i)).collect::<Vec<u32>>());
-        let known = JobLookup {
+        let known = KnownImages {
             version,
             cache_gb,
             list: list.clone(),
@@ -104,29 +104,29 @@
 }
 
 /// A pass looking around.
-pub struct Survey<'s, 'a> {
+pub struct SnapshotBuilder<'s, 'a> {
     /// The leader.
     pub leader: &'a LeaderState,
     /// What is to be known of jobs.
-    pub scene: &'s Scene<'a>,
+    pub scene: &'s SchedulingContext<'a>,
     /// Now.
     pub clock: Clock,
     /// The machines.
-    pub hosts: Hosts<'a>,
+    pub hosts: HostTable<'a>,
     /// What teams may still take.
     pub room: QuotaTracker,
     /// What all machines hold together.
-    pub all: Amounts,
+    pub all: Resources,
     /// By class, the part of that which its tasks take.
     pub used: HashMap<u32, f64>,
     /// Tasks that may have to make room.
-    pub victims: Vec<Victim<'a>>,
+    pub victims: Vec<PreemptibleTask<'a>>,
     /// Jobs with tasks to start.
-    pub items: Vec<Item<'a>>,
+    pub items: Vec<QueueEntry<'a>>,
     /// Rows of all jobs looked into.
     pub near: Vec<Slot>,
     /// What else was found.
-    pub found: Findings,
+    pub found: ClusterSnapshot,
 }
 
 /// The machines that are there, with all their room free.
@@ -136,12 +136,12 @@
     policy: &Policy,
     cache: &RecordCache,
     names: &mut NameTable,
-    known: &mut KnownImages,
+    known: &mut ImageAvailability,
     now: Micros,
-) -> Hosts<'a> {
+) -> HostTable<'a> {
     let fresh = Micros::secs(s.params.agents.report_s * FRESH_REPORTS);
     let n = l.agents.len();
-    let mut hosts = Hosts {
+    let mut hosts = HostTable {
         list: Vec::with_capacity(n),
         names: Vec::with_capacity(n),
         agents: Vec::with_capacity(n),
@@ -185,13 +185,13 @@
     hosts
 }
 
-/// A task whose place is on record, as `Survey::look` found it.
+/// A task whose place is on record, as `SnapshotBuilder::look` found it.
 struct Found {
     standing: TaskLiveness,
     host: Option<usize>,
 }
 
-impl<'a> Survey<'_, 'a> {
+impl<'a> SnapshotBuilder<'_, 'a> {
     /// Looks into every job of which something is placed, being written, in trouble, or for which room
     /// is being made.
     pub fn all(&mut self) {
@@ -202,7 +202,7 @@
         let backlog = self.scene.backlog;
         let more = more.into_iter().filter_map(|id| {
             let (slot, row) = backlog.find(id)?;
-            (row.stand != Stand::Placed).then_some((&*row.id, slot))
+            (row.stand != QueueState::Placed).then_some((&*row.id, slot))
         });
         // By their ids, as ever: who takes room first must not depend on what else is going on.
         let mut more = more.peekable();
@@ -242,8 +242,8 @@
     }
 
     /// One job: takes its tasks' room, says what it wants, and what is to be done about it.
-    fn look(&mut self, id: &'a str, job: &'a Job, row: &Row) -> Option<Item<'a>> {
-        if row.stand == Stand::Needs {
+    fn look(&mut self, id: &'a str, job: &'a Job, row: &QueuedJob) -> Option<QueueEntry<'a>> {
+        if row.stand == QueueState::Needs {
             // Nothing of it starts before the jobs that it needs are recorded as done; it takes no
             // room and no place in the queue, and holds nobody up.
             return None;
@@ -336,7 +336,7 @@
                         && !stopped(e.task())
                     {
                         let order = order.and_then(|o| o.get(&e.task()));
-                        self.victims.push(Victim {
+                        self.victims.push(PreemptibleTask {
                             job: id,
                             task: e.task(),
                             host: h,
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -10,7 +10,9 @@
 
 use crate::protocol::settings::Team;
 use crate::protocol::{JobKind, JobSpec, Micros, Priority};
-use crate::scheduling::placement::{Allow, Amounts, NameTable, Shape, need, size};
+use crate::scheduling::placement::{
+    NameTable, PlacementConstraints, Resources, TaskRequirements, need, size,
+};
 use crate::state::record_cache::Job;
 use foldhash::{HashMap, HashMapExt};
 use std::cmp::Ordering;
@@ -25,13 +27,13 @@
 /// What a walk past a job needs of it. The orders hold it themselves: to look each row up would cost
 /// more than all the rest of the walk.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Brief {
+pub struct JobSummary {
     /// The job's row.
     pub slot: Slot,
     /// Number of its form.
     pub form: u32,
     /// What a task needs.
-    pub need: Amounts,
+    pub need: Resources,
     /// Tasks not done.
     pub left: u32,
 }
@@ -56,7 +58,7 @@
 
 /// What many jobs have in common: their row names it by number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Form {
+pub struct JobProfile {
     /// Kind of job.
     pub kind: JobKind,
     /// Team, by name.
@@ -66,7 +68,7 @@
     /// Own priority.
     pub priority: Priority,
     /// Which machines it may use.
-    pub allow: Arc<Allow>,
+    pub allow: Arc<PlacementConstraints>,
     /// Saves by itself.
     pub saves: bool,
     /// Its tasks start one by one, and where some are limits the zones of the others.
@@ -78,7 +80,7 @@
 
 /// Where a live job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stand {
+pub enum QueueState {
     /// Waits for other jobs: not in the queue.
     Needs,
     /// In the queue, and nothing of it is anywhere.
@@ -89,7 +91,7 @@
 
 /// One live job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Row {
+pub struct QueuedJob {
     /// Its id.
     pub id: Arc<str>,
     /// When it was accepted, by time of day.
@@ -99,7 +101,7 @@
     /// Owner's estimate, in seconds.
     pub estimate: Estimate,
     /// What a task needs.
-    pub need: Amounts,
+    pub need: Resources,
     /// Number of its form.
     pub form: u32,
     /// Image, by name.
@@ -109,19 +111,19 @@
     /// Tasks not done.
     pub left: u32,
     /// Where it stands.
-    pub stand: Stand,
+    pub stand: QueueState,
     /// Not over.
     pub active: bool,
 }
 
-impl Row {
+impl QueuedJob {
     fn arrival(&self) -> Arrival {
         (self.at, self.id.clone())
     }
 
     /// The same, in brief.
-    fn brief(&self, slot: Slot) -> Brief {
-        Brief {
+    fn brief(&self, slot: Slot) -> JobSummary {
+        JobSummary {
             slot,
             form: self.form,
             need: self.need,
@@ -132,38 +134,38 @@
 
 /// The queue.
 #[derive(Debug, Default)]
-pub struct Backlog {
+pub struct JobQueue {
     /// Numbers for names, for whoever compares with rows.
     pub names: NameTable,
     /// Names there were when it was built, with those that the first pass added.
     settled: Option<usize>,
     built: bool,
-    rows: Vec<Option<Row>>,
+    rows: Vec<Option<QueuedJob>>,
     unused: Vec<Slot>,
     // Ids are chosen by users: the standard hasher cannot be made to collide.
     by_id: std::collections::HashMap<Arc<str>, Slot>,
-    forms: Vec<Form>,
-    form_of: HashMap<Form, u32>,
-    reaches: HashMap<(Arc<Allow>, bool, bool, bool), u32>,
-    replicas: BTreeMap<Arrival, Brief>,
-    others: BTreeMap<Arrival, Brief>,
-    shortest: BTreeMap<(Estimate, Arrival), Brief>,
+    forms: Vec<JobProfile>,
+    form_of: HashMap<JobProfile, u32>,
+    reaches: HashMap<(Arc<PlacementConstraints>, bool, bool, bool), u32>,
+    replicas: BTreeMap<Arrival, JobSummary>,
+    others: BTreeMap<Arrival, JobSummary>,
+    shortest: BTreeMap<(Estimate, Arrival), JobSummary>,
     placed: BTreeMap<Arc<str>, Slot>,
     teams: HashMap<u32, BTreeMap<Arrival, Slot>>,
-    typical: Amounts,
+    typical: Resources,
     largest: f64,
 }
 
 /// Names may double, and this many more, before all begins anew.
 const MORE_NAMES: usize = 10_000;
 
-impl Backlog {
+impl JobQueue {
     /// Of all live jobs.
-    pub fn build<'a>(jobs: impl Iterator<Item = (&'a String, &'a Job)>) -> Backlog {
-        let mut b = Backlog {
+    pub fn build<'a>(jobs: impl Iterator<Item = (&'a String, &'a Job)>) -> JobQueue {
+        let mut b = JobQueue {
             built: true,
             typical: [1.0; 3],
-            ..Backlog::default()
+            ..JobQueue::default()
         };
         for (id, job) in jobs {
             b.insert(id, job);
@@ -204,16 +206,18 @@
         let form = &self.forms[row.form as usize];
         let arrival = row.arrival();
         match row.stand {
-            Stand::Queued if form.kind == JobKind::Service => _ = self.replicas.remove(&arrival),
-            Stand::Queued => {
+            QueueState::Queued if form.kind == JobKind::Service => {
+                _ = self.replicas.remove(&arrival)
+            }
+            QueueState::Queued => {
                 self.others.remove(&arrival);
                 self.shortest.remove(&(row.estimate, arrival.clone()));
             }
-            Stand::Placed => _ = self.placed.remove(id),
-            Stand::Needs => {}
+            QueueState::Placed => _ = self.placed.remove(id),
+            QueueState::Needs => {}
         }
         if row.active
-            && row.stand != Stand::Needs
+            && row.stand != QueueState::Needs
             && let Some(team) = self.teams.get_mut(&form.team)
         {
             team.remove(&arrival);
@@ -224,13 +228,13 @@
         let spec = &job.rec.spec;
         let form = self.form(spec);
         let stand = if job.active() && job.waits() {
-            Stand::Needs
+            QueueState::Needs
         } else if job.active() && job.entries().all(|e| e.machine().is_none()) {
-            Stand::Queued
+            QueueState::Queued
         } else {
-            Stand::Placed
+            QueueState::Placed
         };
-        let row = Row {
+        let row = QueuedJob {
             id: id.into(),
             at: job.rec.at,
             released: job.released,
@@ -248,18 +252,18 @@
         let arrival = row.arrival();
         let brief = row.brief(slot);
         match stand {
-            Stand::Queued if form.kind == JobKind::Service => {
+            QueueState::Queued if form.kind == JobKind::Service => {
                 _ = self.replicas.insert(arrival.clone(), brief);
             }
-            Stand::Queued => {
+            QueueState::Queued => {
                 self.others.insert(arrival.clone(), brief);
                 let key = (row.estimate, arrival.clone());
                 self.shortest.insert(key, brief);
             }
-            Stand::Placed => _ = self.placed.insert(row.id.clone(), slot),
-            Stand::Needs => {}
+            QueueState::Placed => _ = self.placed.insert(row.id.clone(), slot),
+            QueueState::Needs => {}
         }
-        if row.active && stand != Stand::Needs {
+        if row.active && stand != QueueState::Needs {
             self.largest = self.largest.max(demand(&row, &self.typical));
             self.teams
                 .entry(form.team)
@@ -274,11 +278,11 @@
     }
 
     fn form(&mut self, spec: &JobSpec) -> u32 {
-        let allow = Arc::new(Allow::of(spec, &mut self.names));
+        let allow = Arc::new(PlacementConstraints::of(spec, &mut self.names));
         let gang = spec.kind == JobKind::Gang;
         let next = self.reaches.len() as u32;
         let reach = (allow.clone(), gang, spec.one_zone, spec.spread);
-        let form = Form {
+        let form = JobProfile {
             kind: spec.kind,
             team: self.names.id(&spec.team),
             class: self.names.id(&spec.class),
@@ -298,30 +302,30 @@
     }
 
     /// A job's row.
-    pub fn row(&self, slot: Slot) -> Option<&Row> {
+    pub fn row(&self, slot: Slot) -> Option<&QueuedJob> {
         self.rows.get(slot as usize)?.as_ref()
     }
 
     /// The same by its id.
-    pub fn find(&self, id: &str) -> Option<(Slot, &Row)> {
+    pub fn find(&self, id: &str) -> Option<(Slot, &QueuedJob)> {
         let slot = *self.by_id.get(id)?;
         Some((slot, self.row(slot)?))
     }
 
     /// What a row's job has in common with others.
-    pub fn form_of(&self, row: &Row) -> &Form {
+    pub fn form_of(&self, row: &QueuedJob) -> &JobProfile {
         &self.forms[row.form as usize]
     }
 
     /// The form with this number.
-    pub fn form_at(&self, n: u32) -> &Form {
+    pub fn form_at(&self, n: u32) -> &JobProfile {
         &self.forms[n as usize]
     }
 
     /// What placing a row's tasks depends on.
-    pub fn shape(&self, row: &Row) -> Shape {
+    pub fn shape(&self, row: &QueuedJob) -> TaskRequirements {
         let form = self.form_of(row);
-        Shape {
+        TaskRequirements {
             need: row.need,
             allow: form.allow.clone(),
             saves: form.saves,
@@ -346,17 +350,17 @@
     }
 
     /// Queued services in order of arrival.
-    pub fn replicas(&self) -> impl Iterator<Item = (&Arrival, &Brief)> {
+    pub fn replicas(&self) -> impl Iterator<Item = (&Arrival, &JobSummary)> {
         self.replicas.iter()
     }
 
     /// Queued gangs and arrays in order of arrival.
-    pub fn others(&self) -> impl Iterator<Item = (&Arrival, &Brief)> {
+    pub fn others(&self) -> impl Iterator<Item = (&Arrival, &JobSummary)> {
         self.others.iter()
     }
 
     /// The same, shortest estimate first.
-    pub fn shortest(&self) -> impl Iterator<Item = (&(Estimate, Arrival), &Brief)> {
+    pub fn shortest(&self) -> impl Iterator<Item = (&(Estimate, Arrival), &JobSummary)> {
         self.shortest.iter()
     }
 
@@ -366,11 +370,11 @@
     }
 
     /// The largest demand of any job that has been in the queue, in machines of the typical size.
-    pub fn largest(&mut self, typical: Amounts) -> f64 {
+    pub fn largest(&mut self, typical: Resources) -> f64 {
         if self.typical != typical {
             self.typical = typical;
             let rows = self.rows.iter().flatten();
-            let counts = rows.filter(|r| r.active && r.stand != Stand::Needs);
+            let counts = rows.filter(|r| r.active && r.stand != QueueState::Needs);
             let all = counts.map(|r| demand(r, &typical));
             self.largest = all.fold(0.0, f64::max);
         }
@@ -378,7 +382,7 @@
     }
 
     /// How far each team's guarantee goes.
-    pub fn within(&self, teams: &[Team]) -> Within {
+    pub fn within(&self, teams: &[Team]) -> GuaranteeWindow {
         let mut reach = HashMap::new();
         for t in teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0) {
             let Some(team) = self.names.find(&t.name) else {
@@ -401,7 +405,7 @@
             }
             reach.insert(team, last);
         }
-        Within(reach)
+        GuaranteeWindow(reach)
     }
 
     /// Every order in which passes walk, as text.
@@ -439,7 +443,7 @@
         &self,
         jobs: impl Iterator<Item = (&'a String, &'a Job)>,
     ) -> Result<(), String> {
-        let (ours, anew) = (self.orders(), Backlog::build(jobs).orders());
+        let (ours, anew) = (self.orders(), JobQueue::build(jobs).orders());
         for order in ours.keys().chain(anew.keys()) {
             let (a, b) = (ours.get(order), anew.get(order));
             if a != b {
@@ -451,16 +455,16 @@
 }
 
 /// A job's demand: its tasks by their size on a typical machine.
-fn demand(row: &Row, typical: &Amounts) -> f64 {
+fn demand(row: &QueuedJob, typical: &Resources) -> f64 {
     row.tasks as f64 * size(typical, &row.need)
 }
 
 /// How far each team's guarantee goes: the last of its jobs, in order of arrival, that fits into it
 /// together with the earlier ones.
 #[derive(Debug, Default)]
-pub struct Within(HashMap<u32, Option<Arrival>>);
+pub struct GuaranteeWindow(HashMap<u32, Option<Arrival>>);
 
-impl Within {
+impl GuaranteeWindow {
     /// Whether a job fits into its team's guarantee.
     pub fn covers(&self, team: u32, at: Micros, id: &str) -> bool {
         match self.0.get(&team) {
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -46,7 +46,7 @@
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut jobs: BTreeMap<String, Job> = BTreeMap::new();
-        let mut kept = Backlog::build(jobs.iter());
+        let mut kept = JobQueue::build(jobs.iter());
         for _ in 0..80 {
             let id = format!("req-{}", rng.random_range(0..30));
             if rng.random_bool(0.3) {
@@ -103,7 +103,7 @@
         ("c".to_string(), job(3, 2, 0)),
         ("d".to_string(), job(4, 1, 0)),
     ]);
-    let kept = Backlog::build(jobs.iter());
+    let kept = JobQueue::build(jobs.iter());
     let within = kept.within(&[team]);
     let red = kept.names.find("red").expect("a team of a job is named");
     let covered: Vec<&String> = jobs
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -3,17 +3,19 @@
 //! is kept from pass to pass to spare work; `Controller::pass` acts on it.
 
 use crate::agents::leader_state::{LeaderState, grace};
-use crate::cloud::autoscaler::{self, Need, ScalingPlan, Wants as _};
+use crate::cloud::autoscaler::{self, CapacityDemand, DemandSource as _, ScalingPlan};
 use crate::controller::Controller;
 use crate::policy::Policy;
 use crate::protocol::Clock;
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{JobKind, JobSpec, Micros, Settings};
-use crate::scheduling::backfill::{self, Item, Met, PLACES};
+use crate::scheduling::backfill::{self, PLACES, QueueCandidate, QueueEntry};
 use crate::scheduling::capacity_index::CapacityIndex;
-use crate::scheduling::cluster_snapshot::{self, Findings, KnownImages, Survey};
-use crate::scheduling::job_queue::Backlog;
-use crate::scheduling::pending_jobs::{Far, Scene};
+use crate::scheduling::cluster_snapshot::{
+    self, ClusterSnapshot, ImageAvailability, SnapshotBuilder,
+};
+use crate::scheduling::job_queue::JobQueue;
+use crate::scheduling::pending_jobs::{PendingJobs, SchedulingContext};
 use crate::scheduling::placement::add;
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use crate::scheduling::quota::QuotaTracker;
@@ -31,7 +33,7 @@
 
 /// A start that was decided on, by the machine's name and session.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Start {
+pub struct TaskStart {
     /// Job.
     pub job: String,
     /// Task.
@@ -46,9 +48,9 @@
 
 /// What a pass decided.
 #[derive(Debug, Default)]
-pub struct Decision {
+pub struct PassDecision {
     /// Tasks to start.
-    pub starts: Vec<Start>,
+    pub starts: Vec<TaskStart>,
     /// Tasks to be stopped to make room: job and task.
     pub stops: Vec<(String, u32)>,
     /// Machines on which room is being made, and for which job.
@@ -58,7 +60,7 @@
     /// The largest demand seen.
     pub b_max: f64,
     /// What else was found.
-    pub found: Findings,
+    pub found: ClusterSnapshot,
     /// Machines to rent and to return.
     pub fleet: ScalingPlan,
     /// Jobs with tasks to start.
@@ -69,32 +71,32 @@
 
 /// What the leader keeps from pass to pass. It all follows from records and reports.
 #[derive(Default)]
-pub struct Kept {
+pub struct PassState {
     /// The queue.
-    pub backlog: Backlog,
-    images: KnownImages,
+    pub backlog: JobQueue,
+    images: ImageAvailability,
 }
 
-impl Kept {
+impl PassState {
     /// Made anew from the records, if it was never made, or holds what is long gone.
     fn refresh(&mut self, cache: &RecordCache) {
         if self.backlog.stale() {
-            self.backlog = Backlog::build(cache.jobs.iter());
+            self.backlog = JobQueue::build(cache.jobs.iter());
             self.images.forget();
         }
     }
 }
 
 /// Looks up what lacks room.
-struct Wants<'p, 'a> {
-    near: &'p [Item<'a>],
-    far: &'p Far<'a>,
+struct DemandSource<'p, 'a> {
+    near: &'p [QueueEntry<'a>],
+    far: &'p PendingJobs<'a>,
     /// Zones of what this pass has placed, of jobs for which that matters.
     placed: HashMap<&'p str, Vec<u32>>,
     zones: &'p [u32],
 }
 
-impl Wants<'_, '_> {
+impl DemandSource<'_, '_> {
     /// The only zones in which further tasks of a job may be; none: any. Machines rented elsewhere would never get
     /// them, and keep those that they need from being rented.
     fn bound(
@@ -122,12 +124,12 @@
     }
 }
 
-impl<'a> autoscaler::Wants<'a> for Wants<'_, 'a> {
-    fn need<'n>(&'n self, of: Met<'n>) -> Need<'n> {
+impl<'a> autoscaler::DemandSource<'a> for DemandSource<'_, 'a> {
+    fn need<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n> {
         match of {
-            Met::Near(n) => {
+            QueueCandidate::Near(n) => {
                 let item = &self.near[n];
-                Need {
+                CapacityDemand {
                     gang: item.spec.kind == JobKind::Gang,
                     reach: item.reach,
                     need: &item.shape.need,
@@ -135,9 +137,9 @@
                     zones: self.bound(item.id, item.spec, &item.present),
                 }
             }
-            Met::Far(brief) => {
+            QueueCandidate::PendingJobs(brief) => {
                 let form = self.far.form_of(brief);
-                Need {
+                CapacityDemand {
                     gang: form.kind == JobKind::Gang,
                     reach: form.reach,
                     need: &brief.need,
@@ -152,10 +154,10 @@
         }
     }
 
-    fn job(&self, of: Met<'_>) -> Option<(&'a String, &'a Job)> {
+    fn job(&self, of: QueueCandidate<'_>) -> Option<(&'a String, &'a Job)> {
         match of {
-            Met::Near(n) => self.far.job(self.near[n].id),
-            Met::Far(brief) => self.far.job_of(brief),
+            QueueCandidate::Near(n) => self.far.job(self.near[n].id),
+            QueueCandidate::PendingJobs(brief) => self.far.job_of(brief),
         }
     }
 }
@@ -163,13 +165,13 @@
 /// Decides on one pass. `told`: takes what found no room, in order, as jobs and numbers of tasks.
 pub fn decide(
     l: &LeaderState,
-    kept: &mut Kept,
+    kept: &mut PassState,
     cache: &RecordCache,
     settings: &Settings,
     policy: &Policy,
     clock: Clock,
     mut told: Option<&mut Vec<(String, u32)>>,
-) -> Decision {
+) -> PassDecision {
     kept.refresh(cache);
     let now = clock.now;
     let mut names = std::mem::take(&mut kept.backlog.names);
@@ -192,7 +194,7 @@
     let typical = hosts.list.first().map_or([1.0; 3], |h| h.total);
     let b_max = l.b_max.max(kept.backlog.largest(typical));
     let rates = cache.types.iter().flatten().map(|t| t.fetch_gb_per_s);
-    let scene = Scene {
+    let scene = SchedulingContext {
         backlog: &kept.backlog,
         jobs: &cache.jobs,
         within: kept.backlog.within(&settings.params.teams),
@@ -204,7 +206,7 @@
     for h in &hosts.list {
         add(&mut all, &h.total);
     }
-    let mut survey = Survey {
+    let mut survey = SnapshotBuilder {
         leader: l,
         scene: &scene,
         clock,
@@ -215,10 +217,10 @@
         victims: Vec::new(),
         items: Vec::new(),
         near: Vec::new(),
-        found: Findings::default(),
+        found: ClusterSnapshot::default(),
     };
     survey.all();
-    let Survey {
+    let SnapshotBuilder {
         mut hosts,
         mut room,
         mut victims,
@@ -242,7 +244,7 @@
         victims.clear();
     }
     backfill::spare(&mut victims, &used);
-    let far = Far::new(&scene, slots.into_iter());
+    let far = PendingJobs::new(&scene, slots.into_iter());
     let plan = backfill::pass(&near, &far, &mut rooms, &victims, &mut room, b_max);
     let mut placed: HashMap<&str, Vec<u32>> = HashMap::new();
     let places = plan.places.iter().filter(|_| !plan.lacks.is_empty());
@@ -253,7 +255,7 @@
     let mut zones: Vec<u32> = zones.filter_map(|z| scene.backlog.names.find(z)).collect();
     zones.sort_unstable();
     zones.dedup();
-    let wants = Wants {
+    let wants = DemandSource {
         near: &near,
         far: &far,
         placed,
@@ -264,7 +266,7 @@
         let named = all.filter_map(|l| Some((wants.job(l.of)?.0.clone(), l.tasks)));
         told.extend(named);
     }
-    let sight = autoscaler::Sight {
+    let sight = autoscaler::FleetSnapshot {
         leader: l,
         cache,
         settings,
@@ -275,7 +277,7 @@
         learnt,
     };
     let fleet = autoscaler::plan(&sight, &scene.backlog.names, &wants, &plan.lacks);
-    let start = |p: backfill::Place| Start {
+    let start = |p: backfill::TaskPlacement| TaskStart {
         machine: hosts.names[p.host].to_string(),
         agent_epoch: rooms[p.host].agent_epoch,
         job: p.job,
@@ -284,9 +286,9 @@
     };
     let reserved = plan.reserved.into_iter();
     // A record that cannot be read may hold another place, or the end; nothing could be written beside it.
-    let readable = |p: &backfill::Place| !cache.is_unreadable(&p.job);
+    let readable = |p: &backfill::TaskPlacement| !cache.is_unreadable(&p.job);
     let places = plan.places.into_iter().filter(readable);
-    let decision = Decision {
+    let decision = PassDecision {
         starts: places.map(start).collect(),
         stops: plan.stops,
         reserved: reserved
@@ -325,7 +327,7 @@
             debug_assert_eq!(counted, Ok(()));
         }
         l.kept = kept;
-        let Decision {
+        let PassDecision {
             starts,
             stops,
             reserved,
@@ -402,7 +404,7 @@
 }
 
 /// Turns starts into wanted records.
-fn record(l: &mut LeaderState, cache: &RecordCache, starts: Vec<Start>, now: Micros) {
+fn record(l: &mut LeaderState, cache: &RecordCache, starts: Vec<TaskStart>, now: Micros) {
     for s in starts {
         let Some(job) = cache.jobs.get(&s.job) else {
             continue;
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -1,8 +1,10 @@
 //! The jobs that a pass walks past: those in the queue of which nothing is anywhere.
 
 use crate::protocol::{JobKind, Micros, Priority};
-use crate::scheduling::backfill::{Item, far_tasks};
-use crate::scheduling::job_queue::{Arrival, Backlog, Brief, Form, Row, Slot, Stand, Within};
+use crate::scheduling::backfill::{QueueEntry, far_tasks};
+use crate::scheduling::job_queue::{
+    Arrival, GuaranteeWindow, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
+};
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use crate::state::record_cache::Job;
 use std::cmp::Ordering;
@@ -21,13 +23,13 @@
 const AGED: Micros = Micros::millis(20_000);
 
 /// What a pass has to know of any job besides its record.
-pub struct Scene<'a> {
+pub struct SchedulingContext<'a> {
     /// The queue.
-    pub backlog: &'a Backlog,
+    pub backlog: &'a JobQueue,
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
     /// How far guarantees reach.
-    pub within: Within,
+    pub within: GuaranteeWindow,
     /// Priorities of jobs that others need.
     pub lifted: InheritedPriorities<'a>,
     /// The slowest fetch of any machine type, in GB a second.
@@ -36,32 +38,38 @@
     pub wall: Micros,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> SchedulingContext<'a> {
     /// Whether a job is within its team's guarantee.
-    pub fn guaranteed(&self, row: &Row) -> bool {
+    pub fn guaranteed(&self, row: &QueuedJob) -> bool {
         let team = self.backlog.form_of(row).team;
         self.within.covers(team, row.at, &row.id)
     }
 
     /// Whether a job has waited for long.
-    pub fn overdue(&self, row: &Row) -> bool {
+    pub fn overdue(&self, row: &QueuedJob) -> bool {
         self.wall.since(row.released) > OVERDUE
     }
 
     /// Whether a gang has waited for long enough to take the place of what cannot save.
-    pub fn aged(&self, row: &Row) -> bool {
+    pub fn aged(&self, row: &QueuedJob) -> bool {
         self.wall.since(row.released) > AGED
     }
 
     /// Whether a job has waited for so long that shorter ones no longer come first.
-    pub fn starved(&self, row: &Row) -> bool {
+    pub fn starved(&self, row: &QueuedJob) -> bool {
         self.wall.since(row.released) > STARVED
     }
 
     /// An item for a job with these tasks to start; where its others are is to be filled in.
-    pub fn item(&self, id: &'a str, job: &'a Job, row: &Row, tasks: Vec<u32>) -> Item<'a> {
+    pub fn item(
+        &self,
+        id: &'a str,
+        job: &'a Job,
+        row: &QueuedJob,
+        tasks: Vec<u32>,
+    ) -> QueueEntry<'a> {
         let spec = &job.rec.spec;
-        Item {
+        QueueEntry {
             id,
             at: row.at,
             spec,
@@ -83,9 +91,9 @@
 }
 
 /// A place in the queue: time of day of the acceptance, then the id.
-pub type Place<'a> = (Micros, &'a str);
+pub type QueuePosition<'a> = (Micros, &'a str);
 
-fn place((at, id): &Arrival) -> Place<'_> {
+fn place((at, id): &Arrival) -> QueuePosition<'_> {
     (*at, id)
 }
 
@@ -96,11 +104,11 @@
     pub starved: bool,
     estimate: f64,
     /// Place in the queue.
-    pub at: Place<'a>,
+    pub at: QueuePosition<'a>,
 }
 
 /// A job's rank there.
-pub fn rank(starved: bool, estimate: f64, at: Place<'_>) -> BackfillOrder<'_> {
+pub fn rank(starved: bool, estimate: f64, at: QueuePosition<'_>) -> BackfillOrder<'_> {
     BackfillOrder {
         starved,
         estimate: if starved { 0.0 } else { estimate },
@@ -118,15 +126,18 @@
 }
 
 /// Those jobs, without the ones that a pass has looked into for other reasons.
-pub struct Far<'a> {
-    scene: &'a Scene<'a>,
+pub struct PendingJobs<'a> {
+    scene: &'a SchedulingContext<'a>,
     near: Vec<bool>,
     count: usize,
 }
 
-impl<'a> Far<'a> {
+impl<'a> PendingJobs<'a> {
     /// All but those in these slots.
-    pub fn new(scene: &'a Scene<'a>, near: impl Iterator<Item = Slot>) -> Far<'a> {
+    pub fn new(
+        scene: &'a SchedulingContext<'a>,
+        near: impl Iterator<Item = Slot>,
+    ) -> PendingJobs<'a> {
         let mut marks = vec![false; scene.backlog.slots()];
         let mut count = scene.backlog.queued();
         for slot in near {
@@ -134,21 +145,25 @@
                 *m = true;
             }
             let row = scene.backlog.row(slot);
-            count -= usize::from(row.is_some_and(|r| r.stand == Stand::Queued));
+            count -= usize::from(row.is_some_and(|r| r.stand == QueueState::Queued));
         }
-        Far {
+        PendingJobs {
             scene,
             near: marks,
             count,
         }
     }
 
-    fn row_is(&self, b: &Brief, is: impl Fn(&Scene<'a>, &Row) -> bool) -> bool {
+    fn row_is(
+        &self,
+        b: &JobSummary,
+        is: impl Fn(&SchedulingContext<'a>, &QueuedJob) -> bool,
+    ) -> bool {
         let row = self.scene.backlog.row(b.slot);
         row.is_some_and(|r| is(self.scene, r))
     }
 
-    fn far(&self, b: &Brief) -> bool {
+    fn far(&self, b: &JobSummary) -> bool {
         !self.near[b.slot as usize]
     }
 
@@ -158,24 +173,24 @@
     }
 
     /// Services in order of arrival.
-    pub fn replicas(&self) -> impl Iterator<Item = (Place<'a>, &'a Brief)> + '_ {
+    pub fn replicas(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
         let all = self.scene.backlog.replicas();
         all.filter(|(_, b)| self.far(b)).map(|(a, b)| (place(a), b))
     }
 
     /// Gangs and arrays in order of arrival.
-    pub fn others(&self) -> impl Iterator<Item = (Place<'a>, &'a Brief)> + '_ {
+    pub fn others(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
         let all = self.scene.backlog.others();
         all.filter(|(_, b)| self.far(b)).map(|(a, b)| (place(a), b))
     }
 
-    fn starved(&self, b: &Brief) -> bool {
-        self.row_is(b, Scene::starved)
+    fn starved(&self, b: &JobSummary) -> bool {
+        self.row_is(b, SchedulingContext::starved)
     }
 
     /// Gangs and arrays in the order in which they are backfilled: those that have waited for very long by
     /// arrival, then the shortest first.
-    pub fn backfilled(&self) -> impl Iterator<Item = (BackfillOrder<'a>, &'a Brief)> + '_ {
+    pub fn backfilled(&self) -> impl Iterator<Item = (BackfillOrder<'a>, &'a JobSummary)> + '_ {
         let starved = self.others().filter(|(_, b)| self.starved(b));
         let starved = starved.map(|(at, b)| (rank(true, 0.0, at), b));
         let all = self.scene.backlog.shortest();
@@ -184,7 +199,7 @@
     }
 
     /// What a job has in common with others.
-    pub fn form_of(&self, b: &Brief) -> &'a Form {
+    pub fn form_of(&self, b: &JobSummary) -> &'a JobProfile {
         self.scene.backlog.form_at(b.form)
     }
 
@@ -194,22 +209,22 @@
     }
 
     /// Whether a job is within its team's guarantee.
-    pub fn guaranteed(&self, team: u32, (at, id): Place<'_>) -> bool {
+    pub fn guaranteed(&self, team: u32, (at, id): QueuePosition<'_>) -> bool {
         self.scene.within.covers(team, at, id)
     }
 
     /// Whether a job has waited for long.
-    pub fn overdue(&self, b: &Brief) -> bool {
-        self.row_is(b, Scene::overdue)
+    pub fn overdue(&self, b: &JobSummary) -> bool {
+        self.row_is(b, SchedulingContext::overdue)
     }
 
     /// Whether a gang has waited for long enough to take the place of what cannot save.
-    pub fn aged(&self, b: &Brief) -> bool {
-        self.row_is(b, Scene::aged)
+    pub fn aged(&self, b: &JobSummary) -> bool {
+        self.row_is(b, SchedulingContext::aged)
     }
 
     /// The highest priority of a job and of those that need it.
-    pub fn priority(&self, form: &Form, id: &str) -> Priority {
+    pub fn priority(&self, form: &JobProfile, id: &str) -> Priority {
         self.scene.lifted.over(id, form.priority)
     }
 
@@ -219,12 +234,12 @@
     }
 
     /// The job behind a row.
-    pub fn job_of(&self, b: &Brief) -> Option<(&'a String, &'a Job)> {
+    pub fn job_of(&self, b: &JobSummary) -> Option<(&'a String, &'a Job)> {
         self.job(&self.scene.backlog.row(b.slot)?.id)
     }
 
     /// The job as a pass handles it.
-    pub fn item(&self, b: &Brief) -> Option<Item<'a>> {
+    pub fn item(&self, b: &JobSummary) -> Option<QueueEntry<'a>> {
         let row = self.scene.backlog.row(b.slot)?;
         let (id, job) = self.job(&row.id)?;
         debug_assert!(self.far(b));
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 
 /// CPUs, GPUs, memory.
-pub type Amounts = [f64; 3];
+pub type Resources = [f64; 3];
 
 /// What a task takes.
-pub fn need(spec: &JobSpec) -> Amounts {
+pub fn need(spec: &JobSpec) -> Resources {
     [spec.cpus, spec.gpus, spec.memory_gb]
 }
 
@@ -61,7 +61,7 @@
 
 /// Which machines a job may use at all.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Allow {
+pub struct PlacementConstraints {
     /// Types; none: any.
     pub kinds: Option<Vec<u32>>,
     /// The only zone.
@@ -70,11 +70,11 @@
     pub spot: bool,
 }
 
-impl Allow {
+impl PlacementConstraints {
     /// Of a job.
-    pub fn of(spec: &JobSpec, names: &mut NameTable) -> Allow {
+    pub fn of(spec: &JobSpec, names: &mut NameTable) -> PlacementConstraints {
         let kinds = spec.types.as_ref();
-        Allow {
+        PlacementConstraints {
             kinds: kinds.map(|t| t.iter().map(|k| names.id(k)).collect()),
             zone: spec.zone.as_ref().map(|z| names.id(z)),
             spot: spec.spot,
@@ -91,11 +91,11 @@
 
 /// What placing a job's tasks depends on, in numbers.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Shape {
+pub struct TaskRequirements {
     /// What one task takes.
-    pub need: Amounts,
+    pub need: Resources,
     /// Which machines it may use.
-    pub allow: Arc<Allow>,
+    pub allow: Arc<PlacementConstraints>,
     /// Saves by itself, so that little is lost on a machine that is taken.
     pub saves: bool,
     /// Its image.
@@ -116,11 +116,11 @@
     /// The agent's session.
     pub agent_epoch: u64,
     /// Room of an empty machine.
-    pub total: Amounts,
+    pub total: Resources,
     /// Room left.
-    pub free: Amounts,
+    pub free: Resources,
     /// What tasks take that have been told to stop: room soon.
-    pub leaving: Amounts,
+    pub leaving: Resources,
     /// Takes new tasks now.
     pub open: bool,
     /// Images it has or fetches.
@@ -131,19 +131,19 @@
 
 impl Host {
     /// Takes room for a task.
-    pub fn take(&mut self, need: &Amounts) {
+    pub fn take(&mut self, need: &Resources) {
         for (free, n) in self.free.iter_mut().zip(need) {
             *free -= n;
         }
     }
 
     /// Gives room back.
-    pub fn give(&mut self, need: &Amounts) {
+    pub fn give(&mut self, need: &Resources) {
         add(&mut self.free, need);
     }
 
     /// Room left once what was told to stop is gone.
-    pub fn soon(&self) -> Amounts {
+    pub fn soon(&self) -> Resources {
         let mut room = self.free;
         add(&mut room, &self.leaving);
         room
@@ -171,14 +171,14 @@
 pub const EPS: f64 = 1e-6;
 
 /// Adds what a task takes to some room.
-pub fn add(room: &mut Amounts, need: &Amounts) {
+pub fn add(room: &mut Resources, need: &Resources) {
     for (r, n) in room.iter_mut().zip(need) {
         *r += n;
     }
 }
 
 /// How many tasks of this size fit into the room.
-pub fn slots(room: &Amounts, need: &Amounts) -> u32 {
+pub fn slots(room: &Resources, need: &Resources) -> u32 {
     let mut n = 1e6;
     for r in 0..3 {
         if need[r] > 0.0 {
@@ -189,7 +189,7 @@
 }
 
 /// The share of an empty machine that a task takes, on the scarcest resource.
-pub fn size(total: &Amounts, need: &Amounts) -> f64 {
+pub fn size(total: &Resources, need: &Resources) -> f64 {
     (0..3)
         .filter(|r| total[*r] > 0.0)
         .map(|r| need[r] / total[r])
@@ -203,7 +203,7 @@
 }
 
 /// Whether a machine would take one task of this job.
-pub fn may_take(h: &Host, id: &str, need: &Amounts, allow: &Allow) -> bool {
+pub fn may_take(h: &Host, id: &str, need: &Resources, allow: &PlacementConstraints) -> bool {
     h.open
         && (0..3).all(|r| need[r] <= 0.0 || (h.free[r] + EPS) / need[r] >= 1.0)
         && h.reserved.as_deref().is_none_or(|r| r == id)
@@ -213,17 +213,17 @@
 /// How well a machine suits a task: one that has the image starts it at once; only then does the
 /// weight decide, and among equals the first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct RequestPriority {
+struct HostScore {
     spot: bool,
     image: bool,
     weight: f64,
     host: usize,
 }
 
-impl Eq for RequestPriority {}
+impl Eq for HostScore {}
 
-impl Ord for RequestPriority {
-    fn cmp(&self, o: &RequestPriority) -> Ordering {
+impl Ord for HostScore {
+    fn cmp(&self, o: &HostScore) -> Ordering {
         (self.spot.cmp(&o.spot))
             .then(self.image.cmp(&o.image))
             .then(self.weight.total_cmp(&o.weight))
@@ -231,16 +231,16 @@
     }
 }
 
-impl PartialOrd for RequestPriority {
-    fn partial_cmp(&self, o: &RequestPriority) -> Option<Ordering> {
+impl PartialOrd for HostScore {
+    fn partial_cmp(&self, o: &HostScore) -> Option<Ordering> {
         Some(self.cmp(o))
     }
 }
 
-fn rank(host: usize, h: &Host, shape: &Shape, ratio: f64) -> RequestPriority {
+fn rank(host: usize, h: &Host, shape: &TaskRequirements, ratio: f64) -> HostScore {
     let a = slots(&h.free, &shape.need) as f64;
     let l = slots(&h.total, &shape.need) as f64;
-    RequestPriority {
+    HostScore {
         spot: h.spot && shape.saves,
         image: h.has(shape.image),
         weight: weight(a, l, ratio),
@@ -250,29 +250,29 @@
 
 /// Picks machines for the tasks of one job one after the other, as a scan of all machines for
 /// each task would.
-pub struct Picker<'a> {
+pub struct HostPicker<'a> {
     id: &'a str,
-    shape: &'a Shape,
+    shape: &'a TaskRequirements,
     ratio: f64,
     /// Machines without a task of the job.
-    apart: BinaryHeap<RequestPriority>,
+    apart: BinaryHeap<HostScore>,
     /// Machines that have one, for copies that would rather be apart.
-    shared: BinaryHeap<RequestPriority>,
+    shared: BinaryHeap<HostScore>,
     keep_apart: bool,
 }
 
-impl<'a> Picker<'a> {
+impl<'a> HostPicker<'a> {
     /// Among the `candidates`, which hold all machines that would take a task. `keep_apart`: machines
     /// with a task of the job (`has`) come last.
     pub fn new(
         hosts: &[Host],
         candidates: impl Iterator<Item = usize>,
         id: &'a str,
-        shape: &'a Shape,
+        shape: &'a TaskRequirements,
         ratio: f64,
         keep_apart: bool,
         has: impl Fn(usize) -> bool,
-    ) -> Picker<'a> {
+    ) -> HostPicker<'a> {
         let mut apart = Vec::new();
         let mut shared = Vec::new();
         for i in candidates {
@@ -286,7 +286,7 @@
                 list.push(rank(i, h, shape, ratio));
             }
         }
-        Picker {
+        HostPicker {
             id,
             shape,
             ratio,
@@ -335,16 +335,16 @@
     candidates: impl Iterator<Item = usize>,
     id: &str,
     spec: &JobSpec,
-    shape: &Shape,
+    shape: &TaskRequirements,
     n: u32,
     ratio: f64,
 ) -> Option<Vec<usize>> {
     let may =
         |i: &usize| may_take(&hosts[*i], id, &shape.need, &shape.allow) && !shape.avoid.contains(i);
     let all = candidates.filter(may);
-    let mut order: Vec<RequestPriority> = all.map(|i| rank(i, &hosts[i], shape, ratio)).collect();
+    let mut order: Vec<HostScore> = all.map(|i| rank(i, &hosts[i], shape, ratio)).collect();
     order.sort_by(|a, b| b.cmp(a));
-    let room = |r: &RequestPriority| slots(&hosts[r.host].free, &shape.need);
+    let room = |r: &HostScore| slots(&hosts[r.host].free, &shape.need);
     let half = if spec.spread { n.div_ceil(2) } else { n };
     if half == n
         && let Some(r) = order.iter().find(|r| room(r) >= n)
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -7,7 +7,7 @@
 /// What the design says, word by word: each task goes to the best of all machines.
 fn scan(
     hosts: &[Host],
-    shape: &Shape,
+    shape: &TaskRequirements,
     ratio: f64,
     fits: impl Fn(usize, &Host) -> bool,
 ) -> Option<usize> {
@@ -37,9 +37,9 @@
                 reserved: rng.random_bool(0.1).then(|| "other".into()),
             })
             .collect();
-        let shape = Shape {
+        let shape = TaskRequirements {
             need: [rng.random_range(1..20) as f64, 1.0, 10.0],
-            allow: Arc::new(Allow {
+            allow: Arc::new(PlacementConstraints {
                 kinds: rng.random_bool(0.3).then(|| vec![1]),
                 zone: rng.random_bool(0.2).then_some(10),
                 spot: rng.random_bool(0.5),
@@ -67,7 +67,7 @@
             zones[plain[h].zone as usize] += 1;
             expected.push(h);
         }
-        let mut picker = Picker::new(&hosts, 0..hosts.len(), "j", &shape, ratio, apart, |i| {
+        let mut picker = HostPicker::new(&hosts, 0..hosts.len(), "j", &shape, ratio, apart, |i| {
             has[i]
         });
         let mut zones = [0; 32];
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: what may be stopped to make room for a blocked job, and where.
 
 use crate::protocol::{JobKind, Priority};
-use crate::scheduling::backfill::{Item, Plan, Victim};
+use crate::scheduling::backfill::{PreemptibleTask, QueueEntry, SchedulingPlan};
 use crate::scheduling::placement::{self, Host, slots};
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 
 /// What decides whether anything may give way to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) struct Claim {
+pub(crate) struct PreemptionRequest {
     pub(crate) kind: JobKind,
     pub(crate) priority: Priority,
     pub(crate) team: u32,
@@ -24,9 +24,9 @@
     pub(crate) top: bool,
 }
 
-impl Claim {
-    pub(crate) fn of(item: &Item<'_>, top: bool) -> Claim {
-        Claim {
+impl PreemptionRequest {
+    pub(crate) fn of(item: &QueueEntry<'_>, top: bool) -> PreemptionRequest {
+        PreemptionRequest {
             kind: item.spec.kind,
             priority: item.priority,
             team: item.team,
@@ -40,7 +40,7 @@
     /// Whether a task may be stopped for the job: what was backfilled, for the job at the top; what
     /// has a lower priority, if it can save or makes room for replicas; and what other teams run
     /// beyond their guarantees, for a job within its own.
-    pub(crate) fn over(&self, v: &Victim<'_>) -> bool {
+    pub(crate) fn over(&self, v: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
         let gang = self.kind == JobKind::Gang;
         let array = self.kind == JobKind::Array;
@@ -60,12 +60,12 @@
 /// A task of a lower priority, saving and alone, that keeps a replica from a machine with its image,
 /// where the replica would start in less than half the time that a fetch takes.
 pub(crate) fn in_the_way<'a, 'b>(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     hosts: &[Host],
-    savers: &[&'a Victim<'b>],
+    savers: &[&'a PreemptibleTask<'b>],
     fits: impl Fn(u32) -> bool,
-) -> Option<&'a Victim<'b>> {
-    let serves = |v: &&'a Victim<'b>| {
+) -> Option<&'a PreemptibleTask<'b>> {
+    let serves = |v: &&'a PreemptibleTask<'b>| {
         let h = &hosts[v.host];
         let room = || {
             let mut room = h.free;
@@ -88,9 +88,9 @@
 }
 
 /// What came of looking for somebody to give way.
-pub(crate) enum Way {
+pub(crate) enum EvictionPlan {
     /// Room is being made for the job already.
-    Kept,
+    PassState,
     /// Nothing gives way to such a job.
     None,
     /// What gives way was weighed.
@@ -101,13 +101,13 @@
 /// `claim` allows. The machines are kept for the job until it has started; `short` of its tasks have found
 /// no room.
 pub(crate) fn make_way(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     short: u32,
-    claim: &Claim,
+    claim: &PreemptionRequest,
     hosts: &[Host],
-    victims: &[Victim<'_>],
-    plan: &mut Plan<'_>,
-) -> Way {
+    victims: &[PreemptibleTask<'_>],
+    plan: &mut SchedulingPlan<'_>,
+) -> EvictionPlan {
     let gang = item.spec.kind == JobKind::Gang;
     let need = item.shape.need;
     let mut left = short;
@@ -116,23 +116,23 @@
             continue;
         }
         if gang || !claim.guaranteed {
-            return Way::Kept;
+            return EvictionPlan::PassState;
         }
         // Room that is being made for it, or has been and is not taken yet. A machine on which its tasks run
         // by now is none: once, what a team is owed came back by one machine every twenty seconds.
         left = left.saturating_sub(slots(&h.soon(), &need));
     }
     if left == 0 {
-        return Way::Kept;
+        return EvictionPlan::PassState;
     }
-    let may = |v: &&Victim<'_>| {
+    let may = |v: &&PreemptibleTask<'_>| {
         claim.over(v)
             && hosts[v.host].reserved.is_none()
             && plan.reserved.iter().all(|(h, _)| *h != v.host)
     };
-    let victims: Vec<&Victim<'_>> = victims.iter().filter(may).collect();
+    let victims: Vec<&PreemptibleTask<'_>> = victims.iter().filter(may).collect();
     if victims.is_empty() {
-        return Way::None;
+        return EvictionPlan::None;
     }
     let mut without: Vec<Host> = hosts.to_vec();
     for (h, _) in &plan.reserved {
@@ -160,7 +160,7 @@
     };
     for (h, n) in found {
         let mut free = hosts[h].free;
-        let mut here: Vec<&&Victim<'_>> = victims.iter().filter(|v| v.host == h).collect();
+        let mut here: Vec<&&PreemptibleTask<'_>> = victims.iter().filter(|v| v.host == h).collect();
         here.sort_by_key(|v| std::cmp::Reverse(v.order));
         for v in here {
             if slots(&free, &need) >= n {
@@ -171,13 +171,13 @@
         }
         plan.reserved.push((h, item.id.to_string()));
     }
-    Way::Weighed
+    EvictionPlan::Weighed
 }
 
 /// At most so many machines for `left` tasks that start one by one, and how many on each, were all that gives
 /// way gone from them as in `without`; the fullest first, so that as few as possible have to go.
 pub(crate) fn one_by_one(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     left: u32,
     most: usize,
     hosts: &[Host],
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -1,6 +1,6 @@
 //! What teams may still take.
 
-use crate::scheduling::placement::{Amounts, slots};
+use crate::scheduling::placement::{Resources, slots};
 
 /// What teams may still take, by their names' numbers: CPUs and GPUs.
 #[derive(Debug, Default, Clone)]
@@ -17,7 +17,7 @@
     }
 
     /// A task of the team takes part of it.
-    pub fn take(&mut self, team: u32, need: &Amounts) {
+    pub fn take(&mut self, team: u32, need: &Resources) {
         if let Some(r) = self.0.get_mut(team as usize) {
             r[0] -= need[0];
             r[1] -= need[1];
@@ -25,7 +25,7 @@
     }
 
     /// How many tasks of the team it has room for.
-    pub(crate) fn slots(&self, team: u32, need: &Amounts) -> u32 {
+    pub(crate) fn slots(&self, team: u32, need: &Resources) -> u32 {
         match self.0.get(team as usize) {
             Some([cpus, gpus]) => slots(&[*cpus, *gpus, f64::INFINITY], &[need[0], need[1], 0.0]),
             None => u32::MAX,
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -15,7 +15,7 @@
 //!   show; nothing of it is kept in the store, since it all follows from those.
 
 use crate::protocol::{JobKind, Micros};
-use crate::scheduling::backfill::Item;
+use crate::scheduling::backfill::QueueEntry;
 
 /// So many lost tasks at once are a recovery, if they are also this part of all.
 const LEAST: usize = 16;
@@ -23,7 +23,7 @@
 
 /// Tasks without a place that had one, by what they belong to.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostTask {
     /// Of services.
     pub replicas: usize,
     /// Of gangs.
@@ -32,7 +32,7 @@
     pub singles: usize,
 }
 
-impl Lost {
+impl LostTask {
     /// Counts tasks of a job.
     pub fn add(&mut self, kind: JobKind, tasks: usize) {
         *match kind {
@@ -49,7 +49,7 @@
 
 /// A recovery that is going on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Wave {
+struct RecoveryWave {
     since: Micros,
     most: usize,
 }
@@ -57,17 +57,17 @@
 /// The planner.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    wave: Option<Wave>,
+    wave: Option<RecoveryWave>,
 }
 
 impl Recovery {
     /// What a pass has found lost, and how many tasks have a place on record. Returns what is to be
     /// told about it.
-    pub fn observe(&mut self, now: Micros, lost: Lost, placed: usize) -> Option<String> {
+    pub fn observe(&mut self, now: Micros, lost: LostTask, placed: usize) -> Option<String> {
         let n = lost.all();
         match &mut self.wave {
             None if n >= LEAST.max((placed as f64 * PART) as usize) => {
-                self.wave = Some(Wave {
+                self.wave = Some(RecoveryWave {
                     since: now,
                     most: n,
                 });
@@ -98,12 +98,12 @@
     }
 
     /// Whether a job comes ahead of its turn: a service that has lost replicas.
-    pub fn first(item: &Item<'_>) -> bool {
+    pub fn first(item: &QueueEntry<'_>) -> bool {
         item.lost > 0 && item.spec.kind == JobKind::Service
     }
 
     /// Puts jobs into the order in which they are considered.
-    pub fn order(items: &mut [Item<'_>]) {
+    pub fn order(items: &mut [QueueEntry<'_>]) {
         items.sort_by_key(|i| (!Recovery::first(i), i.at, i.id));
     }
 }
--- a/src/scheduling/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn lost(replicas: usize, singles: usize) -> Lost {
-    let mut l = Lost::default();
+fn lost(replicas: usize, singles: usize) -> LostTask {
+    let mut l = LostTask::default();
     l.add(JobKind::Service, replicas);
     l.add(JobKind::Array, singles);
     l
@@ -23,7 +23,7 @@
     assert!(r.wave.is_some());
     let second = r.observe(at(5), lost(100, 20), 4_000);
     assert!(second.is_some_and(|t| t.contains("120 tasks")));
-    let told = r.observe(at(9), Lost::default(), 4_000);
+    let told = r.observe(at(9), LostTask::default(), 4_000);
     assert!(told.is_some_and(|t| t.contains("120") && t.contains("6.0 s")));
     assert!(r.wave.is_none());
 }
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -47,7 +47,7 @@
 
 /// A start of ours that was sent directly.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Start {
+pub struct DirectStart {
     /// Sent directly, and the answer is awaited.
     pub direct: bool,
     /// Answered with 200: carried out (or without effect).
@@ -113,7 +113,7 @@
     /// Sessions up to this one are proven over.
     pub over: Option<u64>,
     /// Direct starts of the present session and term.
-    pub starts: BTreeMap<AttemptKey, Start>,
+    pub starts: BTreeMap<AttemptKey, DirectStart>,
     /// When a stop was last sent.
     pub stops: BTreeMap<AttemptKey, Micros>,
     /// Direct commands are on their way.
@@ -272,7 +272,7 @@
         self.over.is_some_and(|o| self.agent_epoch <= o)
     }
 
-    fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&Start> {
+    fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&DirectStart> {
         if self.starts.is_empty() {
             return None;
         }
--- a/tests/every_copy.rs
+++ b/tests/every_copy.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::Micros;
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
-use walnuttrestle::state::agent::{Agent, Start, TaskLiveness};
+use walnuttrestle::state::agent::{Agent, DirectStart, TaskLiveness};
 
 /// How often the agent says something: its messages are all that makes the model large.
 const MOST: u64 = 6;
@@ -101,7 +101,7 @@
     let mut w = Agent::new(&r);
     w.update(&r, Micros::ZERO);
     if let Some((direct, answered, loose, term)) = *known {
-        let start = Start {
+        let start = DirectStart {
             direct,
             answered,
             loose,
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -17,7 +17,7 @@
 use walnuttrestle::protocol::settings::Team;
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::records::record_writer::PendingWrite;
-use walnuttrestle::scheduling::pass::{self, Decision};
+use walnuttrestle::scheduling::pass::{self, PassDecision};
 use walnuttrestle::state::agent::Agent;
 use walnuttrestle::state::record_cache::RecordCache;
 
@@ -29,7 +29,7 @@
     settings: Settings,
     cache: RecordCache,
     leader: LeaderState,
-    kept: pass::Kept,
+    kept: pass::PassState,
     clock: Clock,
     version: u64,
     seqs: BTreeMap<String, u64>,
@@ -89,7 +89,7 @@
             settings,
             cache,
             leader,
-            kept: pass::Kept::default(),
+            kept: pass::PassState::default(),
             clock,
             version: 1,
             seqs: BTreeMap::new(),
@@ -306,7 +306,7 @@
     }
 
     /// Both ways decide the same.
-    fn compare(&mut self, at: &str) -> Decision {
+    fn compare(&mut self, at: &str) -> PassDecision {
         for id in self.cache.take_changed() {
             let job = self.cache.jobs.get(&id);
             self.kept.backlog.update(&id, job);
@@ -344,7 +344,7 @@
     }
 
     /// What was decided is on its way to the records, partly.
-    fn follow(&mut self, d: Decision) {
+    fn follow(&mut self, d: PassDecision) {
         let now = self.clock.now;
         self.leader.b_max = d.b_max;
         for (machine, id) in d.reserved {
@@ -425,7 +425,7 @@
         }
     }
     let old = c.compare("the old leader");
-    c.kept = pass::Kept::default();
+    c.kept = pass::PassState::default();
     let new = c.compare("the new leader");
     assert!(old.waiting > 4_000, "{} wait", old.waiting);
     assert_eq!((old.starts, old.stops), (new.starts, new.stops));
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -15,10 +15,10 @@
 use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
 use walnuttrestle::protocol::records::{CHUNK, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
-use walnuttrestle::scheduling::backfill::{Item, Victim};
-use walnuttrestle::scheduling::pass::Start;
+use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
+use walnuttrestle::scheduling::pass::TaskStart;
 use walnuttrestle::scheduling::placement::{
-    self, Allow, Host, NameTable, Picker, Shape, may_take, slots,
+    self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, may_take, slots,
 };
 use walnuttrestle::scheduling::priority_inheritance::InheritedPriorities;
 use walnuttrestle::state::agent::TaskLiveness;
@@ -29,10 +29,10 @@
 const STARVED: Micros = Micros::millis(120_000);
 const AGED: Micros = Micros::millis(20_000);
 
-/// What a pass decides, in the words of `pass::Decision`.
+/// What a pass decides, in the words of `pass::PassDecision`.
 #[derive(Debug, Default)]
 pub struct Plain {
-    pub starts: Vec<Start>,
+    pub starts: Vec<TaskStart>,
     pub stops: Vec<(String, u32)>,
     pub reserved: Vec<(String, String)>,
     pub lacks: Vec<(String, u32)>,
@@ -43,13 +43,13 @@
     pub broken: Vec<(String, u64)>,
 }
 
-struct Hosts {
+struct HostTable {
     list: Vec<Host>,
     names: Vec<String>,
     index: HashMap<String, usize>,
 }
 
-impl Hosts {
+impl HostTable {
     fn find(&self, machine: &str) -> Option<usize> {
         self.index.get(machine).copied()
     }
@@ -58,7 +58,7 @@
 type Room = BTreeMap<String, [f64; 2]>;
 
 #[derive(Default)]
-struct Plan {
+struct SchedulingPlan {
     places: Vec<(String, u32, usize, bool)>,
     stops: Vec<(String, u32)>,
     reserved: Vec<(usize, String)>,
@@ -84,8 +84,8 @@
         let most = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
         room.insert(t.name.clone(), [most(t.cpus_max), most(t.gpus_max)]);
     }
-    let mut victims: Vec<Victim<'_>> = Vec::new();
-    let mut items: Vec<Item<'_>> = Vec::new();
+    let mut victims: Vec<PreemptibleTask<'_>> = Vec::new();
+    let mut items: Vec<QueueEntry<'_>> = Vec::new();
     let mut found = Plain::default();
     let within = guaranteed(settings, cache);
     let lifted = InheritedPriorities::new(cache);
@@ -115,7 +115,7 @@
         items.extend(item);
     }
     unrecorded(l, cache, &mut hosts, &mut room);
-    let first = |i: &Item<'_>| i.lost > 0 && i.spec.kind == JobKind::Service;
+    let first = |i: &QueueEntry<'_>| i.lost > 0 && i.spec.kind == JobKind::Service;
     items.sort_by_key(|i| (!first(i), i.at, i.id));
     for h in &mut hosts.list {
         if h.reserved
@@ -142,7 +142,7 @@
     found.b_max = demands.fold(l.b_max, f64::max);
     let b_max = found.b_max;
     let plan = pass(&items, &mut hosts.list, &victims, &mut room, b_max, PLACES);
-    let start = |(job, task, host, backfilled): (String, u32, usize, bool)| Start {
+    let start = |(job, task, host, backfilled): (String, u32, usize, bool)| TaskStart {
         job,
         task,
         machine: hosts.names[host].clone(),
@@ -164,9 +164,9 @@
     cache: &RecordCache,
     names: &mut NameTable,
     now: Micros,
-) -> Hosts {
+) -> HostTable {
     let fresh = Micros::secs(s.params.agents.report_s * FRESH_REPORTS);
-    let mut hosts = Hosts {
+    let mut hosts = HostTable {
         list: Vec::with_capacity(l.agents.len()),
         names: Vec::with_capacity(l.agents.len()),
         index: HashMap::with_capacity(l.agents.len()),
@@ -219,17 +219,17 @@
     l: &LeaderState,
     id: &'a str,
     job: &'a Job,
-    hosts: &mut Hosts,
+    hosts: &mut HostTable,
     names: &mut NameTable,
     room: &mut Room,
     (all, used): (&[f64; 3], &mut HashMap<&'a str, f64>),
-    victims: &mut Vec<Victim<'a>>,
+    victims: &mut Vec<PreemptibleTask<'a>>,
     found: &mut Plain,
     guaranteed: bool,
     lifted: &InheritedPriorities<'_>,
     fetch_rate: f64,
     clock: Clock,
-) -> Option<Item<'a>> {
+) -> Option<QueueEntry<'a>> {
     if job.waits() {
         // Nothing of it starts before the jobs that it needs are recorded as done; it takes no
         // room and no place in the queue, and holds nobody up.
@@ -239,9 +239,9 @@
     let team = names.id(&job.rec.spec.team);
     let now = clock.now;
     let spec = &job.rec.spec;
-    let shape = Shape {
+    let shape = TaskRequirements {
         need: placement::need(spec),
-        allow: Arc::new(Allow::of(spec, names)),
+        allow: Arc::new(PlacementConstraints::of(spec, names)),
         saves: spec.saves(),
         image: names.id(&spec.image),
         avoid: Vec::new(),
@@ -307,7 +307,7 @@
                     && l.stop_of(id, e.task()).is_none()
                 {
                     let order = l.order_of.get(id).and_then(|o| o.get(&e.task()));
-                    victims.push(Victim {
+                    victims.push(PreemptibleTask {
                         job: id,
                         task: e.task(),
                         host: h,
@@ -372,7 +372,7 @@
         return None;
     }
     let avoid = |t: &FailureHistory| t.machines.keys().filter_map(|m| hosts.find(m)).collect();
-    let shape = Shape {
+    let shape = TaskRequirements {
         avoid: trouble.map(avoid).unwrap_or_default(),
         ..shape
     };
@@ -400,7 +400,7 @@
         })
     };
     let lost = tasks.iter().filter(|t| gone(t)).count();
-    Some(Item {
+    Some(QueueEntry {
         id,
         at: job.rec.at,
         lost: lost as u32,
@@ -420,7 +420,7 @@
     })
 }
 
-fn unrecorded(l: &LeaderState, cache: &RecordCache, hosts: &mut Hosts, room: &mut Room) {
+fn unrecorded(l: &LeaderState, cache: &RecordCache, hosts: &mut HostTable, room: &mut Room) {
     for (h, name) in hosts.names.iter().enumerate() {
         let Some(w) = l.agents.get(name) else {
             continue;
@@ -527,7 +527,7 @@
     slots(&[*cpus, *gpus, f64::INFINITY], &[spec.cpus, spec.gpus, 0.0])
 }
 
-fn take(host: &mut Host, room: &mut Room, item: &Item<'_>) {
+fn take(host: &mut Host, room: &mut Room, item: &QueueEntry<'_>) {
     host.take(&item.shape.need);
     if let Some(r) = room.get_mut(&item.spec.team) {
         r[0] -= item.spec.cpus;
@@ -538,21 +538,22 @@
 
 /// Starts what fits, in order; `b_max` is the largest demand seen and is raised here.
 fn pass(
-    items: &[Item<'_>],
+    items: &[QueueEntry<'_>],
     hosts: &mut [Host],
-    victims: &[Victim<'_>],
+    victims: &[PreemptibleTask<'_>],
     room: &mut Room,
     b_max: f64,
     most: usize,
-) -> Plan {
-    let mut plan = Plan {
+) -> SchedulingPlan {
+    let mut plan = SchedulingPlan {
         wide: PLACES as u32 / 2,
-        ..Plan::default()
+        ..SchedulingPlan::default()
     };
     let mut blocked = false;
-    let mut later: Vec<&Item<'_>> = Vec::new();
+    let mut later: Vec<&QueueEntry<'_>> = Vec::new();
     let typical = hosts.first().map_or([1.0; 3], |h| h.total);
-    let demand = |i: &Item<'_>| i.spec.tasks as f64 * placement::size(&typical, &i.shape.need);
+    let demand =
+        |i: &QueueEntry<'_>| i.spec.tasks as f64 * placement::size(&typical, &i.shape.need);
     let mut tries = MAKE_WAY;
     for item in items {
         if plan.places.len() >= most {
@@ -577,7 +578,7 @@
         blocked |= item.spec.kind != JobKind::Service;
     }
     later.sort_by(|a, b| {
-        let of = |i: &Item<'_>| if i.starved { 0.0 } else { i.estimate_s };
+        let of = |i: &QueueEntry<'_>| if i.starved { 0.0 } else { i.estimate_s };
         let starved = b.starved.cmp(&a.starved);
         starved.then(of(a).total_cmp(&of(b)))
     });
@@ -612,13 +613,13 @@
 
 /// Starts what fits of one job; returns how many tasks found no room (its team's limit aside).
 fn start(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     hosts: &mut [Host],
     room: &mut Room,
     ratio: f64,
     backfill: bool,
-    victims: &[Victim<'_>],
-    plan: &mut Plan,
+    victims: &[PreemptibleTask<'_>],
+    plan: &mut SchedulingPlan,
 ) -> u32 {
     let spec = item.spec;
     let n = item.tasks.len() as u32;
@@ -663,21 +664,21 @@
 /// Starts tasks one by one; returns how many found no room.
 #[allow(clippy::too_many_arguments)]
 fn spread(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     tasks: &[u32],
     hosts: &mut [Host],
     room: &mut Room,
     ratio: f64,
     backfill: bool,
-    victims: &[Victim<'_>],
-    plan: &mut Plan,
+    victims: &[PreemptibleTask<'_>],
+    plan: &mut SchedulingPlan,
 ) -> u32 {
     let spec = item.spec;
     let service = spec.kind == JobKind::Service;
     let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
     let half = spec.tasks.div_ceil(2) as usize;
     let has = |i: usize| item.present.iter().any(|(_, m)| *m == Some(i));
-    let mut picker = Picker::new(
+    let mut picker = HostPicker::new(
         hosts,
         0..hosts.len(),
         item.id,
@@ -729,12 +730,12 @@
 /// A task of a lower priority, saving and alone, that keeps a replica from a machine with its image,
 /// where the replica would start in less than half the time that a fetch takes.
 fn in_the_way<'a, 'b>(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     hosts: &[Host],
-    victims: &'a [Victim<'b>],
+    victims: &'a [PreemptibleTask<'b>],
     fits: impl Fn(u32) -> bool,
-) -> Option<&'a Victim<'b>> {
-    let serves = |v: &&Victim<'_>| {
+) -> Option<&'a PreemptibleTask<'b>> {
+    let serves = |v: &&PreemptibleTask<'_>| {
         let h = &hosts[v.host];
         let room = || {
             let mut room = h.free;
@@ -762,12 +763,12 @@
 /// replicas; and what other teams run beyond their guarantees, for a job within its own. The
 /// machines are kept for the job until it has started. Tells whether there was anything to weigh.
 fn make_way(
-    item: &Item<'_>,
+    item: &QueueEntry<'_>,
     short: u32,
     hosts: &[Host],
-    victims: &[Victim<'_>],
+    victims: &[PreemptibleTask<'_>],
     top: bool,
-    plan: &mut Plan,
+    plan: &mut SchedulingPlan,
 ) -> bool {
     let service = item.spec.kind == JobKind::Service;
     let gang = item.spec.kind == JobKind::Gang;
@@ -786,7 +787,7 @@
     if left == 0 {
         return false;
     }
-    let may = |v: &&Victim<'_>| {
+    let may = |v: &&PreemptibleTask<'_>| {
         let lower = v.priority < item.priority && (v.saves || service) && !array;
         // A guarantee is given back by whoever runs beyond their own: at once by single tasks that
         // lose little; by gangs, which stop as a whole, when nothing else has helped.
@@ -797,7 +798,7 @@
             && plan.reserved.iter().all(|(h, _)| *h != v.host)
             && ((top && gang && v.backfilled) || lower || owed || aged)
     };
-    let victims: Vec<&Victim<'_>> = victims.iter().filter(may).collect();
+    let victims: Vec<&PreemptibleTask<'_>> = victims.iter().filter(may).collect();
     if victims.is_empty() {
         return false;
     }
@@ -852,7 +853,7 @@
     }
     for (h, n) in by_host {
         let mut free = hosts[h].free;
-        let mut here: Vec<&&Victim<'_>> = victims.iter().filter(|v| v.host == h).collect();
+        let mut here: Vec<&&PreemptibleTask<'_>> = victims.iter().filter(|v| v.host == h).collect();
         here.sort_by_key(|v| std::cmp::Reverse(v.order));
         for v in here {
             if slots(&free, &need) >= n {
