--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -202,7 +202,14 @@
         let Some(l) = &mut self.leader else {
             return Vec::new();
         };
-        let d = due(l, &self.cache, &self.peers.heard, machine, clock.now, true);
+        let d = due(
+            l,
+            &self.cache,
+            &self.peers.reported_cancellations,
+            machine,
+            clock.now,
+            true,
+        );
         if let Some(w) = l.agents.get_mut(machine) {
             for key in d.stops {
                 w.stops.insert(key, clock.now);
@@ -245,7 +252,7 @@
         let mut calls = Vec::new();
         for machine in names {
             let Some(l) = &mut self.leader else { break };
-            let heard = &self.peers.heard;
+            let heard = &self.peers.reported_cancellations;
             let mut d = due(l, &self.cache, heard, &machine, now, false);
             fence |= d.fence;
             // Looked at only where it may be so: counting looks every start up.
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -371,7 +371,7 @@
     /// Whether a start of a task whose job is cancelled may still be on its way to a machine.
     fn may_start_cancelled(&self, machine: &str) -> bool {
         let agent = self.leader.as_ref().and_then(|l| l.agents.get(machine));
-        let heard = &self.peers.heard;
+        let heard = &self.peers.reported_cancellations;
         agent.is_some_and(|w| {
             let mut loose = w.loose().map(|(job, ..)| job);
             loose.any(|job| known_cancelled(&self.cache, heard, job))
@@ -552,7 +552,7 @@
             .pass_interval(self.settings.params.limits.core_share)
             .times(self.request_scheduler.stretch(now));
         let mut next = Micros::FAR;
-        let pledged = Micros(self.peers.quiet.until());
+        let pledged = Micros(self.peers.silence_pledges.until());
         if let Some(l) = &mut self.leader {
             next = next.min(l.leases(&self.settings, &self.cache, pledged, now));
             // Machines are given up and returned by time, not by events: a pass comes now and
@@ -596,7 +596,7 @@
             if seen.0 != *version {
                 *seen = (*version, clock.now);
             } else if clock.now.since(seen.1)
-                > crate::leadership::delegated_renewal::SIGN_OF_LIFE.times(2.5)
+                > crate::leadership::delegated_renewal::RECORD_REFRESH_INTERVAL.times(2.5)
                 && !l.raising
             {
                 log::info!("{node} gives no sign of life: its renewals are revoked");
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -230,7 +230,7 @@
     pub(crate) fn tell(&mut self, clock: Clock, conn: u64, status: u16, state: &JobState) {
         let newest = self.cache.newest;
         if state.status == word(JobStage::Cancelled)
-            && !self.peers.quiet.may_tell(newest, clock.now.0)
+            && !self.peers.silence_pledges.may_tell(newest, clock.now.0)
         {
             self.refuse(conn, 503, "not all controllers have heard that we are back");
             return;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -10,7 +10,7 @@
 use crate::leadership::budget_shares::BudgetShares;
 use crate::leadership::connectivity::Connectivity;
 use crate::leadership::delegated_renewal::DelegatedRenewals;
-use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL, room_for_two_vain};
+use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL, lease_outlasts_two_failures};
 use crate::leadership::peers::Peers;
 use crate::messages::PendingCall;
 use crate::messages::PendingRequest;
@@ -114,9 +114,14 @@
         let incarnation = rng.random::<u64>() >> 1;
         let peers = Peers::new(settings.peers.len(), &policy, clock.now);
         let budget = BudgetShares::new(&settings);
-        let connectivity = Connectivity::new(clock.now, room_for_two_vain(&settings));
-        let (rps, wps, burst) = budget.rates(&settings);
-        let store = StoreClient::new(settings.external.state, rps, wps, burst);
+        let connectivity = Connectivity::new(clock.now, lease_outlasts_two_failures(&settings));
+        let rates = budget.rates(&settings);
+        let store = StoreClient::new(
+            settings.external.state,
+            rates.requests,
+            rates.writes,
+            rates.write_burst,
+        );
         Controller {
             settings,
             policy,
@@ -166,7 +171,7 @@
         clock: Clock,
         events: Vec<NetworkEvent>,
     ) -> (Vec<NetworkCommand>, Micros) {
-        self.connectivity.look(clock.now);
+        self.connectivity.tick(clock.now);
         for turn in self.request_scheduler.step(clock.now, events) {
             match turn {
                 ScheduledRequest::Handle(NetworkEvent::Request {
@@ -301,7 +306,7 @@
             ("GET", "/healthz", _) => {
                 if !self.cache.synced {
                     self.refuse(conn, 503, "still reading the records");
-                } else if self.connectivity.sends_users_away() {
+                } else if self.connectivity.health_check_failing() {
                     self.refuse(conn, 503, "neither the state service nor a sibling answers");
                 } else {
                     self.respond(conn, 200, &());
@@ -333,9 +338,13 @@
             return;
         };
         if report.zone != self.settings.zone {
-            self.connectivity.elsewhere(clock.now);
+            self.connectivity.on_remote_agent_heard(clock.now);
         }
-        if self.leader.is_some() && self.connectivity.sends_on(&report.machine, clock.now) {
+        if self.leader.is_some()
+            && self
+                .connectivity
+                .should_redirect(&report.machine, clock.now)
+        {
             log::info!("{}: sent on, we hear nobody", report.machine);
             self.respond(conn, 421, &Misdirected::default());
             return;
@@ -361,7 +370,7 @@
         if let Some((tag, ask, sent, reply)) = self.store.on_response(id, &outcome) {
             if !matches!(reply, StoreResponse::Refused | StoreResponse::Lost) {
                 self.store_heard_at = clock.now;
-                self.connectivity.store(clock.now);
+                self.connectivity.on_store_heard(clock.now);
             }
             self.on_store_response(clock, tag, ask, sent, reply);
             return;
@@ -372,7 +381,7 @@
             }
             Some(PendingCall::ForwardedRequest(conn)) => self.on_forwarded_response(conn, outcome),
             Some(PendingCall::RelayedHeartbeat(conn, report)) => {
-                self.on_relay(clock, conn, *report, outcome)
+                self.on_relay_response(clock, conn, *report, outcome)
             }
             Some(tag) => self.on_leader_call_response(clock, tag, outcome),
             None => {}
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -88,7 +88,7 @@
             (StoreRequestPurpose::LeaderLease, StoreResponse::Lease(l)) => {
                 self.leader_lease = Some(l);
                 // Somebody else may have claimed while the lease was asked for.
-                if self.leadership_vacant(clock) || self.should_relieve_leader(clock) {
+                if self.leadership_vacant(clock) || self.should_replace_leader(clock) {
                     self.claim_leadership();
                 } else {
                     self.election = ElectionState::Idle;
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -1,16 +1,18 @@
-//! The store's budgets, shared by the controllers.
+//! Division of the store's request and write budgets among the controllers.
 //!
-//! Each controller has a fixed share; what silent ones leave is used by the others. Half of the leader's
-//! share of changes is lent once a follower asks for more than its own: the leader gives parts of it by
-//! what all ask for, on record (`wt/parts`, format `PARTS`), so that they never add up to more than the
-//! whole (crates/admission, `parts`). What is not lent the leader uses itself. Grants end by themselves;
-//! in calm times nothing is written, and the shares are as they were.
+//! Each controller has a fixed share; the shares of controllers that are not heard are used by the others. Half of
+//! the leader's share of the write budget is lent when a follower requests more than its own share: the leader
+//! grants parts of it in proportion to what the controllers request. Grants are recorded (`wt/parts`, format
+//! `PARTS`), so that the parts never add up to more than the whole (`crates/admission-control`, `parts`). The leader
+//! uses what it does not lend. Grants expire; while no controller requests a part, nothing is written and the
+//! fixed shares apply.
 
 use crate::controller::Controller;
 use crate::leadership::election::LEADER_SILENCE_LIMIT;
+use crate::leadership::peers::PeerStatus;
 use crate::messages::StoreRequestPurpose;
 use crate::protocol::Clock;
-use crate::protocol::format::PARTS as FORMAT;
+use crate::protocol::format::PARTS as GRANT_FORMAT;
 use crate::protocol::key_value_api::Change;
 use crate::protocol::key_value_api::Transaction;
 use crate::protocol::key_value_api::VersionCondition;
@@ -21,253 +23,331 @@
 use admission_control::parts::{Grant, Milli, Rules, Want};
 use std::collections::BTreeMap;
 
-/// A share of the store's budgets of requests and of changes.
+/// Share of the store's request and write budgets, as fractions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Share {
     requests: f64,
-    changes: f64,
+    writes: f64,
 }
 
-/// All controllers together use this part of the budgets, the leader most of it.
-const ALL: Share = Share {
+/// What all controllers together use of the budgets.
+const TOTAL_SHARE: Share = Share {
     requests: 0.95,
-    changes: 0.98,
+    writes: 0.98,
 };
-const LEADERS: Share = Share {
+/// What the leader uses of the budgets.
+const LEADER_SHARE: Share = Share {
     requests: 0.6,
-    changes: 0.66,
+    writes: 0.66,
 };
-/// A controller sends at least this part of a second's changes at once.
-const BURST: f64 = 0.33;
-/// What a follower uses at most of what a silent leader leaves: it may be cut off from us alone.
-const LEADERLESS: f64 = 0.5;
+/// Minimum burst of writes, as a fraction of the writes of a second.
+const MIN_WRITE_BURST: f64 = 0.33;
+/// Minimum rate of writes, as a fraction of the write budget.
+const MIN_WRITE_SHARE: f64 = 0.02;
+/// Most that a follower uses of the budgets while it does not hear the leader, which may be alive and only
+/// unreachable from here.
+const MAX_SHARE_WITHOUT_LEADER: f64 = 0.5;
+
+/// How long a grant lasts.
+const GRANT_DURATION: Micros = Micros::millis(7_000);
+/// How often a grant is renewed: two renewals in a row may be lost.
+const GRANT_INTERVAL: Micros = Micros::millis(2_000);
+/// How late a controller may apply a new share: it does so at each step, and there is a step every second.
+const MAX_APPLY_DELAY: Micros = Micros::millis(1_500);
+/// A controller requests the rate that clears its queue within this time, in seconds.
+const QUEUE_CLEARING_TIME_S: f64 = 1.5;
+/// Grants count in thousandths of writes per second.
+const MILLI: f64 = 1000.0;
+
+/// What a controller's share of the budgets depends on.
+#[derive(Debug, Clone, Copy)]
+struct Membership {
+    /// Number of peers in the settings.
+    peers: usize,
+    /// How many of them are heard.
+    heard: usize,
+    /// This controller leads.
+    leads: bool,
+    /// The leader is among the peers that are heard, or unknown.
+    leader_heard: bool,
+}
 
 impl Share {
-    /// Of a controller that has `peers`, of which it hears `heard`. What the silent ones leave is
-    /// used by the others; `led`: the leader is among those heard.
-    fn of(peers: usize, heard: usize, leading: bool, led: bool) -> Share {
-        let part = |all: f64, leaders: f64| {
-            let followers = peers.max(1) as f64;
-            let each = (all - leaders) / followers;
-            if peers == 0 {
-                all
-            } else if leading {
-                leaders + each * (peers - heard) as f64
-            } else if led {
-                each
-            } else {
-                (all / (heard + 1) as f64).min(LEADERLESS)
-            }
-        };
+    /// The share of a controller. The shares of peers that are not heard are used by the others.
+    fn of(membership: Membership) -> Share {
         Share {
-            requests: part(ALL.requests, LEADERS.requests),
-            changes: part(ALL.changes, LEADERS.changes),
+            requests: membership.fraction(TOTAL_SHARE.requests, LEADER_SHARE.requests),
+            writes: membership.fraction(TOTAL_SHARE.writes, LEADER_SHARE.writes),
         }
     }
 }
 
-/// How long a grant lasts, and how often the next one comes: often enough that two may be lost.
-const LIFE: Micros = Micros::millis(7_000);
-const GIVE_EVERY: Micros = Micros::millis(2_000);
-/// Shares are taken anew at each step, and there is a step each second at least.
-const LATE: Micros = Micros::millis(1_500);
-/// A controller asks for what clears its queue in this many seconds.
-const CLEAR_S: f64 = 1.5;
+impl Membership {
+    /// All peers are heard; if this controller does not lead, one of them does.
+    fn complete(peers: usize, leads: bool) -> Membership {
+        Membership {
+            peers,
+            heard: peers,
+            leads,
+            leader_heard: true,
+        }
+    }
 
-/// A controller's fixed share in thousandths of changes a second.
-fn fixed(s: &Settings, leading: bool) -> Milli {
-    let n = s.peers.len();
-    let share = Share::of(n, n, leading, true);
-    (share.changes * s.params.state.least_write_rps() * 1000.0) as Milli
+    /// The fraction of one budget, of which all controllers use `total` and the leader uses `leader`.
+    fn fraction(self, total: f64, leader: f64) -> f64 {
+        if self.peers == 0 {
+            return total;
+        }
+        let per_follower = (total - leader) / self.peers as f64;
+        if self.leads {
+            leader + per_follower * (self.peers - self.heard) as f64
+        } else if self.leader_heard {
+            per_follower
+        } else {
+            (total / (self.heard + 1) as f64).min(MAX_SHARE_WITHOUT_LEADER)
+        }
+    }
+}
+
+/// A controller's fixed share of the write budget.
+fn fixed_writes(settings: &Settings, leads: bool) -> Milli {
+    let share = Share::of(Membership::complete(settings.peers.len(), leads));
+    (share.writes * settings.params.state.least_write_rps() * MILLI) as Milli
 }
 
-fn rules(s: &Settings) -> Rules {
+fn grant_rules(settings: &Settings) -> Rules {
     Rules {
-        whole: fixed(s, true) / 2,
-        life: LIFE.0,
-        apart: LATE.0 + (s.params.clock_off_ms * 1000.0) as u64,
+        whole: fixed_writes(settings, true) / 2,
+        life: GRANT_DURATION.0,
+        apart: MAX_APPLY_DELAY.0 + (settings.params.clock_off_ms * 1000.0) as u64,
     }
 }
 
-/// Our share of the budgets, and what there is to know of the others'.
+/// Rates at which a controller may use the store.
+#[derive(Debug, Clone, Copy)]
+pub struct StoreRates {
+    /// Requests per second.
+    pub requests: f64,
+    /// Writes per second.
+    pub writes: f64,
+    /// Writes that may be sent at once.
+    pub write_burst: f64,
+}
+
+/// This controller's share of the budgets, and the state of the grants.
 #[derive(Debug)]
 pub struct BudgetShares {
     share: Share,
-    /// Changes a second more than our share, or less.
-    more: f64,
-    asks: Milli,
-    give_at: Micros,
-    giving: bool,
-    /// Newest grant that each peer has told of. Records outlive it, so it never comes to use an older
-    /// one again.
-    told: BTreeMap<String, u64>,
+    /// Writes per second that a grant adds to the fixed share; negative for a leader that lends.
+    granted_writes: f64,
+    /// What this controller requests beyond its fixed share.
+    requested_writes: Milli,
+    next_grant_at: Micros,
+    grant_in_flight: bool,
+    /// Per peer: the epoch of the newest grant that it has reported. Records outlive the peer's process, so the
+    /// peer never uses an older grant again.
+    peer_epochs: BTreeMap<String, u64>,
 }
 
 impl BudgetShares {
-    /// Of a controller that has just started.
-    pub fn new(s: &Settings) -> BudgetShares {
-        let n = s.peers.len();
+    /// The shares of a controller that has just started.
+    pub fn new(settings: &Settings) -> BudgetShares {
         BudgetShares {
-            share: Share::of(n, n, false, true),
-            more: 0.0,
-            asks: 0,
-            give_at: Micros::ZERO,
-            giving: false,
-            told: BTreeMap::new(),
+            share: Share::of(Membership::complete(settings.peers.len(), false)),
+            granted_writes: 0.0,
+            requested_writes: 0,
+            next_grant_at: Micros::ZERO,
+            grant_in_flight: false,
+            peer_epochs: BTreeMap::new(),
         }
     }
 
-    /// In requests and changes a second, and how many changes may go at once.
-    pub fn rates(&self, s: &Settings) -> (f64, f64, f64) {
-        let state = &s.params.state;
-        let all = state.least_write_rps();
-        let changes = (all * self.share.changes + self.more).max(all * 0.02);
-        // The state service takes a second's worth at once. A follower's part of it need not be as
-        // small as its share: a burst of submissions comes to one controller at a time.
-        let burst = changes.max(all * BURST);
-        (state.least_rps() * self.share.requests, changes, burst)
+    /// The rates that follow from the share and the current grant.
+    pub fn rates(&self, settings: &Settings) -> StoreRates {
+        let limits = &settings.params.state;
+        let write_budget = limits.least_write_rps();
+        let writes = write_budget * self.share.writes + self.granted_writes;
+        let writes = writes.max(write_budget * MIN_WRITE_SHARE);
+        StoreRates {
+            requests: limits.least_rps() * self.share.requests,
+            writes,
+            // The store accepts the writes of a second at once. A follower's burst need not be as small as its
+            // share: a burst of submissions arrives at one controller at a time.
+            write_burst: writes.max(write_budget * MIN_WRITE_BURST),
+        }
     }
 
-    /// What we ask for, in thousandths of changes a second.
-    pub fn asks(&self) -> Milli {
-        self.asks
+    /// What this controller requests beyond its fixed share, in thousandths of writes per second.
+    pub fn requested_writes(&self) -> Milli {
+        self.requested_writes
     }
 
-    /// A peer has told of this grant.
-    pub fn told(&mut self, node: &str, epoch: u64) {
-        match self.told.get_mut(node) {
-            Some(e) => *e = (*e).max(epoch),
-            None => _ = self.told.insert(node.to_string(), epoch),
+    /// A peer has reported that it has seen the grant with this epoch.
+    pub fn on_peer_epoch(&mut self, node: &str, epoch: u64) {
+        match self.peer_epochs.get_mut(node) {
+            Some(newest) => *newest = (*newest).max(epoch),
+            None => _ = self.peer_epochs.insert(node.to_string(), epoch),
         }
     }
+
+    /// Epoch of the newest grant that a peer has reported; 0: none.
+    fn peer_epoch(&self, node: &str) -> u64 {
+        self.peer_epochs.get(node).copied().unwrap_or(0)
+    }
 }
 
 impl Controller {
-    /// Keeps to our share of the store's budgets, which follows from who is heard.
+    /// Updates the rates of the store client if our share or the current grant has changed.
     pub(crate) fn apply_budget_share(&mut self, clock: Clock) {
-        // Nobody has been heard right after a start.
-        let young = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
-        let heard = |node: &str| {
-            let view = self.peers.view.get(node);
-            young || view.is_some_and(|v| clock.now.since(v.heard) < LEADER_SILENCE_LIMIT)
-        };
+        let share = Share::of(self.membership(clock));
+        let granted_writes = self.granted_writes(clock);
+        let budget = &mut self.budget;
+        if (share, granted_writes) == (budget.share, budget.granted_writes) {
+            return;
+        }
+        budget.share = share;
+        budget.granted_writes = granted_writes;
+        let rates = budget.rates(&self.settings);
+        self.store
+            .set_rates(clock.now, rates.requests, rates.writes, rates.write_burst);
+    }
+
+    fn membership(&self, clock: Clock) -> Membership {
+        // Right after a start no peer has been heard yet: all are presumed alive.
+        let just_started = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
+        let heard = |node: &str| just_started || self.recent_status(clock, node).is_some();
         let peers = &self.settings.peers;
-        let n = peers.iter().filter(|x| heard(&x.node)).count();
-        let lead = self.cache.lead.as_ref();
-        let led = lead.is_none_or(|(l, _)| l.node != self.settings.node && heard(&l.node));
-        let leading = self.leader.is_some();
-        let share = Share::of(peers.len(), n, leading, led);
-        let more = self.cache.parts.as_ref().map_or(0.0, |(grant, _)| {
-            let (s, wall) = (&self.settings, clock.wall.0);
-            if leading {
-                // What we had as a follower is ours again, with all that is not lent.
-                let told = |node: &str| match self.budget.told.get(node) {
-                    _ if node == s.node => u64::MAX,
-                    told => told.copied().unwrap_or(0),
-                };
-                -(grant.lent(wall, &rules(s), told) as f64)
+        let leader = self.cache.lead.as_ref();
+        Membership {
+            peers: peers.len(),
+            heard: peers.iter().filter(|peer| heard(&peer.node)).count(),
+            leads: self.leader.is_some(),
+            leader_heard: leader
+                .is_none_or(|(record, _)| record.node != self.settings.node && heard(&record.node)),
+        }
+    }
+
+    /// What a peer last reported, if that was recently.
+    fn recent_status(&self, clock: Clock, node: &str) -> Option<&PeerStatus> {
+        let status = self.peers.status.get(node);
+        status.filter(|status| status.heard_recently(clock.now))
+    }
+
+    /// Writes per second that the current grant adds to our fixed share, or takes from it.
+    fn granted_writes(&self, clock: Clock) -> f64 {
+        let Some((grant, _)) = &self.cache.parts else {
+            return 0.0;
+        };
+        let settings = &self.settings;
+        let rules = grant_rules(settings);
+        if self.leader.is_none() {
+            return grant.part(&settings.node, clock.wall.0, &rules) as f64 / MILLI;
+        }
+        // A new leader no longer uses what it was granted as a follower.
+        let newest_epoch = |node: &str| {
+            if node == settings.node {
+                u64::MAX
             } else {
-                grant.part(&s.node, wall, &rules(s)) as f64
+                self.budget.peer_epoch(node)
             }
-        }) / 1000.0;
-        if (share, more) != (self.budget.share, self.budget.more) {
-            self.budget.share = share;
-            self.budget.more = more;
-            let (rps, wps, burst) = self.budget.rates(&self.settings);
-            self.store.set_rates(clock.now, rps, wps, burst);
-        }
+        };
+        -(grant.lent(clock.wall.0, &rules, newest_epoch) as f64) / MILLI
     }
 
-    /// What we could use beyond what is ours in any case, a second.
-    fn ask(&mut self, clock: Clock) -> Milli {
+    /// The rate of writes that this controller could use beyond what it has without a grant.
+    fn wanted_writes(&mut self, clock: Clock) -> Milli {
         let (edits, _) = self.edits_due(clock.now);
-        let waits = (self.client_api.waiting() + edits) as f64 / CLEAR_S;
-        let wanted = (waits + self.client_api.refused_lately(clock.now)) * 1000.0;
+        let queued = (self.client_api.waiting() + edits) as f64 / QUEUE_CLEARING_TIME_S;
+        let wanted = (queued + self.client_api.refused_lately(clock.now)) * MILLI;
+        let lendable = grant_rules(&self.settings).whole;
         let own = match self.leader {
-            Some(_) => fixed(&self.settings, true) - rules(&self.settings).whole,
-            None => fixed(&self.settings, false),
+            Some(_) => fixed_writes(&self.settings, true) - lendable,
+            None => fixed_writes(&self.settings, false),
         };
-        (wanted as Milli)
-            .saturating_sub(own)
-            .min(rules(&self.settings).whole)
+        (wanted as Milli).saturating_sub(own).min(lendable)
     }
 
-    /// Says what we ask for; the leader gives the parts that are due. Returns when to look again.
+    /// Updates what this controller requests; a leader also writes the grant that is due. Returns when to check
+    /// again.
     pub(crate) fn grant_budget_shares(&mut self, clock: Clock) -> Micros {
-        let now = clock.now;
-        if now < self.budget.give_at {
-            return self.budget.give_at;
+        if clock.now < self.budget.next_grant_at {
+            return self.budget.next_grant_at;
         }
-        self.budget.give_at = now + GIVE_EVERY;
-        self.budget.asks = self.ask(clock);
-        let Some(l) = &self.leader else {
-            return self.budget.give_at;
-        };
-        if self.budget.giving || !l.caught_up(&self.cache) {
-            return self.budget.give_at;
+        self.budget.next_grant_at = clock.now + GRANT_INTERVAL;
+        self.budget.requested_writes = self.wanted_writes(clock);
+        if !self.budget.grant_in_flight
+            && let Some(transaction) = self.next_grant(clock)
+        {
+            self.budget.grant_in_flight = true;
+            self.store.ask(
+                RequestPriority::Urgent,
+                StoreRequestPurpose::BudgetShares,
+                StoreRequest::Transaction(transaction),
+            );
         }
-        let s = &self.settings;
-        let rules = rules(s);
-        let mut wants = Vec::new();
-        let mut asked = false;
-        for x in &s.peers {
-            // Nobody who is silent, or does not know what a part is, gets any.
-            let view = self.peers.view.get(&x.node);
-            let heard = view.filter(|v| now.since(v.heard) < LEADER_SILENCE_LIMIT);
-            if let Some(v) = heard
-                && self.cache.format_of(&x.node).0 >= FORMAT
-            {
-                asked |= v.asks > 0;
-                wants.push(Want {
-                    holder: x.node.clone(),
-                    amount: v.asks,
-                    weight: fixed(s, false) as f64,
-                    seen: self.budget.told.get(&x.node).copied().unwrap_or(0),
-                });
-            }
+        self.budget.next_grant_at
+    }
+
+    /// The transaction that records the next grant; none if this controller does not lead, or no peer requests a
+    /// part. What was lent comes back as its grants expire.
+    fn next_grant(&self, clock: Clock) -> Option<Transaction> {
+        let leader = self.leader.as_ref()?;
+        if !leader.caught_up(&self.cache) {
+            return None;
         }
-        if !asked {
-            // What was lent comes back as its grants end.
-            return self.budget.give_at;
+        let requests = self.peer_requests(clock);
+        if requests.iter().all(|request| request.amount == 0) {
+            return None;
         }
-        let own = Asked {
-            amount: self.budget.asks as f64,
-            weight: fixed(s, true) as f64,
+        let own_request = Asked {
+            amount: self.budget.requested_writes as f64,
+            weight: fixed_writes(&self.settings, true) as f64,
         };
-        let blank = Grant::default();
-        let (grant, version) = self
-            .cache
-            .parts
-            .as_ref()
-            .map_or((&blank, 0), |(g, v)| (g, *v));
-        let next = grant.next(clock.wall.0, own, &wants, &rules);
-        log::debug!("parts, epoch {}: {:?}", next.epoch, next.parts);
-        let txn = Transaction {
+        let no_grant = (Grant::default(), 0);
+        let (current, version) = self.cache.parts.as_ref().unwrap_or(&no_grant);
+        let rules = grant_rules(&self.settings);
+        let next = current.next(clock.wall.0, own_request, &requests, &rules);
+        log::debug!("budget granted epoch={} parts={:?}", next.epoch, next.parts);
+        Some(Transaction {
             conds: vec![
-                VersionCondition::new(LEAD, l.version),
-                VersionCondition::new(PARTS, version),
+                VersionCondition::new(LEAD, leader.version),
+                VersionCondition::new(PARTS, *version),
             ],
             changes: vec![Change::put(PARTS, &BudgetSharesRecord::of(&next), None)],
-        };
-        self.budget.giving = true;
-        self.store.ask(
-            RequestPriority::Urgent,
-            StoreRequestPurpose::BudgetShares,
-            StoreRequest::Transaction(txn),
-        );
-        self.budget.give_at
+        })
+    }
+
+    /// What peers request. A peer that is not heard, or whose format has no grants, receives none.
+    fn peer_requests(&self, clock: Clock) -> Vec<Want> {
+        let weight = fixed_writes(&self.settings, false) as f64;
+        let peers = self.settings.peers.iter();
+        peers
+            .filter(|peer| self.cache.format_of(&peer.node).0 >= GRANT_FORMAT)
+            .filter_map(|peer| {
+                let status = self.recent_status(clock, &peer.node)?;
+                Some(Want {
+                    holder: peer.node.clone(),
+                    amount: status.requested_writes,
+                    weight,
+                    seen: self.budget.peer_epoch(&peer.node),
+                })
+            })
+            .collect()
     }
 
-    /// A grant came back. Whatever became of it, the next one is made upon what is on record then.
+    /// Handles the response to the write of a grant. The next grant is based on the record as it is then,
+    /// whatever the response is.
     pub(crate) fn on_budget_shares(
         &mut self,
         clock: Clock,
-        ask: StoreRequest,
-        reply: StoreResponse,
+        request: StoreRequest,
+        response: StoreResponse,
     ) {
-        self.budget.giving = false;
-        if let (StoreResponse::Committed(rev), StoreRequest::Transaction(t)) = (reply, ask) {
-            self.apply_own_commit(&t, rev);
+        self.budget.grant_in_flight = false;
+        if let (StoreResponse::Committed(revision), StoreRequest::Transaction(transaction)) =
+            (response, request)
+        {
+            self.apply_own_commit(&transaction, revision);
             self.apply_budget_share(clock);
         }
     }
--- a/src/leadership/connectivity.rs
+++ b/src/leadership/connectivity.rs
@@ -1,120 +1,148 @@
-//! Whom this controller still reaches, and what follows for those who come to it.
+//! Reachability of the store and the peers, and what an isolated controller does.
 //!
-//! One that hears neither the state service nor any peer may be cut off by itself, or the others may be gone. It
-//! cannot tell, so it does what harms in neither case: it sends users away by its health check, since others may
-//! serve them; and it sends an agent on once, so that whoever leads by now can have it. An agent that comes back
-//! found nobody else, and is kept as long as line 10 of docs/safety.md allows. Where a lease has no room for trying
-//! the others in vain, agents are kept that long in any case.
+//! A controller that hears neither the key-value store nor any peer may be cut off by itself, or all others may have
+//! failed. It cannot distinguish the two cases, so it does what is harmless in both. Its health check fails, so that
+//! load balancers send clients to other controllers, which may be able to serve them. It redirects each agent
+//! once, so that a new leader can take the agent over. An agent that returns has found no other leader, and is
+//! served as long as line 10 of docs/safety.md allows. If an agent's lease does not outlast failed heartbeats to the
+//! other controllers, agents are served that long without a redirect.
 
 use crate::protocol::Micros;
 use std::collections::BTreeMap;
 
-/// Who hears nobody for this long is alone: a leader's lease in the store is over by then, and a follower asks the
-/// store every second.
-const ALONE: Micros = Micros::millis(5_000);
-/// A longer pause between two looks at the clock was a standstill of our own: nobody else is judged by it.
-const STANDSTILL: Micros = Micros::millis(1_500);
-/// Each time within this span that users were sent away makes us wait twice as long before we do it again: the
-/// load balancer's own pauses double, up to a minute.
-const DAMPED: Micros = Micros::millis(120_000);
-const MOST_DAMPED: u32 = 3;
-/// An agent is sent on once in this time.
-const SENT_ON: Micros = Micros::millis(30_000);
-/// Names remembered; all are forgotten at once beyond that.
-const NAMES: usize = 8_192;
-
-/// Whom we have heard, and when.
+/// Silence after which a controller is isolated: a leader's lease in the store has expired by then, and a follower
+/// sends a request to the store every second.
+const ISOLATION_TIMEOUT: Micros = Micros::millis(5_000);
+/// A longer pause between two calls of `tick` means that this process was suspended: silence before its end is
+/// not counted.
+const SUSPENSION_THRESHOLD: Micros = Micros::millis(1_500);
+/// Each health check failure within this time of the previous one doubles the silence that leads to the next: the
+/// load balancer's own back-off doubles up to a minute.
+const BACKOFF_RESET: Micros = Micros::millis(120_000);
+/// Limit of the doublings.
+const MAX_DOUBLINGS: u32 = 3;
+/// An agent is redirected at most once within this time.
+const REDIRECT_INTERVAL: Micros = Micros::millis(30_000);
+/// Machine names remembered; all are forgotten when this number is reached.
+const MAX_REMEMBERED_MACHINES: usize = 8_192;
+
+/// When the store, the peers and agents of other zones were last heard.
 #[derive(Debug, Default)]
 pub struct Connectivity {
-    store: Micros,
-    peers: Micros,
-    /// Agents of another zone: while they come, our zone is not cut off.
-    elsewhere: Micros,
-    looked: Micros,
-    /// When users were last sent away, how often in a row, and whether they are now.
-    away: (Micros, u32, bool),
-    /// A lease has room for trying all others in vain.
-    roomy: bool,
-    sent_on: BTreeMap<String, Micros>,
+    store_heard_at: Micros,
+    peer_heard_at: Micros,
+    /// When an agent of another zone last sent a heartbeat: such an agent shows that our zone is not cut off.
+    remote_agent_heard_at: Micros,
+    last_tick: Micros,
+    health_check: HealthCheck,
+    /// An agent's lease outlasts failed heartbeats to all other controllers.
+    redirect_is_safe: bool,
+    /// Per machine: when its agent was last redirected.
+    redirected_at: BTreeMap<String, Micros>,
+}
+
+/// State of the health check.
+#[derive(Debug, Clone, Copy, Default)]
+struct HealthCheck {
+    failing: bool,
+    /// When it last began to fail.
+    failed_at: Micros,
+    /// How often it has begun to fail without a pause of `BACKOFF_RESET`.
+    recent_failures: u32,
+}
+
+impl HealthCheck {
+    /// Updates the state after a silence of the store and all peers.
+    fn update(&mut self, now: Micros, silence: Micros) {
+        if !self.failing && now.since(self.failed_at) > BACKOFF_RESET {
+            self.recent_failures = 0;
+        }
+        let doublings = self.recent_failures.min(MAX_DOUBLINGS);
+        let tolerated = Micros(ISOLATION_TIMEOUT.0 << doublings);
+        if self.failing {
+            self.failing = silence > ISOLATION_TIMEOUT;
+        } else if silence > tolerated {
+            self.failing = true;
+            self.failed_at = now;
+            self.recent_failures += 1;
+        }
+    }
 }
 
 impl Connectivity {
-    /// Nothing is held against anybody yet. `roomy`: a lease has room for trying all others in vain.
-    pub fn new(now: Micros, roomy: bool) -> Connectivity {
+    /// The state of a controller that has just started: nothing counts as silent yet. `redirect_is_safe`: an
+    /// agent's lease outlasts failed heartbeats to all other controllers.
+    pub fn new(now: Micros, redirect_is_safe: bool) -> Connectivity {
         Connectivity {
-            store: now,
-            peers: now,
-            looked: now,
-            roomy,
+            store_heard_at: now,
+            peer_heard_at: now,
+            last_tick: now,
+            redirect_is_safe,
             ..Connectivity::default()
         }
     }
 
-    /// The state service has answered.
-    pub fn store(&mut self, now: Micros) {
-        self.store = now;
+    /// The store has answered a request.
+    pub fn on_store_heard(&mut self, now: Micros) {
+        self.store_heard_at = now;
     }
 
-    /// A peer has been heard.
-    pub fn peer(&mut self, now: Micros) {
-        self.peers = now;
+    /// A peer has sent a heartbeat or answered one.
+    pub fn on_peer_heard(&mut self, now: Micros) {
+        self.peer_heard_at = now;
     }
 
-    /// An agent of another zone has come to us.
-    pub fn elsewhere(&mut self, now: Micros) {
-        self.elsewhere = now;
+    /// An agent of another zone has sent a heartbeat.
+    pub fn on_remote_agent_heard(&mut self, now: Micros) {
+        self.remote_agent_heard_at = now;
     }
 
-    /// Time passes.
-    pub fn look(&mut self, now: Micros) {
-        if now.since(self.looked) > STANDSTILL {
-            self.store = now;
-            self.peers = now;
+    /// Updates the health check; called at each step of the controller.
+    pub fn tick(&mut self, now: Micros) {
+        if now.since(self.last_tick) > SUSPENSION_THRESHOLD {
+            self.store_heard_at = now;
+            self.peer_heard_at = now;
         }
-        self.looked = now;
-        let (at, times, away) = self.away;
-        let times = if now.since(at) > DAMPED && !away {
-            0
-        } else {
-            times
-        };
-        let patience = Micros(ALONE.0 << times.min(MOST_DAMPED));
-        self.away = if !away && self.unheard(now) > patience {
-            (now, times + 1, true)
-        } else {
-            (at, times, away && self.alone(now))
-        };
+        self.last_tick = now;
+        let silence = self.silence(now);
+        self.health_check.update(now, silence);
+    }
+
+    /// When the store or a peer was last heard.
+    fn last_heard(&self) -> Micros {
+        self.store_heard_at.max(self.peer_heard_at)
     }
 
-    fn unheard(&self, now: Micros) -> Micros {
-        now.since(self.store.max(self.peers))
+    fn silence(&self, now: Micros) -> Micros {
+        now.since(self.last_heard())
     }
 
-    /// Neither the state service nor any peer has been heard for a while.
-    pub fn alone(&self, now: Micros) -> bool {
-        self.unheard(now) > ALONE
+    /// Whether neither the store nor any peer has been heard for `ISOLATION_TIMEOUT`.
+    pub fn isolated(&self, now: Micros) -> bool {
+        self.silence(now) > ISOLATION_TIMEOUT
     }
 
-    /// Whether users had better go to others.
-    pub fn sends_users_away(&self) -> bool {
-        self.away.2
+    /// Whether the health check fails, so that clients go to other controllers.
+    pub fn health_check_failing(&self) -> bool {
+        self.health_check.failing
     }
 
-    /// Whether an agent had better look for somebody else first. Not where nobody of another zone comes any more:
-    /// then the zone may be cut off, and we all that its agents have.
-    pub fn sends_on(&mut self, machine: &str, now: Micros) -> bool {
-        let open = self.elsewhere > self.store.max(self.peers) + ALONE;
-        if !self.roomy || !self.alone(now) || !open {
+    /// Whether an agent should try another controller first; notes that it was redirected if so. If no agents of
+    /// other zones send heartbeats any more, the zone may be cut off, and this controller may be the only one
+    /// that its agents reach: they are not redirected then.
+    pub fn should_redirect(&mut self, machine: &str, now: Micros) -> bool {
+        let zone_reachable = self.remote_agent_heard_at > self.last_heard() + ISOLATION_TIMEOUT;
+        if !self.redirect_is_safe || !self.isolated(now) || !zone_reachable {
             return false;
         }
-        let sent = self.sent_on.get(machine);
-        if sent.is_some_and(|t| now.since(*t) < SENT_ON) {
+        let redirected_at = self.redirected_at.get(machine);
+        if redirected_at.is_some_and(|at| now.since(*at) < REDIRECT_INTERVAL) {
             return false;
         }
-        if self.sent_on.len() >= NAMES {
-            self.sent_on.clear();
+        if self.redirected_at.len() >= MAX_REMEMBERED_MACHINES {
+            self.redirected_at.clear();
         }
-        self.sent_on.insert(machine.to_string(), now);
+        self.redirected_at.insert(machine.to_string(), now);
         true
     }
 }
--- a/src/leadership/connectivity/tests.rs
+++ b/src/leadership/connectivity/tests.rs
@@ -1,53 +1,61 @@
-//! Tests.
+//! Tests of the health check and of redirects by an isolated controller.
 
 use super::*;
 
-const fn ms(t: u64) -> Micros {
-    Micros::millis(t)
+const fn ms(milliseconds: u64) -> Micros {
+    Micros::millis(milliseconds)
 }
 
-/// Looks every 100 ms from one time to another.
-fn pass(r: &mut Connectivity, from: u64, to: u64) {
-    (from..=to).step_by(100).for_each(|t| r.look(ms(t)));
+/// Calls `tick` every 100 ms from one time to another.
+fn tick_between(connectivity: &mut Connectivity, from: u64, to: u64) {
+    (from..=to)
+        .step_by(100)
+        .for_each(|time| connectivity.tick(ms(time)));
 }
 
 #[test]
-fn users_are_sent_away_by_whoever_is_alone_and_not_again_and_again() {
-    let mut r = Connectivity::new(ms(0), true);
-    pass(&mut r, 0, 4_900);
-    assert!(!r.sends_users_away());
-    pass(&mut r, 5_000, 5_200);
-    assert!(r.sends_users_away());
-    r.peer(ms(5_200));
-    pass(&mut r, 5_300, 6_000);
-    assert!(!r.sends_users_away());
-    // The second time takes twice as long.
-    pass(&mut r, 6_100, 15_100);
-    assert!(!r.sends_users_away());
-    pass(&mut r, 15_200, 15_400);
-    assert!(r.sends_users_away());
+fn health_check_fails_while_isolated_with_backoff_between_failures() {
+    let mut connectivity = Connectivity::new(ms(0), true);
+    tick_between(&mut connectivity, 0, 4_900);
+    assert!(!connectivity.health_check_failing());
+    tick_between(&mut connectivity, 5_000, 5_200);
+    assert!(connectivity.health_check_failing());
+    connectivity.on_peer_heard(ms(5_200));
+    tick_between(&mut connectivity, 5_300, 6_000);
+    assert!(!connectivity.health_check_failing());
+    // The second failure takes twice the silence.
+    tick_between(&mut connectivity, 6_100, 15_100);
+    assert!(!connectivity.health_check_failing());
+    tick_between(&mut connectivity, 15_200, 15_400);
+    assert!(connectivity.health_check_failing());
 }
 
 #[test]
-fn who_stood_still_judges_nobody_by_it() {
-    let mut r = Connectivity::new(ms(0), true);
-    pass(&mut r, 0, 1_000);
-    r.look(ms(31_000));
-    assert!(!r.sends_users_away() && !r.alone(ms(31_000)));
+fn silence_during_a_suspension_is_not_counted() {
+    let mut connectivity = Connectivity::new(ms(0), true);
+    tick_between(&mut connectivity, 0, 1_000);
+    connectivity.tick(ms(31_000));
+    assert!(!connectivity.health_check_failing() && !connectivity.isolated(ms(31_000)));
 }
 
 #[test]
-fn workers_are_sent_on_once_and_only_while_the_zone_is_open() {
-    let mut r = Connectivity::new(ms(0), true);
-    pass(&mut r, 0, 8_000);
-    assert!(!r.sends_on("n-1", ms(8_000)), "the zone may be cut off");
-    r.elsewhere(ms(8_000));
-    assert!(r.sends_on("n-1", ms(8_000)));
-    assert!(!r.sends_on("n-1", ms(11_000)), "it found nobody else");
-    r.store(ms(12_000));
-    assert!(!r.sends_on("n-2", ms(13_000)));
-    let mut tight = Connectivity::new(ms(0), false);
-    pass(&mut tight, 0, 8_000);
-    tight.elsewhere(ms(8_000));
-    assert!(!tight.sends_on("n-1", ms(8_000)));
+fn agents_are_redirected_once_and_only_while_the_zone_is_reachable() {
+    let mut connectivity = Connectivity::new(ms(0), true);
+    tick_between(&mut connectivity, 0, 8_000);
+    assert!(
+        !connectivity.should_redirect("n-1", ms(8_000)),
+        "the zone may be cut off"
+    );
+    connectivity.on_remote_agent_heard(ms(8_000));
+    assert!(connectivity.should_redirect("n-1", ms(8_000)));
+    assert!(
+        !connectivity.should_redirect("n-1", ms(11_000)),
+        "the agent found no other leader"
+    );
+    connectivity.on_store_heard(ms(12_000));
+    assert!(!connectivity.should_redirect("n-2", ms(13_000)));
+    let mut short_lease = Connectivity::new(ms(0), false);
+    tick_between(&mut short_lease, 0, 8_000);
+    short_lease.on_remote_agent_heard(ms(8_000));
+    assert!(!short_lease.should_redirect("n-1", ms(8_000)));
 }
--- /dev/null
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -0,0 +1,270 @@
+//! The record that names the machines whose leases this follower renews.
+
+use super::{Leadership, UnansweredHeartbeat};
+use crate::controller::Controller;
+use crate::messages::{PendingRequest, StoreRequestPurpose};
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
+use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
+use crate::protocol::{Clock, Micros};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+use std::collections::BTreeSet;
+
+/// The record is rewritten at this interval, as a heartbeat for the leader.
+pub const RECORD_REFRESH_INTERVAL: Micros = Micros::millis(10_000);
+/// Minimum time between two writes: each names all machines, and after a takeover hundreds of agents arrive
+/// within a second or two.
+const MIN_WRITE_INTERVAL: Micros = Micros::millis(200);
+/// The part of this controller's write budget that the record may use.
+const WRITE_BUDGET_SHARE: f64 = 0.5;
+/// Minimum time between attempts to clear the record of an earlier run.
+const CLEAR_RETRY_INTERVAL: Micros = Micros::millis(1_000);
+/// Clocks of controller and agent differ by at most this factor over a lease.
+const CLOCK_DRIFT_FACTOR: f64 = 1.002;
+/// Allowance for timers that fire late, in seconds.
+const TIMER_MARGIN_S: f64 = 0.5;
+
+/// A transaction that writes the record, and the machines that it names.
+struct RecordWrite {
+    machines: Vec<String>,
+    transaction: Transaction,
+}
+
+impl Controller {
+    /// Writes the record, unless a write is pending or the last one was too recent.
+    pub(super) fn write_renewals(&mut self, clock: Clock) {
+        if self.renewals.write_in_flight || clock.now < self.next_renewals_write_at() {
+            return;
+        }
+        let write = self.renewals_write();
+        let write_rate = self.store.write_rate() * WRITE_BUDGET_SHARE;
+        let renewals = &mut self.renewals;
+        renewals.write_in_flight = true;
+        renewals.last_write_at = clock.now;
+        renewals.write_delay = Micros::secs(write.transaction.changes.len() as f64 / write_rate);
+        self.store.ask(
+            RequestPriority::Urgent,
+            StoreRequestPurpose::RecordRenewals(write.machines),
+            StoreRequest::Transaction(write.transaction),
+        );
+    }
+
+    fn next_renewals_write_at(&self) -> Micros {
+        let renewals = &self.renewals;
+        renewals.last_write_at + renewals.write_delay.max(MIN_WRITE_INTERVAL)
+    }
+
+    /// The transaction that replaces all parts of our record, on the condition that the leadership is unchanged.
+    fn renewals_write(&self) -> RecordWrite {
+        let leadership = self.renewals.leadership;
+        let limits = &self.settings.params.state;
+        let machines = self.renewals.last_answers.keys();
+        let mut parts =
+            RenewalsRecord::split(leadership.term, machines, limits.least_value_bytes());
+        // Machines that do not fit into one transaction are not named, and so their leases are not renewed.
+        parts.truncate(limits.least_txn_ops());
+        let named: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
+        let stored_parts = self.cache.renewals_of(&self.settings.node);
+        let empty = RenewalsRecord::new(leadership.term, [].into_iter());
+        while parts.len() < stored_parts.len() {
+            parts.push(empty.clone());
+        }
+        let mut conditions = vec![VersionCondition::new(LEAD, leadership.record_version)];
+        let mut changes = Vec::new();
+        for (index, part) in parts.iter().enumerate() {
+            let key = renew_key(&self.settings.node, index);
+            let stored = stored_parts.get(index).copied().flatten();
+            let stored_is_empty = stored.is_some_and(|(record, _)| record.is_empty());
+            if index > 0 && part.is_empty() && stored_is_empty {
+                continue;
+            }
+            // A write whose response was lost and that is applied late must not replace a newer record.
+            let stored_version = stored.map_or(0, |(_, version)| *version);
+            conditions.push(VersionCondition::new(&key, stored_version));
+            changes.push(Change::put(&key, part, None));
+        }
+        RecordWrite {
+            machines: named,
+            transaction: Transaction {
+                conds: conditions,
+                changes,
+            },
+        }
+    }
+
+    /// Handles the response to a write of the record that named these machines.
+    pub fn on_renewals_result(
+        &mut self,
+        clock: Clock,
+        machines: Vec<String>,
+        request: StoreRequest,
+        sent: Micros,
+        response: StoreResponse,
+    ) {
+        self.renewals.write_in_flight = false;
+        let unanswered = std::mem::take(&mut self.renewals.unanswered);
+        match (&response, &request) {
+            (StoreResponse::Committed(revision), StoreRequest::Transaction(transaction)) => {
+                self.apply_own_commit(transaction, *revision);
+                if transaction.conds[0].version == self.renewals.leadership.record_version {
+                    self.on_renewals_recorded(clock, machines, *revision, sent);
+                }
+                self.answer_recorded(clock, unanswered);
+            }
+            _ => {
+                self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
+                self.answer_after_failed_write(clock, unanswered);
+            }
+        }
+    }
+
+    fn on_renewals_recorded(
+        &mut self,
+        clock: Clock,
+        machines: Vec<String>,
+        revision: u64,
+        sent: Micros,
+    ) {
+        let renewals = &mut self.renewals;
+        log::info!(
+            "delegated renewals recorded term={} machines={}",
+            renewals.leadership.term,
+            machines.len()
+        );
+        renewals.record_version = revision;
+        renewals.recorded = machines.into_iter().collect();
+        // The commit proves that the term held. Cancellations up to now are known only after a read.
+        if renewals.last_confirmed_read == Micros::ZERO {
+            renewals.last_confirmed_read = sent;
+        }
+        self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
+    }
+
+    /// Answers the heartbeats of machines that the record names now; the others wait for the next write.
+    fn answer_recorded(&mut self, clock: Clock, unanswered: Vec<UnansweredHeartbeat>) {
+        for pending in unanswered {
+            let machine = &pending.heartbeat.machine;
+            if self.renewals.recorded.contains(machine) {
+                self.renew_recorded(clock, pending.connection, &pending.heartbeat);
+            } else {
+                self.renewals.unanswered.push(pending);
+            }
+        }
+        if !self.renewals.unanswered.is_empty() {
+            self.write_renewals(clock);
+        }
+    }
+
+    fn answer_after_failed_write(&mut self, clock: Clock, unanswered: Vec<UnansweredHeartbeat>) {
+        for UnansweredHeartbeat {
+            connection,
+            heartbeat,
+        } in unanswered
+        {
+            if !self.renewals.recorded.contains(&heartbeat.machine) {
+                self.renewals.last_answers.remove(&heartbeat.machine);
+            }
+            if self.may_renew_unrecorded(clock, &heartbeat) {
+                self.renew_unrecorded(clock, connection, &heartbeat);
+            } else {
+                self.refuse(connection, 503, "the state service does not answer");
+            }
+        }
+    }
+
+    /// Handles a completed read barrier whose read began at `sent`: confirms the renewals if both records are
+    /// unchanged, and ends them otherwise.
+    pub fn confirm_renewals(&mut self, sent: Micros) {
+        if !self.renewals.active() || self.renewals.recorded.is_empty() {
+            return;
+        }
+        let own_record = self.cache.renewals.get(&self.settings.node);
+        let expected = self.renewals.record_version;
+        let record_unchanged = own_record.is_some_and(|(_, version)| *version == expected);
+        let unchanged = record_unchanged && self.renewal_leadership_unchanged();
+        let renewals = &mut self.renewals;
+        if renewals.write_in_flight && !unchanged {
+            // The read may have shown our next record before the response to its write has arrived.
+            return;
+        }
+        if unchanged {
+            renewals.last_confirmed_read = renewals.last_confirmed_read.max(sent);
+        } else {
+            log::info!(
+                "delegated renewals ended term={} reason=superseded",
+                renewals.leadership.term
+            );
+            renewals.recorded.clear();
+            renewals.last_answers.clear();
+        }
+    }
+
+    /// Removes machines whose leases have expired since our last answer, and refreshes the record; returns when
+    /// to check again.
+    pub fn drive_renewals(&mut self, clock: Clock) -> Micros {
+        if self.renewals.write_in_flight {
+            return Micros::FAR;
+        }
+        let lease_s = self.settings.params.agents.lease_s;
+        let lease = Micros::secs(lease_s * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_S);
+        if !self.renewals.active() {
+            return self.clear_inherited_record(clock, lease);
+        }
+        let renewals = &mut self.renewals;
+        let count_before = renewals.last_answers.len();
+        renewals
+            .last_answers
+            .retain(|_, answered_at| clock.now.since(*answered_at) < lease);
+        let removed = renewals.last_answers.len() != count_before;
+        if removed {
+            // These machines get no more answers from now on, whether or not the write succeeds.
+            let remaining: BTreeSet<String> = renewals.last_answers.keys().cloned().collect();
+            renewals
+                .recorded
+                .retain(|machine| remaining.contains(machine));
+        }
+        let refresh_at = renewals.last_write_at + RECORD_REFRESH_INTERVAL;
+        if removed
+            || !renewals.unanswered.is_empty()
+            || renewals.last_answers.len() != renewals.recorded.len()
+            || refresh_at <= clock.now
+        {
+            self.write_renewals(clock);
+            return self.next_renewals_write_at();
+        }
+        let last_answers = renewals.last_answers.values();
+        let next_expiry = last_answers.map(|answered_at| *answered_at + lease).min();
+        next_expiry.unwrap_or(Micros::FAR).min(refresh_at)
+    }
+
+    /// Clears the record of an earlier run of this process once the leases that it renewed have expired; returns
+    /// when to check again.
+    fn clear_inherited_record(&mut self, clock: Clock, lease: Micros) -> Micros {
+        let own_records = self.cache.renewals_of(&self.settings.node);
+        let recorded_term = own_records
+            .into_iter()
+            .flatten()
+            .find(|(record, _)| !record.is_empty())
+            .map(|(record, _)| record.term);
+        let leadership = self
+            .cache
+            .lead
+            .as_ref()
+            .map(|(record, version)| Leadership {
+                term: record.term,
+                record_version: *version,
+            });
+        let Some(leadership) =
+            leadership.filter(|leadership| recorded_term == Some(leadership.term))
+        else {
+            return Micros::FAR;
+        };
+        let expired_at = self.started_at + lease;
+        let retry_at = self.renewals.last_write_at + CLEAR_RETRY_INTERVAL;
+        if clock.now < expired_at || clock.now < retry_at {
+            return expired_at.max(clock.now + CLEAR_RETRY_INTERVAL);
+        }
+        self.renewals.leadership = leadership;
+        self.write_renewals(clock);
+        Micros::FAR
+    }
+}
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Leadership: who leads, when to claim the lead, and when to give it away.
+//! Leader election: when this controller claims leadership, and when it gives leadership away.
 
 use crate::controller::Controller;
 use crate::leadership::peers::PeerStatus;
@@ -10,182 +10,229 @@
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use rand::RngExt;
+use std::ops::Range;
 
-/// The leader's lease in the store lives this long unrenewed. Only liveness hangs on it.
+/// Time to live of the leader's lease in the store. Only liveness depends on it, not safety.
 pub(crate) const LEADER_LEASE_TTL: Micros = Micros::millis(4000);
-/// A leader silent for this long on all links of all peers is taken for dead.
+/// A leader that no peer has heard for this long is presumed dead.
 pub(crate) const LEADER_SILENCE_LIMIT: Micros = Micros::millis(2500);
-/// An agent waits 4 s for an answer, and 1 s more before it tries the next controller.
-const VAIN_TRY: Micros = Micros::millis(5000);
-/// Reports come up to a quarter of their interval late.
-const LATEST_REPORT: f64 = 1.25;
-/// A leader is relieved only this long after the last change of the lead.
-const CALM: Micros = Micros::millis(10_000);
-/// How often a leader asks itself whether it should lead, and how long it has to have been of no use.
-const YIELD_LOOK: Micros = Micros::millis(1_000);
-const YIELD_AFTER: Micros = Micros::millis(2_000);
-/// Who has given the lead away leaves it to others for this long.
-const YIELDED: Micros = Micros::millis(6_000);
-
-/// Where our claim of the lead stands.
+/// Duration of an agent's failed heartbeat: a timeout of 4 s, and a pause of 1 s before it tries the next
+/// controller.
+const FAILED_HEARTBEAT_DURATION: Micros = Micros::millis(5000);
+/// An agent sends a heartbeat at the latest after this multiple of its heartbeat interval.
+const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
+/// A live leader is replaced only if the leader record has not changed for this long.
+const MIN_STABLE_LEADERSHIP: Micros = Micros::millis(10_000);
+/// How often a leader checks whether it should give leadership away.
+const TRANSFER_CHECK_INTERVAL: Micros = Micros::millis(1_000);
+/// How long a leader must have been unable to serve the agents before it gives leadership away.
+const TRANSFER_DELAY: Micros = Micros::millis(2_000);
+/// After a transfer the former leader is no candidate for this long.
+const CANDIDACY_PAUSE_AFTER_TRANSFER: Micros = Micros::millis(6_000);
+
+/// Candidacy delays in milliseconds: the ranges order the candidates, and a random delay within a range keeps
+/// candidates of the same kind from claiming at once.
+const DELAY_MS_RENEWING_LEASES: Range<u64> = 0..100;
+const DELAY_MS_PREFERRED_ZONE: Range<u64> = 0..150;
+const DELAY_MS_DEFAULT: Range<u64> = 250..400;
+const DELAY_MS_PEER_RENEWS_LEASES: Range<u64> = 400..550;
+
+/// Progress of this controller's candidacy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ElectionState {
+    /// It is no candidate.
     Idle,
-    Waiting(Micros),
+    /// It claims leadership at this time if leadership is still vacant then.
+    Scheduled(Micros),
+    /// It has requested a lease for the leader key, or has sent the claim.
     Claiming,
 }
 
-/// Whether a lease outlasts an agent's trying two controllers in vain.
-pub(crate) fn room_for_two_vain(s: &Settings) -> bool {
-    let w = &s.params.agents;
-    (VAIN_TRY + VAIN_TRY).as_secs() + w.report_s * LATEST_REPORT <= w.lease_s
+/// Whether an agent's lease outlasts failed heartbeats to two controllers.
+pub(crate) fn lease_outlasts_two_failures(settings: &Settings) -> bool {
+    let agents = &settings.params.agents;
+    let two_failures = FAILED_HEARTBEAT_DURATION + FAILED_HEARTBEAT_DURATION;
+    two_failures.as_secs() + agents.report_s * MAX_HEARTBEAT_INTERVAL_FACTOR <= agents.lease_s
 }
 
 impl Controller {
-    /// The leader on record is an earlier run of our own process.
-    pub(crate) fn previous_run_leads(&self) -> bool {
-        self.cache
-            .lead
-            .as_ref()
-            .is_some_and(|(l, _)| l.node == self.settings.node && l.incarnation != self.incarnation)
+    /// Whether the leader record names an earlier run of this controller's own process.
+    fn previous_run_leads(&self) -> bool {
+        self.cache.lead.as_ref().is_some_and(|(record, _)| {
+            record.node == self.settings.node && record.incarnation != self.incarnation
+        })
     }
 
-    /// Nobody seems to lead.
+    /// Whether no live controller appears to lead.
     pub(crate) fn leadership_vacant(&self, clock: Clock) -> bool {
-        match &self.cache.lead {
-            Some((l, _)) => {
-                self.previous_run_leads()
-                    || self.cache.live.is_none()
-                    || self.leader_process_restarted()
-                    || self.leader_suspected(clock, &l.node)
-            }
-            None => true,
-        }
+        let Some((record, _)) = &self.cache.lead else {
+            return true;
+        };
+        self.previous_run_leads()
+            || self.cache.live.is_none()
+            || self.leader_process_restarted()
+            || self.leader_suspected(clock, &record.node)
     }
 
-    /// Whether the controller after this one, by name, is in another zone. An agent that cannot reach
-    /// the leader tries the next one, and a lease may have room for one vain try only: if a cut between
-    /// zones is the reason, the next one should be on its side.
-    pub(crate) fn next_controller_in_other_zone(&self, node: &str) -> bool {
-        let s = &self.settings;
-        let others = s.peers.iter().map(|x| (&x.node, &x.zone));
-        let all: Vec<_> = others.chain([(&s.node, &s.zone)]).collect();
-        let zone = all.iter().find(|(n, _)| *n == node).map(|(_, z)| *z);
-        let after = all.iter().filter(|(n, _)| n.as_str() > node).min();
-        after.or(all.iter().min()).map(|(_, z)| *z) != zone
+    /// Whether the controller that follows `node` in the order of names is in another zone.
+    ///
+    /// An agent that cannot reach the leader tries the next controller, and its lease may outlast only one
+    /// failed attempt. If a network partition between zones is the cause, the next controller should be on the
+    /// agent's side of it.
+    fn next_controller_in_other_zone(&self, node: &str) -> bool {
+        let settings = &self.settings;
+        let peers = settings.peers.iter().map(|peer| (&peer.node, &peer.zone));
+        let controllers: Vec<_> = peers.chain([(&settings.node, &settings.zone)]).collect();
+        let own_zone = controllers
+            .iter()
+            .find(|(name, _)| *name == node)
+            .map(|(_, zone)| *zone);
+        let successor = controllers
+            .iter()
+            .filter(|(name, _)| name.as_str() > node)
+            .min();
+        let successor = successor.or(controllers.iter().min());
+        successor.map(|(_, zone)| *zone) != own_zone
     }
 
-    /// Whether we had better lead in place of a leader that is alive: agents that a cut between zones
-    /// keeps from it would try another controller of its zone next, in vain, and lose their leases,
-    /// while from us they would come to one of theirs. Only in calm times; a takeover costs a moment.
-    pub(crate) fn should_relieve_leader(&self, clock: Clock) -> bool {
-        let s = &self.settings;
-        let Some((lead, _)) = &self.cache.lead else {
+    /// Whether this controller should replace a live leader because of its place in the order of names.
+    ///
+    /// Agents that a partition between zones separates from the leader would next try another controller of
+    /// the leader's zone, fail again and lose their leases; with this controller as leader they would next
+    /// reach a controller of their own zone. A takeover interrupts service briefly, so the leader is replaced
+    /// only while all peers are reachable, the store answers and leadership has been stable.
+    pub(crate) fn should_replace_leader(&self, clock: Clock) -> bool {
+        let Some((leader, _)) = &self.cache.lead else {
             return false;
         };
-        let calm = |v: &PeerStatus| v.served && clock.now.since(v.heard) < LEADER_SILENCE_LIMIT;
-        let first = s
-            .peers
-            .iter()
-            .all(|x| x.node > s.node || !self.next_controller_in_other_zone(&x.node));
-        lead.node != s.node
+        leader.node != self.settings.node
             && self.cache.live.is_some()
-            && !room_for_two_vain(s)
-            && !self.next_controller_in_other_zone(&lead.node)
-            && self.next_controller_in_other_zone(&s.node)
-            && first
-            && clock.now.since(self.leader_record_seen.1) >= CALM
+            && !lease_outlasts_two_failures(&self.settings)
+            && !self.next_controller_in_other_zone(&leader.node)
+            && self.is_preferred_leader()
+            && clock.now.since(self.leader_record_seen.1) >= MIN_STABLE_LEADERSHIP
             && self.store_available()
-            && s.peers
-                .iter()
-                .all(|x| self.peers.view.get(&x.node).is_some_and(calm))
+            && self.all_peers_healthy(clock)
     }
 
-    /// A peer has put on record that it renews agents under the present lead: they come to it.
-    pub(crate) fn others_renew(&self) -> bool {
-        let term = self.cache.lead.as_ref().map(|(l, _)| l.term);
-        let mut all = self.cache.renewals.values();
-        all.any(|(r, _)| Some(r.term) == term && !r.is_empty())
+    /// Whether this controller is the first by name whose successor is in another zone.
+    fn is_preferred_leader(&self) -> bool {
+        let settings = &self.settings;
+        self.next_controller_in_other_zone(&settings.node)
+            && settings.peers.iter().all(|peer| {
+                peer.node > settings.node || !self.next_controller_in_other_zone(&peer.node)
+            })
     }
 
+    /// Whether every peer has been heard recently and reported that the store serves it.
+    fn all_peers_healthy(&self, clock: Clock) -> bool {
+        let healthy =
+            |status: &PeerStatus| status.store_available && status.heard_recently(clock.now);
+        self.settings
+            .peers
+            .iter()
+            .all(|peer| self.peers.status.get(&peer.node).is_some_and(healthy))
+    }
+
+    /// Whether a peer has recorded that it renews leases under the current term: agents reach that peer.
+    fn peer_renews_leases(&self) -> bool {
+        let term = self.cache.lead.as_ref().map(|(record, _)| record.term);
+        let mut records = self.cache.renewals.values();
+        records.any(|(record, _)| Some(record.term) == term && !record.is_empty())
+    }
+
+    /// Advances the candidacy of this controller; returns when to check again.
     pub(crate) fn consider_candidacy(&mut self, clock: Clock) -> Micros {
         if self.leader.is_some() || !self.cache.synced {
             return Micros::FAR;
         }
-        if let Some(at) = self.transferred_at.filter(|at| clock.now < *at + YIELDED) {
-            return at + YIELDED;
+        let pause_end = self
+            .transferred_at
+            .map(|transferred_at| transferred_at + CANDIDACY_PAUSE_AFTER_TRANSFER);
+        if let Some(pause_end) = pause_end.filter(|end| clock.now < *end) {
+            return pause_end;
         }
-        let previous_run_leads = self.previous_run_leads();
         match self.election {
             ElectionState::Idle if self.leadership_vacant(clock) => {
-                // A little apart, so that not all claim at once; first whoever has agents with it.
-                let apart = if previous_run_leads {
-                    0
-                } else if self.renewals.active() {
-                    self.rng.random_range(0..100)
-                } else if self.others_renew() {
-                    self.rng.random_range(400..550)
-                } else if self.next_controller_in_other_zone(&self.settings.node) {
-                    self.rng.random_range(0..150)
-                } else {
-                    self.rng.random_range(250..400)
-                };
-                let at = clock.now + Micros::millis(apart);
-                self.election = ElectionState::Waiting(at);
-                if apart == 0 {
-                    return self.consider_candidacy(clock);
+                let claim_at = clock.now + self.candidacy_delay();
+                if claim_at <= clock.now {
+                    self.request_leader_lease();
+                    return Micros::FAR;
                 }
-                at
+                self.election = ElectionState::Scheduled(claim_at);
+                claim_at
             }
-            ElectionState::Idle if self.should_relieve_leader(clock) => {
-                log::info!("taking the lead over from a controller that cuts would hide");
-                self.election = ElectionState::Claiming;
-                self.store.ask(
-                    RequestPriority::Urgent,
-                    StoreRequestPurpose::LeaderLease,
-                    StoreRequest::NewLease(LEADER_LEASE_TTL),
-                );
+            ElectionState::Idle if self.should_replace_leader(clock) => {
+                log::info!("replacing the leader reason=zone_order");
+                self.request_leader_lease();
                 Micros::FAR
             }
-            ElectionState::Waiting(at) if at <= clock.now => {
+            ElectionState::Scheduled(claim_at) if clock.now < claim_at => claim_at,
+            ElectionState::Scheduled(_) => {
                 if self.leadership_vacant(clock) {
-                    self.election = ElectionState::Claiming;
-                    self.store.ask(
-                        RequestPriority::Urgent,
-                        StoreRequestPurpose::LeaderLease,
-                        StoreRequest::NewLease(LEADER_LEASE_TTL),
-                    );
+                    self.request_leader_lease();
                 } else {
                     self.election = ElectionState::Idle;
                 }
                 Micros::FAR
             }
-            ElectionState::Waiting(at) => at,
-            _ => Micros::FAR,
+            ElectionState::Idle | ElectionState::Claiming => Micros::FAR,
         }
     }
 
-    /// Gives the lead away if others reach the agents and we do not. A leader that keeps the store and its
-    /// peers has reports handed on to it; but where controllers cannot reach one another either, it would
-    /// keep a lead that it cannot use. Returns when to look again.
+    /// Delay between noticing that leadership is vacant and claiming it; controllers that reach agents claim
+    /// first.
+    fn candidacy_delay(&mut self) -> Micros {
+        let range = if self.previous_run_leads() {
+            return Micros::ZERO;
+        } else if self.renewals.active() {
+            DELAY_MS_RENEWING_LEASES
+        } else if self.peer_renews_leases() {
+            DELAY_MS_PEER_RENEWS_LEASES
+        } else if self.next_controller_in_other_zone(&self.settings.node) {
+            DELAY_MS_PREFERRED_ZONE
+        } else {
+            DELAY_MS_DEFAULT
+        };
+        Micros::millis(self.rng.random_range(range))
+    }
+
+    /// Requests the lease that the leader key will be attached to; the claim follows with its response.
+    fn request_leader_lease(&mut self) {
+        self.election = ElectionState::Claiming;
+        self.store.ask(
+            RequestPriority::Urgent,
+            StoreRequestPurpose::LeaderLease,
+            StoreRequest::NewLease(LEADER_LEASE_TTL),
+        );
+    }
+
+    /// Gives leadership away if peers reach the agents and this controller does not; returns when to check
+    /// again.
+    ///
+    /// A leader that reaches the store and its peers receives heartbeats relayed by them. If the controllers
+    /// cannot reach each other either, it would keep a leadership that it cannot use.
     pub(crate) fn consider_transfer(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
-        let Some(l) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        l.see_renewals(&self.cache);
-        if !l.cannot_serve(&self.settings, now) || !l.caught_up(&self.cache) {
-            l.useless_since = None;
-            return now + YIELD_LOOK;
+        leader.see_renewals(&self.cache);
+        if !leader.cannot_serve(&self.settings, now) || !leader.caught_up(&self.cache) {
+            leader.useless_since = None;
+            return now + TRANSFER_CHECK_INTERVAL;
         }
-        let since = *l.useless_since.get_or_insert(now);
-        if now < since + YIELD_AFTER {
-            return since + YIELD_AFTER;
+        let useless_since = *leader.useless_since.get_or_insert(now);
+        if now < useless_since + TRANSFER_DELAY {
+            return useless_since + TRANSFER_DELAY;
         }
-        l.useless_since = Some(Micros::FAR);
-        log::info!("giving the lead away: others reach the workers");
-        let txn = Transaction {
-            conds: vec![VersionCondition::new(LEAD, l.version)],
+        leader.useless_since = Some(Micros::FAR);
+        log::info!(
+            "transferring leadership term={} reason=agents_reach_peers",
+            leader.term
+        );
+        let transaction = Transaction {
+            conds: vec![VersionCondition::new(LEAD, leader.version)],
             changes: vec![Change::Delete {
                 key: LIVE.to_string(),
             }],
@@ -193,36 +240,37 @@
         self.store.ask(
             RequestPriority::Urgent,
             StoreRequestPurpose::TransferLeadership,
-            StoreRequest::Transaction(txn),
+            StoreRequest::Transaction(transaction),
         );
         Micros::FAR
     }
 
+    /// Claims leadership with the next term by a compare-and-swap on the leader record and the leader key.
     pub(crate) fn claim_leadership(&mut self) {
         let (term, version) = self
             .cache
             .lead
             .as_ref()
-            .map_or((0, 0), |(l, v)| (l.term, *v));
-        let rec = LeaderRecord {
+            .map_or((0, 0), |(record, version)| (record.term, *version));
+        let record = LeaderRecord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
             term: term + 1,
         };
-        let txn = Transaction {
+        let transaction = Transaction {
             conds: vec![
                 VersionCondition::new(LEAD, version),
                 VersionCondition::new(LIVE, self.cache.live.unwrap_or(0)),
             ],
             changes: vec![
-                Change::put(LEAD, &rec, None),
+                Change::put(LEAD, &record, None),
                 Change::put(LIVE, &self.settings.node, self.leader_lease),
             ],
         };
         self.store.ask(
             RequestPriority::Urgent,
             StoreRequestPurpose::ClaimLeadership,
-            StoreRequest::Transaction(txn),
+            StoreRequest::Transaction(transaction),
         );
     }
 }
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -1,8 +1,6 @@
-//! Which formats of records all controllers read, and what becomes of one that goes back.
+//! Which record formats all controllers read, and what happens when a controller's software is rolled back.
 
 use crate::controller::Controller;
-use crate::leadership::election::LEADER_SILENCE_LIMIT;
-use crate::leadership::peers::PeerStatus;
 use crate::messages::StoreRequestPurpose;
 use crate::protocol::Clock;
 use crate::protocol::key_value_api::Change;
@@ -12,24 +10,30 @@
 use crate::protocol::{Micros, format};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 
-/// The record of the format we read is looked at again this long after it was written.
+/// Delay between a write of a format record and the next check of the format records.
 pub(crate) const FORMAT_CHECK_INTERVAL: Micros = Micros::millis(1000);
 
+/// A peer that reports an older format than the recorded one.
+struct Downgrade<'a> {
+    node: &'a str,
+    format: u32,
+    /// Version of the peer's format record.
+    record_version: u64,
+}
+
 impl Controller {
-    /// Whether every controller named in the settings has recorded that it reads this format, so that
-    /// what the format adds may be written.
+    /// Whether every controller named in the settings has recorded that it reads this format, so that what the
+    /// format adds may be written.
     pub fn all_peers_read(&self, format: u32) -> bool {
-        let s = &self.settings;
-        let names = s.peers.iter().map(|x| &x.node);
-        names
-            .chain([&s.node])
-            .all(|n| self.cache.format_of(n).0 >= format)
+        let peers = self.settings.peers.iter().map(|peer| &peer.node);
+        let mut controllers = peers.chain([&self.settings.node]);
+        controllers.all(|node| self.cache.format_of(node).0 >= format)
     }
 
-    /// Records which format we read, once per start; a peer that has gone back to an older version
-    /// loses the record of its newer one.
+    /// Records which format this controller reads, once per start, and lowers the record of a peer that was
+    /// rolled back to an older format; returns when to check again.
     pub(crate) fn negotiate_format(&mut self, clock: Clock) -> Micros {
-        let Some(at) = self.format_record_due else {
+        let Some(due) = self.format_record_due else {
             return Micros::FAR;
         };
         if !self.cache.synced {
@@ -37,49 +41,71 @@
         }
         if !self.format_rollout_logged && self.all_peers_read(format::NEWEST) {
             self.format_rollout_logged = true;
-            log::info!("all controllers read format {}", format::NEWEST);
+            log::info!("format read by all controllers format={}", format::NEWEST);
         }
-        let (ours, version) = self.cache.format_of(&self.settings.node);
-        let key = format_key(&self.settings.node);
-        let txn = if ours != format::NEWEST {
-            Transaction {
-                conds: vec![VersionCondition::new(&key, version)],
-                changes: vec![Change::put(&key, &format::NEWEST, None)],
-            }
-        } else {
-            let view = &self.peers.view;
-            let recent = |v: &PeerStatus| clock.now.since(v.heard) < LEADER_SILENCE_LIMIT;
-            let back = view
-                .iter()
-                .filter(|(_, v)| recent(v))
-                .find_map(|(node, v)| {
-                    let (recorded, version) = self.cache.format_of(node);
-                    let older = v.went_back.filter(|f| *f < recorded)?;
-                    Some((node.clone(), older, version))
-                });
-            let Some((node, older, version)) = back else {
-                return Micros::FAR;
-            };
-            if at <= clock.now {
-                log::warn!("{node} has gone back to format {older}");
-            }
-            self.format_rollout_logged = false;
-            // Not deleted: its version would come again, and with it a first write that was late.
-            let key = format_key(&node);
-            Transaction {
-                conds: vec![VersionCondition::new(&key, version)],
-                changes: vec![Change::put(&key, &older, None)],
-            }
+        let transaction = self.own_format_update();
+        let Some(transaction) = transaction.or_else(|| self.downgrade_update(clock, due)) else {
+            return Micros::FAR;
         };
-        if clock.now < at {
-            return at;
+        if clock.now < due {
+            return due;
         }
         self.format_record_due = None;
         self.store.ask(
             RequestPriority::Normal,
             StoreRequestPurpose::RecordFormat,
-            StoreRequest::Transaction(txn),
+            StoreRequest::Transaction(transaction),
         );
         Micros::FAR
     }
+
+    /// The transaction that records our own format; none if it is recorded.
+    fn own_format_update(&self) -> Option<Transaction> {
+        let (recorded, version) = self.cache.format_of(&self.settings.node);
+        if recorded == format::NEWEST {
+            return None;
+        }
+        let key = format_key(&self.settings.node);
+        Some(Transaction {
+            conds: vec![VersionCondition::new(&key, version)],
+            changes: vec![Change::put(&key, &format::NEWEST, None)],
+        })
+    }
+
+    /// The transaction that lowers the recorded format of a peer that was rolled back, if there is one.
+    fn downgrade_update(&mut self, clock: Clock, due: Micros) -> Option<Transaction> {
+        let downgrade = self.find_downgrade(clock)?;
+        let older = downgrade.format;
+        if due <= clock.now {
+            log::warn!("peer downgraded peer={} format={older}", downgrade.node);
+        }
+        // The record is not deleted: its version would be reused, and a delayed first write could then succeed.
+        let key = format_key(downgrade.node);
+        let transaction = Transaction {
+            conds: vec![VersionCondition::new(&key, downgrade.record_version)],
+            changes: vec![Change::put(&key, &older, None)],
+        };
+        self.format_rollout_logged = false;
+        Some(transaction)
+    }
+
+    /// The first recently heard peer whose format is older than its record says.
+    fn find_downgrade(&self, clock: Clock) -> Option<Downgrade<'_>> {
+        let recent = self
+            .peers
+            .status
+            .iter()
+            .filter(|(_, status)| status.heard_recently(clock.now));
+        recent.into_iter().find_map(|(node, status)| {
+            let (recorded, record_version) = self.cache.format_of(node);
+            let format = status
+                .downgraded_format
+                .filter(|format| *format < recorded)?;
+            Some(Downgrade {
+                node,
+                format,
+                record_version,
+            })
+        })
+    }
 }
--- /dev/null
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -0,0 +1,115 @@
+//! Evaluates heartbeats of peers and responds to them.
+
+use super::{LeaderSighting, PeerStatus};
+use crate::controller::Controller;
+use crate::protocol::peer_messages::PeerHeartbeat;
+use crate::protocol::{Clock, Micros};
+
+impl Controller {
+    /// Responds to a peer's heartbeat.
+    ///
+    /// While the store does not serve this controller, the response is a silence pledge; if this controller
+    /// leads, the response also grants lease renewal. With both, peers can keep the agents' leases alive should
+    /// this controller fail.
+    pub(crate) fn respond_to_heartbeat(
+        &mut self,
+        clock: Clock,
+        mut heartbeat: PeerHeartbeat,
+    ) -> PeerHeartbeat {
+        let sender = heartbeat.node.clone();
+        let sender_extension = heartbeat.more;
+        let sender_has_records = heartbeat.newest.is_some();
+        let cancellation_cursor = heartbeat.knows.take();
+        self.on_heartbeat(clock, heartbeat);
+
+        let mut response = self.new_heartbeat(clock);
+        if let Some(cursor) = cancellation_cursor {
+            response.news = self.cancellation_news(clock, &cursor);
+        }
+        let store_available = self.store_available();
+        let peer = self.peer_index(&sender);
+        let (Some(extension), Some(sender_extension), Some(peer)) =
+            (&mut response.more, sender_extension, peer)
+        else {
+            return response;
+        };
+        if extension.quiet {
+            let pledges = &mut self.peers.silence_pledges;
+            pledges.pledge(peer, self.cache.newest, clock.now.0);
+        }
+        if let (Some(leader), Some(term)) = (&mut self.leader, response.leading)
+            && !store_available
+        {
+            extension.right = Some(term);
+            let grants = &mut leader.rights;
+            grants.give(&sender, sender_extension.run, clock.now.0);
+        }
+        if extension.quiet && !sender_has_records {
+            response.record_summary = self.record_summary_for_peer(clock);
+        }
+        response
+    }
+
+    /// Evaluates the part that heartbeats and responses have in common.
+    pub(super) fn on_heartbeat(&mut self, clock: Clock, heartbeat: PeerHeartbeat) {
+        self.connectivity.on_peer_heard(clock.now);
+        self.on_leading_term(clock, &heartbeat);
+        let pledges_silence = heartbeat.more.unwrap_or_default().quiet;
+        if let Some(peer) = self.peer_index(&heartbeat.node)
+            && !pledges_silence
+        {
+            self.peers.coverage.lifted(peer, clock.now.0);
+            self.update_leader_coverage();
+        }
+        if heartbeat.epoch > 0 {
+            self.budget.on_peer_epoch(&heartbeat.node, heartbeat.epoch);
+        }
+        self.update_peer_status(clock, heartbeat);
+    }
+
+    /// Notes whether the sender leads, and steps down if its term is higher than ours.
+    fn on_leading_term(&mut self, clock: Clock, heartbeat: &PeerHeartbeat) {
+        let Some(term) = heartbeat.leading else {
+            return;
+        };
+        self.highest_term_seen = self.highest_term_seen.max(term);
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|leader| term > leader.term)
+        {
+            // A leader without the store would learn of its successor late, and its agents would wait.
+            self.step_down("another controller leads with a higher term");
+        }
+        self.peers.last_leader_sighting = Some(LeaderSighting {
+            node: heartbeat.node.clone(),
+            at: clock.now,
+        });
+    }
+
+    fn update_peer_status(&mut self, clock: Clock, heartbeat: PeerHeartbeat) {
+        let reachable_since = self
+            .peers
+            .status
+            .get(&heartbeat.node)
+            .filter(|previous| previous.heard_recently(clock.now))
+            .map_or(clock.now, |previous| previous.reachable_since);
+        let (recorded_format, _) = self.cache.format_of(&heartbeat.node);
+        let status = PeerStatus {
+            last_heard: clock.now,
+            reachable_since,
+            leader_silent_ms: heartbeat.leader_silent_ms,
+            store_available: heartbeat.served,
+            downgraded_format: Some(heartbeat.format).filter(|format| *format < recorded_format),
+            requested_writes: heartbeat.asks,
+        };
+        self.peers.status.insert(heartbeat.node, status);
+    }
+
+    /// Updates the time until which peers confirm our leadership; it may become earlier.
+    pub(super) fn update_leader_coverage(&mut self) {
+        if let (Some(leader), Some(covered_until)) = (&mut self.leader, self.peers.coverage.all()) {
+            leader.vouched = Micros(covered_until);
+        }
+    }
+}
--- /dev/null
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -0,0 +1,219 @@
+//! Sends heartbeats to peers and evaluates their responses.
+
+use super::{ObservedRun, silence_pledges_enabled};
+use crate::controller::Controller;
+use crate::messages::PendingCall;
+use crate::protocol::peer_messages::{CancellationCursor, HeartbeatExtension, PeerHeartbeat};
+use crate::protocol::{Clock, Micros, format};
+use crate::transport::Outcome;
+use lease_delegation::quiet::{PeerAnswer, PeerKnowledge};
+
+const HEARTBEAT_TIMEOUT: Micros = Micros::millis(2000);
+const HEARTBEAT_INTERVAL: Micros = Micros::millis(700);
+
+impl Controller {
+    /// Sends the heartbeats that are due; returns when the next ones are.
+    pub(crate) fn send_peer_heartbeats(&mut self, clock: Clock) -> Micros {
+        if self.peers.next_heartbeat_at <= clock.now {
+            // Also without a request from a peer: the cache would keep the job names forever, while the log is
+            // bounded.
+            self.log_cancellations();
+            self.peers.next_heartbeat_at = clock.now + HEARTBEAT_INTERVAL;
+            for peer in 0..self.settings.peers.len() {
+                self.send_heartbeat_unless_in_flight(clock, peer);
+            }
+        }
+        if let Some(peer) = self.peers.incomplete_log_peer.take() {
+            self.send_heartbeat_unless_in_flight(clock, peer);
+        }
+        self.peers.next_heartbeat_at
+    }
+
+    fn send_heartbeat_unless_in_flight(&mut self, clock: Clock, peer: usize) {
+        if self.peers.links[peer].in_flight {
+            return;
+        }
+        let mut heartbeat = self.new_heartbeat(clock);
+        let cursor = self.peers.reported_cancellations.cursor(peer);
+        heartbeat.knows =
+            self.cancellations_known_to_revision()
+                .map(|complete| CancellationCursor {
+                    complete,
+                    heard: (cursor.run, cursor.next),
+                });
+        let link = &mut self.peers.links[peer];
+        link.in_flight = true;
+        link.announced_unserved = heartbeat.more.is_some_and(|extension| extension.quiet);
+        self.call(
+            PendingCall::PeerHeartbeat(peer, clock.now),
+            self.settings.peers[peer].address,
+            "POST",
+            "/heartbeat",
+            heartbeat.encode(),
+            HEARTBEAT_TIMEOUT,
+        );
+    }
+
+    /// A heartbeat with this controller's current state; a response to a peer is extended from it.
+    pub(super) fn new_heartbeat(&self, clock: Clock) -> PeerHeartbeat {
+        let staleness_bound = self.staleness_bound();
+        let store_available = self.store_available();
+        let leading_term = self
+            .leader
+            .as_ref()
+            .filter(|leader| {
+                let confirmed = leader.vouched.max(leader.last_confirmed_read);
+                clock.now < confirmed + staleness_bound
+            })
+            .map(|leader| leader.term);
+        let leader_silent_ms = self
+            .peers
+            .last_leader_sighting
+            .as_ref()
+            .map(|sighting| clock.now.since(sighting.at).0 / 1000);
+        let extension = HeartbeatExtension {
+            run: self.incarnation,
+            right: None,
+            used_ago: self.peers.renewal_grant.used_ago(clock.now.0),
+            quiet: silence_pledges_enabled(&self.policy) && !store_available,
+        };
+        PeerHeartbeat {
+            node: self.settings.node.clone(),
+            leading: leading_term,
+            leader_silent_ms,
+            newest: self.cache.synced.then_some(self.cache.newest),
+            served: store_available,
+            format: format::NEWEST,
+            asks: self.budget.requested_writes(),
+            epoch: self
+                .cache
+                .parts
+                .as_ref()
+                .map_or(0, |(grant, _)| grant.epoch),
+            more: Some(extension),
+            record_summary: None,
+            knows: None,
+            news: None,
+        }
+    }
+
+    /// Evaluates the outcome of the heartbeat that was sent to a peer at `sent`.
+    ///
+    /// If the peer knows of no cancellation and no leadership change that this controller does not know, its
+    /// response confirms our lease renewals as of `sent`.
+    pub(crate) fn on_heartbeat_response(
+        &mut self,
+        clock: Clock,
+        peer: usize,
+        sent: Micros,
+        outcome: Outcome,
+    ) {
+        self.peers.links[peer].in_flight = false;
+        let Some(mut response) = self.decode_heartbeat_response(peer, outcome) else {
+            return;
+        };
+        if let Some(summary) = response.record_summary.take() {
+            self.on_record_summary(clock, sent, summary);
+        }
+        if !self.peers.links[peer].announced_unserved {
+            // The peer has responded to a heartbeat that announced the end of our pledges.
+            let pledges = &mut self.peers.silence_pledges;
+            pledges.heard(peer, sent.0, clock.now.0);
+        }
+        self.update_coverage(clock, peer, sent, &mut response);
+        if let Some(extension) = response.more {
+            self.on_heartbeat_extension(clock, peer, sent, extension);
+        }
+        self.on_heartbeat(clock, response);
+        self.update_leader_coverage();
+    }
+
+    /// The response in `outcome`, if there is one and it was written by this peer.
+    fn decode_heartbeat_response(&self, peer: usize, outcome: Outcome) -> Option<PeerHeartbeat> {
+        let Outcome::Reply { status: 200, body } = outcome else {
+            return None;
+        };
+        let expected = &self.settings.peers[peer].node;
+        match PeerHeartbeat::decode(&body) {
+            Ok(response) if response.node == *expected => Some(response),
+            Ok(response) => {
+                log::warn!(
+                    "heartbeat response dropped peer={expected} sender={}",
+                    response.node
+                );
+                None
+            }
+            Err(error) => {
+                log::warn!("heartbeat response dropped peer={expected} error=\"{error}\"");
+                None
+            }
+        }
+    }
+
+    /// Updates until when answers to clients are covered; takes the cancellations out of the response.
+    fn update_coverage(
+        &mut self,
+        clock: Clock,
+        peer: usize,
+        sent: Micros,
+        response: &mut PeerHeartbeat,
+    ) {
+        let extension = response.more;
+        let news = response.news.take();
+        let known = match (response.newest, &news, extension) {
+            (None, ..) => PeerKnowledge::Unread,
+            (Some(_), Some(news), Some(extension)) => {
+                if self.on_cancellation_news(clock, peer, extension.run, news) {
+                    PeerKnowledge::All
+                } else {
+                    PeerKnowledge::Some
+                }
+            }
+            // The peer has an older format, or cannot send its whole log. Only the revision up to which the
+            // cache is complete counts: a commit of our own may have a higher revision than a peer's commit
+            // that we have not seen.
+            (Some(newest), ..) if newest <= self.cancellations_known_to_revision().unwrap_or(0) => {
+                PeerKnowledge::All
+            }
+            _ => PeerKnowledge::Some,
+        };
+        let answer = PeerAnswer {
+            known,
+            quiet: extension.unwrap_or_default().quiet,
+        };
+        let coverage = &mut self.peers.coverage;
+        coverage.answered(peer, answer, sent.0, clock.now.0);
+        if known == PeerKnowledge::All
+            && let Some(news) = news
+        {
+            // What the peer knew of other peers is known here now, too.
+            self.extend_coverage(Some(peer), sent, &news.known);
+        }
+    }
+
+    /// Updates the peer's run, the grant that it gave or withdrew, and its use of a grant of ours.
+    fn on_heartbeat_extension(
+        &mut self,
+        clock: Clock,
+        peer: usize,
+        sent: Micros,
+        extension: HeartbeatExtension,
+    ) {
+        let node = &self.settings.peers[peer].node;
+        let last_run = &mut self.peers.links[peer].last_run;
+        if last_run.is_some_and(|last| last.run != extension.run) {
+            log::info!("peer restarted peer={node}");
+        }
+        *last_run = Some(ObservedRun {
+            run: extension.run,
+            asked_at: sent,
+        });
+        let grant = &mut self.peers.renewal_grant;
+        grant.take(extension.right, extension.run, sent.0);
+        if let Some(leader) = &mut self.leader {
+            leader
+                .rights
+                .told(node, extension.run, sent.0, clock.now.0, extension.used_ago);
+        }
+    }
+}
