--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -1,197 +1,238 @@
-//! Commands to agents: what follows from records and reports, sent directly and with answers.
+//! Commands to agents: sent with the answers to their heartbeats and by direct calls, and what the responses to direct
+//! calls show.
 
-use crate::agents::leader_state::{LeaderState, MAX_START_STALENESS};
+use crate::agents::leader_state::LeaderState;
+use crate::agents::reconciliation::{Delivery, DueCommands, due_commands};
 use crate::controller::Controller;
-use crate::leadership::peers::known_cancelled;
-use crate::messages::PendingCall;
-use crate::protocol::Clock;
-use crate::protocol::Micros;
-use crate::protocol::agent_api::{AgentCommands, AgentHeartbeat, Command, ExitReason, TaskPhase};
+use crate::messages::{PendingCall, PendingRequest, StoreRequestPurpose};
+use crate::protocol::agent_api::{AgentCommands, AgentHeartbeat, Command};
 use crate::protocol::codec::encode;
-use crate::protocol::key_value_api::Change;
-use crate::protocol::key_value_api::Transaction;
-use crate::protocol::key_value_api::VersionCondition;
-use crate::protocol::records::{JobStage, LEAD, LeaderRecord};
-use crate::state::agent::{
-    Agent, AttemptKey, DirectStart, ReportedTask, TaskLiveness, parse_agent_heartbeat,
-};
-use crate::state::record_cache::RecordCache;
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
+use crate::protocol::records::{LEAD, LeaderRecord};
+use crate::protocol::{Clock, Micros};
+use crate::state::agent::{Agent, AttemptKey, DirectStart, parse_agent_heartbeat};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
-use lease_delegation::cancellations::Heard;
+use std::net::SocketAddr;
 
-/// Direct commands that got no answer are tried again after this.
-const ORDER_AGAIN: Micros = Micros::millis(1000);
-/// A machine that has heard nothing for long is asked at this pace.
-const DEAF_FOR_LONG: Micros = Micros::millis(6000);
-const DEAF_AGAIN: Micros = Micros::millis(5000);
-/// Ended attempts that an agent must not forget yet make its reports long: beyond so many the leader raises its
-/// term, which fences all copies of their starts, but not again and again.
-const MOST_KEPT: usize = 40;
-const FENCE_EVERY: Micros = Micros::millis(60_000);
-/// A stop is repeated at this pace until the task is gone.
-const STOP_AGAIN: Micros = Micros::millis(1500);
-/// All agents are looked at for due commands at this pace, for what must be repeated; whatever
-/// happens to an agent or to the jobs on it has it looked at sooner.
-const SWEEP_EVERY: Micros = Micros::millis(1000);
-/// An agent that we answered this recently shows our term by itself with its next report.
-const TERM_SHOWS: Micros = Micros::millis(1200);
-/// How long a direct command may take.
-const ORDER_TIMEOUT: Micros = Micros::millis(2500);
+/// HTTP path of direct commands.
+const COMMANDS_PATH: &str = "/orders";
+/// Direct commands that got no response are sent again after this.
+const COMMAND_RETRY: Micros = Micros::millis(1000);
+/// An agent that rejected direct commands is sent the next ones after this.
+const REJECTED_RETRY: Micros = Micros::millis(200);
+/// An agent that has seemed unreachable for longer than this is called less often.
+const LONG_UNREACHABLE: Micros = Micros::millis(6000);
+/// Interval of direct calls to an agent that has seemed unreachable for long.
+const UNREACHABLE_RETRY: Micros = Micros::millis(5000);
+/// Exited attempts that an agent must not forget yet make its heartbeats long. Beyond this many the leader raises its
+/// term, which fences all duplicates of their starts.
+const MAX_KEPT_ATTEMPTS: usize = 40;
+/// The term is raised for kept attempts no more often than this.
+const KEPT_ATTEMPTS_FENCE_INTERVAL: Micros = Micros::millis(60_000);
+/// All agents are checked for due commands at this interval, for commands to be repeated. Whatever happens to an
+/// agent or to the jobs on it has it checked sooner.
+const FULL_CHECK_INTERVAL: Micros = Micros::millis(1000);
+/// An agent that we answered this recently shows our term by itself with its next heartbeat.
+const TERM_SHOWN_WITHIN: Micros = Micros::millis(1200);
+/// Timeout of a direct call.
+const COMMAND_TIMEOUT: Micros = Micros::millis(2500);
 
-struct Due {
-    commands: Vec<Command>,
-    starts: Vec<(String, u32, u64)>,
-    stops: Vec<(String, u32, u64)>,
-    fence: bool,
+/// A direct call to an agent that is about to be sent.
+struct DirectCall {
+    tag: PendingCall,
+    address: SocketAddr,
+    body: Vec<u8>,
 }
 
-impl Due {
-    /// Stops a task, unless that was sent a moment ago. `surely`: in any case.
-    fn stop(&mut self, w: &Agent, t: &ReportedTask, grace_s: f64, surely: bool, now: Micros) {
-        let key = (t.job.clone(), t.task, t.attempt);
-        if surely || w.stops.get(&key).is_none_or(|s| now >= *s + STOP_AGAIN) {
-            self.stops.push(key);
-            self.commands.push(Command::Stop {
-                task: name(&t.job, t.task),
-                attempt: t.attempt,
-                grace_s,
-            });
+impl LeaderState {
+    /// Machines to be checked for due commands: those that something happened to, or at intervals all.
+    fn command_candidates(&mut self, now: Micros) -> Vec<String> {
+        let is_ready =
+            |agent: &Agent| !agent.ordering && agent.order_again <= now && !agent.is_over();
+        let touched = std::mem::take(&mut self.touched);
+        if self.sweep_at > now {
+            return touched
+                .into_iter()
+                .filter(|machine| self.agents.get(machine).is_some_and(is_ready))
+                .collect();
         }
+        self.sweep_at = now + FULL_CHECK_INTERVAL;
+        self.agents
+            .iter()
+            .filter(|(_, agent)| is_ready(agent))
+            .map(|(machine, _)| machine.clone())
+            .collect()
+    }
+
+    /// Whether the agent of a machine keeps so many exited attempts that the term should be raised.
+    fn keeps_too_many_attempts(&self, machine: &str, now: Micros) -> bool {
+        // The length is compared first: counting looks each start up.
+        let too_many = |agent: &Agent| {
+            agent.tasks.len() > MAX_KEPT_ATTEMPTS && agent.kept() > MAX_KEPT_ATTEMPTS
+        };
+        now.since(self.since) > KEPT_ATTEMPTS_FENCE_INTERVAL
+            && self.agents.get(machine).is_some_and(too_many)
     }
-}
 
-/// A direct start that was certainly not carried out; other tries may have been.
-fn not_executed(w: &mut Agent, key: &AttemptKey) {
-    if let Some(s) = w.starts.get_mut(key) {
-        s.direct = false;
-        if !s.loose && !s.answered && s.answer_to.is_none() {
-            w.starts.remove(key);
+    /// Prepares a direct call with the commands that are due, and records what it starts and stops. None: there is
+    /// nothing to send, or no address.
+    fn prepare_direct_call(
+        &mut self,
+        machine: &str,
+        due: DueCommands,
+        now: Micros,
+    ) -> Option<DirectCall> {
+        let term = self.term;
+        let agent = self.agents.get_mut(machine)?;
+        if due.commands.is_empty() && !needs_contact(agent, term, self.since, now) {
+            return None;
+        }
+        let address = agent.address?;
+        agent.ordering = true;
+        for key in &due.stops {
+            agent.stops.insert(key.clone(), now);
         }
+        for key in &due.starts {
+            start_under_term(agent, key.clone(), term).direct = true;
+        }
+        let commands = AgentCommands {
+            term,
+            agent_epoch: agent.agent_epoch,
+            commands: due.commands,
+        };
+        let tag = PendingCall::AgentCommands {
+            machine: machine.to_string(),
+            starts: due.starts,
+            term,
+            agent_epoch: agent.agent_epoch,
+        };
+        Some(DirectCall {
+            tag,
+            address,
+            body: encode(&commands),
+        })
     }
 }
 
-fn name(job: &str, task: u32) -> String {
-    format!("{job}/{task}")
+/// Whether an agent is called although no command is due. An agent that has not seen our term is shown it with an
+/// empty list, which fences all that an older leader has sent. An agent that seems unreachable is called as well: its
+/// response shows that it is reachable.
+fn needs_contact(agent: &Agent, term: u64, term_began: Micros, now: Micros) -> bool {
+    if agent.agent_epoch == 0 {
+        return false;
+    }
+    if !agent.hearing.hears() {
+        return true;
+    }
+    let shows_term_soon = agent
+        .answered
+        .is_some_and(|at| at >= term_began && now < at + TERM_SHOWN_WITHIN);
+    agent.term != term && !shows_term_soon
 }
 
-/// What an agent is to be told now, in an `answer` to its report or directly. Forgets are told only with answers.
-/// `heard`: what peers have told to be cancelled.
-fn due(
-    l: &LeaderState,
-    cache: &RecordCache,
-    heard: &Heard,
-    machine: &str,
-    now: Micros,
-    answer: bool,
-) -> Due {
-    let mut d = Due {
-        commands: Vec::new(),
-        starts: Vec::new(),
-        stops: Vec::new(),
-        fence: false,
-    };
-    let Some(w) = l.agents.get(machine) else {
-        return d;
+/// The state of a start that is sent under our term; what was sent under an older one no longer counts.
+fn start_under_term(agent: &mut Agent, key: AttemptKey, term: u64) -> &mut DirectStart {
+    let start = agent.starts.entry(key).or_default();
+    if start.term != term {
+        *start = DirectStart {
+            term,
+            ..DirectStart::default()
+        };
+    }
+    start
+}
+
+/// Notes that a direct start was certainly not carried out; earlier starts of the same attempt may have been.
+fn mark_not_executed(agent: &mut Agent, key: &AttemptKey) {
+    let Some(start) = agent.starts.get_mut(key) else {
+        return;
     };
-    if w.is_over() {
-        return d;
+    start.direct = false;
+    if !start.loose && !start.answered && start.answer_to.is_none() {
+        agent.starts.remove(key);
     }
-    // An answer renews the lease: it must never leave out the stop of a cancelled task because that was sent a
-    // moment ago, directly perhaps, and lost.
-    let cancelled = |job: &str| known_cancelled(cache, heard, job);
-    if w.term != l.term || !l.caught_up(cache) {
-        // Nothing else may be decided yet, but the answer renews the agent's lease all the same. Under leaders
-        // that end before it has shown the term of any of them, a cancelled task would live on and on.
-        let there = w.tasks.iter().filter(|t| t.phase != TaskPhase::Exited);
-        for t in there.filter(|t| cancelled(&t.job)) {
-            d.stop(w, t, 0.0, answer, now);
+}
+
+/// Identifies direct commands that a response belongs to.
+struct SentCommands {
+    starts: Vec<AttemptKey>,
+    term: u64,
+    agent_epoch: u64,
+}
+
+impl SentCommands {
+    /// The starts among them, unless the agent has begun another epoch since.
+    fn starts_of_epoch(&self, agent: &Agent) -> &[AttemptKey] {
+        if self.agent_epoch == agent.agent_epoch {
+            &self.starts
+        } else {
+            &[]
         }
-        return d;
     }
-    let may_start = now < l.last_confirmed_read + MAX_START_STALENESS;
-    for t in &w.tasks {
-        let job = cache.jobs.get(&t.job);
-        let entry = job.and_then(|j| j.entry(t.task));
-        let placed = entry.is_some_and(|e| {
-            e.machine() == Some(machine)
-                && e.attempt() == t.attempt
-                && e.agent_epoch() == w.agent_epoch
-        });
-        let active = job.is_some_and(|j| j.active());
-        if t.phase == TaskPhase::Exited {
-            let unrecorded = t.why == Some(ExitReason::Done)
-                && active
-                && job.is_some_and(|j| !j.is_done(t.task) && t.task < j.rec.spec.tasks);
-            // An attempt whose start may still arrive must stay known to the agent, or the
-            // late start would run it again.
-            let needed = unrecorded || (placed && active);
-            if answer
-                && !needed
-                && !w.may_start_again(t)
-                && (job.is_some() || cache.job(&t.job).is_some())
-            {
-                d.commands.push(Command::Forget {
-                    task: name(&t.job, t.task),
-                    attempt: t.attempt,
-                });
-            }
-            continue;
+
+    /// They were never sent, or the agent rejected them.
+    fn mark_not_executed(&self, agent: &mut Agent) {
+        for key in self.starts_of_epoch(agent) {
+            mark_not_executed(agent, key);
         }
-        let over = match job {
-            Some(j) if j.active() => heard.contains(&t.job),
-            Some(j) => j.rec.stage == JobStage::Cancelled,
-            None => cancelled(&t.job),
-        };
-        let grace = if !active || !placed || over {
-            Some(0.0)
-        } else {
-            l.stop_of(&t.job, t.task)
-                .filter(|(g, _)| t.phase != TaskPhase::Saving || *g == 0.0)
-                .map(|(g, _)| g)
-        };
-        // A task unknown to the copy is left alone until the copy has caught up: the job may
-        // just have been accepted elsewhere.
-        if job.is_none() && cache.job(&t.job).is_none() {
-            continue;
+    }
+
+    /// The agent confirmed them.
+    fn mark_executed(&self, agent: &mut Agent) {
+        self.update_starts(agent, |start| start.answered = true);
+    }
+
+    /// They may be carried out late, or have been.
+    fn mark_unknown(&self, agent: &mut Agent) {
+        self.update_starts(agent, |start| start.loose = true);
+    }
+
+    fn update_starts(&self, agent: &mut Agent, update: impl Fn(&mut DirectStart)) {
+        for key in self.starts_of_epoch(agent) {
+            let start = agent.starts.get_mut(key);
+            if let Some(start) = start.filter(|start| start.term == self.term) {
+                update(start);
+                start.direct = false;
+            }
         }
-        let Some(grace_s) = grace else { continue };
-        d.stop(w, t, grace_s, over && answer, now);
     }
-    for (id, task) in cache.placed(machine) {
-        let Some(job) = cache.jobs.get(id) else {
-            continue;
+}
+
+/// Response of an agent to direct commands.
+enum CommandsResponse {
+    /// The request was never sent.
+    NotSent,
+    /// Carried out; the agent's state after that.
+    Executed(AgentHeartbeat),
+    /// Rejected, since the agent has seen a higher term or has begun another epoch; its state.
+    Rejected(AgentHeartbeat),
+    /// No response, or none that can be used.
+    Unknown,
+}
+
+impl CommandsResponse {
+    fn parse(machine: &str, outcome: Outcome) -> CommandsResponse {
+        let (status, body) = match outcome {
+            Outcome::Reply { status, body } => (status, body),
+            Outcome::NotSent => return CommandsResponse::NotSent,
+            Outcome::Lost => return CommandsResponse::Unknown,
         };
-        let Some(e) = job.entry(*task) else { continue };
-        if e.machine() != Some(machine) || e.agent_epoch() != w.agent_epoch {
-            continue;
+        if !matches!(status, 200 | 409) {
+            return CommandsResponse::Unknown;
         }
-        let attempt = e.attempt();
-        match l.standing(id, e) {
-            TaskLiveness::NotStarted | TaskLiveness::Unknown => {
-                let loose = w.has_loose(id, *task, attempt);
-                // What we cannot read may say that it is cancelled.
-                let known = !cache.is_unreadable(id);
-                let wanted = job.active() && known && !cancelled(id) && l.wanted(id, e);
-                if wanted && may_start && !l.edits.placing(id, *task) {
-                    d.starts.push((id.clone(), *task, attempt));
-                    d.commands.push(Command::Start {
-                        task: name(id, *task),
-                        attempt,
-                    });
-                } else if !wanted && loose {
-                    d.fence = true;
-                }
-            }
-            _ => {}
+        let report = parse_agent_heartbeat(&body).filter(|report| report.machine == machine);
+        match report {
+            Some(report) if status == 200 => CommandsResponse::Executed(report),
+            Some(report) => CommandsResponse::Rejected(report),
+            None => CommandsResponse::Unknown,
         }
     }
-    d
 }
 
 impl Controller {
-    /// Commands for the answer to a report. Starts go with it only if the report was relayed,
-    /// since then the agent may be out of our reach.
+    /// Commands for the answer to a heartbeat. Starts are sent with it only if the heartbeat was `relayed`, since
+    /// then direct calls may not reach the agent.
     pub fn commands_for(
         &mut self,
         clock: Clock,
@@ -199,212 +240,163 @@
         relayed: bool,
     ) -> Vec<Command> {
         let machine = &report.machine;
-        let Some(l) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return Vec::new();
         };
-        let d = due(l, &self.cache, &self.peers.heard, machine, clock.now, true);
-        if let Some(w) = l.agents.get_mut(machine) {
-            for key in d.stops {
-                w.stops.insert(key, clock.now);
+        let due = due_commands(
+            leader,
+            &self.cache,
+            &self.peers.heard,
+            machine,
+            clock.now,
+            Delivery::HeartbeatResponse,
+        );
+        if let Some(agent) = leader.agents.get_mut(machine) {
+            for key in due.stops {
+                agent.stops.insert(key, clock.now);
             }
-            for key in d.starts.into_iter().filter(|_| relayed) {
-                let s = w.starts.entry(key).or_default();
-                if s.term != l.term {
-                    *s = DirectStart {
-                        term: l.term,
-                        ..DirectStart::default()
-                    };
-                }
-                s.answer_to = Some(report.seq);
+            for key in due.starts.into_iter().filter(|_| relayed) {
+                start_under_term(agent, key, leader.term).answer_to = Some(report.seq);
             }
         }
-        d.commands
+        due.commands
             .into_iter()
-            .filter(|c| relayed || !matches!(c, Command::Start { .. }))
+            .filter(|command| relayed || !matches!(command, Command::Start { .. }))
             .collect()
     }
 
-    /// Sends direct commands to the agents that something has happened to, and now and then looks
-    /// at all of them; returns when that will be next.
+    /// Sends direct commands to the agents that something happened to, and at intervals checks all of them; returns
+    /// when all are checked next.
     pub fn send_commands(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
-        let Some(l) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        let ready = |w: &Agent| !w.ordering && w.order_again <= now && !w.is_over();
-        let touched = std::mem::take(&mut l.touched);
-        let names: Vec<String> = if l.sweep_at <= now {
-            l.sweep_at = now + SWEEP_EVERY;
-            let all = l.agents.iter().filter(|(_, w)| ready(w));
-            all.map(|(n, _)| n.clone()).collect()
-        } else {
-            let of = |n: &String| l.agents.get(n).is_some_and(ready);
-            touched.into_iter().filter(of).collect()
-        };
-        let mut fence = false;
+        let mut needs_fence = false;
         let mut calls = Vec::new();
-        for machine in names {
-            let Some(l) = &mut self.leader else { break };
-            let heard = &self.peers.heard;
-            let mut d = due(l, &self.cache, heard, &machine, now, false);
-            fence |= d.fence;
-            // Looked at only where it may be so: counting looks every start up.
-            let full = |w: &Agent| w.tasks.len() > MOST_KEPT && w.kept() > MOST_KEPT;
-            fence |= now.since(l.since) > FENCE_EVERY && l.agents.get(&machine).is_some_and(full);
-            let Some(w) = l.agents.get_mut(&machine) else {
-                continue;
-            };
-            // An agent that has not seen our term is told it with an empty list: that fences
-            // whatever an older leader has sent.
-            let shows = w
-                .answered
-                .is_some_and(|t| t >= l.since && now < t + TERM_SHOWS);
-            let deaf = !w.hearing.hears();
-            // One that seems to hear nothing is asked as well: its answer shows that it does.
-            let push = w.agent_epoch > 0 && (deaf || w.term != l.term && !shows);
-            if d.commands.is_empty() && !push {
-                continue;
-            }
-            let Some(addr) = w.address else { continue };
-            w.ordering = true;
-            for key in &d.stops {
-                w.stops.insert(key.clone(), now);
-            }
-            for key in &d.starts {
-                let s = w.starts.entry(key.clone()).or_default();
-                if s.term != l.term {
-                    *s = DirectStart {
-                        term: l.term,
-                        ..DirectStart::default()
-                    };
-                }
-                s.direct = true;
-            }
-            let orders = AgentCommands {
-                term: l.term,
-                agent_epoch: w.agent_epoch,
-                commands: std::mem::take(&mut d.commands),
-            };
-            let tag = PendingCall::AgentCommands {
-                machine: machine.clone(),
-                starts: d.starts,
-                term: l.term,
-                agent_epoch: w.agent_epoch,
-            };
-            calls.push((tag, addr, encode(&orders)));
+        for machine in leader.command_candidates(now) {
+            let due = due_commands(
+                leader,
+                &self.cache,
+                &self.peers.heard,
+                &machine,
+                now,
+                Delivery::Direct,
+            );
+            needs_fence |= due.needs_fence || leader.keeps_too_many_attempts(&machine, now);
+            calls.extend(leader.prepare_direct_call(&machine, due, now));
         }
-        for (tag, addr, body) in calls {
-            self.call(tag, addr, "POST", "/orders", body, ORDER_TIMEOUT);
+        let next_full_check = leader.sweep_at;
+        for call in calls {
+            self.call(
+                call.tag,
+                call.address,
+                "POST",
+                COMMANDS_PATH,
+                call.body,
+                COMMAND_TIMEOUT,
+            );
         }
-        if fence {
+        if needs_fence {
             self.raise_term();
         }
-        self.leader.as_ref().map_or(Micros::FAR, |l| l.sweep_at)
+        next_full_check
     }
 
-    /// Takes a higher term for ourselves: agents that see it no longer accept what was sent
-    /// before and never answered.
+    /// Raises our term: agents that see the new one reject all commands that were sent before and got no response.
     pub fn raise_term(&mut self) {
-        let Some(l) = &mut self.leader else { return };
-        if l.raising {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if leader.raising {
             return;
         }
-        l.raising = true;
-        let rec = LeaderRecord {
+        leader.raising = true;
+        let record = LeaderRecord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
-            term: l.term + 1,
+            term: leader.term + 1,
         };
-        let txn = Transaction {
-            conds: vec![VersionCondition::new(LEAD, l.version)],
-            changes: vec![Change::put(LEAD, &rec, None)],
+        let transaction = Transaction {
+            conds: vec![VersionCondition::new(LEAD, leader.version)],
+            changes: vec![Change::put(LEAD, &record, None)],
         };
         self.store.ask(
             RequestPriority::Urgent,
-            crate::messages::StoreRequestPurpose::RaiseTerm,
-            StoreRequest::Transaction(txn),
+            StoreRequestPurpose::RaiseTerm,
+            StoreRequest::Transaction(transaction),
         );
     }
 
-    /// Direct commands came back.
+    /// Handles the response to direct commands that were sent under `term` for `agent_epoch`.
     pub fn on_commands_response(
         &mut self,
         clock: Clock,
         machine: &str,
-        starts: Vec<(String, u32, u64)>,
+        starts: Vec<AttemptKey>,
         term: u64,
         agent_epoch: u64,
         outcome: Outcome,
     ) {
-        let Some(l) = &mut self.leader else { return };
-        let Some(w) = l.agents.get_mut(machine) else {
+        let Some(leader) = &mut self.leader else {
             return;
         };
-        w.ordering = false;
-        l.touched.insert(machine.to_string());
-        let (status, body) = match outcome {
-            Outcome::Reply { status, body } => (status, body),
-            Outcome::NotSent => {
-                w.order_again = clock.now + ORDER_AGAIN;
-                if agent_epoch == w.agent_epoch {
-                    for key in starts {
-                        // Never sent, unless an earlier try was.
-                        not_executed(w, &key);
-                    }
-                }
-                return;
-            }
-            Outcome::Lost => (0, Vec::new()),
+        let Some(agent) = leader.agents.get_mut(machine) else {
+            return;
         };
-        let report = match status {
-            200 | 409 => parse_agent_heartbeat(&body).filter(|r| r.machine == machine),
-            _ => None,
+        agent.ordering = false;
+        leader.touched.insert(machine.to_string());
+        let sent = SentCommands {
+            starts,
+            term,
+            agent_epoch,
         };
-        match (status, report) {
-            (200, Some(r)) => {
-                w.hearing.answered(clock.now);
-                if agent_epoch == w.agent_epoch {
-                    for key in starts {
-                        if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
-                            s.answered = true;
-                            s.direct = false;
-                        }
-                    }
-                }
-                self.apply_heartbeat(clock, &r);
+        match CommandsResponse::parse(machine, outcome) {
+            CommandsResponse::NotSent => {
+                agent.order_again = clock.now + COMMAND_RETRY;
+                sent.mark_not_executed(agent);
             }
-            (409, Some(r)) => {
-                w.hearing.answered(clock.now);
-                if agent_epoch == w.agent_epoch {
-                    for key in starts {
-                        not_executed(w, &key);
-                    }
-                }
-                w.order_again = clock.now + Micros::millis(200);
-                let higher = r.term > l.term;
-                self.apply_heartbeat(clock, &r);
-                if higher {
-                    log::info!("{machine} has seen term {}, above ours", r.term);
-                    self.request_read_barrier(
-                        clock,
-                        crate::messages::PendingRequest::ConfirmLeadership,
-                    );
-                }
+            CommandsResponse::Executed(report) => {
+                agent.hearing.answered(clock.now);
+                sent.mark_executed(agent);
+                self.apply_heartbeat(clock, &report);
             }
-            _ => {
-                w.hearing.unanswered(clock.now);
-                let deaf = w.hearing.suspected_since();
-                let long = deaf.is_some_and(|t| clock.now.since(t) > DEAF_FOR_LONG);
-                w.order_again = clock.now + if long { DEAF_AGAIN } else { ORDER_AGAIN };
-                if agent_epoch == w.agent_epoch {
-                    for key in starts {
-                        if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
-                            s.loose = true;
-                            s.direct = false;
-                        }
-                    }
-                }
+            CommandsResponse::Rejected(report) => {
+                agent.hearing.answered(clock.now);
+                agent.order_again = clock.now + REJECTED_RETRY;
+                sent.mark_not_executed(agent);
+                self.on_commands_rejected(clock, &report);
             }
+            CommandsResponse::Unknown => {
+                agent.hearing.unanswered(clock.now);
+                agent.order_again = clock.now + retry_delay(agent, clock.now);
+                sent.mark_unknown(agent);
+            }
+        }
+    }
+
+    /// Applies the state of an agent that rejected our commands, and checks whether we are still the leader if it has
+    /// seen a higher term.
+    fn on_commands_rejected(&mut self, clock: Clock, report: &AgentHeartbeat) {
+        let our_term = self.leader.as_ref().map(|leader| leader.term);
+        self.apply_heartbeat(clock, report);
+        if our_term.is_some_and(|our_term| report.term > our_term) {
+            log::info!(
+                "commands rejected machine={} agent_term={} reason=higher_term",
+                report.machine,
+                report.term
+            );
+            self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
         }
     }
 }
+
+/// When direct commands without a response are sent again.
+fn retry_delay(agent: &Agent, now: Micros) -> Micros {
+    let unreachable_since = agent.hearing.suspected_since();
+    if unreachable_since.is_some_and(|since| now.since(since) > LONG_UNREACHABLE) {
+        UNREACHABLE_RETRY
+    } else {
+        COMMAND_RETRY
+    }
+}
--- a/src/agents/failure_history.rs
+++ b/src/agents/failure_history.rs
@@ -1,4 +1,4 @@
-//! Jobs that fail, machines that fail them, and which of the two is to blame.
+//! Failures of tasks: which jobs and machines fail, and whether the job or the machine is at fault.
 
 use crate::agents::leader_state::LeaderState;
 use crate::policy::Policy;
@@ -6,72 +6,86 @@
 use crate::state::agent::Agent;
 use std::collections::BTreeMap;
 
-/// A job is kept off a machine on which it has failed for this long, and a machine that fails what it starts gets
-/// nothing new: if it alone has room, nobody may be left waiting for 90 s.
+/// A job is kept off a machine on which it failed, and an unhealthy machine gets no new tasks, for this long. If that
+/// machine alone has room, no task may be left waiting for 90 s.
 const AVOIDED: Micros = Micros::millis(70_000);
-/// A machine on which a job has failed gets nothing new for this long: if it is the machine, the
-/// next job there, a gang perhaps, would fail as well.
-const SUSPECT: Micros = Micros::millis(30_000);
-/// A machine that fails what it starts is returned no sooner than this after the first failure.
-const SICK_FOR: Micros = Micros::millis(15_000);
-/// A job that has failed on more machines than this in a row is at fault itself.
-const JOBS_FAULT: u32 = 2;
+/// A machine on which a job failed gets no new tasks for this long: if the machine is at fault, the next job there, a
+/// gang perhaps, would fail as well.
+const COOLDOWN: Micros = Micros::millis(30_000);
+/// An unhealthy machine is deleted no sooner than this after its first failure.
+const UNHEALTHY_BEFORE_DELETION: Micros = Micros::millis(15_000);
+/// A job that failed on more machines than this in a row is at fault itself.
+const MAX_MACHINE_FAULTS: u32 = 2;
 
-/// Trouble with a job's tasks.
+/// Failures of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub struct FailureHistory {
-    /// Machines on which it has failed, and when last: it is not tried there again for a while.
+    /// Machines on which the job failed, and when last: it is not tried there again for a while.
     pub machines: BTreeMap<String, Micros>,
-    /// On how many different machines it has failed since a task of it last ran well.
+    /// Number of different machines on which it failed since a task of it last succeeded.
     pub row: u32,
-    /// Not tried before this, unless some of its tasks run well.
+    /// The job is not tried before this, unless some of its tasks run.
     pub again: Micros,
 }
 
 impl FailureHistory {
-    /// It has failed on so many machines in a row that the job itself is at fault.
+    /// Whether the job failed on so many machines in a row that it is at fault itself.
     pub fn jobs_fault(&self) -> bool {
-        self.row > JOBS_FAULT
+        self.row > MAX_MACHINE_FAULTS
     }
 
-    /// It has not failed for a while.
+    /// Whether the job has not failed for a while.
     pub fn quiet(&self, now: Micros) -> bool {
-        self.machines.values().all(|at| now.since(*at) > SUSPECT)
+        self.machines
+            .values()
+            .all(|failed_at| now.since(*failed_at) > COOLDOWN)
     }
 }
 
 impl LeaderState {
-    /// The errors on a machine for which the machine may be to blame: not those of jobs that fail anywhere.
-    fn blamed<'a>(&'a self, w: &'a Agent) -> impl Iterator<Item = Micros> + 'a {
-        let own = |job: &String| self.troubles.get(job).is_none_or(|t| !t.jobs_fault());
-        let errors = w.errors.iter().filter(move |(_, job)| own(job));
-        errors.map(|(t, _)| *t)
+    /// Times of the failures for which a machine may be at fault: not those of jobs that fail on any machine.
+    fn attributed_failures<'a>(&'a self, agent: &'a Agent) -> impl Iterator<Item = Micros> + 'a {
+        let is_jobs_fault = |job: &String| {
+            self.troubles
+                .get(job)
+                .is_some_and(FailureHistory::jobs_fault)
+        };
+        agent
+            .errors
+            .iter()
+            .filter(move |(_, job)| !is_jobs_fault(job))
+            .map(|(failed_at, _)| *failed_at)
     }
 
-    /// Whether a machine fails tasks of several jobs in a row.
-    pub fn sick(&self, w: &Agent, policy: &Policy) -> bool {
-        w.errors.len() as f64 >= policy.sick_after
-            && self.blamed(w).count() as f64 >= policy.sick_after
+    /// Whether tasks of several jobs failed in a row on a machine, so that the machine is at fault.
+    pub fn sick(&self, agent: &Agent, policy: &Policy) -> bool {
+        agent.errors.len() as f64 >= policy.sick_after
+            && self.attributed_failures(agent).count() as f64 >= policy.sick_after
     }
 
-    /// Whether it has been for a while: jobs at fault are known as such by then, also to a new leader.
-    pub fn stays_sick(&self, w: &Agent, policy: &Policy, now: Micros) -> bool {
-        self.sick(w, policy) && self.blamed(w).any(|t| now.since(t) > SICK_FOR)
+    /// Whether a machine has been at fault for a while: by then jobs at fault are known, also to a new leader.
+    pub fn stays_unhealthy(&self, agent: &Agent, policy: &Policy, now: Micros) -> bool {
+        self.sick(agent, policy)
+            && self
+                .attributed_failures(agent)
+                .any(|failed_at| now.since(failed_at) > UNHEALTHY_BEFORE_DELETION)
     }
 
-    /// Whether a machine may be the reason why a job has just failed on it.
-    pub fn suspect(&self, w: &Agent, now: Micros) -> bool {
-        self.blamed(w).any(|t| now < t + SUSPECT)
+    /// Whether a task failed recently on a machine, and the machine may be at fault.
+    pub fn suspect(&self, agent: &Agent, now: Micros) -> bool {
+        self.attributed_failures(agent)
+            .any(|failed_at| now < failed_at + COOLDOWN)
     }
 
-    /// Forgets what failed long ago.
+    /// Drops failures that are older than the time for which a machine is avoided.
     pub fn forgive(&mut self, now: Micros) {
-        self.troubles.retain(|_, t| {
-            t.machines.retain(|_, at| now < *at + AVOIDED);
-            !t.machines.is_empty() || now < t.again
+        let is_recent = |failed_at: &Micros| now < *failed_at + AVOIDED;
+        self.troubles.retain(|_, history| {
+            history.machines.retain(|_, failed_at| is_recent(failed_at));
+            !history.machines.is_empty() || now < history.again
         });
-        for w in self.agents.values_mut() {
-            w.errors.retain(|(at, _)| now < *at + AVOIDED);
+        for agent in self.agents.values_mut() {
+            agent.errors.retain(|(failed_at, _)| is_recent(failed_at));
         }
     }
 }
--- a/src/agents/mod.rs
+++ b/src/agents/mod.rs
@@ -1,5 +1,9 @@
-//! What the leader does with agents: heartbeats, leases, reconciliation, commands and failure history.
+//! The leader's view of agents: heartbeats, lease expiry, reconciliation, commands and failure history.
 
 pub mod commands;
 pub mod failure_history;
+pub mod heartbeats;
 pub mod leader_state;
+pub mod lease_expiry;
+pub mod reconciliation;
+pub mod timers;
--- /dev/null
+++ b/src/agents/reconciliation.rs
@@ -0,0 +1,237 @@
+//! Reconciliation of one agent: compares the job records with the tasks that the agent reported, and tells which
+//! commands are due. Changes nothing.
+
+use crate::agents::leader_state::{LeaderState, MAX_START_STALENESS};
+use crate::leadership::peers::known_cancelled;
+use crate::protocol::Micros;
+use crate::protocol::agent_api::{Command, ExitReason, TaskPhase};
+use crate::protocol::records::{JobStage, TaskEntry};
+use crate::state::agent::{Agent, AttemptKey, ReportedTask, TaskLiveness};
+use crate::state::record_cache::{Job, RecordCache};
+use lease_delegation::cancellations::Heard;
+
+/// A stop is repeated at this interval until the task has exited.
+const STOP_RETRY: Micros = Micros::millis(1500);
+/// Grace period of a stop that lets the task save nothing.
+const NO_GRACE: f64 = 0.0;
+
+/// How commands reach the agent.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Delivery {
+    /// With the answer to its heartbeat, which renews its lease.
+    HeartbeatResponse,
+    /// By a call to the agent.
+    Direct,
+}
+
+/// Commands that are due to an agent.
+#[derive(Default)]
+pub(super) struct DueCommands {
+    /// The commands, in the order in which they are sent.
+    pub commands: Vec<Command>,
+    /// Attempts that they start.
+    pub starts: Vec<AttemptKey>,
+    /// Attempts that they stop.
+    pub stops: Vec<AttemptKey>,
+    /// An earlier start that is no longer wanted may still arrive: only a higher term fences it.
+    pub needs_fence: bool,
+}
+
+/// Commands due to an agent. `heard`: cancellations that peers have told us of.
+pub(super) fn due_commands(
+    leader: &LeaderState,
+    cache: &RecordCache,
+    heard: &Heard,
+    machine: &str,
+    now: Micros,
+    delivery: Delivery,
+) -> DueCommands {
+    let Some(agent) = leader.agents.get(machine) else {
+        return DueCommands::default();
+    };
+    if agent.is_over() {
+        return DueCommands::default();
+    }
+    let mut reconciliation = Reconciliation {
+        leader,
+        cache,
+        heard,
+        machine,
+        agent,
+        now,
+        delivery,
+        due: DueCommands::default(),
+    };
+    if agent.term != leader.term || !leader.caught_up(cache) {
+        reconciliation.stop_cancelled_tasks();
+    } else {
+        reconciliation.reconcile_reported_tasks();
+        reconciliation.start_recorded_tasks();
+    }
+    reconciliation.due
+}
+
+struct Reconciliation<'a> {
+    leader: &'a LeaderState,
+    cache: &'a RecordCache,
+    heard: &'a Heard,
+    machine: &'a str,
+    agent: &'a Agent,
+    now: Micros,
+    delivery: Delivery,
+    due: DueCommands,
+}
+
+impl Reconciliation<'_> {
+    /// Before the agent has shown our term, or before our cache holds all earlier writes, nothing else may be
+    /// decided, but the answer renews the agent's lease all the same. If each leader ended before the agent showed
+    /// its term, a cancelled task would otherwise run on without end.
+    fn stop_cancelled_tasks(&mut self) {
+        let agent = self.agent;
+        for task in &agent.tasks {
+            if task.phase != TaskPhase::Exited && self.is_cancelled(&task.job) {
+                self.stop(task, NO_GRACE, self.renews_lease());
+            }
+        }
+    }
+
+    fn reconcile_reported_tasks(&mut self) {
+        let agent = self.agent;
+        for task in &agent.tasks {
+            if task.phase == TaskPhase::Exited {
+                self.forget_if_unneeded(task);
+            } else {
+                self.stop_if_due(task);
+            }
+        }
+    }
+
+    /// Lets the agent forget an exited attempt once its result is recorded and no late start can bring it back.
+    fn forget_if_unneeded(&mut self, task: &ReportedTask) {
+        if self.delivery != Delivery::HeartbeatResponse {
+            return;
+        }
+        let job = self.cache.jobs.get(&task.job);
+        let active = job.is_some_and(Job::active);
+        let unrecorded = task.why == Some(ExitReason::Done)
+            && active
+            && job.is_some_and(|job| !job.is_done(task.task) && task.task < job.rec.spec.tasks);
+        let placed = self.is_placed_here(job, task);
+        // An attempt whose start may still arrive must stay known to the agent, or the late start would run it again.
+        let needed = unrecorded || (placed && active);
+        let job_known = job.is_some() || self.cache.job(&task.job).is_some();
+        if !needed && !self.agent.may_start_again(task) && job_known {
+            self.due.commands.push(Command::Forget {
+                task: task_name(&task.job, task.task),
+                attempt: task.attempt,
+            });
+        }
+    }
+
+    /// Stops a reported task that should not run here, or whose stop is due.
+    fn stop_if_due(&mut self, task: &ReportedTask) {
+        let job = self.cache.jobs.get(&task.job);
+        // A task whose job is not in the cache is left alone: the job may just have been accepted elsewhere.
+        if job.is_none() && self.cache.job(&task.job).is_none() {
+            return;
+        }
+        let cancelled = match job {
+            Some(job) if job.active() => self.heard.contains(&task.job),
+            Some(job) => job.rec.stage == JobStage::Cancelled,
+            None => self.is_cancelled(&task.job),
+        };
+        let active = job.is_some_and(Job::active);
+        if !active || cancelled || !self.is_placed_here(job, task) {
+            self.stop(task, NO_GRACE, cancelled && self.renews_lease());
+            return;
+        }
+        let Some((grace_s, _)) = self.leader.stop_of(&task.job, task.task) else {
+            return;
+        };
+        // A task that is saving already needs no further stop, unless it is to exit at once.
+        if task.phase != TaskPhase::Saving || grace_s == NO_GRACE {
+            self.stop(task, grace_s, false);
+        }
+    }
+
+    /// Starts the tasks that are recorded on the machine and were not started yet.
+    fn start_recorded_tasks(&mut self) {
+        let cache = self.cache;
+        for (id, task) in cache.placed(self.machine) {
+            let Some(job) = cache.jobs.get(id) else {
+                continue;
+            };
+            let Some(entry) = job.entry(*task) else {
+                continue;
+            };
+            if entry.machine() == Some(self.machine)
+                && entry.agent_epoch() == self.agent.agent_epoch
+            {
+                self.start_if_due(id, job, entry);
+            }
+        }
+    }
+
+    fn start_if_due(&mut self, id: &str, job: &Job, entry: &TaskEntry) {
+        let liveness = self.leader.standing(id, entry);
+        if !matches!(liveness, TaskLiveness::NotStarted | TaskLiveness::Unknown) {
+            return;
+        }
+        let task = entry.task();
+        let attempt = entry.attempt();
+        // A record that we cannot read may say that the job is cancelled.
+        let readable = !self.cache.is_unreadable(id);
+        let wanted =
+            job.active() && readable && !self.is_cancelled(id) && self.leader.wanted(id, entry);
+        let may_start = self.now < self.leader.last_confirmed_read + MAX_START_STALENESS;
+        if wanted && may_start && !self.leader.edits.placing(id, task) {
+            self.due.starts.push((id.to_string(), task, attempt));
+            self.due.commands.push(Command::Start {
+                task: task_name(id, task),
+                attempt,
+            });
+        } else if !wanted && self.agent.has_loose(id, task, attempt) {
+            self.due.needs_fence = true;
+        }
+    }
+
+    /// Adds a stop, unless one was sent within the last `STOP_RETRY`. `always`: in any case.
+    fn stop(&mut self, task: &ReportedTask, grace_s: f64, always: bool) {
+        let key = (task.job.clone(), task.task, task.attempt);
+        let last_sent = self.agent.stops.get(&key);
+        let due = last_sent.is_none_or(|sent_at| self.now >= *sent_at + STOP_RETRY);
+        if !always && !due {
+            return;
+        }
+        self.due.stops.push(key);
+        self.due.commands.push(Command::Stop {
+            task: task_name(&task.job, task.task),
+            attempt: task.attempt,
+            grace_s,
+        });
+    }
+
+    /// Whether the commands go with an answer that renews the lease. Such an answer must never leave out the stop of
+    /// a cancelled task because that was sent a moment ago: it may have been sent directly, and lost.
+    fn renews_lease(&self) -> bool {
+        self.delivery == Delivery::HeartbeatResponse
+    }
+
+    fn is_cancelled(&self, job: &str) -> bool {
+        known_cancelled(self.cache, self.heard, job)
+    }
+
+    /// Whether the job's record has this attempt on this machine, in the agent's present epoch.
+    fn is_placed_here(&self, job: Option<&Job>, task: &ReportedTask) -> bool {
+        let Some(entry) = job.and_then(|job| job.entry(task.task)) else {
+            return false;
+        };
+        entry.machine() == Some(self.machine)
+            && entry.attempt() == task.attempt
+            && entry.agent_epoch() == self.agent.agent_epoch
+    }
+}
+
+fn task_name(job: &str, task: u32) -> String {
+    format!("{job}/{task}")
+}
--- /dev/null
+++ b/src/agents/timers.rs
@@ -0,0 +1,95 @@
+//! What the leader does by time: lease expiry, scheduling passes, and the timers of its components.
+
+use crate::agents::leader_state::MAX_START_STALENESS;
+use crate::controller::Controller;
+use crate::messages::PendingCall;
+use crate::protocol::records::TaskEntry;
+use crate::protocol::{Clock, Micros};
+use crate::transport::Outcome;
+
+/// A scheduling pass runs at least this often, even if nothing changed: machines are given up by time, not by events.
+const MAX_PASS_INTERVAL: Micros = Micros::millis(5_000);
+/// A pass that is due but not possible yet is tried again after this.
+const PASS_RETRY: Micros = Micros::millis(20);
+
+impl Controller {
+    /// Runs what is due on the leader; returns when something is due next.
+    pub fn drive_leader(&mut self, clock: Clock) -> Micros {
+        let mut next = self.drive_leases(clock);
+        next = next.min(self.drive_pass(clock));
+        self.revoke_stalled_renewals(clock);
+        next = next.min(self.fold(clock));
+        next = next.min(self.drive_inventory(clock));
+        next.min(self.send_commands(clock))
+    }
+
+    fn drive_leases(&mut self, clock: Clock) -> Micros {
+        let pledged = Micros(self.peers.quiet.until());
+        let Some(leader) = &mut self.leader else {
+            return Micros::FAR;
+        };
+        leader.leases(&self.settings, &self.cache, pledged, clock.now)
+    }
+
+    /// Runs a scheduling pass if one is due and may be made; returns when to try again.
+    fn drive_pass(&mut self, clock: Clock) -> Micros {
+        let now = clock.now;
+        let pass_interval = self
+            .policy
+            .pass_interval(self.settings.params.limits.core_share)
+            .times(self.request_scheduler.stretch(now));
+        let Some(leader) = &mut self.leader else {
+            return Micros::FAR;
+        };
+        if now.since(leader.last_pass) > MAX_PASS_INTERVAL {
+            leader.dirty = true;
+        }
+        if !leader.dirty {
+            return Micros::FAR;
+        }
+        let due_at = leader.last_pass + pass_interval;
+        let confirmed = now < leader.last_confirmed_read + MAX_START_STALENESS;
+        if now < due_at || !confirmed || !leader.caught_up(&self.cache) {
+            return due_at.max(now + PASS_RETRY);
+        }
+        leader.dirty = false;
+        leader.last_pass = now;
+        self.pass(clock);
+        Micros::FAR
+    }
+
+    /// Updates the queue from changed job records, and marks the machines concerned as candidates for commands.
+    pub fn on_changed_jobs(&mut self) {
+        let changed = self.cache.take_changed();
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        for id in changed {
+            leader.dirty = true;
+            let job = self.cache.jobs.get(&id);
+            leader.kept.backlog.update(&id, job);
+            let Some(job) = job else { continue };
+            for machine in job.entries().filter_map(TaskEntry::machine) {
+                if !leader.touched.contains(machine) {
+                    leader.touched.insert(machine.to_string());
+                }
+            }
+        }
+    }
+
+    /// Dispatches the response to a call that only the leader makes: to an agent, or to the cloud.
+    pub fn on_leader_call_response(&mut self, clock: Clock, tag: PendingCall, outcome: Outcome) {
+        match tag {
+            PendingCall::AgentCommands {
+                machine,
+                starts,
+                term,
+                agent_epoch,
+            } => self.on_commands_response(clock, &machine, starts, term, agent_epoch, outcome),
+            PendingCall::Cloud(request) => self.on_cloud_response(clock, request, outcome),
+            PendingCall::PeerHeartbeat(..)
+            | PendingCall::RelayedHeartbeat(..)
+            | PendingCall::ForwardedRequest(..) => {}
+        }
+    }
+}
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -424,7 +424,7 @@
             continue;
         }
         if l.sick(w, policy) {
-            if l.stays_sick(w, policy, now) {
+            if l.stays_unhealthy(w, policy, now) {
                 leave.push((name.clone(), "tasks of several jobs fail on it"));
             }
             continue;
