--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -1,443 +1,408 @@
-//! Machines: renting, adopting, giving up and returning them.
+//! The leader's inventory: machines that are, or may be, rented, pending rent requests, and queued calls to the cloud.
 
-use crate::cloud::autoscaler::{InstanceOffer, ScalingPlan};
-use crate::controller::Controller;
+use crate::cloud::autoscaler::{DeletionReason, InstanceOffer};
 use crate::messages::CloudRequest;
-use crate::messages::PendingCall;
-use crate::messages::StoreRequestPurpose;
-use crate::protocol::Clock;
-use crate::protocol::Micros;
 use crate::protocol::agent_api::AgentHeartbeat;
 use crate::protocol::cloud_api::{
-    MachineNames, MachinePage, MachineState, MachineType, MachineTypes, RentRequest,
+    ListedMachine, MachineNames, MachinePage, MachineState, RentRequest,
 };
-use crate::protocol::codec::{decode, encode};
-use crate::protocol::key_value_api::Change;
-use crate::protocol::key_value_api::Transaction;
-use crate::protocol::key_value_api::VersionCondition;
-use crate::protocol::records::{BASE, LEAD, TYPES};
-use crate::state::store_client::{RequestPriority, StoreRequest};
+use crate::protocol::{Clock, Micros};
 use crate::state::token_bucket::TokenBucket;
-use crate::transport::Outcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// Interval between readings of the cloud's list.
+const LIST_INTERVAL: Micros = Micros::millis(4000);
+/// Interval between readings of machine types and prices.
+const TYPES_INTERVAL: Micros = Micros::millis(60_000);
+/// A failed call is repeated after this.
+const CALL_RETRY: Micros = Micros::millis(1500);
+/// After the cloud had no capacity for an offer, the offer is not requested again before this.
+const REFUSED_FOR: Micros = Micros::millis(15_000);
+/// Machines named in one deletion at most.
+const MAX_DELETED_PER_CALL: usize = 100;
+/// Number of machines that are gone whose names are kept, for lists that come late.
+const MAX_GONE_KEPT: usize = 4000;
+/// Share of the cloud's rate limit that we use.
+const RATE_SHARE: f64 = 0.7;
+/// Permits that one call takes.
+const CALL_COST: f64 = 1.0;
+
 /// A machine that is, or may be, rented.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    pub(crate) kind: String,
-    pub(crate) zone: String,
-    pub(crate) spot: bool,
-    pub(crate) rented: Micros,
-    pub(crate) running: bool,
-    pub(crate) met: bool,
-    pub(crate) leaving: bool,
-    pub(crate) failed: bool,
+    /// Machine type.
+    pub(super) kind: String,
+    /// Zone.
+    pub(super) zone: String,
+    /// Spot instance.
+    pub(super) spot: bool,
+    /// When it was requested, or first seen if we did not request it.
+    pub(super) requested_at: Micros,
+    /// The cloud lists it as running.
+    pub(super) running: bool,
+    /// Its agent has sent us a heartbeat.
+    pub(super) reported: bool,
+    /// It is to be deleted, and takes no new tasks.
+    pub(super) leaving: bool,
+    /// The cloud lists it as failed.
+    pub(super) failed: bool,
 }
 
-/// The fleet, as the leader knows it.
-pub struct Inventory {
-    pub(crate) machines: BTreeMap<String, Machine>,
-    pub(crate) gone: BTreeSet<String>,
-    pub(crate) gone_order: VecDeque<String>,
-    pub(crate) list_at: Micros,
-    pub(crate) list_after: String,
-    pub(crate) listing: bool,
-    pub(crate) listed_once: bool,
-    pub(crate) types_at: Micros,
-    pub(crate) typing: bool,
-    pub(crate) refused: BTreeMap<InstanceOffer, Micros>,
-    pub(crate) renting: BTreeMap<String, (RentRequest, bool)>,
-    pub(crate) counter: u64,
-    pub(crate) pace: Option<TokenBucket>,
-    pub(crate) wanted: VecDeque<CloudRequest>,
-    /// Machines to be deleted, not yet asked for.
-    pub(crate) condemned: BTreeSet<String>,
+impl Machine {
+    fn new(offer: InstanceOffer, requested_at: Micros) -> Machine {
+        Machine {
+            kind: offer.kind,
+            zone: offer.zone,
+            spot: offer.spot,
+            requested_at,
+            running: false,
+            reported: false,
+            leaving: false,
+            failed: false,
+        }
+    }
 }
 
-/// Lists are read at this pace.
-const LIST_EVERY: Micros = Micros::millis(4000);
-/// Machine types and prices are read anew at this pace.
-const TYPES_EVERY: Micros = Micros::millis(60_000);
-/// After a failed call.
-const CLOUD_AGAIN: Micros = Micros::millis(1500);
-/// After "no capacity", the same offer is not asked for again before this.
-const REFUSED_FOR: Micros = Micros::millis(15_000);
-/// How long a call may take.
-const CLOUD_TIMEOUT: Micros = Micros::millis(4000);
-/// Machines named in one deletion, and in one rental, at most.
-const DELETED_AT_ONCE: usize = 100;
-const RENTED_AT_ONCE: u32 = 50;
-/// Names of machines that are gone, kept for late lists.
-const GONE_KEPT: usize = 4000;
+/// A rent request that is not answered yet.
+pub(super) struct PendingRent {
+    pub request: RentRequest,
+    /// A call is queued or in flight; otherwise the last one failed.
+    pub in_flight: bool,
+}
+
+/// The machines as the leader knows them, and its calls to the cloud.
+pub struct Inventory {
+    pub(super) machines: BTreeMap<String, Machine>,
+    /// Machines that are deleted or failed, with all tasks on them.
+    gone: BTreeSet<String>,
+    /// The same in the order in which they went.
+    gone_order: VecDeque<String>,
+    /// When the list is read next.
+    next_list_at: Micros,
+    /// Name of the machine after which the next page of the list begins; empty: the first page.
+    list_cursor: String,
+    /// A call for a page of the list is queued or in flight.
+    list_pending: bool,
+    /// The whole list has been read once.
+    pub(super) listed_once: bool,
+    /// When machine types are read next.
+    next_types_at: Micros,
+    /// A call for the machine types is queued or in flight.
+    types_pending: bool,
+    /// Offers for which the cloud had no capacity, and until when they are not requested again.
+    pub(super) refused: BTreeMap<InstanceOffer, Micros>,
+    /// Rent requests without a final answer, by name of the request.
+    pub(super) rent_requests: BTreeMap<String, PendingRent>,
+    /// Number of rent requests under our term.
+    pub(super) rent_counter: u64,
+    /// Limits the rate of our calls.
+    rate_limit: Option<TokenBucket>,
+    /// Calls that wait for the rate limit.
+    queued_calls: VecDeque<CloudRequest>,
+    /// Machines to be deleted for which no call is queued yet.
+    to_delete: BTreeSet<String>,
+}
 
 impl Inventory {
-    /// Nothing known yet.
+    /// An empty inventory that reads list and machine types at once.
     pub fn new(clock: Clock) -> Inventory {
         Inventory {
             machines: BTreeMap::new(),
             gone: BTreeSet::new(),
             gone_order: VecDeque::new(),
-            list_at: clock.now,
-            list_after: String::new(),
-            listing: false,
+            next_list_at: clock.now,
+            list_cursor: String::new(),
+            list_pending: false,
             listed_once: false,
-            types_at: clock.now,
-            typing: false,
+            next_types_at: clock.now,
+            types_pending: false,
             refused: BTreeMap::new(),
-            renting: BTreeMap::new(),
-            counter: 0,
-            pace: None,
-            wanted: VecDeque::new(),
-            condemned: BTreeSet::new(),
+            rent_requests: BTreeMap::new(),
+            rent_counter: 0,
+            rate_limit: None,
+            queued_calls: VecDeque::new(),
+            to_delete: BTreeSet::new(),
         }
     }
 
-    /// Proven gone, with all that was on it.
+    /// Whether a machine is proven gone, with all tasks on it.
     pub fn is_gone(&self, machine: &str) -> bool {
         self.gone.contains(machine)
     }
 
-    /// Takes no new tasks.
+    /// Whether a machine is to be deleted, so that it takes no new tasks.
     pub fn leaving(&self, machine: &str) -> bool {
-        self.machines.get(machine).is_some_and(|m| m.leaving)
+        self.machines
+            .get(machine)
+            .is_some_and(|machine| machine.leaving)
     }
 
-    /// Its zone, if known.
+    /// Zone of a machine, if it is known.
     pub fn zone_of(&self, machine: &str) -> Option<String> {
-        self.machines.get(machine).map(|m| m.zone.clone())
+        self.machines
+            .get(machine)
+            .map(|machine| machine.zone.clone())
     }
 
-    /// Its agent has reported.
-    pub fn met(&mut self, name: &str, r: &AgentHeartbeat, now: Micros) {
-        if let Some(m) = self.machines.get_mut(name) {
-            if !m.met {
-                m.met = true;
-                let age = now.since(m.rented).as_secs();
-                log::info!("{name}: up, {age:.0} s after it was rented");
-            }
+    /// Records that the agent of a machine has sent a heartbeat; adopts a machine that we did not know.
+    pub fn met(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            self.adopt(name, report, now);
             return;
+        };
+        if !machine.reported {
+            machine.reported = true;
+            let boot_s = now.since(machine.requested_at).as_secs();
+            log::info!("machine up machine={name} boot_s={boot_s:.0}");
         }
-        let m = self.machines.entry(name.to_string()).or_insert_with(|| {
-            log::info!("{name}: met, a {} in {}", r.kind, r.zone);
-            Machine {
-                kind: r.kind.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
-                rented: now,
-                running: false,
-                met: true,
-                leaving: false,
-                failed: false,
-            }
-        });
-        m.met = true;
     }
 
-    fn prove_gone(&mut self, name: &str) {
-        if self.gone.insert(name.to_string()) {
-            self.gone_order.push_back(name.to_string());
-            if self.gone_order.len() > GONE_KEPT
-                && let Some(old) = self.gone_order.pop_front()
-            {
-                self.gone.remove(&old);
-            }
-        }
+    fn adopt(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+        log::info!(
+            "machine adopted machine={name} type={} zone={}",
+            report.kind,
+            report.zone
+        );
+        let offer = InstanceOffer {
+            kind: report.kind.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
+        };
+        let machine = Machine {
+            reported: true,
+            ..Machine::new(offer, now)
+        };
+        self.machines.insert(name.to_string(), machine);
     }
 
-    fn leave(&mut self, name: &str, why: &str) {
-        if let Some(m) = self.machines.get_mut(name)
-            && !m.leaving
+    fn mark_gone(&mut self, name: &str) {
+        if !self.gone.insert(name.to_string()) {
+            return;
+        }
+        self.gone_order.push_back(name.to_string());
+        if self.gone_order.len() > MAX_GONE_KEPT
+            && let Some(oldest) = self.gone_order.pop_front()
         {
-            log::info!("{name}: to be returned, {why}");
-            m.leaving = true;
-            self.condemned.insert(name.to_string());
+            self.gone.remove(&oldest);
         }
     }
-}
 
-impl Controller {
-    /// What the fleet is due; returns when to look again.
-    pub fn drive_inventory(&mut self, clock: Clock) -> Micros {
-        let now = clock.now;
-        let rps = self.settings.params.cloud.rps;
-        let Some(l) = &mut self.leader else {
-            return Micros::FAR;
+    /// Marks a machine as to be deleted.
+    pub(super) fn delete(&mut self, name: &str, reason: DeletionReason) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        let f = &mut l.fleet;
-        if f.list_at <= now && !f.listing {
-            f.listing = true;
-            f.wanted.push_back(CloudRequest::List);
+        if !machine.leaving {
+            log::info!("machine to be deleted machine={name} reason={reason:?}");
+            machine.leaving = true;
+            self.to_delete.insert(name.to_string());
         }
-        if f.types_at <= now && !f.typing {
-            f.typing = true;
-            f.wanted.push_front(CloudRequest::Types);
+    }
+
+    /// Queues the calls that are due by time, and deletions.
+    pub(super) fn queue_due_calls(&mut self, now: Micros) {
+        if self.next_list_at <= now && !self.list_pending {
+            self.list_pending = true;
+            self.queued_calls.push_back(CloudRequest::List);
+        }
+        if self.next_types_at <= now && !self.types_pending {
+            self.types_pending = true;
+            self.queued_calls.push_front(CloudRequest::Types);
         }
-        // What must go is named once per call.
-        while !f.condemned.is_empty() {
-            let due: Vec<String> = f.condemned.iter().take(DELETED_AT_ONCE).cloned().collect();
-            for n in &due {
-                f.condemned.remove(n);
+        while !self.to_delete.is_empty() {
+            let names: Vec<String> = self
+                .to_delete
+                .iter()
+                .take(MAX_DELETED_PER_CALL)
+                .cloned()
+                .collect();
+            for name in &names {
+                self.to_delete.remove(name);
             }
-            f.wanted.push_front(CloudRequest::Delete(due));
+            self.queued_calls.push_front(CloudRequest::Delete(names));
         }
-        let pace = f
-            .pace
-            .get_or_insert_with(|| TokenBucket::new(rps * 0.7, (rps * 0.7).max(1.0)));
-        let mut send = Vec::new();
-        while !f.wanted.is_empty() && pace.ready(now, 1.0) {
-            pace.take(1.0);
-            send.extend(f.wanted.pop_front());
+    }
+
+    /// Takes the queued calls that the rate limit allows now. `calls_per_s`: the cloud's limit.
+    pub(super) fn take_calls(&mut self, calls_per_s: f64, now: Micros) -> Vec<CloudRequest> {
+        let rate = calls_per_s * RATE_SHARE;
+        let rate_limit = self
+            .rate_limit
+            .get_or_insert_with(|| TokenBucket::new(rate, rate.max(1.0)));
+        let mut calls = Vec::new();
+        while !self.queued_calls.is_empty() && rate_limit.ready(now, CALL_COST) {
+            rate_limit.take(CALL_COST);
+            calls.extend(self.queued_calls.pop_front());
         }
+        calls
+    }
+
+    /// When the next call is due.
+    pub(super) fn next_call_at(&self, now: Micros) -> Micros {
         let mut next = Micros::FAR;
-        if !f.wanted.is_empty() {
-            next = next.min(pace.when(now, 1.0, false));
-        }
-        if !f.listing {
-            next = next.min(f.list_at);
+        if !self.queued_calls.is_empty()
+            && let Some(rate_limit) = &self.rate_limit
+        {
+            next = next.min(rate_limit.when(now, CALL_COST, false));
         }
-        if !f.typing {
-            next = next.min(f.types_at);
+        if !self.list_pending {
+            next = next.min(self.next_list_at);
         }
-        let after = f.list_after.clone();
-        let addr = self.settings.external.cloud;
-        for ask in send {
-            let (method, path, body) = match &ask {
-                CloudRequest::Types => ("GET", "/flavors".to_string(), Vec::new()),
-                CloudRequest::List if after.is_empty() => {
-                    ("GET", "/machines?most=500".to_string(), Vec::new())
-                }
-                CloudRequest::List => (
-                    "GET",
-                    format!("/machines?after={after}&most=500"),
-                    Vec::new(),
-                ),
-                CloudRequest::RentInstances(r) => ("POST", "/machines".to_string(), encode(r)),
-                CloudRequest::Delete(names) => (
-                    "POST",
-                    "/machines/release".to_string(),
-                    encode(&MachineNames {
-                        machines: names.clone(),
-                    }),
-                ),
-            };
-            self.call(
-                PendingCall::Cloud(ask),
-                addr,
-                method,
-                &path,
-                body,
-                CLOUD_TIMEOUT,
-            );
+        if !self.types_pending {
+            next = next.min(self.next_types_at);
         }
         next
     }
 
-    /// The cloud has answered, or not.
-    pub fn on_cloud_response(&mut self, clock: Clock, ask: CloudRequest, outcome: Outcome) {
-        let now = clock.now;
-        let (status, body) = match outcome {
-            Outcome::Reply { status, body } => (status, body),
-            Outcome::NotSent | Outcome::Lost => (0, Vec::new()),
-        };
-        let Some(l) = &mut self.leader else { return };
-        match ask {
-            CloudRequest::Types => {
-                l.fleet.typing = false;
-                match decode::<MachineTypes>(&body).filter(|_| status == 200) {
-                    Some(t) => {
-                        l.fleet.types_at = now + TYPES_EVERY;
-                        self.keep_types(t.types);
-                    }
-                    None => l.fleet.types_at = now + CLOUD_AGAIN,
-                }
-            }
-            CloudRequest::List => {
-                l.fleet.listing = false;
-                match decode::<MachinePage>(&body).filter(|_| status == 200) {
-                    Some(p) => self.on_list(clock, p),
-                    None => {
-                        l.fleet.list_after.clear();
-                        l.fleet.list_at = now + CLOUD_AGAIN;
-                    }
-                }
-            }
-            CloudRequest::RentInstances(r) => {
-                let offer = (r.kind.clone(), r.zone.clone(), r.spot);
-                if status == 200
-                    && let Some(names) = decode::<MachineNames>(&body)
-                {
-                    l.fleet.renting.remove(&r.request);
-                    log::info!(
-                        "rented {} of {} {} in {}{}",
-                        names.machines.len(),
-                        r.count,
-                        r.kind,
-                        r.zone,
-                        if r.spot { ", spot" } else { "" }
-                    );
-                    if (names.machines.len() as u32) < r.count {
-                        l.fleet.refused.insert(offer, now + REFUSED_FOR);
-                    }
-                    for n in names.machines {
-                        l.fleet.machines.entry(n).or_insert(Machine {
-                            kind: r.kind.clone(),
-                            zone: r.zone.clone(),
-                            spot: r.spot,
-                            rented: now,
-                            running: false,
-                            met: false,
-                            leaving: false,
-                            failed: false,
-                        });
-                    }
-                } else if status == 503 || status == 400 {
-                    l.fleet.renting.remove(&r.request);
-                    l.fleet.refused.insert(offer, now + REFUSED_FOR);
-                    log::info!("no {} to rent in {} (spot: {})", r.kind, r.zone, r.spot);
-                } else if let Some(x) = l.fleet.renting.get_mut(&r.request) {
-                    // Asked again under the same name: it rents once.
-                    x.1 = false;
-                }
-                l.dirty = true;
-            }
-            CloudRequest::Delete(names) => {
-                for n in names {
-                    if status == 200 {
-                        log::info!("{n}: returned");
-                        l.fleet.machines.remove(&n);
-                        l.fleet.prove_gone(&n);
-                        l.agents.remove(&n);
-                        l.dirty = true;
-                    } else if l.fleet.machines.contains_key(&n) {
-                        l.fleet.condemned.insert(n);
-                    }
-                }
-            }
-        }
+    /// Name of the machine after which the next page of the list begins; empty: the first page.
+    pub(super) fn list_cursor(&self) -> &str {
+        &self.list_cursor
     }
 
-    fn keep_types(&mut self, mut types: Vec<MachineType>) {
-        // Spot prices wander; they are no reason to write a new record.
-        let same = |a: &MachineType, b: &MachineType| {
-            let mut a = a.clone();
-            a.spot_price = b.spot_price;
-            a == *b
-        };
-        types.sort_by(|a, b| a.name.cmp(&b.name));
-        let known = self.cache.types.as_ref().is_some_and(|k| {
-            k.len() == types.len() && k.iter().zip(&types).all(|(a, b)| same(a, b))
-        });
-        if known {
-            return;
-        }
-        let Some(l) = &self.leader else { return };
-        let txn = Transaction {
-            conds: vec![crate::protocol::key_value_api::VersionCondition::new(
-                crate::protocol::records::LEAD,
-                l.version,
-            )],
-            changes: vec![Change::put(TYPES, &MachineTypes { types }, None)],
+    /// A call for the machine types has ended.
+    pub(super) fn types_read(&mut self, succeeded: bool, now: Micros) {
+        self.types_pending = false;
+        let interval = if succeeded {
+            TYPES_INTERVAL
+        } else {
+            CALL_RETRY
         };
-        self.store.ask(
-            RequestPriority::Urgent,
-            StoreRequestPurpose::RecordMachineTypes,
-            StoreRequest::Transaction(txn),
-        );
+        self.next_types_at = now + interval;
     }
 
-    fn on_list(&mut self, clock: Clock, page: MachinePage) {
-        let now = clock.now;
-        let Some(l) = &mut self.leader else { return };
-        let f = &mut l.fleet;
+    /// A page of the list has been read: the next one, or the list from its beginning, is read next.
+    pub(super) fn list_page_read(&mut self, page: &MachinePage, now: Micros) {
+        self.list_pending = false;
         if page.more {
-            f.list_after = page
-                .machines
-                .last()
-                .map(|m| m.id.clone())
-                .unwrap_or_default();
-            f.list_at = now;
+            let last = page.machines.last();
+            self.list_cursor = last.map(|machine| machine.id.clone()).unwrap_or_default();
+            self.next_list_at = now;
         } else {
-            f.list_after.clear();
-            f.list_at = now + LIST_EVERY;
-            f.listed_once = true;
+            self.list_cursor.clear();
+            self.next_list_at = now + LIST_INTERVAL;
+            self.listed_once = true;
         }
-        if !page.more && self.cache.base.is_none() {
-            // Written once and for all: nothing is rented before the first list has been read.
-            let n = (f.machines.len().max(page.machines.len())) as u64;
-            let txn = Transaction {
-                conds: vec![
-                    VersionCondition::new(LEAD, l.version),
-                    VersionCondition::new(BASE, 0),
-                ],
-                changes: vec![Change::put(BASE, &n, None)],
+    }
+
+    /// A page of the list could not be read: the list is read from its beginning.
+    pub(super) fn list_failed(&mut self, now: Micros) {
+        self.list_pending = false;
+        self.list_cursor.clear();
+        self.next_list_at = now + CALL_RETRY;
+    }
+
+    /// Applies a machine of the cloud's list; tells whether it is newly known to have failed.
+    pub(super) fn apply_listed(&mut self, listed: ListedMachine, now: Micros) -> bool {
+        let failed = listed.state == MachineState::Failed;
+        if self.gone.contains(&listed.id) {
+            if failed && !self.machines.contains_key(&listed.id) {
+                let deletion = CloudRequest::Delete(vec![listed.id]);
+                self.queued_calls.push_back(deletion);
+            }
+            return false;
+        }
+        let machine = self.machines.entry(listed.id.clone()).or_insert_with(|| {
+            let offer = InstanceOffer {
+                kind: listed.kind,
+                zone: listed.zone,
+                spot: listed.spot,
             };
-            self.store.ask(
-                RequestPriority::Normal,
-                StoreRequestPurpose::RecordMachineTypes,
-                StoreRequest::Transaction(txn),
-            );
+            Machine::new(offer, now - Micros::secs(listed.age_s))
+        });
+        machine.running = listed.state == MachineState::Running;
+        if !failed || machine.failed {
+            return false;
         }
-        for m in page.machines {
-            if f.gone.contains(&m.id) {
-                if m.state == MachineState::Failed && !f.machines.contains_key(&m.id) {
-                    f.wanted.push_back(CloudRequest::Delete(vec![m.id]));
-                }
-                continue;
-            }
-            let known = f.machines.entry(m.id.clone()).or_insert_with(|| Machine {
-                kind: m.kind,
-                zone: m.zone,
-                spot: m.spot,
-                rented: now - Micros::secs(m.age_s),
-                running: false,
-                met: false,
-                leaving: false,
-                failed: false,
-            });
-            known.running = m.state == MachineState::Running;
-            if m.state == MachineState::Failed && !known.failed {
-                log::info!("{}: listed as failed", m.id);
-                known.failed = true;
-                f.condemned.insert(m.id.clone());
-                f.prove_gone(&m.id);
-                l.dirty = true;
+        log::info!("machine failed machine={}", listed.id);
+        machine.failed = true;
+        self.to_delete.insert(listed.id.clone());
+        self.mark_gone(&listed.id);
+        true
+    }
+
+    /// Queues a rent request.
+    pub(super) fn rent(&mut self, request: RentRequest) {
+        let pending = PendingRent {
+            request: request.clone(),
+            in_flight: true,
+        };
+        self.rent_requests.insert(request.request.clone(), pending);
+        self.queued_calls
+            .push_back(CloudRequest::RentInstances(request));
+    }
+
+    /// Queues the rent requests again whose calls failed. The cloud carries out a request of one name only once.
+    pub(super) fn retry_rent_requests(&mut self) {
+        for pending in self.rent_requests.values_mut() {
+            if !pending.in_flight {
+                pending.in_flight = true;
+                let request = pending.request.clone();
+                self.queued_calls
+                    .push_back(CloudRequest::RentInstances(request));
             }
         }
     }
 
-    /// Rents and returns what a pass has planned.
-    pub fn apply_fleet(&mut self, plan: ScalingPlan) {
-        let Some(l) = &mut self.leader else { return };
-        let f = &mut l.fleet;
-        for (name, why) in plan.leave {
-            f.leave(&name, why);
+    /// The cloud has carried out a rent request, perhaps in part.
+    pub(super) fn rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
+        self.rent_requests.remove(&request.request);
+        let offer = offer_of(request);
+        log::info!(
+            "machines rented count={} requested={} type={} zone={} spot={}",
+            rented.machines.len(),
+            request.count,
+            request.kind,
+            request.zone,
+            request.spot
+        );
+        if (rented.machines.len() as u32) < request.count {
+            self.refused.insert(offer.clone(), now + REFUSED_FOR);
         }
-        for (rent, flying) in f.renting.values_mut() {
-            if plan.ready && !*flying {
-                *flying = true;
-                f.wanted
-                    .push_back(CloudRequest::RentInstances(rent.clone()));
-            }
+        for name in rented.machines {
+            self.machines
+                .entry(name)
+                .or_insert_with(|| Machine::new(offer.clone(), now));
         }
-        for ((kind, zone, spot), mut n) in plan.rent {
-            while n > 0 {
-                f.counter += 1;
-                // The term is part of the name: a controller that leads a second time counts anew.
-                let request = format!(
-                    "{}-{:x}-{}-{}",
-                    self.settings.node, self.incarnation, l.term, f.counter
-                );
-                let rent = RentRequest {
-                    request: request.clone(),
-                    kind: kind.clone(),
-                    zone: zone.clone(),
-                    spot,
-                    count: n.min(RENTED_AT_ONCE),
-                };
-                n -= rent.count;
-                f.renting.insert(request, (rent.clone(), true));
-                f.wanted.push_back(CloudRequest::RentInstances(rent));
-            }
+    }
+
+    /// The cloud has refused a rent request.
+    pub(super) fn rent_refused(&mut self, request: &RentRequest, now: Micros) {
+        self.rent_requests.remove(&request.request);
+        self.refused.insert(offer_of(request), now + REFUSED_FOR);
+        log::info!(
+            "no capacity to rent type={} zone={} spot={}",
+            request.kind,
+            request.zone,
+            request.spot
+        );
+    }
+
+    /// A rent request got no usable answer, so that it is unknown whether it was carried out.
+    pub(super) fn rent_failed(&mut self, request: &RentRequest) {
+        if let Some(pending) = self.rent_requests.get_mut(&request.request) {
+            pending.in_flight = false;
         }
     }
+
+    /// The cloud has deleted a machine.
+    pub(super) fn deleted(&mut self, name: &str) {
+        log::info!("machine deleted machine={name}");
+        self.machines.remove(name);
+        self.mark_gone(name);
+    }
+
+    /// The deletion of a machine got no usable answer, and is repeated.
+    pub(super) fn deletion_failed(&mut self, name: String) {
+        if self.machines.contains_key(&name) {
+            self.to_delete.insert(name);
+        }
+    }
+}
+
+fn offer_of(request: &RentRequest) -> InstanceOffer {
+    InstanceOffer {
+        kind: request.kind.clone(),
+        zone: request.zone.clone(),
+        spot: request.spot,
+    }
 }
--- /dev/null
+++ b/src/cloud/provisioning.rs
@@ -0,0 +1,95 @@
+//! Capacity of machines that are being provisioned, and the demand that it will cover.
+
+use crate::cloud::demand::{CapacityDemand, DemandClass};
+use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
+use crate::scheduling::placement::{self, Host, slots};
+use crate::state::record_cache::Job;
+use foldhash::HashMap;
+
+/// Machines that have not started yet, or are about to take tasks, less the capacity promised to demand.
+#[derive(Default)]
+pub(super) struct ProvisioningCapacity {
+    hosts: CapacityIndex,
+    /// Demand that found no capacity on these machines.
+    infeasible: HashMap<DemandClass, InfeasibleRequests>,
+}
+
+impl ProvisioningCapacity {
+    pub fn add(&mut self, host: Host) {
+        self.hosts.push(host);
+        // There is more capacity than before.
+        self.infeasible.clear();
+    }
+
+    /// Promises capacity to `tasks` tasks; returns how many found none.
+    pub fn place<'j>(
+        &mut self,
+        demand: &CapacityDemand<'_>,
+        tasks: u32,
+        job: impl Fn() -> Option<&'j Job>,
+    ) -> u32 {
+        let placed_together = if demand.gang { tasks } else { 1 };
+        let infeasible = self.infeasible.entry(demand.class()).or_default();
+        if infeasible.covers(demand.need, placed_together) {
+            return tasks;
+        }
+        let unplaced = if demand.gang {
+            place_gang(&mut self.hosts, demand, tasks, job)
+        } else {
+            place_tasks(&mut self.hosts, demand, tasks)
+        };
+        if unplaced > 0 {
+            infeasible.add(demand.need, placed_together);
+        }
+        unplaced
+    }
+}
+
+/// Promises capacity to all tasks of a gang, or to none; returns how many found none.
+fn place_gang<'j>(
+    hosts: &mut CapacityIndex,
+    demand: &CapacityDemand<'_>,
+    tasks: u32,
+    job: impl Fn() -> Option<&'j Job>,
+) -> u32 {
+    let Some(job) = job() else {
+        return tasks;
+    };
+    let candidates = hosts.candidates("", demand.need, demand.allow);
+    let placed = placement::gang(
+        hosts,
+        candidates.into_iter(),
+        "",
+        &job.rec.spec,
+        &demand.task_requirements(),
+        tasks,
+        1.0,
+    );
+    let Some(placed) = placed else {
+        return tasks;
+    };
+    for host in placed {
+        hosts.take(host, demand.need);
+    }
+    0
+}
+
+/// Promises capacity to as many of the tasks as possible; returns how many found none.
+fn place_tasks(hosts: &mut CapacityIndex, demand: &CapacityDemand<'_>, tasks: u32) -> u32 {
+    let candidates: Vec<usize> = demand
+        .constraints()
+        .iter()
+        .flat_map(|allowed| hosts.enough(demand.need, allowed, tasks))
+        .collect();
+    let mut unplaced = tasks;
+    for host in candidates {
+        let placed = slots(&hosts[host].free, demand.need).min(unplaced);
+        let taken = demand.need.map(|amount| amount * f64::from(placed));
+        hosts.take(host, &taken);
+        unplaced -= placed;
+        if unplaced == 0 {
+            break;
+        }
+    }
+    unplaced
+}
--- /dev/null
+++ b/src/cloud/scale_out.rs
@@ -0,0 +1,215 @@
+//! Scale-out: which machines are requested for demand that found no capacity.
+
+use crate::cloud::autoscaler::FleetSnapshot;
+use crate::cloud::demand::{CapacityDemand, DemandClass, DemandSource};
+use crate::cloud::instance_offer::{ChosenOffer, InstanceOffer, OfferSearch, capacity};
+use crate::cloud::provisioning::ProvisioningCapacity;
+use crate::protocol::cloud_api::MachineType;
+use crate::scheduling::backfill::UnmetDemand;
+use crate::scheduling::capacity_index::InfeasibleRequests;
+use crate::scheduling::placement::{Host, NameTable, Resources};
+use crate::state::record_cache::Job;
+use foldhash::HashMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// Machines requested in one pass at most.
+const MAX_REQUESTED_PER_PASS: u32 = 400;
+/// Id of a name that no machine has.
+const NO_NAME: u32 = u32::MAX;
+const NO_RESOURCES: Resources = [0.0; 3];
+
+/// The number of machines to request, by offer.
+pub(super) fn plan_scale_out<'a>(
+    snapshot: &FleetSnapshot<'_>,
+    names: &NameTable,
+    silent_zones: &BTreeSet<String>,
+    source: &impl DemandSource<'a>,
+    unmet: &[UnmetDemand<'_>],
+) -> BTreeMap<InstanceOffer, u32> {
+    let mut planner = ScaleOutPlanner::new(snapshot, names);
+    planner.add_machines(silent_zones);
+    planner.add_rent_requests();
+    for demand in unmet {
+        // Capacity is promised only to find out what else to request.
+        if planner.limit_reached() {
+            break;
+        }
+        let requested_before = planner.requested;
+        let job = || source.job(demand.of).map(|(_, job)| job);
+        planner.cover(&source.need(demand.of), demand.tasks, job);
+        let requested = planner.requested - requested_before;
+        if requested > 0 {
+            log::debug!(
+                "scale out job={} tasks={} machines={requested}",
+                source.job(demand.of).map_or("", |(id, _)| id),
+                demand.tasks,
+            );
+        }
+    }
+    planner.requests
+}
+
+struct ScaleOutPlanner<'a> {
+    snapshot: &'a FleetSnapshot<'a>,
+    names: &'a NameTable,
+    types: &'a [MachineType],
+    capacity: ProvisioningCapacity,
+    machines_per_zone: BTreeMap<&'a str, usize>,
+    /// Machines that are there, requested, or to be requested.
+    machines: usize,
+    /// Machines to be requested.
+    requested: u32,
+    requests: BTreeMap<InstanceOffer, u32>,
+    /// Demand for which there is no offer.
+    unoffered: HashMap<DemandClass, InfeasibleRequests>,
+}
+
+impl<'a> ScaleOutPlanner<'a> {
+    fn new(snapshot: &'a FleetSnapshot<'a>, names: &'a NameTable) -> ScaleOutPlanner<'a> {
+        ScaleOutPlanner {
+            snapshot,
+            names,
+            types: snapshot.machine_types(),
+            capacity: ProvisioningCapacity::default(),
+            machines_per_zone: BTreeMap::new(),
+            machines: 0,
+            requested: 0,
+            requests: BTreeMap::new(),
+            unoffered: HashMap::default(),
+        }
+    }
+
+    /// Counts the machines of the inventory, and adds the capacity of those that do not take tasks yet.
+    fn add_machines(&mut self, silent_zones: &BTreeSet<String>) {
+        let leader = self.snapshot.leader;
+        for (name, machine) in &leader.fleet.machines {
+            if machine.failed {
+                continue;
+            }
+            self.count(&machine.zone, 1);
+            if machine.leaving {
+                continue;
+            }
+            let agent = leader.agents.get(name);
+            // The zone seems partitioned rather than lost: its machines are expected to come back.
+            let expected_back =
+                silent_zones.contains(&machine.zone) && agent.is_some_and(|agent| agent.is_over());
+            if !machine.reported || expected_back {
+                self.add_empty_host(&machine.kind, &machine.zone, machine.spot);
+            }
+            // A machine that has sent heartbeats and not yet shown our term is about to take tasks. Without it, a
+            // number of machines that start together would be requested a second time.
+            if agent.is_some_and(|agent| agent.term < leader.term) {
+                self.add_started_host(name);
+            }
+        }
+    }
+
+    /// Adds the machines of rent requests that are not answered yet.
+    fn add_rent_requests(&mut self) {
+        let snapshot = self.snapshot;
+        for pending in snapshot.leader.fleet.rent_requests.values() {
+            let request = &pending.request;
+            for _ in 0..request.count {
+                self.add_empty_host(&request.kind, &request.zone, request.spot);
+            }
+            self.count(&request.zone, request.count as usize);
+        }
+    }
+
+    fn count(&mut self, zone: &'a str, machines: usize) {
+        *self.machines_per_zone.entry(zone).or_default() += machines;
+        self.machines += machines;
+    }
+
+    /// Adds an empty machine of a type, unless the type is unknown.
+    fn add_empty_host(&mut self, kind: &str, zone: &str, spot: bool) {
+        let machine_type = self.types.iter().find(|known| known.name == kind);
+        let Some(machine_type) = machine_type else {
+            return;
+        };
+        let total = capacity(machine_type);
+        self.capacity.add(Host {
+            kind: self.names.find(kind).unwrap_or(NO_NAME),
+            zone: self.names.find(zone).unwrap_or(NO_NAME),
+            spot,
+            agent_epoch: 0,
+            total,
+            free: total,
+            open: true,
+            images: Arc::default(),
+            leaving: NO_RESOURCES,
+            reserved: None,
+        });
+    }
+
+    /// Adds a machine with the capacity that this pass has left on it.
+    fn add_started_host(&mut self, name: &str) {
+        let Some(index) = self.snapshot.hosts.find(name) else {
+            return;
+        };
+        let mut host = self.snapshot.rooms[index].clone();
+        host.open = true;
+        host.reserved = None;
+        self.capacity.add(host);
+    }
+
+    /// Whether no more machines may be requested in this pass, or at all.
+    fn limit_reached(&self) -> bool {
+        let max_machines = self.snapshot.policy.most_machines as usize;
+        self.requested >= MAX_REQUESTED_PER_PASS
+            || (max_machines > 0 && self.machines >= max_machines)
+    }
+
+    /// Covers the demand of a job with capacity that is being provisioned, and requests machines for the rest.
+    fn cover<'j>(
+        &mut self,
+        demand: &CapacityDemand<'_>,
+        tasks: u32,
+        job: impl Fn() -> Option<&'j Job> + Copy,
+    ) {
+        let mut uncovered = self.capacity.place(demand, tasks, job);
+        while uncovered > 0 && !self.limit_reached() {
+            let Some(offer) = self.find_offer(demand, job) else {
+                return;
+            };
+            self.request(&offer);
+            let uncovered_before = uncovered;
+            uncovered = self.capacity.place(demand, uncovered, job);
+            if uncovered >= uncovered_before && !demand.gang {
+                return;
+            }
+        }
+    }
+
+    fn find_offer<'j>(
+        &mut self,
+        demand: &CapacityDemand<'_>,
+        job: impl Fn() -> Option<&'j Job>,
+    ) -> Option<ChosenOffer<'a>> {
+        let unoffered = self.unoffered.entry(demand.class()).or_default();
+        if unoffered.covers(demand.need, 1) {
+            return None;
+        }
+        let search = OfferSearch {
+            types: self.types,
+            refused: &self.snapshot.leader.fleet.refused,
+            machines_per_zone: &self.machines_per_zone,
+            now: self.snapshot.clock.now,
+        };
+        let zone_allowed = |zone: &str| demand.allows_zone(self.names.find(zone));
+        let offer = job().and_then(|job| search.cheapest(&job.rec.spec, zone_allowed));
+        if offer.is_none() {
+            unoffered.add(demand.need, 1);
+        }
+        offer
+    }
+
+    fn request(&mut self, offer: &ChosenOffer<'a>) {
+        self.add_empty_host(&offer.machine_type.name, offer.zone, offer.spot);
+        self.count(offer.zone, 1);
+        *self.requests.entry(offer.instance_offer()).or_default() += 1;
+        self.requested += 1;
+    }
+}
