--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -167,7 +167,7 @@
         let mut left = n;
         let allowed = need.allowed();
         let rooms = &self.rooms;
-        let found = allowed.iter().map(|a| rooms.enough(need.need, a, n));
+        let found = allowed.iter().map(|a| rooms.hosts_for(need.need, a, n));
         for h in found.collect::<Vec<_>>().into_iter().flatten() {
             let k = slots(&self.rooms[h].free, need.need).min(left);
             self.rooms.take(h, &need.need.map(|x| x * k as f64));
@@ -420,7 +420,7 @@
             leave.push((name.clone(), why));
             continue;
         }
-        if !hosts.find(name).is_some_and(|h| rooms[h].empty()) {
+        if !hosts.find(name).is_some_and(|h| rooms[h].is_empty()) {
             continue;
         }
         if l.sick(w, policy) {
--- /dev/null
+++ b/src/scheduling/backfill/plan.rs
@@ -0,0 +1,38 @@
+//! Result of a scheduling pass.
+
+use crate::scheduling::backfill::QueueCandidate;
+
+/// A task that the pass starts.
+#[derive(Debug, Clone, PartialEq)]
+pub struct TaskPlacement {
+    /// Job id.
+    pub job: String,
+    /// Task number.
+    pub task: u32,
+    /// Index of the machine among the hosts of the pass.
+    pub host: usize,
+    /// The task starts ahead of an earlier job that is blocked.
+    pub backfilled: bool,
+}
+
+/// Tasks of a job for which the pass found no machine.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct UnmetDemand<'a> {
+    /// The job.
+    pub of: QueueCandidate<'a>,
+    /// Number of tasks.
+    pub tasks: u32,
+}
+
+/// What a pass decided.
+#[derive(Debug, Default)]
+pub struct SchedulingPlan<'a> {
+    /// Tasks to start.
+    pub places: Vec<TaskPlacement>,
+    /// Tasks to preempt: job id and task number.
+    pub stops: Vec<(String, u32)>,
+    /// Machines on which tasks are preempted, each with the job it is reserved for.
+    pub reserved: Vec<(usize, String)>,
+    /// Demand that no machine could meet, in the order in which the pass met it.
+    pub lacks: Vec<UnmetDemand<'a>>,
+}
--- /dev/null
+++ b/src/scheduling/backfill/preempt.rs
@@ -0,0 +1,95 @@
+//! Preemption on behalf of blocked jobs, within the limits of one pass.
+
+use crate::protocol::JobKind;
+use crate::scheduling::backfill::{QueueCandidate, SchedulingPass};
+use crate::scheduling::pending_jobs::QueuePosition;
+use crate::scheduling::preemption::{PreemptionOutcome, PreemptionRequest, preempt};
+
+/// A job with tasks that found no machine.
+pub(super) struct BlockedJob<'a> {
+    pub(super) candidate: QueueCandidate<'a>,
+    pub(super) position: QueuePosition<'a>,
+    /// Number of tasks that found no machine.
+    pub(super) unplaced: u32,
+    /// The job counts as the head of the queue, for which backfilled tasks are preempted.
+    pub(super) at_head: bool,
+    /// The job was reached while backfilling.
+    pub(super) backfilling: bool,
+}
+
+impl BlockedJob<'_> {
+    /// Whether jobs of this kind may have tasks preempted for them.
+    fn may_preempt(&self, kind: JobKind, guaranteed: bool) -> bool {
+        match kind {
+            JobKind::Gang => true,
+            JobKind::Service => !self.backfilling || guaranteed,
+            JobKind::Array => guaranteed,
+        }
+    }
+}
+
+impl<'p, 'a> SchedulingPass<'p, 'a> {
+    /// Preempts tasks for a blocked job if its kind and guarantee permit that and candidates exist.
+    pub(super) fn preempt_for(&mut self, blocked: &BlockedJob<'a>) {
+        if self.preemption_attempts_left == 0 || self.preemptible.is_empty() {
+            return;
+        }
+        let kind = self.kind_of(blocked.candidate);
+        let guaranteed = self.is_guaranteed(blocked);
+        if !blocked.may_preempt(kind, guaranteed) {
+            return;
+        }
+        let request = self.preemption_request(blocked, guaranteed);
+        if self.refused_requests.contains(&request) {
+            return;
+        }
+        let mut built = None;
+        let Some(entry) = self.entry(blocked.candidate, &mut built) else {
+            return;
+        };
+        let outcome = preempt(
+            entry,
+            blocked.unplaced,
+            &request,
+            self.hosts,
+            self.preemptible,
+            &mut self.plan,
+        );
+        match outcome {
+            PreemptionOutcome::AlreadyReserved => {}
+            // No task becomes a candidate later in the same pass.
+            PreemptionOutcome::NoCandidates => self.refused_requests.push(request),
+            PreemptionOutcome::Considered => self.preemption_attempts_left -= 1,
+        }
+    }
+
+    fn is_guaranteed(&self, blocked: &BlockedJob<'a>) -> bool {
+        match blocked.candidate {
+            QueueCandidate::Near(index) => self.active[index].guaranteed,
+            QueueCandidate::PendingJobs(summary) => {
+                let team = self.pending.form_of(summary).team;
+                self.pending.guaranteed(team, blocked.position)
+            }
+        }
+    }
+
+    fn preemption_request(&self, blocked: &BlockedJob<'a>, guaranteed: bool) -> PreemptionRequest {
+        let summary = match blocked.candidate {
+            QueueCandidate::Near(index) => {
+                return PreemptionRequest::of(&self.active[index], blocked.at_head);
+            }
+            QueueCandidate::PendingJobs(summary) => summary,
+        };
+        let profile = self.pending.form_of(summary);
+        let (_, id) = blocked.position;
+        PreemptionRequest {
+            kind: profile.kind,
+            priority: self.pending.priority(profile, id),
+            team: profile.team,
+            guaranteed,
+            overdue: guaranteed && self.pending.overdue(summary),
+            aged: profile.kind == JobKind::Gang && self.pending.aged(summary),
+            at_head: blocked.at_head,
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/backfill/queue_entry.rs
@@ -0,0 +1,72 @@
+//! Jobs as a scheduling pass meets them.
+
+use crate::protocol::{JobSpec, Micros, Priority};
+use crate::scheduling::job_queue::JobSummary;
+use crate::scheduling::pending_jobs::{BackfillOrder, QueuePosition, rank};
+use crate::scheduling::placement::{TaskRequirements, ZoneLimits};
+
+/// A job with tasks to start.
+#[derive(Debug)]
+pub struct QueueEntry<'a> {
+    /// Job id.
+    pub id: &'a str,
+    /// Time of day at which the job was accepted.
+    pub at: Micros,
+    /// The job as it was submitted.
+    pub spec: &'a JobSpec,
+    /// Resources and constraints of one task.
+    pub shape: TaskRequirements,
+    /// Team, as a number of the `NameTable`.
+    pub team: u32,
+    /// Jobs with the same number have the same constraints, so what is infeasible for one of them is
+    /// infeasible for the others.
+    pub reach: u32,
+    /// Number of tasks that have lost their machine.
+    pub lost: u32,
+    /// Tasks that may start. A gang starts all of them or none.
+    pub tasks: Vec<u32>,
+    /// Locations of the tasks that are presumed to run: the zone, and the index of the machine if it is
+    /// among the hosts of the pass.
+    pub present: Vec<(u32, Option<usize>)>,
+    /// Time that a machine takes to fetch the image, in seconds.
+    pub fetch_s: f64,
+    /// Estimated run time in seconds, corrected by observed run times.
+    pub estimate_s: f64,
+    /// Highest priority of the job and of the jobs that depend on it.
+    pub priority: Priority,
+    /// The job fits into its team's guarantee together with the team's earlier unfinished jobs.
+    pub guaranteed: bool,
+    /// The job has waited so long that gangs beyond another team's guarantee may be preempted for it.
+    pub overdue: bool,
+    /// The job has waited so long that tasks without checkpoints may be preempted for it, if it is a gang.
+    pub aged: bool,
+    /// The job has waited so long that it is backfilled ahead of shorter jobs.
+    pub starved: bool,
+}
+
+impl<'a> QueueEntry<'a> {
+    /// Position of the job in the queue.
+    pub(super) fn position(&self) -> QueuePosition<'a> {
+        (self.at, self.id)
+    }
+
+    /// Zones in which further tasks may be placed.
+    pub(crate) fn zone_limits(&self) -> ZoneLimits {
+        let occupied = self.present.iter().map(|(zone, _)| *zone).collect();
+        ZoneLimits::new(self.spec, occupied)
+    }
+
+    /// Position of the job in the order of backfilling.
+    pub(super) fn backfill_order(&self) -> BackfillOrder<'a> {
+        rank(self.starved, self.estimate_s, self.position())
+    }
+}
+
+/// A job that a pass has reached in the queue.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum QueueCandidate<'a> {
+    /// Index into the active jobs of the pass.
+    Near(usize),
+    /// A pending job: nothing of it is placed or being written.
+    PendingJobs(&'a JobSummary),
+}
--- /dev/null
+++ b/src/scheduling/backfill/start.rs
@@ -0,0 +1,214 @@
+//! Starting the tasks of one job: gangs as a whole, arrays and services task by task.
+
+use crate::protocol::JobKind;
+use crate::scheduling::backfill::{
+    MAX_PLACEMENTS_WITH_WIDE_ARRAYS, QueueCandidate, QueueEntry, SchedulingPass, TaskPlacement,
+    wide_arrays,
+};
+use crate::scheduling::job_queue::JobSummary;
+use crate::scheduling::placement::{self, Host, HostPicker, ZoneLimits, slots};
+use crate::scheduling::preemption::find_image_holder;
+
+/// Number of tasks of a pending job that one pass would start at most.
+pub fn far_tasks(gang: bool, summary: &JobSummary) -> u32 {
+    if gang {
+        summary.left
+    } else {
+        summary.left.min(MAX_PLACEMENTS_WITH_WIDE_ARRAYS as u32)
+    }
+}
+
+impl<'p, 'a> SchedulingPass<'p, 'a> {
+    /// Starts the tasks of a job that fit. Returns the number of tasks that found no machine, without
+    /// those that its team's quota excludes.
+    pub(super) fn start_candidate(
+        &mut self,
+        candidate: QueueCandidate<'a>,
+        backfilled: bool,
+    ) -> u32 {
+        match candidate {
+            QueueCandidate::Near(index) => {
+                let active = self.active;
+                self.start_job(candidate, &active[index], backfilled)
+            }
+            QueueCandidate::PendingJobs(summary) => self.start_pending(summary, backfilled),
+        }
+    }
+
+    /// The same for a pending job. Builds its queue entry only if a machine may have room for it.
+    fn start_pending(&mut self, summary: &'a JobSummary, backfilled: bool) -> u32 {
+        let profile = self.pending.form_of(summary);
+        let gang = profile.kind == JobKind::Gang;
+        let requested = far_tasks(gang, summary);
+        let permitted = self.quotas.slots(profile.team, &summary.need);
+        let permitted = permitted.min(requested);
+        if permitted == 0 || (gang && permitted < requested) {
+            return 0;
+        }
+        // Tasks of arrays and services look for a machine one by one.
+        let at_once = if gang { requested } else { 1 };
+        let infeasible = &mut self.infeasible[profile.reach as usize];
+        let mut no_room = infeasible.covers(&summary.need, at_once);
+        if !no_room && !self.hosts.has_room(&summary.need, &profile.allow) {
+            infeasible.add(&summary.need, 1);
+            no_room = true;
+        }
+        let may_be_wide =
+            profile.kind == JobKind::Array && requested >= wide_arrays::MIN_WIDE_TASKS;
+        if no_room && !may_be_wide {
+            return permitted;
+        }
+        let Some(entry) = self.pending.item(summary) else {
+            return 0;
+        };
+        let candidate = QueueCandidate::PendingJobs(summary);
+        let unplaced = self.start_job(candidate, &entry, backfilled);
+        if gang && unplaced > 0 {
+            self.infeasible[profile.reach as usize].add(&summary.need, requested);
+        }
+        unplaced
+    }
+
+    fn start_job(
+        &mut self,
+        candidate: QueueCandidate<'a>,
+        entry: &QueueEntry<'_>,
+        backfilled: bool,
+    ) -> u32 {
+        let requested = entry.tasks.len() as u32;
+        let permitted = self.quotas.slots(entry.team, &entry.shape.need);
+        let permitted = permitted.min(requested);
+        if wide_arrays::is_wide(entry) {
+            return self.start_wide_array(candidate, entry, permitted, backfilled);
+        }
+        if entry.spec.kind != JobKind::Gang {
+            return self.start_each(entry, &entry.tasks[..permitted as usize], backfilled);
+        }
+        if permitted < requested {
+            return 0;
+        }
+        self.start_gang(entry, requested, backfilled)
+    }
+
+    /// Starts all `members` of a gang or none. Returns the number of members that found no machine.
+    fn start_gang(&mut self, entry: &QueueEntry<'_>, members: u32, backfilled: bool) -> u32 {
+        let requirements = &entry.shape;
+        let demand_ratio = self.demand_ratio(entry);
+        let candidates = self
+            .hosts
+            .candidates(entry.id, &requirements.need, &requirements.allow);
+        let chosen = placement::gang(
+            self.hosts,
+            candidates.into_iter(),
+            entry.id,
+            entry.spec,
+            requirements,
+            members,
+            demand_ratio,
+        );
+        let Some(chosen) = chosen else {
+            return members;
+        };
+        for (task, host) in entry.tasks.iter().zip(chosen) {
+            self.place(entry, *task, host, backfilled);
+        }
+        0
+    }
+
+    /// Starts tasks one by one. Returns the number of tasks that found no machine.
+    pub(super) fn start_each(
+        &mut self,
+        entry: &QueueEntry<'_>,
+        tasks: &[u32],
+        backfilled: bool,
+    ) -> u32 {
+        let requirements = &entry.shape;
+        let service = entry.spec.kind == JobKind::Service;
+        let mut zones = entry.zone_limits();
+        let runs_on = |host: usize| entry.present.iter().any(|(_, at)| *at == Some(host));
+        let candidates = self
+            .hosts
+            .candidates(entry.id, &requirements.need, &requirements.allow);
+        let mut picker = HostPicker::new(
+            self.hosts,
+            candidates.into_iter(),
+            entry.id,
+            requirements,
+            self.demand_ratio(entry),
+            service,
+            runs_on,
+        );
+        let mut hosts_being_cleared = None;
+        for (index, task) in tasks.iter().enumerate() {
+            let Some(host) = picker.pick(self.hosts, |zone| zones.allow(zone)) else {
+                return (tasks.len() - index) as u32;
+            };
+            if service
+                && !self.hosts[host].has_image(requirements.image)
+                && self.waits_for_image_holder(entry, &mut zones, &mut hosts_being_cleared)
+            {
+                picker.put_back(self.hosts, host);
+                continue;
+            }
+            self.place(entry, *task, host, backfilled && !service);
+            picker.task_placed(self.hosts, host);
+            zones.occupy(self.hosts[host].zone);
+        }
+        0
+    }
+
+    /// Whether a replica waits for a machine that has its image instead of fetching the image elsewhere.
+    /// Preempts a task on such a machine if no machine is being cleared for the service already.
+    ///
+    /// `hosts_being_cleared`: how many machines are being cleared for further replicas, counted on the
+    /// first call.
+    fn waits_for_image_holder(
+        &mut self,
+        entry: &QueueEntry<'_>,
+        zones: &mut ZoneLimits,
+        hosts_being_cleared: &mut Option<usize>,
+    ) -> bool {
+        let being_cleared =
+            hosts_being_cleared.get_or_insert_with(|| self.count_hosts_being_cleared(entry));
+        if *being_cleared > 0 {
+            *being_cleared -= 1;
+            return true;
+        }
+        let victim = find_image_holder(entry, self.hosts, &self.checkpointing_singles, zones);
+        let Some(victim) = victim else {
+            return false;
+        };
+        let host = victim.host;
+        self.plan.stops.push((victim.job.to_string(), victim.task));
+        self.plan.reserved.push((host, entry.id.to_string()));
+        self.hosts.reserve(host, entry.id);
+        zones.occupy(self.hosts[host].zone);
+        true
+    }
+
+    /// Number of machines reserved for the job that are full now and have room once stopping tasks have
+    /// ended. Machines that the job's own tasks have filled do not count.
+    fn count_hosts_being_cleared(&self, entry: &QueueEntry<'_>) -> usize {
+        let need = &entry.shape.need;
+        let being_cleared = |host: &&Host| {
+            host.reserved.as_deref() == Some(entry.id)
+                && slots(&host.free, need) == 0
+                && slots(&host.free_after_stops(), need) > 0
+        };
+        self.hosts.iter().filter(being_cleared).count()
+    }
+
+    /// Starts one task on a machine.
+    fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
+        let requirements = &entry.shape;
+        self.hosts.take(host, &requirements.need);
+        self.quotas.take(entry.team, &requirements.need);
+        self.hosts.gets(host, requirements.image);
+        self.plan.places.push(TaskPlacement {
+            job: entry.id.to_string(),
+            task,
+            host,
+            backfilled,
+        });
+    }
+}
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,13 +1,16 @@
-//! Tests.
+//! Tests of single passes.
 
 use super::*;
+use crate::protocol::{JobSpec, Micros, Priority};
 use crate::scheduling::job_queue::JobQueue;
 use crate::scheduling::pending_jobs::SchedulingContext;
-use crate::scheduling::placement::PlacementConstraints;
+use crate::scheduling::placement::{Host, PlacementConstraints, TaskRequirements};
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+const IMAGE: u32 = 7;
+
 fn host(free: f64, images: &[u32]) -> Host {
     Host {
         kind: 1,
@@ -23,7 +26,7 @@
     }
 }
 
-fn item<'a>(spec: &'a JobSpec, fetch_s: f64) -> QueueEntry<'a> {
+fn entry<'a>(spec: &'a JobSpec, fetch_s: f64) -> QueueEntry<'a> {
     QueueEntry {
         id: "req-2",
         at: Micros::ZERO,
@@ -32,12 +35,12 @@
         shape: TaskRequirements {
             need: [1.0; 3],
             allow: Arc::new(PlacementConstraints {
-                kinds: None,
+                machine_types: None,
                 zone: None,
                 spot: false,
             }),
             saves: false,
-            image: 7,
+            image: IMAGE,
             avoid: Vec::new(),
         },
         team: 0,
@@ -54,7 +57,7 @@
     }
 }
 
-fn victim(priority: Priority) -> PreemptibleTask<'static> {
+fn preemptible(priority: Priority) -> PreemptibleTask<'static> {
     PreemptibleTask {
         job: "req-1",
         task: 3,
@@ -74,20 +77,20 @@
 }
 
 fn run(
-    item: QueueEntry<'_>,
+    entry: QueueEntry<'_>,
     hosts: &[Host],
-    victims: &[PreemptibleTask<'_>],
+    preemptible: &[PreemptibleTask<'_>],
 ) -> SchedulingPlan<'static> {
-    run_all(&[item], hosts, victims)
+    run_all(&[entry], hosts, preemptible)
 }
 
 fn run_all(
-    items: &[QueueEntry<'_>],
+    entries: &[QueueEntry<'_>],
     hosts: &[Host],
-    victims: &[PreemptibleTask<'_>],
+    preemptible: &[PreemptibleTask<'_>],
 ) -> SchedulingPlan<'static> {
     let backlog = JobQueue::default();
-    let scene = SchedulingContext {
+    let context = SchedulingContext {
         backlog: &backlog,
         jobs: &BTreeMap::new(),
         within: Default::default(),
@@ -95,13 +98,13 @@
         fetch_rate: 1.0,
         wall: Micros::ZERO,
     };
-    let far = PendingJobs::new(&scene, [].into_iter());
-    let mut rooms = CapacityIndex::new(hosts.to_vec());
-    let mut room = QuotaTracker::default();
-    let mut plan = pass(items, &far, &mut rooms, victims, &mut room, 1.0);
-    let lacks = plan.lacks.drain(..).map(|l| UnmetDemand {
+    let pending = PendingJobs::new(&context, [].into_iter());
+    let mut index = CapacityIndex::new(hosts.to_vec());
+    let mut quotas = QuotaTracker::default();
+    let mut plan = pass(entries, &pending, &mut index, preemptible, &mut quotas, 1.0);
+    let lacks = plan.lacks.drain(..).map(|demand| UnmetDemand {
         of: QueueCandidate::Near(0),
-        tasks: l.tasks,
+        tasks: demand.tasks,
     });
     SchedulingPlan {
         lacks: lacks.collect(),
@@ -112,95 +115,99 @@
 }
 
 #[test]
-fn a_replica_takes_a_saving_tasks_place_rather_than_wait_for_a_long_fetch() {
+fn a_replica_preempts_a_checkpointing_task_instead_of_waiting_for_a_long_fetch() {
     let service = JobSpec {
         priority: Priority::Production,
         ..JobSpec::sample(JobKind::Service)
     };
-    // Room without the image; and the image without room.
-    let fleet = || [host(4.0, &[]), host(0.0, &[7])];
-    let low = [victim(Priority::Low)];
-    let plan = run(item(&service, 20.0), &fleet(), &low);
+    // One machine has room without the image, the other the image without room.
+    let hosts = || [host(4.0, &[]), host(0.0, &[IMAGE])];
+    let low = [preemptible(Priority::Low)];
+    let plan = run(entry(&service, 20.0), &hosts(), &low);
     assert_eq!(plan.stops, [("req-1".to_string(), 3)]);
     assert_eq!(plan.reserved, [(1, "req-2".to_string())]);
     assert!(plan.places.is_empty() && plan.lacks.is_empty());
-    // While that is being saved nothing else is stopped, and the replica waits.
-    let mut clearing = fleet();
+    // While the checkpoint is written nothing else is stopped, and the replica waits.
+    let mut clearing = hosts();
     clearing[1].reserved = Some("req-2".into());
     clearing[1].leaving = [1.0; 3];
-    let plan = run(item(&service, 20.0), &clearing, &low);
+    let plan = run(entry(&service, 20.0), &clearing, &low);
     assert!(plan.stops.is_empty() && plan.places.is_empty() && plan.lacks.is_empty());
-    // Then it takes the place.
+    // Then the replica starts there.
     clearing[1].free = [1.0; 3];
-    let plan = run(item(&service, 20.0), &clearing, &[]);
+    let plan = run(entry(&service, 20.0), &clearing, &[]);
     assert_eq!(plan.places[0].host, 1);
-    // A short fetch, or a task of the same priority, is no reason to stop anything.
+    // Neither with a short fetch nor for a task of the same priority is anything stopped.
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
-        let plan = run(item(&service, fetch_s), &fleet(), &[victim(priority)]);
+        let tasks = [preemptible(priority)];
+        let plan = run(entry(&service, fetch_s), &hosts(), &tasks);
         assert!(plan.stops.is_empty() && plan.places[0].host == 0);
     }
 }
 
-/// Fails if a job of many thousand short tasks takes every pass whole, as one did for minutes
-/// (inc-fb2d), or if half a pass is left unused where nobody else waits.
+/// Fails if a job of many thousand short tasks takes each pass whole, as one did for minutes
+/// (inc-fb2d), or if half of a pass is left unused where no other job waits.
 #[test]
-fn a_very_wide_array_leaves_half_of_a_pass_to_those_behind_it() {
+fn a_wide_array_leaves_half_of_a_pass_to_the_jobs_behind_it() {
     let array = JobSpec::sample(JobKind::Array);
-    let of = |id: &'static str, tasks: u32| QueueEntry {
+    let job = |id: &'static str, tasks: u32| QueueEntry {
         id,
         tasks: (0..tasks).collect(),
-        ..item(&array, 1.0)
+        ..entry(&array, 1.0)
+    };
+    let hosts: Vec<Host> = (0..60).map(|_| host(4.0, &[])).collect();
+    let count = |plan: &SchedulingPlan<'_>, id: &str| {
+        let placements = plan.places.iter();
+        placements.filter(|placement| placement.job == id).count()
     };
-    let fleet: Vec<Host> = (0..60).map(|_| host(4.0, &[])).collect();
-    let count = |p: &SchedulingPlan<'_>, id: &str| p.places.iter().filter(|x| x.job == id).count();
-    let queue = [of("req-1", 128), of("req-2", 128), of("req-3", 20)];
-    let plan = run_all(&queue, &fleet, &[]);
+    let queue = [job("req-1", 128), job("req-2", 128), job("req-3", 20)];
+    let plan = run_all(&queue, &hosts, &[]);
     assert_eq!(count(&plan, "req-3"), 20);
-    // What is left of the room goes to the wide ones, in their order.
+    // The rest of the room goes to the wide arrays, in their order.
     assert_eq!((count(&plan, "req-1"), count(&plan, "req-2")), (128, 92));
-    let plan = run_all(&queue[..1], &fleet, &[]);
+    let plan = run_all(&queue[..1], &hosts, &[]);
     assert_eq!(count(&plan, "req-1"), 128);
 }
 
-/// Fails if what a team is owed comes back machine by machine, or if a machine that the job's own tasks
-/// have filled counts as room that is still being made.
+/// Fails if a guarantee is restored machine by machine, or if a machine that the job's own tasks have
+/// filled counts as room that is still being made.
 #[test]
-fn what_a_team_is_owed_comes_back_on_several_machines_at_once() {
+fn a_guarantee_is_restored_on_several_machines_at_once() {
     let array = JobSpec::sample(JobKind::Array);
-    let waits = |tasks: u32, guaranteed| QueueEntry {
+    let waiting = |tasks: u32, guaranteed| QueueEntry {
         tasks: (0..tasks).collect(),
         guaranteed,
-        ..item(&array, 1.0)
+        ..entry(&array, 1.0)
     };
-    let mut fleet = [
+    let mut hosts = [
         host(0.0, &[]),
         host(0.0, &[]),
         host(0.0, &[]),
         host(0.0, &[]),
     ];
     let guests: Vec<PreemptibleTask<'_>> = (0..16)
-        .map(|n| PreemptibleTask {
-            task: n as u32,
-            host: n % 4,
-            order: n as u64,
+        .map(|number| PreemptibleTask {
+            task: number as u32,
+            host: number % 4,
+            order: number as u64,
             team: 1,
             surplus: true,
-            ..victim(Priority::Low)
+            ..preemptible(Priority::Low)
         })
         .collect();
-    let plan = run(waits(6, true), &fleet, &guests);
+    let plan = run(waiting(6, true), &hosts, &guests);
     assert_eq!((plan.stops.len(), plan.reserved.len()), (6, 2));
-    assert!(run(waits(6, false), &fleet, &guests).stops.is_empty());
-    // One machine is theirs and full of their tasks, on another two guests are about to go.
-    fleet[0].reserved = Some("req-2".into());
-    fleet[1].reserved = Some("req-2".into());
-    fleet[1].leaving = [2.0; 3];
-    let plan = run(waits(6, true), &fleet, &guests);
+    assert!(run(waiting(6, false), &hosts, &guests).stops.is_empty());
+    // One machine is reserved and full of the job's tasks; on another two guests are about to stop.
+    hosts[0].reserved = Some("req-2".into());
+    hosts[1].reserved = Some("req-2".into());
+    hosts[1].leaving = [2.0; 3];
+    let plan = run(waiting(6, true), &hosts, &guests);
     assert_eq!((plan.stops.len(), plan.reserved.len()), (4, 1));
 }
 
 #[test]
-fn a_gang_that_has_waited_for_long_takes_the_place_of_what_cannot_save() {
+fn a_gang_that_has_waited_long_preempts_tasks_without_checkpoints() {
     let gang = JobSpec {
         priority: Priority::High,
         ..JobSpec::sample(JobKind::Gang)
@@ -208,19 +215,19 @@
     let full = [host(0.0, &[]), host(0.0, &[])];
     let array = PreemptibleTask {
         saves: false,
-        ..victim(Priority::Normal)
+        ..preemptible(Priority::Normal)
     };
-    let waits = |aged| QueueEntry {
+    let waiting = |aged| QueueEntry {
         aged,
-        ..item(&gang, 1.0)
+        ..entry(&gang, 1.0)
     };
-    let stops = |item, victim: &PreemptibleTask<'static>| {
-        run(item, &full, std::slice::from_ref(victim)).stops
+    let stops = |entry, task: &PreemptibleTask<'static>| {
+        run(entry, &full, std::slice::from_ref(task)).stops
     };
-    assert!(stops(waits(false), &array).is_empty());
-    assert_eq!(stops(waits(true), &array), [("req-1".to_string(), 3)]);
-    // Not of a class that has little, not of its own priority, and no gang.
-    let spared = PreemptibleTask {
+    assert!(stops(waiting(false), &array).is_empty());
+    assert_eq!(stops(waiting(true), &array), [("req-1".to_string(), 3)]);
+    // Neither a task of an exempt class, nor one of the same priority, nor a member of a gang.
+    let exempt = PreemptibleTask {
         spared: true,
         ..array.clone()
     };
@@ -228,11 +235,11 @@
         priority: Priority::High,
         ..array.clone()
     };
-    let other = PreemptibleTask {
+    let member = PreemptibleTask {
         single: false,
         ..array.clone()
     };
-    for v in [spared, equal, other] {
-        assert!(stops(waits(true), &v).is_empty());
+    for task in [exempt, equal, member] {
+        assert!(stops(waiting(true), &task).is_empty());
     }
 }
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -1,34 +1,38 @@
-//! Room on machines, kept in order while a pass fills it.
+//! Index of the free room on machines, kept up to date while a pass fills it.
 //!
-//! Most jobs of a long queue find no room, and most machines of a full fleet have none. So machines are
-//! kept by how much is free on them: whether anything could take a task, and what could, is found
-//! without looking at the full ones.
+//! Most jobs of a long queue find no room, and most machines of a full cluster have none. Machines are
+//! therefore indexed by their free room: whether any machine accepts a task, and which ones do, is found
+//! without visiting the full ones.
 
-use crate::scheduling::placement::{Host, PlacementConstraints, Resources, may_take, slots};
+mod infeasible_requests;
+
+pub use infeasible_requests::InfeasibleRequests;
+
+use crate::scheduling::placement::{Host, PlacementConstraints, Resources, accepts_task, slots};
 use std::collections::BTreeMap;
 use std::ops::Deref;
 
-/// Room is told apart by this part of a machine.
-const PARTS: f64 = 64.0;
-/// Sums of amounts may be off by so much; well above what `placement::slots` forgives.
-const SLACK: f64 = 1e-5;
+/// Levels of free room from an empty to a full machine.
+const LEVELS: f64 = 64.0;
 
-/// How much is free, in parts of a machine of this kind, for each of the three amounts.
+/// Tolerance added to free room before it is rounded down to a level; well above the tolerance of
+/// `placement::slots`, so that no machine that accepts a task is missed.
+const TOLERANCE: f64 = 1e-5;
+
+/// Free room of each of the three resources, in units of 1/`LEVELS` of an empty machine of the bucket.
 type CapacityLevel = [u8; 3];
 
-fn level(total: &Resources, room: &Resources, slack: f64) -> CapacityLevel {
-    std::array::from_fn(|r| {
-        if total[r] > 0.0 {
-            ((room[r] + slack) / total[r] * PARTS)
-                .floor()
-                .clamp(0.0, 255.0) as u8
-        } else {
-            0
+fn level(total: &Resources, room: &Resources, tolerance: f64) -> CapacityLevel {
+    std::array::from_fn(|resource| {
+        if total[resource] <= 0.0 {
+            return 0;
         }
+        let share = (room[resource] + tolerance) / total[resource];
+        (share * LEVELS).floor().clamp(0.0, u8::MAX as f64) as u8
     })
 }
 
-/// Machines of one type, zone and way of renting.
+/// Machines of the same type, zone and size that are all spot instances or all not.
 #[derive(Debug, Clone)]
 struct HostBucket {
     kind: u32,
@@ -39,32 +43,48 @@
 }
 
 impl HostBucket {
-    /// Machines with at least this much room, as far as levels tell, those with least first.
-    fn roomy(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
+    fn of(host: &Host) -> HostBucket {
+        HostBucket {
+            kind: host.kind,
+            zone: host.zone,
+            spot: host.spot,
+            total: host.total,
+            levels: BTreeMap::new(),
+        }
+    }
+
+    fn contains(&self, host: &Host) -> bool {
+        (self.kind, self.zone, self.spot) == (host.kind, host.zone, host.spot)
+            && self.total == host.total
+    }
+
+    /// Machines whose level has at least this much room, in ascending order of levels.
+    fn with_room(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
         let least = level(&self.total, need, 0.0);
-        // The first of the three orders the map: smaller ones are not looked at.
+        // The map is ordered by the first resource, so levels with less of it are skipped.
         self.levels
             .range([least[0], 0, 0]..)
-            .filter(move |(l, _)| l[1] >= least[1] && l[2] >= least[2])
-            .flat_map(|(_, list)| list.iter().map(|h| *h as usize))
+            .filter(move |(level, _)| level[1] >= least[1] && level[2] >= least[2])
+            .flat_map(|(_, hosts)| hosts.iter().map(|host| *host as usize))
     }
 }
 
-/// Where a machine is kept: its pool, its level, and its place among those.
+/// Location of a machine in the index.
 #[derive(Debug, Clone, Copy)]
 struct BucketPosition {
-    pool: u32,
+    bucket: u32,
     level: CapacityLevel,
-    at: u32,
+    /// Index into the machines of the level.
+    index: u32,
 }
 
-/// The machines of a pass with what is free on each.
+/// The machines of a pass, indexed by free room.
 #[derive(Debug, Default, Clone)]
 pub struct CapacityIndex {
     hosts: Vec<Host>,
-    pools: Vec<HostBucket>,
-    /// None: it takes nothing new, and is kept nowhere.
-    seats: Vec<Option<BucketPosition>>,
+    buckets: Vec<HostBucket>,
+    /// Location of each machine; `None` if it accepts no tasks and is not indexed.
+    positions: Vec<Option<BucketPosition>>,
 }
 
 impl Deref for CapacityIndex {
@@ -76,174 +96,151 @@
 }
 
 impl CapacityIndex {
-    /// Of these machines.
+    /// Indexes these machines.
     pub fn new(hosts: Vec<Host>) -> CapacityIndex {
-        let mut rooms = CapacityIndex::default();
-        for h in hosts {
-            rooms.push(h);
+        let mut index = CapacityIndex::default();
+        for host in hosts {
+            index.push(host);
         }
-        rooms
+        index
     }
 
-    /// One more machine.
+    /// Adds a machine.
     pub fn push(&mut self, host: Host) {
-        let i = self.hosts.len();
-        self.seats.push(None);
+        let index = self.hosts.len();
+        self.positions.push(None);
         self.hosts.push(host);
-        self.seat(i);
-    }
-
-    fn pool(&mut self, h: usize) -> usize {
-        let h = &self.hosts[h];
-        let same = |p: &HostBucket| {
-            (p.kind, p.zone, p.spot) == (h.kind, h.zone, h.spot) && p.total == h.total
-        };
-        match self.pools.iter().position(same) {
-            Some(i) => i,
-            None => {
-                self.pools.push(HostBucket {
-                    kind: h.kind,
-                    zone: h.zone,
-                    spot: h.spot,
-                    total: h.total,
-                    levels: BTreeMap::new(),
-                });
-                self.pools.len() - 1
-            }
-        }
+        self.reindex(index);
     }
 
-    /// Keeps a machine where it belongs now.
-    fn seat(&mut self, h: usize) {
-        let host = &self.hosts[h];
-        let now = level(&host.total, &host.free, SLACK);
-        if let Some(s) = self.seats[h] {
-            if host.open && s.level == now {
-                return;
-            }
-            self.unseat(h, s);
-        }
-        if !self.hosts[h].open {
-            return;
-        }
-        let pool = self.pool(h);
-        let list = self.pools[pool].levels.entry(now).or_default();
-        self.seats[h] = Some(BucketPosition {
-            pool: pool as u32,
-            level: now,
-            at: list.len() as u32,
-        });
-        list.push(h as u32);
-    }
-
-    fn unseat(&mut self, h: usize, s: BucketPosition) {
-        self.seats[h] = None;
-        let levels = &mut self.pools[s.pool as usize].levels;
-        let Some(list) = levels.get_mut(&s.level) else {
-            return;
-        };
-        list.swap_remove(s.at as usize);
-        if let Some(moved) = list.get(s.at as usize)
-            && let Some(seat) = &mut self.seats[*moved as usize]
-        {
-            seat.at = s.at;
-        }
-        if list.is_empty() {
-            levels.remove(&s.level);
-        }
+    /// Allocates the resources of a task on a machine.
+    pub fn take(&mut self, host: usize, need: &Resources) {
+        self.hosts[host].take(need);
+        self.reindex(host);
     }
 
-    /// A task takes room.
-    pub fn take(&mut self, h: usize, need: &Resources) {
-        self.hosts[h].take(need);
-        self.seat(h);
+    /// Records that a machine will fetch an image.
+    pub fn gets(&mut self, host: usize, image: u32) {
+        self.hosts[host].gets(image);
     }
 
-    /// The machine will have the image.
-    pub fn gets(&mut self, h: usize, image: u32) {
-        self.hosts[h].gets(image);
+    /// Reserves a machine for a job.
+    pub fn reserve(&mut self, host: usize, job: &str) {
+        self.hosts[host].reserved = Some(job.into());
     }
 
-    /// Room is made on the machine for this job.
-    pub fn reserve(&mut self, h: usize, job: &str) {
-        self.hosts[h].reserved = Some(job.into());
+    /// Whether any unreserved machine accepts a task with these needs.
+    pub fn has_room(&self, need: &Resources, constraints: &PlacementConstraints) -> bool {
+        self.with_room(need, constraints)
+            .any(|host| accepts_task(&self.hosts[host], "", need, constraints))
     }
 
-    /// Pools of machines that may be used.
-    fn allowed(&self, allow: &PlacementConstraints) -> impl Iterator<Item = &HostBucket> {
-        let pools = self.pools.iter();
-        pools.filter(|p| allow.takes(p.kind, p.zone, p.spot))
-    }
-
-    /// Machines with at least this much room, as far as levels tell.
-    fn roomy(&self, need: &Resources, allow: &PlacementConstraints) -> impl Iterator<Item = usize> {
-        self.allowed(allow).flat_map(|p| p.roomy(need))
-    }
-
-    /// Whether any machine would take a task that needs so much; none is kept for its job.
-    pub fn any(&self, need: &Resources, allow: &PlacementConstraints) -> bool {
-        self.roomy(need, allow)
-            .any(|h| may_take(&self.hosts[h], "", need, allow))
-    }
-
-    /// Machines that would take so many tasks between them, or all there are; those with most room first,
-    /// which are the ones rented last. Nobody's machines are kept for anybody here.
-    pub fn enough(&self, need: &Resources, allow: &PlacementConstraints, n: u32) -> Vec<usize> {
-        let mut left = n;
+    /// Unreserved machines that together accept this many tasks, or all that accept any. Those with most
+    /// room come first, which are the ones rented last.
+    pub fn hosts_for(
+        &self,
+        need: &Resources,
+        constraints: &PlacementConstraints,
+        tasks: u32,
+    ) -> Vec<usize> {
+        let mut left = tasks;
         let mut found = Vec::new();
-        for h in self.allowed(allow).flat_map(|p| p.roomy(need).rev()) {
+        let buckets = self.permitted_buckets(constraints);
+        for host in buckets.flat_map(|bucket| bucket.with_room(need).rev()) {
             if left == 0 {
                 break;
             }
-            if may_take(&self.hosts[h], "", need, allow) {
-                left = left.saturating_sub(slots(&self.hosts[h].free, need));
-                found.push(h);
+            if accepts_task(&self.hosts[host], "", need, constraints) {
+                left = left.saturating_sub(slots(&self.hosts[host].free, need));
+                found.push(host);
             }
         }
         found
     }
 
-    /// All machines that would take a task of this job, in no order.
+    /// All machines that accept a task of the job `id`, in no particular order.
     pub fn candidates(
         &self,
         id: &str,
         need: &Resources,
-        allow: &PlacementConstraints,
+        constraints: &PlacementConstraints,
     ) -> Vec<usize> {
-        self.roomy(need, allow)
-            .filter(|h| may_take(&self.hosts[*h], id, need, allow))
+        self.with_room(need, constraints)
+            .filter(|host| accepts_task(&self.hosts[*host], id, need, constraints))
             .collect()
     }
-}
 
-/// What has found no room: whatever needs as much or more, and is as many or more, finds none either,
-/// as long as room only gets less.
-#[derive(Debug, Default, Clone)]
-pub struct InfeasibleRequests(Vec<(Resources, u32)>);
+    fn permitted_buckets(
+        &self,
+        constraints: &PlacementConstraints,
+    ) -> impl Iterator<Item = &HostBucket> {
+        let permitted =
+            |bucket: &&HostBucket| constraints.permit(bucket.kind, bucket.zone, bucket.spot);
+        self.buckets.iter().filter(permitted)
+    }
 
-/// More than these are not worth comparing with.
-const MOST_VAIN: usize = 24;
+    /// Permitted machines whose level has at least this much room.
+    fn with_room(
+        &self,
+        need: &Resources,
+        constraints: &PlacementConstraints,
+    ) -> impl Iterator<Item = usize> {
+        let buckets = self.permitted_buckets(constraints);
+        buckets.flat_map(|bucket| bucket.with_room(need))
+    }
+
+    /// Moves a machine to the level of its free room.
+    fn reindex(&mut self, index: usize) {
+        let host = &self.hosts[index];
+        let open = host.open;
+        let level = level(&host.total, &host.free, TOLERANCE);
+        if let Some(position) = self.positions[index] {
+            if open && position.level == level {
+                return;
+            }
+            self.remove(index, position);
+        }
+        if open {
+            self.insert(index, level);
+        }
+    }
 
-impl InfeasibleRequests {
-    /// Whether `n` tasks that need so much each would look for room in vain.
-    pub fn covers(&self, need: &Resources, n: u32) -> bool {
-        self.0
-            .iter()
-            .any(|(v, m)| *m <= n && (0..3).all(|r| v[r] <= need[r]))
+    fn insert(&mut self, index: usize, level: CapacityLevel) {
+        let bucket = self.bucket_of(index);
+        let hosts = self.buckets[bucket].levels.entry(level).or_default();
+        self.positions[index] = Some(BucketPosition {
+            bucket: bucket as u32,
+            level,
+            index: hosts.len() as u32,
+        });
+        hosts.push(index as u32);
     }
 
-    /// They have looked in vain.
-    pub fn add(&mut self, need: &Resources, n: u32) {
-        self.0
-            .retain(|(v, m)| !(n <= *m && (0..3).all(|r| need[r] <= v[r])));
-        if self.0.len() < MOST_VAIN {
-            self.0.push((*need, n));
+    fn remove(&mut self, index: usize, position: BucketPosition) {
+        self.positions[index] = None;
+        let levels = &mut self.buckets[position.bucket as usize].levels;
+        let Some(hosts) = levels.get_mut(&position.level) else {
+            return;
+        };
+        hosts.swap_remove(position.index as usize);
+        if let Some(moved) = hosts.get(position.index as usize)
+            && let Some(moved) = &mut self.positions[*moved as usize]
+        {
+            moved.index = position.index;
+        }
+        if hosts.is_empty() {
+            levels.remove(&position.level);
         }
     }
 
-    /// There is more room than before.
-    pub fn clear(&mut self) {
-        self.0.clear();
+    /// The bucket of a machine, which is added if it is new.
+    fn bucket_of(&mut self, index: usize) -> usize {
+        let host = &self.hosts[index];
+        let known = self.buckets.iter().position(|bucket| bucket.contains(host));
+        known.unwrap_or_else(|| {
+            self.buckets.push(HostBucket::of(host));
+            self.buckets.len() - 1
+        })
     }
 }
 
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -1,41 +1,89 @@
-//! Tests.
+//! Tests of the index against scans of all machines.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 
-fn fleet(rng: &mut ChaCha8Rng) -> Vec<Host> {
-    let n = rng.random_range(1..60);
-    let host = |_| {
-        let kind = rng.random_range(0..2);
-        let total = [[64.0, 8.0, 256.0], [24.0, 0.0, 10.0]][kind as usize];
-        Host {
-            kind,
-            zone: rng.random_range(10..12),
-            spot: rng.random_bool(0.3),
-            agent_epoch: 1,
-            total,
-            free: total.map(|t| (t * rng.random_range(0.0..1.05)).round()),
-            open: rng.random_bool(0.8),
-            images: Arc::default(),
-            leaving: [0.0; 3],
-            reserved: rng.random_bool(0.1).then(|| "req-9".into()),
-        }
-    };
-    (0..n).map(host).collect()
+/// Sizes of the two machine types.
+const SIZES: [Resources; 2] = [[64.0, 8.0, 256.0], [24.0, 0.0, 10.0]];
+
+fn random_host(rng: &mut ChaCha8Rng) -> Host {
+    let kind = rng.random_range(0..2);
+    let total = SIZES[kind as usize];
+    Host {
+        kind,
+        zone: rng.random_range(10..12),
+        spot: rng.random_bool(0.3),
+        agent_epoch: 1,
+        total,
+        free: total.map(|amount| (amount * rng.random_range(0.0..1.05)).round()),
+        open: rng.random_bool(0.8),
+        images: Arc::default(),
+        leaving: [0.0; 3],
+        reserved: rng.random_bool(0.1).then(|| "req-9".into()),
+    }
+}
+
+fn random_hosts(rng: &mut ChaCha8Rng) -> Vec<Host> {
+    let count = rng.random_range(1..60);
+    (0..count).map(|_| random_host(rng)).collect()
+}
+
+/// A cluster in the index and as a plain list.
+struct Cluster {
+    seed: u64,
+    plain: Vec<Host>,
+    index: CapacityIndex,
+    constraints: PlacementConstraints,
+}
+
+impl Cluster {
+    /// Machines that accept a task, found by a scan.
+    fn scan(&self, id: &str, need: &Resources) -> Vec<usize> {
+        let fits = |host: &Host| {
+            host.open
+                && slots(&host.free, need) > 0
+                && host.reserved.as_deref().is_none_or(|job| job == id)
+                && self.constraints.permit(host.kind, host.zone, host.spot)
+        };
+        let hosts = self.plain.iter().enumerate();
+        hosts
+            .filter(|(_, host)| fits(host))
+            .map(|(index, _)| index)
+            .collect()
+    }
+
+    fn slots_on(&self, hosts: &[usize], need: &Resources) -> u32 {
+        let free = hosts.iter().map(|host| &self.plain[*host].free);
+        free.map(|free| slots(free, need)).sum()
+    }
+
+    fn check_hosts_for(&self, need: &Resources, tasks: u32, all: &[usize]) {
+        let seed = self.seed;
+        let found = self.index.hosts_for(need, &self.constraints, tasks);
+        let expected = tasks.min(self.slots_on(all, need));
+        assert!(self.slots_on(&found, need) >= expected, "seed {seed}");
+        assert!(found.iter().all(|host| all.contains(host)), "seed {seed}");
+        let has_room = self.index.has_room(need, &self.constraints);
+        assert_eq!(has_room, !all.is_empty(), "seed {seed}");
+    }
 }
 
 #[test]
-fn what_is_found_is_what_a_look_at_every_machine_finds() {
+fn the_index_finds_the_same_machines_as_a_scan() {
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut plain = fleet(&mut rng);
-        let mut rooms = CapacityIndex::new(plain.clone());
-        let allow = PlacementConstraints {
-            kinds: rng.random_bool(0.3).then(|| vec![0]),
-            zone: rng.random_bool(0.3).then_some(10),
-            spot: rng.random_bool(0.5),
+        let plain = random_hosts(&mut rng);
+        let mut cluster = Cluster {
+            seed,
+            index: CapacityIndex::new(plain.clone()),
+            plain,
+            constraints: PlacementConstraints {
+                machine_types: rng.random_bool(0.3).then(|| vec![0]),
+                zone: rng.random_bool(0.3).then_some(10),
+                spot: rng.random_bool(0.5),
+            },
         };
         for step in 0..30 {
             let need: Resources = [
@@ -44,49 +92,23 @@
                 rng.random_range(0..90) as f64,
             ];
             for id in ["", "req-9"] {
-                let fits = |h: &Host| {
-                    h.open
-                        && slots(&h.free, &need) > 0
-                        && h.reserved.as_deref().is_none_or(|r| r == id)
-                        && allow.takes(h.kind, h.zone, h.spot)
-                };
-                let all: Vec<usize> = (0..plain.len()).filter(|i| fits(&plain[*i])).collect();
-                let mut found = rooms.candidates(id, &need, &allow);
+                let all = cluster.scan(id, &need);
+                let mut found = cluster.index.candidates(id, &need, &cluster.constraints);
                 found.sort_unstable();
                 assert_eq!(found, all, "seed {seed}, step {step}");
                 if id.is_empty() {
-                    let n = rng.random_range(1..40);
-                    let some = rooms.enough(&need, &allow, n);
-                    let room = |l: &[usize]| -> u32 {
-                        l.iter().map(|h| slots(&plain[*h].free, &need)).sum()
-                    };
-                    assert!(room(&some) >= n.min(room(&all)), "seed {seed}");
-                    assert!(some.iter().all(|h| all.contains(h)), "seed {seed}");
-                    assert_eq!(rooms.any(&need, &allow), !all.is_empty(), "seed {seed}");
+                    cluster.check_hosts_for(&need, rng.random_range(1..40), &all);
                 }
-                if let Some(h) = all.first() {
-                    plain[*h].take(&need);
-                    rooms.take(*h, &need);
+                if let Some(host) = all.first() {
+                    cluster.plain[*host].take(&need);
+                    cluster.index.take(*host, &need);
                 }
             }
             if rng.random_bool(0.1) {
-                let h = rng.random_range(0..plain.len());
-                plain[h].reserved = Some("req-9".into());
-                rooms.reserve(h, "req-9");
+                let host = rng.random_range(0..cluster.plain.len());
+                cluster.plain[host].reserved = Some("req-9".into());
+                cluster.index.reserve(host, "req-9");
             }
         }
     }
 }
-
-#[test]
-fn more_of_the_same_looks_in_vain_as_well() {
-    let mut v = InfeasibleRequests::default();
-    v.add(&[4.0, 1.0, 8.0], 2);
-    assert!(v.covers(&[4.0, 1.0, 8.0], 2) && v.covers(&[5.0, 1.0, 9.0], 7));
-    assert!(!v.covers(&[4.0, 1.0, 8.0], 1) && !v.covers(&[3.0, 2.0, 8.0], 2));
-    // A smaller one takes the place of those that it covers.
-    v.add(&[1.0, 1.0, 1.0], 1);
-    assert_eq!(v.0.len(), 1);
-    v.clear();
-    assert!(!v.covers(&[9.0; 3], 9));
-}
--- /dev/null
+++ b/src/scheduling/placement/resources.rs
@@ -0,0 +1,45 @@
+//! Amounts of resources.
+
+use crate::protocol::JobSpec;
+
+/// CPUs, GPUs and memory in GB, in this order.
+pub type Resources = [f64; 3];
+
+/// Sums of amounts are exact within this tolerance.
+pub const RESOURCE_TOLERANCE: f64 = 1e-6;
+
+/// Upper limit of `slots`, for tasks that need nothing.
+const MAX_SLOTS: f64 = 1e6;
+
+/// Resources that one task of the job needs.
+pub fn need(spec: &JobSpec) -> Resources {
+    [spec.cpus, spec.gpus, spec.memory_gb]
+}
+
+/// Adds `amounts` to `room`.
+pub fn add(room: &mut Resources, amounts: &Resources) {
+    for (room, amount) in room.iter_mut().zip(amounts) {
+        *room += amount;
+    }
+}
+
+/// Number of tasks with these needs that fit into the room.
+pub fn slots(room: &Resources, need: &Resources) -> u32 {
+    let mut tasks = MAX_SLOTS;
+    for (room, need) in room.iter().zip(need) {
+        if *need > 0.0 {
+            tasks = f64::min(tasks, ((room + RESOURCE_TOLERANCE) / need).floor());
+        }
+    }
+    tasks.max(0.0) as u32
+}
+
+/// Dominant share of a task: its share of an empty machine on the scarcest resource.
+pub fn size(total: &Resources, need: &Resources) -> f64 {
+    total
+        .iter()
+        .zip(need)
+        .filter(|(total, _)| **total > 0.0)
+        .map(|(total, need)| need / total)
+        .fold(0.0, f64::max)
+}
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,223 +1,330 @@
-//! Preemption: what may be stopped to make room for a blocked job, and where.
+//! Preemption: which running tasks may be stopped for a blocked job, and on which machines.
 
 use crate::protocol::{JobKind, Priority};
 use crate::scheduling::backfill::{PreemptibleTask, QueueEntry, SchedulingPlan};
-use crate::scheduling::placement::{self, Host, slots};
+use crate::scheduling::placement::{self, Host, Resources, ZoneLimits, accepts_task, slots};
+use std::cmp::{Ordering, Reverse};
 use std::collections::BTreeMap;
 
-/// Room is made on this many machines at once for tasks that start one by one.
-const MACHINES_AT_ONCE: usize = 16;
+/// A job within its team's guarantee has tasks preempted on up to this many machines at once.
+const MAX_HOSTS_FOR_GUARANTEE: usize = 16;
 
-/// What it takes besides saving until a stopped task's place is taken: a stop, a report, a pass, a
-/// record and a start.
+/// Other jobs have tasks preempted on one machine at a time: preempted tasks may have to start anew.
+const MAX_HOSTS_BEYOND_GUARANTEE: usize = 1;
+
+/// Time from stopping a task until its successor starts, without the checkpoint, in seconds: a stop, a
+/// report, a pass, a write and a start.
 const STOP_S: f64 = 2.0;
 
-/// What decides whether anything may give way to a job.
+/// A replica waits for a machine with its image if fetching the image takes this many times as long.
+const MIN_FETCH_FACTOR: f64 = 2.0;
+
+/// Index of GPUs in `Resources`.
+const GPUS: usize = 1;
+
+/// Number of tasks for which room is made on each machine, by index of the machine.
+type TasksByHost = BTreeMap<usize, u32>;
+
+/// The properties of a blocked job that decide which tasks may be preempted for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct PreemptionRequest {
     pub(crate) kind: JobKind,
     pub(crate) priority: Priority,
     pub(crate) team: u32,
+    /// The job fits into its team's guarantee.
     pub(crate) guaranteed: bool,
+    /// It does, and has waited so long that gangs beyond another team's guarantee may be preempted.
     pub(crate) overdue: bool,
+    /// It is a gang and has waited so long that tasks without checkpoints may be preempted.
     pub(crate) aged: bool,
-    pub(crate) top: bool,
+    /// It counts as the head of the queue.
+    pub(crate) at_head: bool,
 }
 
 impl PreemptionRequest {
-    pub(crate) fn of(item: &QueueEntry<'_>, top: bool) -> PreemptionRequest {
+    pub(crate) fn of(entry: &QueueEntry<'_>, at_head: bool) -> PreemptionRequest {
         PreemptionRequest {
-            kind: item.spec.kind,
-            priority: item.priority,
-            team: item.team,
-            guaranteed: item.guaranteed,
-            overdue: item.guaranteed && item.overdue,
-            aged: item.aged && item.spec.kind == JobKind::Gang,
-            top,
+            kind: entry.spec.kind,
+            priority: entry.priority,
+            team: entry.team,
+            guaranteed: entry.guaranteed,
+            overdue: entry.guaranteed && entry.overdue,
+            aged: entry.aged && entry.spec.kind == JobKind::Gang,
+            at_head,
         }
     }
 
-    /// Whether a task may be stopped for the job: what was backfilled, for the job at the top; what
-    /// has a lower priority, if it can save or makes room for replicas; and what other teams run
-    /// beyond their guarantees, for a job within its own.
-    pub(crate) fn over(&self, v: &PreemptibleTask<'_>) -> bool {
+    /// Whether a task may be preempted for the job.
+    fn may_preempt(&self, task: &PreemptibleTask<'_>) -> bool {
+        let backfilled = self.at_head && self.kind == JobKind::Gang && task.backfilled;
+        backfilled
+            || self.outranks(task)
+            || self.is_owed_by(task)
+            || self.has_waited_too_long_for(task)
+    }
+
+    /// The task has a lower priority, and writes a checkpoint or makes room for a replica.
+    fn outranks(&self, task: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
-        let gang = self.kind == JobKind::Gang;
         let array = self.kind == JobKind::Array;
-        let lower = v.priority < self.priority && (v.saves || service) && !array;
-        // A guarantee is given back by whoever runs beyond their own: at once by single tasks that
-        // lose little; by gangs, which stop as a whole, when nothing else has helped.
-        let surplus = v.surplus && v.team != self.team && (v.single || self.overdue);
-        let owed = self.guaranteed && surplus;
-        // Under a flood of single tasks whole machines are never free by themselves: backfilled tasks of
-        // the next in line take each place as it comes. A gang that has waited for long need not mind
-        // whether what stops can save.
-        let aged = self.aged && v.single && !v.spared && v.priority < self.priority;
-        (self.top && gang && v.backfilled) || lower || owed || aged
+        task.priority < self.priority && (task.saves || service) && !array
+    }
+
+    /// The job is within its team's guarantee and the task beyond that of another team. Single tasks lose
+    /// little and are preempted at once; gangs stop as a whole, so only when nothing else has helped.
+    fn is_owed_by(&self, task: &PreemptibleTask<'_>) -> bool {
+        let beyond_guarantee = task.surplus && task.team != self.team;
+        self.guaranteed && beyond_guarantee && (task.single || self.overdue)
+    }
+
+    /// Under a flood of single tasks whole machines never become free by themselves: backfilled tasks of
+    /// the next job take each slot that becomes free. A gang that has waited for long therefore preempts
+    /// tasks that write no checkpoint, too.
+    fn has_waited_too_long_for(&self, task: &PreemptibleTask<'_>) -> bool {
+        self.aged && task.single && !task.spared && task.priority < self.priority
     }
 }
 
-/// A task of a lower priority, saving and alone, that keeps a replica from a machine with its image,
-/// where the replica would start in less than half the time that a fetch takes.
-pub(crate) fn in_the_way<'a, 'b>(
-    item: &QueueEntry<'_>,
+/// Finds a task whose machine has the image of a service, and whose preemption lets a replica start in less
+/// than half the time that fetching the image elsewhere takes: the one that started last.
+///
+/// `checkpointing_singles`: tasks that stop alone and write a checkpoint.
+pub(crate) fn find_image_holder<'t, 'a>(
+    entry: &QueueEntry<'_>,
     hosts: &[Host],
-    savers: &[&'a PreemptibleTask<'b>],
-    fits: impl Fn(u32) -> bool,
-) -> Option<&'a PreemptibleTask<'b>> {
-    let serves = |v: &&'a PreemptibleTask<'b>| {
-        let h = &hosts[v.host];
-        let room = || {
-            let mut room = h.free;
-            placement::add(&mut room, &v.need);
-            room
+    checkpointing_singles: &[&'t PreemptibleTask<'a>],
+    zones: &ZoneLimits,
+) -> Option<&'t PreemptibleTask<'a>> {
+    let requirements = &entry.shape;
+    let suitable = |task: &&'t PreemptibleTask<'a>| {
+        let host = &hosts[task.host];
+        let free_without_task = || {
+            let mut free = host.free;
+            placement::add(&mut free, &task.need);
+            free
         };
-        v.priority < item.priority
-            && item.fetch_s > 2.0 * (v.save_s + STOP_S)
-            && h.open
-            && h.reserved.is_none()
-            && h.has(item.shape.image)
-            && slots(&room(), &item.shape.need) > 0
-            && item.shape.allow.takes(h.kind, h.zone, h.spot)
-            && !item.shape.avoid.contains(&v.host)
-            && item.present.iter().all(|(_, m)| *m != Some(v.host))
-            && fits(h.zone)
+        let runs_here = |(_, at): &(u32, Option<usize>)| *at == Some(task.host);
+        task.priority < entry.priority
+            && entry.fetch_s > MIN_FETCH_FACTOR * (task.save_s + STOP_S)
+            && host.open
+            && host.reserved.is_none()
+            && host.has_image(requirements.image)
+            && slots(&free_without_task(), &requirements.need) > 0
+            && host.is_permitted_by(&requirements.allow)
+            && !requirements.avoid.contains(&task.host)
+            && !entry.present.iter().any(runs_here)
+            && zones.allow(host.zone)
     };
-    let all = savers.iter().copied();
-    all.filter(serves).max_by_key(|v| v.order)
+    checkpointing_singles
+        .iter()
+        .copied()
+        .filter(suitable)
+        .max_by_key(|task| task.order)
 }
 
-/// What came of looking for somebody to give way.
-pub(crate) enum EvictionPlan {
-    /// Room is being made for the job already.
-    PassState,
-    /// Nothing gives way to such a job.
-    None,
-    /// What gives way was weighed.
-    Weighed,
+/// Result of looking for tasks to preempt.
+pub(crate) enum PreemptionOutcome {
+    /// Machines are reserved for the job already.
+    AlreadyReserved,
+    /// No task may be preempted for such a job.
+    NoCandidates,
+    /// Candidates have been considered. Tasks are preempted if the job fits without them.
+    Considered,
 }
 
-/// If a blocked job fits once others are gone, stops those on its room, latest first, as far as its
-/// `claim` allows. The machines are kept for the job until it has started; `short` of its tasks have found
-/// no room.
-pub(crate) fn make_way(
-    item: &QueueEntry<'_>,
-    short: u32,
-    claim: &PreemptionRequest,
+/// Preempts tasks so that a blocked job fits, as far as its `request` permits, and reserves their machines
+/// until the job has started. On each machine the tasks that started last are preempted first.
+///
+/// `unplaced`: number of the job's tasks that found no machine.
+pub(crate) fn preempt(
+    entry: &QueueEntry<'_>,
+    unplaced: u32,
+    request: &PreemptionRequest,
     hosts: &[Host],
-    victims: &[PreemptibleTask<'_>],
+    preemptible: &[PreemptibleTask<'_>],
     plan: &mut SchedulingPlan<'_>,
-) -> EvictionPlan {
-    let gang = item.spec.kind == JobKind::Gang;
-    let need = item.shape.need;
-    let mut left = short;
-    for h in hosts {
-        if h.reserved.as_deref() != Some(item.id) {
-            continue;
-        }
-        if gang || !claim.guaranteed {
-            return EvictionPlan::PassState;
-        }
-        // Room that is being made for it, or has been and is not taken yet. A machine on which its tasks run
-        // by now is none: once, what a team is owed came back by one machine every twenty seconds.
-        left = left.saturating_sub(slots(&h.soon(), &need));
-    }
-    if left == 0 {
-        return EvictionPlan::PassState;
-    }
-    let may = |v: &&PreemptibleTask<'_>| {
-        claim.over(v)
-            && hosts[v.host].reserved.is_none()
-            && plan.reserved.iter().all(|(h, _)| *h != v.host)
+) -> PreemptionOutcome {
+    let Some(tasks) = tasks_without_reservation(entry, unplaced, request, hosts) else {
+        return PreemptionOutcome::AlreadyReserved;
     };
-    let victims: Vec<&PreemptibleTask<'_>> = victims.iter().filter(may).collect();
-    if victims.is_empty() {
-        return EvictionPlan::None;
-    }
-    let mut without: Vec<Host> = hosts.to_vec();
-    for (h, _) in &plan.reserved {
-        without[*h].open = false;
-    }
-    for v in &victims {
-        without[v.host].give(&v.need);
+    let candidates = preemption_candidates(request, hosts, preemptible, plan);
+    if candidates.is_empty() {
+        return PreemptionOutcome::NoCandidates;
     }
-    let found = if gang && short > 1 {
-        let all = 0..without.len();
-        let all = placement::gang(&without, all, item.id, item.spec, &item.shape, short, 1.0);
-        let mut found = BTreeMap::new();
-        for h in all.into_iter().flatten() {
-            *found.entry(h).or_default() += 1;
-        }
-        found
+    let cleared = hosts_without(&candidates, hosts, plan);
+    let chosen = if entry.spec.kind == JobKind::Gang && unplaced > 1 {
+        choose_hosts_for_gang(entry, unplaced, &cleared)
     } else {
-        // What a team is owed it gets at once. Others press gently: what they stop may have to begin anew.
-        let most = if claim.guaranteed {
-            MACHINES_AT_ONCE
+        let max_hosts = if request.guaranteed {
+            MAX_HOSTS_FOR_GUARANTEE
         } else {
-            1
+            MAX_HOSTS_BEYOND_GUARANTEE
         };
-        one_by_one(item, left, most, hosts, &without)
+        choose_hosts_one_by_one(entry, tasks, max_hosts, hosts, &cleared)
     };
-    for (h, n) in found {
-        let mut free = hosts[h].free;
-        let mut here: Vec<&&PreemptibleTask<'_>> = victims.iter().filter(|v| v.host == h).collect();
-        here.sort_by_key(|v| std::cmp::Reverse(v.order));
-        for v in here {
-            if slots(&free, &need) >= n {
-                break;
-            }
-            placement::add(&mut free, &v.need);
-            plan.stops.push((v.job.to_string(), v.task));
+    for (host, tasks) in chosen {
+        stop_tasks_on(
+            host,
+            hosts[host].free,
+            &entry.shape.need,
+            tasks,
+            &candidates,
+            plan,
+        );
+        plan.reserved.push((host, entry.id.to_string()));
+    }
+    PreemptionOutcome::Considered
+}
+
+/// Number of unplaced tasks beyond those that fit on machines reserved for the job; `None` if there are
+/// none, or if a job that takes one machine at a time has a reserved one.
+fn tasks_without_reservation(
+    entry: &QueueEntry<'_>,
+    unplaced: u32,
+    request: &PreemptionRequest,
+    hosts: &[Host],
+) -> Option<u32> {
+    let gang = entry.spec.kind == JobKind::Gang;
+    let mut tasks = unplaced;
+    for host in hosts {
+        if host.reserved.as_deref() != Some(entry.id) {
+            continue;
+        }
+        if gang || !request.guaranteed {
+            return None;
         }
-        plan.reserved.push((h, item.id.to_string()));
+        // Only room that is free or becomes free counts, not a reserved machine that the job's own tasks
+        // have filled. When such machines counted, a team's guarantee was restored at the rate of one
+        // machine every twenty seconds.
+        tasks = tasks.saturating_sub(slots(&host.free_after_stops(), &entry.shape.need));
     }
-    EvictionPlan::Weighed
+    (tasks > 0).then_some(tasks)
+}
+
+/// Tasks that may be preempted, on machines that are not reserved.
+fn preemption_candidates<'t, 'a>(
+    request: &PreemptionRequest,
+    hosts: &[Host],
+    preemptible: &'t [PreemptibleTask<'a>],
+    plan: &SchedulingPlan<'_>,
+) -> Vec<&'t PreemptibleTask<'a>> {
+    let reserved_in_pass = |host: usize| plan.reserved.iter().any(|(other, _)| *other == host);
+    preemptible
+        .iter()
+        .filter(|task| {
+            request.may_preempt(task)
+                && hosts[task.host].reserved.is_none()
+                && !reserved_in_pass(task.host)
+        })
+        .collect()
 }
 
-/// At most so many machines for `left` tasks that start one by one, and how many on each, were all that gives
-/// way gone from them as in `without`; the fullest first, so that as few as possible have to go.
-pub(crate) fn one_by_one(
-    item: &QueueEntry<'_>,
-    left: u32,
-    most: usize,
+/// The machines as they would be without the `candidates`. Machines that are reserved in this pass accept
+/// no tasks.
+fn hosts_without(
+    candidates: &[&PreemptibleTask<'_>],
     hosts: &[Host],
-    without: &[Host],
-) -> BTreeMap<usize, u32> {
-    let need = item.shape.need;
-    let kept = hosts
+    plan: &SchedulingPlan<'_>,
+) -> Vec<Host> {
+    let mut cleared: Vec<Host> = hosts.to_vec();
+    for (host, _) in &plan.reserved {
+        cleared[*host].open = false;
+    }
+    for task in candidates {
+        cleared[task.host].release(&task.need);
+    }
+    cleared
+}
+
+/// Preempts tasks on a machine, latest start first, until `tasks` of the blocked job fit.
+fn stop_tasks_on(
+    host: usize,
+    mut free: Resources,
+    need: &Resources,
+    tasks: u32,
+    candidates: &[&PreemptibleTask<'_>],
+    plan: &mut SchedulingPlan<'_>,
+) {
+    let mut here: Vec<&PreemptibleTask<'_>> = candidates
         .iter()
-        .filter(|h| h.reserved.as_deref() == Some(item.id) && slots(&h.soon(), &need) > 0);
-    let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
-    zones.extend(kept.map(|h| h.zone));
-    let half = item.spec.tasks.div_ceil(2) as usize;
-    let fits = |zones: &[u32], zone: u32| {
-        let in_zone = zones.iter().filter(|z| **z == zone).count();
-        let apart = item.spec.one_zone && in_zone < zones.len();
-        let crowded = item.spec.spread && in_zone >= half;
-        !apart && !crowded
+        .copied()
+        .filter(|task| task.host == host)
+        .collect();
+    here.sort_by_key(|task| Reverse(task.order));
+    for task in here {
+        if slots(&free, need) >= tasks {
+            break;
+        }
+        placement::add(&mut free, &task.need);
+        plan.stops.push((task.job.to_string(), task.task));
+    }
+}
+
+/// Machines on which all members of a gang fit once they are `cleared`; none if they do not fit.
+fn choose_hosts_for_gang(entry: &QueueEntry<'_>, members: u32, cleared: &[Host]) -> TasksByHost {
+    /// The gang is as large as any demand: the weight then favours machines with much free room.
+    const DEMAND_RATIO: f64 = 1.0;
+    let placed = placement::gang(
+        cleared,
+        0..cleared.len(),
+        entry.id,
+        entry.spec,
+        &entry.shape,
+        members,
+        DEMAND_RATIO,
+    );
+    let mut chosen = TasksByHost::new();
+    for host in placed.into_iter().flatten() {
+        *chosen.entry(host).or_default() += 1;
+    }
+    chosen
+}
+
+/// At most `max_hosts` machines for tasks that start one by one, once the machines are `cleared`. Machines
+/// on which the fewest GPUs have to be cleared come first, then those with the image.
+fn choose_hosts_one_by_one(
+    entry: &QueueEntry<'_>,
+    tasks: u32,
+    max_hosts: usize,
+    hosts: &[Host],
+    cleared: &[Host],
+) -> TasksByHost {
+    let need = entry.shape.need;
+    let array = entry.spec.kind == JobKind::Array;
+    let reserved_with_room = |host: &&Host| {
+        host.reserved.as_deref() == Some(entry.id) && slots(&host.free_after_stops(), &need) > 0
+    };
+    let mut zones = entry.zone_limits();
+    for host in hosts.iter().filter(reserved_with_room) {
+        zones.occupy(host.zone);
+    }
+    let cleared_gpus = |host: usize| (cleared[host].free[GPUS] - hosts[host].free[GPUS]).max(0.0);
+    let cost = |host: usize| {
+        let fetches_image = !cleared[host].has_image(entry.shape.image);
+        (cleared_gpus(host), fetches_image)
     };
-    let lost = |i: usize| (without[i].free[1] - hosts[i].free[1]).max(0.0);
-    let image = |i: usize| !without[i].has(item.shape.image);
-    let takes = |i: &usize| placement::may_take(&without[*i], item.id, &need, &item.shape.allow);
-    let mut all: Vec<usize> = (0..without.len()).filter(takes).collect();
-    all.sort_by(|a, b| {
-        let by = (lost(*a), image(*a)).partial_cmp(&(lost(*b), image(*b)));
-        by.unwrap_or(std::cmp::Ordering::Equal)
+    let mut ranked: Vec<usize> = (0..cleared.len())
+        .filter(|host| accepts_task(&cleared[*host], entry.id, &need, &entry.shape.allow))
+        .collect();
+    ranked.sort_by(|left, right| {
+        let by_cost = cost(*left).partial_cmp(&cost(*right));
+        by_cost.unwrap_or(Ordering::Equal)
     });
-    let array = item.spec.kind == JobKind::Array;
-    let (mut left, mut found) = (left, BTreeMap::new());
-    for h in all {
-        if left == 0 || found.len() >= most {
+    let mut left = tasks;
+    let mut chosen = TasksByHost::new();
+    for host in ranked {
+        if left == 0 || chosen.len() >= max_hosts {
             break;
         }
-        if !fits(&zones, without[h].zone) {
+        if !zones.allow(cleared[host].zone) {
             continue;
         }
-        // An array takes as much of its machine as it can use; replicas are better apart.
-        let n = slots(&without[h].free, &need).min(if array { left } else { 1 });
-        zones.push(without[h].zone);
-        found.insert(h, n);
-        left -= n;
+        // An array uses as much of a machine as it can; replicas are kept apart.
+        let max_on_host = if array { left } else { 1 };
+        let on_host = slots(&cleared[host].free, &need).min(max_on_host);
+        zones.occupy(cleared[host].zone);
+        chosen.insert(host, on_host);
+        left -= on_host;
     }
-    found
+    chosen
 }
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -1,34 +1,54 @@
-//! What teams may still take.
+//! Remaining quotas of teams during a pass.
 
 use crate::scheduling::placement::{Resources, slots};
 
-/// What teams may still take, by their names' numbers: CPUs and GPUs.
+/// Resources that a team may still allocate.
+#[derive(Debug, Clone, Copy)]
+struct RemainingQuota {
+    cpus: f64,
+    gpus: f64,
+}
+
+/// Quota of a team without a limit.
+const UNLIMITED: RemainingQuota = RemainingQuota {
+    cpus: f64::INFINITY,
+    gpus: f64::INFINITY,
+};
+
+/// Resources that teams may still allocate. Teams are numbers of the `NameTable`.
 #[derive(Debug, Default, Clone)]
-pub struct QuotaTracker(Vec<[f64; 2]>);
+pub struct QuotaTracker {
+    by_team: Vec<RemainingQuota>,
+}
 
 impl QuotaTracker {
-    /// A team has this limit.
-    pub fn limit(&mut self, team: u32, most: [f64; 2]) {
-        let at = team as usize;
-        if self.0.len() <= at {
-            self.0.resize(at + 1, [f64::INFINITY; 2]);
+    /// Sets the quota of a team: CPUs and GPUs.
+    pub fn limit(&mut self, team: u32, [cpus, gpus]: [f64; 2]) {
+        let index = team as usize;
+        if self.by_team.len() <= index {
+            self.by_team.resize(index + 1, UNLIMITED);
         }
-        self.0[at] = most;
+        self.by_team[index] = RemainingQuota { cpus, gpus };
     }
 
-    /// A task of the team takes part of it.
+    /// Deducts the resources of a task from its team's quota.
     pub fn take(&mut self, team: u32, need: &Resources) {
-        if let Some(r) = self.0.get_mut(team as usize) {
-            r[0] -= need[0];
-            r[1] -= need[1];
+        let [cpus, gpus, _] = need;
+        if let Some(remaining) = self.by_team.get_mut(team as usize) {
+            remaining.cpus -= cpus;
+            remaining.gpus -= gpus;
         }
     }
 
-    /// How many tasks of the team it has room for.
+    /// Number of tasks with these needs that the team's quota permits.
     pub(crate) fn slots(&self, team: u32, need: &Resources) -> u32 {
-        match self.0.get(team as usize) {
-            Some([cpus, gpus]) => slots(&[*cpus, *gpus, f64::INFINITY], &[need[0], need[1], 0.0]),
-            None => u32::MAX,
-        }
+        let Some(remaining) = self.by_team.get(team as usize) else {
+            return u32::MAX;
+        };
+        let [cpus, gpus, _] = *need;
+        slots(
+            &[remaining.cpus, remaining.gpus, f64::INFINITY],
+            &[cpus, gpus, 0.0],
+        )
     }
 }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -18,7 +18,7 @@
 use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
 use walnuttrestle::scheduling::pass::TaskStart;
 use walnuttrestle::scheduling::placement::{
-    self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, may_take, slots,
+    self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, accepts_task, slots,
 };
 use walnuttrestle::scheduling::priority_inheritance::InheritedPriorities;
 use walnuttrestle::state::agent::TaskLiveness;
@@ -642,7 +642,7 @@
     }
     let wide = spec.kind == JobKind::Array && !spec.one_zone && !spec.spread;
     if wide && n as usize >= PLACES {
-        let takes = |h: &&Host| may_take(h, item.id, &item.shape.need, &item.shape.allow);
+        let takes = |h: &&Host| accepts_task(h, item.id, &item.shape.need, &item.shape.allow);
         let free: u32 = hosts
             .iter()
             .filter(takes)
@@ -693,20 +693,20 @@
             (!spec.one_zone || zones.iter().all(|z| *z == zone))
                 && (!spec.spread || zones.iter().filter(|z| **z == zone).count() < half)
         };
-        let Some(host) = picker.next(hosts, fits) else {
+        let Some(host) = picker.pick(hosts, fits) else {
             return (tasks.len() - k) as u32;
         };
-        if service && !hosts[host].has(item.shape.image) {
+        if service && !hosts[host].has_image(item.shape.image) {
             let cleared = |h: &&Host| {
                 h.reserved.as_deref() == Some(item.id)
                     && slots(&h.free, &item.shape.need) == 0
-                    && slots(&h.soon(), &item.shape.need) > 0
+                    && slots(&h.free_after_stops(), &item.shape.need) > 0
             };
             let waits = clearing.get_or_insert_with(|| hosts.iter().filter(cleared).count());
             if *waits > 0 {
                 // It starts as soon as its place is clear.
                 *waits -= 1;
-                picker.back(hosts, host);
+                picker.put_back(hosts, host);
                 continue;
             }
             if let Some(v) = in_the_way(item, hosts, victims, fits) {
@@ -714,12 +714,12 @@
                 plan.reserved.push((v.host, item.id.to_string()));
                 hosts[v.host].reserved = Some(item.id.into());
                 zones.push(hosts[v.host].zone);
-                picker.back(hosts, host);
+                picker.put_back(hosts, host);
                 continue;
             }
         }
         take(&mut hosts[host], room, item);
-        picker.taken(hosts, host);
+        picker.task_placed(hosts, host);
         zones.push(hosts[host].zone);
         plan.places
             .push((item.id.to_string(), *task, host, backfill && !service));
@@ -748,9 +748,9 @@
             && item.fetch_s > 2.0 * (v.save_s + STOP_S)
             && h.open
             && h.reserved.is_none()
-            && h.has(item.shape.image)
+            && h.has_image(item.shape.image)
             && slots(&room(), &item.shape.need) > 0
-            && item.shape.allow.takes(h.kind, h.zone, h.spot)
+            && item.shape.allow.permit(h.kind, h.zone, h.spot)
             && !item.shape.avoid.contains(&v.host)
             && item.present.iter().all(|(_, m)| *m != Some(v.host))
             && fits(h.zone)
@@ -781,7 +781,7 @@
     let coming: u32 = hosts
         .iter()
         .filter(kept)
-        .map(|h| slots(&h.soon(), &need))
+        .map(|h| slots(&h.free_after_stops(), &need))
         .sum();
     let mut left = short.saturating_sub(coming);
     if left == 0 {
@@ -807,7 +807,7 @@
         without[*h].open = false;
     }
     for v in &victims {
-        without[v.host].give(&v.need);
+        without[v.host].release(&v.need);
     }
     let mut by_host: BTreeMap<usize, u32> = BTreeMap::new();
     if gang && short > 1 {
@@ -820,7 +820,7 @@
         // The fullest machines serve, so that as few as possible have to go.
         let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
         let soon = hosts.iter().filter(kept);
-        let soon = soon.filter(|h| slots(&h.soon(), &need) > 0);
+        let soon = soon.filter(|h| slots(&h.free_after_stops(), &need) > 0);
         zones.extend(soon.map(|h| h.zone));
         let at_once = if item.guaranteed { MACHINES_AT_ONCE } else { 1 };
         while left > 0 && by_host.len() < at_once {
@@ -835,10 +835,10 @@
                 .filter(|i| {
                     !by_host.contains_key(i)
                         && fits(&without[*i])
-                        && may_take(&without[*i], item.id, &need, &item.shape.allow)
+                        && accepts_task(&without[*i], item.id, &need, &item.shape.allow)
                 })
                 .min_by(|a, b| {
-                    let image = |i: usize| !without[i].has(item.shape.image);
+                    let image = |i: usize| !without[i].has_image(item.shape.image);
                     (lost(*a), image(*a))
                         .partial_cmp(&(lost(*b), image(*b)))
                         .unwrap_or(std::cmp::Ordering::Equal)
