--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -44,6 +44,7 @@
 
 /// State of a pass.
 struct SchedulingPass<'p, 'a> {
+    /// Jobs with an entry, in the order of `Recovery::order`.
     active: &'p [QueueEntry<'a>],
     pending: &'p PendingJobs<'a>,
     hosts: &'p mut CapacityIndex,
@@ -104,6 +105,7 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
+    /// Whether the pass has placed its limit of tasks.
     fn is_full(&self) -> bool {
         self.plan.places.len() >= MAX_PLACEMENTS
     }
@@ -114,6 +116,7 @@
         entry.spec.tasks as f64 * task_size / self.largest_demand
     }
 
+    /// Kind of a job.
     fn kind_of(&self, candidate: QueueCandidate<'a>) -> JobKind {
         match candidate {
             QueueCandidate::Near(index) => self.active[index].spec.kind,
--- a/src/scheduling/backfill/preempt.rs
+++ b/src/scheduling/backfill/preempt.rs
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Whether a blocked job fits into its team's guarantee.
     fn is_guaranteed(&self, blocked: &BlockedJob<'a>) -> bool {
         match blocked.candidate {
             QueueCandidate::Near(index) => self.active[index].guaranteed,
@@ -73,6 +74,7 @@
         }
     }
 
+    /// What decides which tasks may be preempted for a blocked job.
     fn preemption_request(&self, blocked: &BlockedJob<'a>, guaranteed: bool) -> PreemptionRequest {
         let summary = match blocked.candidate {
             QueueCandidate::Near(index) => {
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -163,6 +163,7 @@
         }
     }
 
+    /// Adds tasks that found no machine to the plan.
     fn record_unmet_demand(&mut self, candidate: QueueCandidate<'a>, tasks: u32) {
         let demand = UnmetDemand {
             of: candidate,
@@ -172,6 +173,7 @@
     }
 }
 
+/// Active jobs and all pending jobs by arrival.
 fn arrival_order<'p, 'a>(
     active: &'p [QueueEntry<'a>],
     pending: &'p PendingJobs<'a>,
@@ -188,6 +190,7 @@
     }
 }
 
+/// The deferred active jobs and the pending jobs behind the blocked one, in the order of backfilling.
 fn backfill_order<'p, 'a>(
     active: &'p [QueueEntry<'a>],
     pending: &'p PendingJobs<'a>,
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The same for a pending job. Builds its queue entry only if a machine may have room for it.
+    /// Starts the tasks of a pending job that fit, as `start_candidate` does. Builds the queue entry only if
+    /// a machine may have room.
     fn start_pending(&mut self, summary: &'a JobSummary, backfilled: bool) -> u32 {
         let profile = self.pending.form_of(summary);
         let gang = profile.kind == JobKind::Gang;
@@ -69,6 +70,7 @@
         unplaced
     }
 
+    /// Starts the tasks of a job that fit and that its team's quota permits, as `start_candidate` does.
     fn start_job(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -94,9 +96,7 @@
     fn start_gang(&mut self, entry: &QueueEntry<'_>, members: u32, backfilled: bool) -> u32 {
         let requirements = &entry.shape;
         let demand_ratio = self.demand_ratio(entry);
-        let candidates = self
-            .hosts
-            .candidates(entry.id, &requirements.need, &requirements.allow);
+        let candidates = self.candidates(entry);
         let chosen = placement::gang(
             self.hosts,
             candidates.into_iter(),
@@ -126,9 +126,7 @@
         let service = entry.spec.kind == JobKind::Service;
         let mut zones = entry.zone_limits();
         let runs_on = |host: usize| entry.present.iter().any(|(_, at)| *at == Some(host));
-        let candidates = self
-            .hosts
-            .candidates(entry.id, &requirements.need, &requirements.allow);
+        let candidates = self.candidates(entry);
         let mut picker = HostPicker::new(
             self.hosts,
             candidates.into_iter(),
@@ -198,6 +196,13 @@
         self.hosts.iter().filter(being_cleared).count()
     }
 
+    /// Machines that accept a task of the job.
+    pub(super) fn candidates(&self, entry: &QueueEntry<'_>) -> Vec<usize> {
+        let requirements = &entry.shape;
+        self.hosts
+            .candidates(entry.id, &requirements.need, &requirements.allow)
+    }
+
     /// Starts one task on a machine.
     fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
         let requirements = &entry.shape;
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -20,6 +20,7 @@
     candidate: QueueCandidate<'a>,
     /// Number of its tasks that have been started in its turn.
     started: u32,
+    /// It was reached while backfilling.
     backfilled: bool,
 }
 
@@ -61,12 +62,14 @@
         permitted.saturating_sub(room.free)
     }
 
+    /// Free room for a wide array.
+    ///
     /// The first share is half of the free room: with more, the array would take each machine that
     /// becomes free ahead of all other jobs for as long as it runs. It is at least one task, so that an
     /// array of which nothing runs can begin.
     fn wide_array_room(&self, entry: &QueueEntry<'_>) -> WideArrayRoom {
         let need = &entry.shape.need;
-        let candidates = self.hosts.candidates(entry.id, need, &entry.shape.allow);
+        let candidates = self.candidates(entry);
         let free = candidates
             .into_iter()
             .map(|host| slots(&self.hosts[host].free, need))
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -22,6 +22,7 @@
 /// Free room of each of the three resources, in units of 1/`LEVELS` of an empty machine of the bucket.
 type CapacityLevel = [u8; 3];
 
+/// Level of an amount of room on a machine, rounded down.
 fn level(total: &Resources, room: &Resources, tolerance: f64) -> CapacityLevel {
     std::array::from_fn(|resource| {
         if total[resource] <= 0.0 {
@@ -43,6 +44,7 @@
 }
 
 impl HostBucket {
+    /// An empty bucket for machines like this one.
     fn of(host: &Host) -> HostBucket {
         HostBucket {
             kind: host.kind,
@@ -53,6 +55,7 @@
         }
     }
 
+    /// Whether a machine belongs to the bucket.
     fn contains(&self, host: &Host) -> bool {
         (self.kind, self.zone, self.spot) == (host.kind, host.zone, host.spot)
             && self.total == host.total
@@ -170,6 +173,7 @@
             .collect()
     }
 
+    /// Buckets of machines that the constraints permit.
     fn permitted_buckets(
         &self,
         constraints: &PlacementConstraints,
@@ -205,6 +209,7 @@
         }
     }
 
+    /// Adds a machine to a level of its bucket.
     fn insert(&mut self, index: usize, level: CapacityLevel) {
         let bucket = self.bucket_of(index);
         let hosts = self.buckets[bucket].levels.entry(level).or_default();
@@ -216,6 +221,7 @@
         hosts.push(index as u32);
     }
 
+    /// Removes a machine from its position.
     fn remove(&mut self, index: usize, position: BucketPosition) {
         self.positions[index] = None;
         let levels = &mut self.buckets[position.bucket as usize].levels;
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -50,6 +50,7 @@
     search.fill(&zones)
 }
 
+/// Search for the machines of one gang.
 struct GangSearch<'a> {
     hosts: &'a [Host],
     requirements: &'a TaskRequirements,
@@ -66,6 +67,7 @@
 }
 
 impl GangSearch<'_> {
+    /// Number of members that fit on a machine.
     fn slots_on(&self, score: &HostScore) -> u32 {
         slots(&self.hosts[score.host].free, &self.requirements.need)
     }
--- a/src/scheduling/placement/host_picker.rs
+++ b/src/scheduling/placement/host_picker.rs
@@ -24,6 +24,7 @@
 }
 
 impl HostScore {
+    /// Score of the machine with this index.
     pub(super) fn of(
         index: usize,
         host: &Host,
@@ -149,6 +150,7 @@
         }
     }
 
+    /// Score of a machine with its present free room.
     fn score(&self, hosts: &[Host], host: usize) -> HostScore {
         HostScore::of(host, &hosts[host], self.requirements, self.demand_ratio)
     }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -19,6 +19,10 @@
 /// A replica waits for a machine with its image if fetching the image takes this many times as long.
 const MIN_FETCH_FACTOR: f64 = 2.0;
 
+/// Demand ratio of a gang that preempts: as if its demand were the largest, so that the weight favours
+/// machines with much free room.
+const GANG_DEMAND_RATIO: f64 = 1.0;
+
 /// Index of GPUs in `Resources`.
 const GPUS: usize = 1;
 
@@ -42,6 +46,7 @@
 }
 
 impl PreemptionRequest {
+    /// The request of a job with a queue entry.
     pub(crate) fn of(entry: &QueueEntry<'_>, at_head: bool) -> PreemptionRequest {
         PreemptionRequest {
             kind: entry.spec.kind,
@@ -262,8 +267,6 @@
 
 /// Machines on which all members of a gang fit once they are `cleared`; none if they do not fit.
 fn choose_hosts_for_gang(entry: &QueueEntry<'_>, members: u32, cleared: &[Host]) -> TasksByHost {
-    /// The gang is as large as any demand: the weight then favours machines with much free room.
-    const DEMAND_RATIO: f64 = 1.0;
     let placed = placement::gang(
         cleared,
         0..cleared.len(),
@@ -271,7 +274,7 @@
         entry.spec,
         &entry.shape,
         members,
-        DEMAND_RATIO,
+        GANG_DEMAND_RATIO,
     );
     let mut chosen = TasksByHost::new();
     for host in placed.into_iter().flatten() {
@@ -280,8 +283,7 @@
     chosen
 }
 
-/// At most `max_hosts` machines for tasks that start one by one, once the machines are `cleared`. Machines
-/// on which the fewest GPUs have to be cleared come first, then those with the image.
+/// At most `max_hosts` machines for tasks that start one by one, once the machines are `cleared`.
 fn choose_hosts_one_by_one(
     entry: &QueueEntry<'_>,
     tasks: u32,
@@ -298,21 +300,9 @@
     for host in hosts.iter().filter(reserved_with_room) {
         zones.occupy(host.zone);
     }
-    let cleared_gpus = |host: usize| (cleared[host].free[GPUS] - hosts[host].free[GPUS]).max(0.0);
-    let cost = |host: usize| {
-        let fetches_image = !cleared[host].has_image(entry.shape.image);
-        (cleared_gpus(host), fetches_image)
-    };
-    let mut ranked: Vec<usize> = (0..cleared.len())
-        .filter(|host| accepts_task(&cleared[*host], entry.id, &need, &entry.shape.allow))
-        .collect();
-    ranked.sort_by(|left, right| {
-        let by_cost = cost(*left).partial_cmp(&cost(*right));
-        by_cost.unwrap_or(Ordering::Equal)
-    });
     let mut left = tasks;
     let mut chosen = TasksByHost::new();
-    for host in ranked {
+    for host in rank_by_cost(entry, hosts, cleared) {
         if left == 0 || chosen.len() >= max_hosts {
             break;
         }
@@ -328,3 +318,24 @@
     }
     chosen
 }
+
+/// Machines that accept a task once they are `cleared`: those on which the fewest GPUs have to be cleared
+/// first, and among equals those with the image.
+fn rank_by_cost(entry: &QueueEntry<'_>, hosts: &[Host], cleared: &[Host]) -> Vec<usize> {
+    let requirements = &entry.shape;
+    let cost = |host: usize| {
+        let cleared_gpus = (cleared[host].free[GPUS] - hosts[host].free[GPUS]).max(0.0);
+        let fetches_image = !cleared[host].has_image(requirements.image);
+        (cleared_gpus, fetches_image)
+    };
+    let accepts = |host: &usize| {
+        let host = &cleared[*host];
+        accepts_task(host, entry.id, &requirements.need, &requirements.allow)
+    };
+    let mut ranked: Vec<usize> = (0..cleared.len()).filter(accepts).collect();
+    ranked.sort_by(|left, right| {
+        let by_cost = cost(*left).partial_cmp(&cost(*right));
+        by_cost.unwrap_or(Ordering::Equal)
+    });
+    ranked
+}
