--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -79,7 +79,7 @@
     let candidates: Vec<usize> = demand
         .constraints()
         .iter()
-        .flat_map(|allowed| hosts.enough(demand.need, allowed, tasks))
+        .flat_map(|allowed| hosts.hosts_for(demand.need, allowed, tasks))
         .collect();
     let mut unplaced = tasks;
     for host in candidates {
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -117,7 +117,7 @@
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
-        if !host.is_some_and(|host| snapshot.rooms[host].empty()) {
+        if !host.is_some_and(|host| snapshot.rooms[host].is_empty()) {
             return None;
         }
         if leader.sick(agent, snapshot.policy) {
