--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,6 +1,7 @@
-//! What a leader's work costs as the fleet and the queue grow: a pass, the reading of all records at a
-//! takeover, the pass after half the machines are lost, and passes while thousands of jobs wait, beside
-//! the plain pass of before. `cargo bench --bench scale -- FILTER`; figures in `docs/measured/limits.md`.
+//! Cost of a leader's work as the fleet and the queue grow: a pass, reading all records at a takeover,
+//! the pass after half of the machines are lost, and passes while thousands of jobs wait, compared with
+//! the reference implementation. `cargo bench --bench scale -- FILTER`; results are in
+//! `docs/measured/limits.md`.
 
 #[path = "../tests/plain/mod.rs"]
 mod plain;
@@ -24,10 +25,14 @@
 use walnuttrestle::state::agent::{Agent, ReportedTask};
 use walnuttrestle::state::record_cache::RecordCache;
 
-const FLEETS: [usize; 3] = [300, 1_200, 5_000];
-/// Tasks of one job, and places of one machine.
-const TASKS: usize = 4;
-const PLACES: usize = 8;
+/// Numbers of machines.
+const FLEET_SIZES: [usize; 3] = [300, 1_200, 5_000];
+/// Number of tasks of a running job.
+const TASKS_PER_JOB: usize = 4;
+/// Number of tasks that fit on a machine.
+const SLOTS_PER_HOST: usize = 8;
+/// Number of tasks that run on a machine.
+const TASKS_PER_HOST: usize = SLOTS_PER_HOST - 1;
 
 fn settings() -> Settings {
     let text = r#"
@@ -71,7 +76,7 @@
         team: "blue".into(),
         kind,
         priority: Priority::Normal,
-        tasks: TASKS as u32,
+        tasks: TASKS_PER_JOB as u32,
         cpus: 5.0,
         gpus: 1.0,
         memory_gb: 20.0,
@@ -90,45 +95,49 @@
     }
 }
 
-fn name(machine: usize) -> String {
+fn machine_name(machine: usize) -> String {
     format!("n-{machine:06}")
 }
 
-/// Seven of eight places of each machine are taken by tasks of jobs of four, in turns of a service and
-/// an array, spread over the machines.
-fn records(machines: usize) -> Vec<(String, JobRecord)> {
-    let jobs = machines * (PLACES - 1) / TASKS;
-    let job = |j: usize| {
-        let kind = if j.is_multiple_of(2) {
+/// A record of an active job without any placed task.
+fn record(spec: JobSpec, accepted_at: Micros) -> JobRecord {
+    JobRecord {
+        spec,
+        at: accepted_at,
+        stage: JobStage::Active,
+        end: Micros::ZERO,
+        first: TaskChunk::default(),
+        cleaned: false,
+    }
+}
+
+/// Running jobs, alternately a service and an array, which leave one slot of each machine free.
+fn running_jobs(machines: usize) -> Vec<(String, JobRecord)> {
+    let jobs = machines * TASKS_PER_HOST / TASKS_PER_JOB;
+    let running_job = |number: usize| {
+        let kind = if number.is_multiple_of(2) {
             JobKind::Service
         } else {
             JobKind::Array
         };
-        let entries = (0..TASKS)
-            .map(|t| {
-                // Neighbours in number are in different zones.
-                let m = (j * TASKS + t) % machines;
-                TaskEntry(t as u32, 1, name(m), 1, 1, false)
-            })
-            .collect();
-        let rec = JobRecord {
-            spec: spec(kind, j),
-            at: Micros(j as u64),
-            stage: JobStage::Active,
-            end: Micros::ZERO,
-            first: TaskChunk { entries, done: 0 },
-            cleaned: false,
-        };
-        (format!("req-{j:06}"), rec)
+        let mut rec = record(spec(kind, number), Micros(number as u64));
+        for task in 0..TASKS_PER_JOB {
+            // Machines with consecutive numbers are in different zones.
+            let machine = machine_name((number * TASKS_PER_JOB + task) % machines);
+            rec.first
+                .entries
+                .push(TaskEntry(task as u32, 1, machine, 1, 1, false));
+        }
+        (format!("req-{number:06}"), rec)
     };
-    (0..jobs).map(job).collect()
+    (0..jobs).map(running_job).collect()
 }
 
-fn types() -> MachineTypes {
-    let t = MachineType {
+fn machine_types() -> MachineTypes {
+    let machine_type = MachineType {
         name: "box".into(),
         cpus: 64.0,
-        gpus: PLACES as f64,
+        gpus: SLOTS_PER_HOST as f64,
         memory_gb: 256.0,
         cache_gb: 100.0,
         fetch_gb_per_s: 0.4,
@@ -137,15 +146,18 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
-    MachineTypes { types: vec![t] }
+    MachineTypes {
+        types: vec![machine_type],
+    }
 }
 
-fn pages(machines: usize) -> Vec<ItemPage> {
-    let mut items: Vec<Item> = records(machines)
+/// The pages in which the store returns all records.
+fn record_pages(machines: usize) -> Vec<ItemPage> {
+    let mut items: Vec<Item> = running_jobs(machines)
         .into_iter()
         .map(|(id, rec)| (job_key(&id), to_value(&rec)))
         .chain([
-            (TYPES.to_string(), to_value(&types())),
+            (TYPES.to_string(), to_value(&machine_types())),
             (BASE.to_string(), to_value(&1u64)),
         ])
         .map(|(key, value)| Item {
@@ -154,31 +166,31 @@
             version: 1,
         })
         .collect();
-    let lead = LeaderRecord {
+    let leader_record = LeaderRecord {
         node: "kernel-0".into(),
         incarnation: 1,
         term: 1,
     };
     items.push(Item {
         key: LEAD.into(),
-        value: to_value(&lead),
+        value: to_value(&leader_record),
         version: 2,
     });
-    items.sort_by(|a, b| a.key.cmp(&b.key));
+    items.sort_by(|one, other| one.key.cmp(&other.key));
     let chunks: Vec<Vec<Item>> = items.chunks(500).map(<[Item]>::to_vec).collect();
-    let n = chunks.len();
-    let page = |(i, items)| ItemPage {
+    let count = chunks.len();
+    let page = |(index, items)| ItemPage {
         items,
-        more: i + 1 < n,
+        more: index + 1 < count,
         revision: 2,
     };
     chunks.into_iter().enumerate().map(page).collect()
 }
 
-fn read(pages: &[ItemPage]) -> RecordCache {
+fn read_records(pages: &[ItemPage]) -> RecordCache {
     let mut cache = RecordCache::default();
-    for p in pages {
-        cache.apply_page(p.clone());
+    for page in pages {
+        cache.apply_page(page.clone());
     }
     assert!(cache.synced);
     cache
@@ -191,74 +203,83 @@
     }
 }
 
-/// A leader that has met all machines; those for which `dead` holds are proven gone.
-fn leading(machines: usize, pages: &[ItemPage], dead: impl Fn(usize) -> bool) -> Controller {
+/// The heartbeat of an agent on which all recorded tasks of its machine are running.
+fn heartbeat(machine: usize, machines: usize) -> AgentHeartbeat {
+    let recorded_tasks = machines * TASKS_PER_HOST / TASKS_PER_JOB * TASKS_PER_JOB;
+    let tasks = (0..TASKS_PER_HOST)
+        .map(|round| round * machines + machine)
+        .filter(|task| *task < recorded_tasks)
+        .map(|task| TaskStatus {
+            task: format!("req-{:06}/{}", task / TASKS_PER_JOB, task % TASKS_PER_JOB),
+            attempt: 1,
+            phase: TaskPhase::Running,
+            why: None,
+            saved: None,
+        });
+    AgentHeartbeat {
+        machine: machine_name(machine),
+        address: "127.0.0.1:9".into(),
+        kind: "box".into(),
+        zone: if machine.is_multiple_of(2) { "a" } else { "b" }.into(),
+        spot: false,
+        agent_epoch: 1,
+        seq: 1,
+        term: 1,
+        notice_s: None,
+        tasks: tasks.collect(),
+    }
+}
+
+/// A leader that has heartbeats of all agents. Those for which `is_lost` holds are proven gone.
+fn leading_controller(
+    machines: usize,
+    pages: &[ItemPage],
+    is_lost: impl Fn(usize) -> bool,
+) -> Controller {
     let clock = clock();
     let start = Clock {
         now: Micros::millis(1),
         wall: Micros::millis(1),
     };
-    let mut node = Controller::new(settings(), Policy::default(), 1, start);
-    node.cache = read(pages);
+    let mut controller = Controller::new(settings(), Policy::default(), 1, start);
+    controller.cache = read_records(pages);
     let mut leader = LeaderState::new(1, 2, start);
     leader.last_confirmed_read = clock.now;
-    for m in 0..machines {
-        let on = (0..PLACES - 1).filter_map(|k| {
-            let at = k * machines + m;
-            (at < machines * (PLACES - 1) / TASKS * TASKS).then_some(at)
-        });
-        let tasks = on.map(|at| TaskStatus {
-            task: format!("req-{:06}/{}", at / TASKS, at % TASKS),
-            attempt: 1,
-            phase: TaskPhase::Running,
-            why: None,
-            saved: None,
-        });
-        let report = AgentHeartbeat {
-            machine: name(m),
-            address: "127.0.0.1:9".into(),
-            kind: "box".into(),
-            zone: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
-            spot: false,
-            agent_epoch: 1,
-            seq: 1,
-            term: 1,
-            notice_s: None,
-            tasks: tasks.collect(),
-        };
-        let mut agent = Agent::new(&report);
-        agent.update(&report, clock.now);
+    for machine in 0..machines {
+        let heartbeat = heartbeat(machine, machines);
+        let mut agent = Agent::new(&heartbeat);
+        agent.update(&heartbeat, clock.now);
         agent.answered = Some(clock.now);
-        if dead(m) {
+        if is_lost(machine) {
             agent.over = Some(1);
         }
-        leader.agents.insert(name(m), agent);
+        leader.agents.insert(machine_name(machine), agent);
     }
-    node.leader = Some(leader);
-    node
+    controller.leader = Some(leader);
+    controller
 }
 
-fn scale(c: &mut Criterion) {
-    let mut group = c.benchmark_group("scale");
+fn scale(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("scale");
     group
         .sample_size(10)
         .warm_up_time(Duration::from_millis(500))
         .measurement_time(Duration::from_secs(3));
-    for machines in FLEETS {
-        let pages = pages(machines);
-        group.bench_function(BenchmarkId::new("takeover", machines), |b| {
-            b.iter(|| read(&pages).jobs.len());
+    for machines in FLEET_SIZES {
+        let pages = record_pages(machines);
+        group.bench_function(BenchmarkId::new("takeover", machines), |bencher| {
+            bencher.iter(|| read_records(&pages).jobs.len());
         });
-        let mut node = leading(machines, &pages, |_| false);
-        group.bench_function(BenchmarkId::new("quiet pass", machines), |b| {
-            b.iter(|| node.pass(clock()));
+        let mut controller = leading_controller(machines, &pages, |_| false);
+        group.bench_function(BenchmarkId::new("quiet pass", machines), |bencher| {
+            bencher.iter(|| controller.pass(clock()));
         });
-        group.bench_function(BenchmarkId::new("pass after a loss", machines), |b| {
-            b.iter_batched(
-                || leading(machines, &pages, |m| m % 4 < 2),
-                |mut node| {
-                    node.pass(clock());
-                    node
+        group.bench_function(BenchmarkId::new("pass after a loss", machines), |bencher| {
+            bencher.iter_batched(
+                || leading_controller(machines, &pages, |machine| machine % 4 < 2),
+                |mut controller| {
+                    controller.pass(clock());
+                    controller
                 },
                 BatchSize::LargeInput,
             );
@@ -267,126 +288,128 @@
     group.finish();
 }
 
-/// Jobs that wait: arrays of some 15 tasks, gangs of whole machines, and one service in fifty.
-fn waiting(jobs: usize, tasks: u32) -> impl Iterator<Item = (String, JobRecord)> {
-    (0..jobs).map(move |j| {
-        let kind = match j % 50 {
+/// Waiting jobs: arrays, gangs that take whole machines, and one service in fifty.
+fn waiting_jobs(jobs: usize, tasks: u32) -> impl Iterator<Item = (String, JobRecord)> {
+    (0..jobs).map(move |number| {
+        let kind = match number % 50 {
             0 => JobKind::Service,
-            n if n % 10 == 1 => JobKind::Gang,
+            remainder if remainder % 10 == 1 => JobKind::Gang,
             _ => JobKind::Array,
         };
-        let mut spec = spec(kind, j);
+        let mut spec = spec(kind, number);
         spec.tasks = if kind == JobKind::Array { tasks } else { 2 };
-        // Owners ask for about as much, not the same.
-        spec.cpus = 4.0 + (j * 7 % 30) as f64 / 10.0;
-        spec.estimate_s = 30.0 + (j * 31 % 97) as f64;
+        // Jobs need similar amounts, but not the same.
+        spec.cpus = 4.0 + (number * 7 % 30) as f64 / 10.0;
+        spec.estimate_s = 30.0 + (number * 31 % 97) as f64;
         if kind == JobKind::Gang {
-            spec.gpus = PLACES as f64;
+            spec.gpus = SLOTS_PER_HOST as f64;
             spec.priority = Priority::High;
         }
-        let rec = JobRecord {
-            spec,
-            at: Micros(1_000_000 + j as u64),
-            stage: JobStage::Active,
-            end: Micros::ZERO,
-            first: TaskChunk::default(),
-            cleaned: false,
-        };
-        (format!("wait-{j:06}"), rec)
+        let accepted_at = Micros(1_000_000 + number as u64);
+        (format!("wait-{number:06}"), record(spec, accepted_at))
     })
 }
 
-/// A leader of a fleet, the last `open` places of which are free on each machine, and a queue.
-fn queued(machines: usize, jobs: usize, tasks: u32, open: usize) -> Controller {
-    let mut node = leading(machines, &pages(machines), |_| false);
-    if open == 0 {
-        // What is left of each machine is taken, too.
-        for m in 0..machines {
-            let Some(l) = &mut node.leader else { break };
-            let Some(w) = l.agents.get_mut(&name(m)) else {
-                continue;
-            };
-            for k in w.tasks.len()..PLACES {
-                let id = format!("full-{m:06}-{k}");
-                let mut rec = JobRecord {
-                    spec: spec(JobKind::Service, m),
-                    at: Micros(900_000),
-                    stage: JobStage::Active,
-                    end: Micros::ZERO,
-                    first: TaskChunk::default(),
-                    cleaned: false,
-                };
-                rec.spec.tasks = 1;
-                rec.first.set(TaskEntry(0, 1, name(m), 1, 1, false));
-                node.cache.put_job(&id, rec, 3);
-                w.tasks.push(ReportedTask {
-                    job: id,
-                    task: 0,
-                    attempt: 1,
-                    phase: TaskPhase::Running,
-                    why: None,
-                });
-            }
+/// Takes the free slots of all machines with running services of one replica each.
+fn fill_machines(controller: &mut Controller, machines: usize) {
+    let Some(leader) = &mut controller.leader else {
+        return;
+    };
+    for machine in 0..machines {
+        let name = machine_name(machine);
+        let Some(agent) = leader.agents.get_mut(&name) else {
+            continue;
+        };
+        for slot in agent.tasks.len()..SLOTS_PER_HOST {
+            let id = format!("full-{machine:06}-{slot}");
+            let mut rec = record(spec(JobKind::Service, machine), Micros(900_000));
+            rec.spec.tasks = 1;
+            rec.first.set(TaskEntry(0, 1, name.clone(), 1, 1, false));
+            controller.cache.put_job(&id, rec, 3);
+            agent.tasks.push(ReportedTask {
+                job: id,
+                task: 0,
+                attempt: 1,
+                phase: TaskPhase::Running,
+                why: None,
+            });
         }
     }
-    for (id, rec) in waiting(jobs, tasks) {
-        node.cache.put_job(&id, rec, 3);
+}
+
+/// A leader with a queue of waiting jobs. Its machines are full, or have a free slot each.
+fn controller_with_queue(
+    machines: usize,
+    jobs: usize,
+    tasks: u32,
+    has_free_slots: bool,
+) -> Controller {
+    let mut controller = leading_controller(machines, &record_pages(machines), |_| false);
+    if !has_free_slots {
+        fill_machines(&mut controller, machines);
+    }
+    for (id, rec) in waiting_jobs(jobs, tasks) {
+        controller.cache.put_job(&id, rec, 3);
     }
-    node.cache.take_changed();
-    node
+    controller.cache.take_changed();
+    controller
 }
 
-fn queues(c: &mut Criterion) {
-    let mut group = c.benchmark_group("queue");
+fn queues(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("queue");
     group
         .sample_size(10)
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_secs(2));
     for machines in [300, 1_250, 5_000] {
-        for (jobs, tasks) in [(1_000, 10), (10_000, 10), (100_000, 10)] {
-            for (what, open) in [("full", 0), ("with room", 1)] {
-                let node = queued(machines, jobs, tasks, open);
-                let Some(leader) = &node.leader else { continue };
+        for jobs in [1_000, 10_000, 100_000] {
+            for (machine_state, has_free_slots) in [("full", false), ("with room", true)] {
+                let controller = controller_with_queue(machines, jobs, 10, has_free_slots);
+                let Some(leader) = &controller.leader else {
+                    continue;
+                };
                 let inputs = PassInputs {
                     leader,
-                    cache: &node.cache,
-                    settings: &node.settings,
-                    policy: &node.policy,
+                    cache: &controller.cache,
+                    settings: &controller.settings,
+                    policy: &controller.policy,
                     clock: clock(),
                 };
                 let mut state = PassState::default();
-                let at = format!("{what}, {machines} machines, {jobs} jobs");
-                let mut new = || pass::decide(&inputs, &mut state, None);
-                let starts = new().starts.len();
-                assert_eq!(starts > 0, open > 0, "{at}: {starts} starts");
-                group.bench_function(BenchmarkId::new("kept", &at), |b| b.iter(&mut new));
-                // A plain pass over the longest queues takes seconds.
+                let name = format!("{machine_state}, {machines} machines, {jobs} jobs");
+                let mut decide = || pass::decide(&inputs, &mut state, None);
+                let starts = decide().starts.len();
+                assert_eq!(starts > 0, has_free_slots, "{name}: {starts} starts");
+                group.bench_function(BenchmarkId::new("kept", &name), |bencher| {
+                    bencher.iter(&mut decide);
+                });
+                // A pass of the reference implementation over the longest queues takes seconds.
                 if jobs <= 10_000 && machines < 5_000 {
-                    group.bench_function(BenchmarkId::new("plain", &at), |b| {
-                        b.iter(|| plain::decide(&inputs));
+                    group.bench_function(BenchmarkId::new("plain", &name), |bencher| {
+                        bencher.iter(|| plain::decide(&inputs));
                     });
                 }
             }
         }
     }
-    let all: Vec<ItemPage> = pages(1_250);
+    let pages = record_pages(1_250);
     for jobs in [1_000, 10_000, 100_000] {
-        let node = queued(1_250, jobs, 10, 1);
-        group.bench_function(BenchmarkId::new("kept from records", jobs), |b| {
-            b.iter(|| JobQueue::build(node.cache.jobs.iter()).queued());
+        let controller = controller_with_queue(1_250, jobs, 10, true);
+        group.bench_function(BenchmarkId::new("kept from records", jobs), |bencher| {
+            bencher.iter(|| JobQueue::build(controller.cache.jobs.iter()).queued());
         });
-        let items: Vec<Item> = waiting(jobs, 10)
+        let items: Vec<Item> = waiting_jobs(jobs, 10)
             .map(|(id, rec)| Item {
                 key: job_key(&id),
                 value: to_value(&rec),
                 version: 3,
             })
             .collect();
-        group.bench_function(BenchmarkId::new("records read", jobs), |b| {
-            b.iter(|| {
-                let mut cache = read(&all);
-                for i in &items {
-                    cache.put(&i.key, i.value.clone(), i.version);
+        group.bench_function(BenchmarkId::new("records read", jobs), |bencher| {
+            bencher.iter(|| {
+                let mut cache = read_records(&pages);
+                for item in &items {
+                    cache.put(&item.key, item.value.clone(), item.version);
                 }
                 cache.jobs.len()
             });
@@ -395,30 +418,34 @@
     group.finish();
 }
 
-/// What a waiting job takes of a controller's memory: its record in the copy, its row and its places in
-/// the queue's orders. Told, not timed.
+/// Resident memory of the process in bytes.
+fn resident_bytes() -> u64 {
+    const PAGE_SIZE: u64 = 4096;
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let resident = statm.split(' ').nth(1);
+    let pages = resident.and_then(|pages| pages.parse::<u64>().ok());
+    pages.unwrap_or(0) * PAGE_SIZE
+}
+
+/// Prints the memory that a waiting job takes in a controller: its record in the cache, and its entries
+/// in the queue.
 fn memory(_: &mut Criterion) {
-    let resident = || {
-        let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-        let pages = statm.split(' ').nth(1).and_then(|p| p.parse::<u64>().ok());
-        pages.unwrap_or(0) * 4096
-    };
     const JOBS: usize = 50_000;
-    let before = resident();
+    let before = resident_bytes();
     let mut cache = RecordCache::default();
-    for (id, rec) in waiting(JOBS, 10) {
+    for (id, rec) in waiting_jobs(JOBS, 10) {
         cache.put_job(&id, rec, 3);
     }
     cache.take_changed();
-    let copy = resident();
-    let backlog = JobQueue::build(cache.jobs.iter());
-    let both = resident();
-    assert_eq!(backlog.queued(), JOBS);
-    let each = |bytes: u64| bytes / JOBS as u64;
+    let with_cache = resident_bytes();
+    let queue = JobQueue::build(cache.jobs.iter());
+    let with_queue = resident_bytes();
+    assert_eq!(queue.queued(), JOBS);
+    let per_job = |bytes: u64| bytes / JOBS as u64;
     println!(
-        "memory: {} bytes a waiting job in the copy, {} more in the queue",
-        each(copy.saturating_sub(before)),
-        each(both.saturating_sub(copy))
+        "memory: {} bytes a waiting job in the cache, {} more in the queue",
+        per_job(with_cache.saturating_sub(before)),
+        per_job(with_queue.saturating_sub(with_cache))
     );
 }
 
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -6,7 +6,7 @@
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{Clock, JobKind, Micros};
 use crate::scheduling::backfill::PLACES;
-use crate::scheduling::cluster_snapshot::{TaskRef, TaskStop, tasks_stopped_with};
+use crate::scheduling::findings::{TaskRef, TaskStop, tasks_stopped_with};
 use crate::scheduling::pass::{PassDecision, PassInputs, Reservation, TaskStart, decide};
 use crate::state::record_cache::{Job, RecordCache};
 
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -3,76 +3,28 @@
 //! It inspects each job that has a placed task, a pending record change, failures or a reservation.
 //! Building it changes nothing: `apply_decision` acts on what it finds.
 
-use crate::agents::leader_state::{LeaderState, grace};
-use crate::protocol::agent_api::{ExitReason, TaskPhase};
-use crate::protocol::records::{CHUNK, TaskEntry};
+use self::attempts::AttemptTally;
+use crate::agents::leader_state::LeaderState;
+use crate::protocol::agent_api::TaskPhase;
+use crate::protocol::records::TaskEntry;
 use crate::protocol::{Clock, JobKind, JobSpec, Micros, Priority};
-use crate::scheduling::backfill::{PreemptibleTask, QueueEntry, WIDE_MOST};
+use crate::scheduling::backfill::{PreemptibleTask, QueueEntry};
+use crate::scheduling::findings::{BrokenGang, JobFindings, TaskStop};
 use crate::scheduling::job_profile::JobProfile;
 use crate::scheduling::job_queue::{QueueState, QueuedJob, Slot};
 use crate::scheduling::pass::PassInputs;
 use crate::scheduling::pending_jobs::SchedulingContext;
-use crate::scheduling::placement::{Resources, add, size};
+use crate::scheduling::placement::{Resources, add};
 use crate::scheduling::quota::QuotaTracker;
-use crate::scheduling::recovery::LostTasks;
 use crate::state::agent::TaskLiveness;
 use crate::state::record_cache::Job;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::{BTreeMap, BTreeSet};
-use std::ops::Range;
 
 pub use crate::scheduling::host_table::HostTable;
 
-/// Number of a zone that is not known.
-const UNKNOWN_ZONE: u32 = u32::MAX;
-
-/// A task of a job.
-#[derive(Debug, Clone, PartialEq)]
-pub struct TaskRef {
-    /// Job id.
-    pub job: String,
-    /// Index of the task in its job.
-    pub task: u32,
-}
-
-/// A task that is to be stopped.
-#[derive(Debug, Clone, PartialEq)]
-pub struct TaskStop {
-    /// Job id.
-    pub job: String,
-    /// Index of the task in its job.
-    pub task: u32,
-    /// Seconds that the task gets to save a checkpoint.
-    pub grace_s: f64,
-}
-
-/// A gang that has lost a member.
-#[derive(Debug, Clone, PartialEq)]
-pub struct BrokenGang {
-    /// Job id.
-    pub job: String,
-    /// The latest attempt that is known to be affected.
-    pub attempt: u64,
-}
-
-/// What inspecting the jobs has found besides their queue entries.
-#[derive(Debug, Default)]
-pub struct JobFindings {
-    /// Jobs that have ended and have no task on any machine: their records can be cleaned.
-    pub cleanable_jobs: Vec<String>,
-    /// Tasks that agents have reported as done, but whose records do not say so yet.
-    pub done_tasks: Vec<TaskRef>,
-    /// Tasks to stop.
-    pub stops: Vec<TaskStop>,
-    /// Gangs that have lost a member.
-    pub broken_gangs: Vec<BrokenGang>,
-    /// A job waits for its retry backoff, so another pass is needed.
-    pub has_backoff: bool,
-    /// Tasks that have lost their machine and are waiting for a new one.
-    pub lost_tasks: LostTasks,
-    /// Number of tasks that are placed on record.
-    pub placed_tasks: usize,
-}
+mod attempts;
+mod startable;
 
 /// The cluster and the queue at the time of a pass.
 pub struct ClusterSnapshot<'a> {
@@ -102,14 +54,6 @@
     snapshot: ClusterSnapshot<'a>,
 }
 
-/// The tasks that stop, and are recorded as done, together with one: all of a gang, else itself.
-pub(crate) fn tasks_stopped_with(spec: &JobSpec, task: u32) -> Range<u32> {
-    match spec.kind {
-        JobKind::Gang => 0..spec.tasks,
-        JobKind::Array | JobKind::Service => task..task + 1,
-    }
-}
-
 /// A job under inspection, with what the leader knows about it.
 struct InspectedJob<'a> {
     id: &'a str,
@@ -155,53 +99,6 @@
     }
 }
 
-/// Where an attempt runs, and whether it does.
-struct LocatedAttempt {
-    liveness: TaskLiveness,
-    /// Index of its machine, if it is in the host table.
-    host: Option<usize>,
-}
-
-/// What the attempts of a job add up to.
-#[derive(Default)]
-struct AttemptTally {
-    /// Zone and host of each attempt that must be presumed to run.
-    present: Vec<(u32, Option<usize>)>,
-    /// Tasks that must not be started: they are presumed to run, or done. Sorted.
-    occupied: Vec<u32>,
-    /// Tasks that were lost with their machine or with their gang. Sorted.
-    displaced: Vec<u32>,
-    /// Number of attempts that have ended or are gone.
-    lost: usize,
-    latest_attempt: u64,
-    /// An attempt runs on a machine whose zone is unknown.
-    has_unknown_zone: bool,
-    /// A gang of which a member has reported that it is done.
-    gang_is_done: bool,
-    /// A task is running.
-    is_running: bool,
-    /// Members of a gang that must be presumed to run.
-    members: Vec<(u32, TaskLiveness)>,
-}
-
-impl AttemptTally {
-    /// Takes note of an attempt that is on record.
-    fn add_recorded(&mut self, task: u32, liveness: TaskLiveness, presumed: bool) {
-        if presumed || liveness == TaskLiveness::Ended(ExitReason::Done) {
-            self.occupied.push(task);
-            return;
-        }
-        // A task that was stopped or has failed does not count as displaced.
-        let displaced = matches!(
-            liveness,
-            TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
-        );
-        if displaced {
-            self.displaced.push(task);
-        }
-    }
-}
-
 impl<'s, 'a> SnapshotBuilder<'s, 'a> {
     /// Starts with machines on which all resources are free, and quotas from which nothing is taken.
     pub fn new(
@@ -329,125 +226,7 @@
         }
     }
 
-    /// Adds up all attempts of a job, and takes their resources.
-    fn tally_attempts(&mut self, inspected: &InspectedJob<'a>) -> AttemptTally {
-        let mut tally = AttemptTally::default();
-        // A task with a pending placement has been proven gone from its recorded machine. If the
-        // recorded attempt counted as lost beside the new one, a gang would be taken for broken before
-        // it has started.
-        for attempt in inspected.job.entries() {
-            if !inspected.has_pending_placement(attempt.task()) {
-                self.tally_attempt(inspected, attempt, true, &mut tally);
-            }
-        }
-        for attempt in &inspected.pending_placements {
-            self.tally_attempt(inspected, attempt, false, &mut tally);
-        }
-        tally
-    }
-
-    fn tally_attempt(
-        &mut self,
-        inspected: &InspectedJob<'a>,
-        attempt: &'a TaskEntry,
-        is_recorded: bool,
-        tally: &mut AttemptTally,
-    ) {
-        let Some(machine) = attempt.machine() else {
-            return;
-        };
-        let task = attempt.task();
-        let active = inspected.queued.active;
-        let LocatedAttempt { liveness, host } = self.locate(inspected.id, attempt, machine);
-        let presumed = liveness.presumed(|| active && self.leader.wanted(inspected.id, attempt));
-        if is_recorded {
-            tally.add_recorded(task, liveness, presumed);
-        }
-        if !presumed {
-            tally.lost += 1;
-            let is_done = liveness == TaskLiveness::Ended(ExitReason::Done);
-            if is_done && active && !inspected.in_flight {
-                tally.gang_is_done = inspected.kind() == JobKind::Gang;
-                self.snapshot.findings.done_tasks.push(TaskRef {
-                    job: inspected.id.to_string(),
-                    task,
-                });
-            }
-            return;
-        }
-        tally.latest_attempt = tally.latest_attempt.max(attempt.attempt());
-        tally.is_running |= liveness == TaskLiveness::Present(TaskPhase::Running);
-        if inspected.kind() == JobKind::Gang {
-            tally.members.push((task, liveness));
-        }
-        let zone = match host {
-            Some(host) => Some(self.occupy_host(inspected, attempt, host, liveness)),
-            None => self.zone_off_table(machine),
-        };
-        tally.has_unknown_zone |= zone.is_none();
-        tally.present.push((zone.unwrap_or(UNKNOWN_ZONE), host));
-        let need = &inspected.queued.need;
-        let class = inspected.profile.class;
-        self.snapshot.quotas.take(inspected.profile.team, need);
-        *self.snapshot.usage_by_class.entry(class).or_default() += size(&self.cluster_total, need);
-    }
-
-    /// Finds out whether an attempt runs, with a single lookup of its machine.
-    fn locate(&self, id: &str, attempt: &'a TaskEntry, machine: &str) -> LocatedAttempt {
-        let host = self.snapshot.host_table.find(machine);
-        let liveness = match host {
-            Some(index) => self.snapshot.host_table.agents[index].standing(
-                self.leader.term,
-                id,
-                attempt.task(),
-                attempt.attempt(),
-                attempt.agent_epoch(),
-            ),
-            None => self.leader.standing(id, attempt),
-        };
-        LocatedAttempt { liveness, host }
-    }
-
-    /// Takes the resources of an attempt on its host, and returns the host's zone.
-    fn occupy_host(
-        &mut self,
-        inspected: &InspectedJob<'a>,
-        attempt: &TaskEntry,
-        host_index: usize,
-        liveness: TaskLiveness,
-    ) -> u32 {
-        let task = attempt.task();
-        let need = &inspected.queued.need;
-        let host = &mut self.snapshot.host_table.hosts[host_index];
-        host.take(need);
-        host.gets(inspected.queued.image);
-        if inspected.is_stopping(task) {
-            add(&mut host.leaving, need);
-        }
-        let zone = host.zone;
-        if liveness == TaskLiveness::Present(TaskPhase::Running) {
-            self.save_before_reclaim(inspected, task, host_index);
-        }
-        if inspected.is_preemptible(task) {
-            let preemptible = preemptible_task(inspected, attempt, host_index);
-            self.snapshot.preemptible.push(preemptible);
-        }
-        zone
-    }
-
-    /// Stops a running task that can save if its spot instance is about to be reclaimed and enough time
-    /// for that is left. A gang stops as a whole.
-    fn save_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
-        let spec = inspected.spec();
-        let grace_s = grace(inspected.job);
-        let reclaimed_at = self.snapshot.host_table.agents[host].notice;
-        let saved_at = self.clock.now + Micros::secs(spec.save_s);
-        if grace_s > 0.0 && reclaimed_at.is_some_and(|at| at > saved_at) {
-            let tasks = tasks_stopped_with(spec, task);
-            self.add_stops(inspected.id, tasks, grace_s);
-        }
-    }
-
+    /// Requests stops of some tasks of a job.
     fn add_stops(&mut self, id: &str, tasks: impl Iterator<Item = u32>, grace_s: f64) {
         let stops = tasks.map(|task| TaskStop {
             job: id.to_string(),
@@ -457,12 +236,6 @@
         self.snapshot.findings.stops.extend(stops);
     }
 
-    /// The zone of a machine that is not in the host table, if it is known.
-    fn zone_off_table(&self, machine: &str) -> Option<u32> {
-        let zone = self.leader.zone_of(machine)?;
-        self.context.backlog.names.find(&zone)
-    }
-
     /// Takes note of a gang that has lost a member, and stops the other members at once, unless one of
     /// them is saving a checkpoint.
     fn add_broken_gang(&mut self, id: &str, tally: &AttemptTally) {
@@ -527,28 +300,6 @@
         Some(entry)
     }
 
-    /// The tasks of a job that may start now. A failing array starts a single task.
-    fn startable_tasks(&self, inspected: &InspectedJob<'a>, tally: &AttemptTally) -> Vec<u32> {
-        let leader = self.leader;
-        let is_taken = |task: u32| {
-            tally.occupied.binary_search(&task).is_ok()
-                || inspected.has_pending_placement(task)
-                || leader.edits.finishing(inspected.id, task)
-        };
-        let mut tasks = unfinished_tasks(inspected.job, is_taken);
-        let failures = leader.troubles.get(inspected.id);
-        let is_failing = failures.is_some_and(|failures| {
-            let recovered = tally.is_running && failures.quiet(self.clock.now);
-            failures.jobs_fault() && !recovered
-        });
-        if inspected.kind() == JobKind::Array && is_failing {
-            // One task shows whether the job still fails. A hundred would take a hundred places, and as
-            // many writes to the store.
-            tasks.truncate(usize::from(tally.present.is_empty()));
-        }
-        tasks
-    }
-
     /// Takes the resources of tasks that agents report but no record places, on their machines and from
     /// the quotas of their teams. Nothing is placed on a machine with a task of an unknown job.
     fn add_unrecorded_tasks(&mut self) {
@@ -579,52 +330,3 @@
         }
     }
 }
-
-fn preemptible_task<'a>(
-    inspected: &InspectedJob<'a>,
-    attempt: &TaskEntry,
-    host: usize,
-) -> PreemptibleTask<'a> {
-    let spec = inspected.spec();
-    let task = attempt.task();
-    let stops_alone = spec.kind == JobKind::Array || spec.tasks == 1;
-    let order = inspected.start_order.and_then(|order| order.get(&task));
-    PreemptibleTask {
-        job: inspected.id,
-        task,
-        host,
-        need: inspected.queued.need,
-        order: order.copied().unwrap_or(0),
-        backfilled: attempt.backfilled(),
-        priority: inspected.priority,
-        saves: stops_alone && spec.saves(),
-        save_s: spec.save_s,
-        team: inspected.profile.team,
-        surplus: !inspected.guaranteed,
-        single: spec.kind == JobKind::Array,
-        class: inspected.profile.class,
-        spared: false,
-    }
-}
-
-/// Tasks of a job that are neither done nor taken. At most as many as one pass would start, except for
-/// gangs.
-fn unfinished_tasks(job: &Job, is_taken: impl Fn(u32) -> bool) -> Vec<u32> {
-    let spec = &job.rec.spec;
-    let limit = match spec.kind {
-        JobKind::Gang => spec.tasks as usize,
-        JobKind::Array | JobKind::Service => WIDE_MOST,
-    };
-    let mut tasks = Vec::new();
-    for chunk in 0..spec.tasks.div_ceil(CHUNK) {
-        let first = chunk * CHUNK;
-        let done = job.chunk_of(first).map_or(0, |chunk| chunk.done);
-        let chunk_tasks = first..spec.tasks.min(first + CHUNK);
-        let is_open = |task: &u32| done & (1 << (task % CHUNK)) == 0 && !is_taken(*task);
-        tasks.extend(chunk_tasks.filter(is_open).take(limit - tasks.len()));
-        if tasks.len() >= limit {
-            break;
-        }
-    }
-    tasks
-}
--- /dev/null
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -0,0 +1,58 @@
+//! Which tasks of a job may start.
+
+use super::attempts::AttemptTally;
+use super::{InspectedJob, SnapshotBuilder};
+use crate::protocol::JobKind;
+use crate::protocol::records::CHUNK;
+use crate::scheduling::backfill::WIDE_MOST;
+use crate::state::record_cache::Job;
+
+impl<'a> SnapshotBuilder<'_, 'a> {
+    /// The tasks of a job that may start now. A failing array starts a single task.
+    pub(super) fn startable_tasks(
+        &self,
+        inspected: &InspectedJob<'a>,
+        tally: &AttemptTally,
+    ) -> Vec<u32> {
+        let leader = self.leader;
+        let is_taken = |task: u32| {
+            tally.occupied.binary_search(&task).is_ok()
+                || inspected.has_pending_placement(task)
+                || leader.edits.finishing(inspected.id, task)
+        };
+        let mut tasks = unfinished_tasks(inspected.job, is_taken);
+        let failures = leader.troubles.get(inspected.id);
+        let is_failing = failures.is_some_and(|failures| {
+            let recovered = tally.is_running && failures.quiet(self.clock.now);
+            failures.jobs_fault() && !recovered
+        });
+        if inspected.kind() == JobKind::Array && is_failing {
+            // One task shows whether the job still fails. A hundred would take a hundred places, and as
+            // many writes to the store.
+            tasks.truncate(usize::from(tally.present.is_empty()));
+        }
+        tasks
+    }
+}
+
+/// Tasks of a job that are neither done nor taken. At most as many as one pass would start, except for
+/// gangs.
+fn unfinished_tasks(job: &Job, is_taken: impl Fn(u32) -> bool) -> Vec<u32> {
+    let spec = &job.rec.spec;
+    let limit = match spec.kind {
+        JobKind::Gang => spec.tasks as usize,
+        JobKind::Array | JobKind::Service => WIDE_MOST,
+    };
+    let mut tasks = Vec::new();
+    for chunk in 0..spec.tasks.div_ceil(CHUNK) {
+        let first = chunk * CHUNK;
+        let done = job.chunk_of(first).map_or(0, |chunk| chunk.done);
+        let chunk_tasks = first..spec.tasks.min(first + CHUNK);
+        let is_open = |task: &u32| done & (1 << (task % CHUNK)) == 0 && !is_taken(*task);
+        tasks.extend(chunk_tasks.filter(is_open).take(limit - tasks.len()));
+        if tasks.len() >= limit {
+            break;
+        }
+    }
+    tasks
+}
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -4,6 +4,7 @@
 pub mod backfill;
 pub mod capacity_index;
 pub mod cluster_snapshot;
+pub mod findings;
 pub mod guarantee;
 pub mod host_table;
 pub mod job_profile;
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -6,9 +6,10 @@
 use crate::cloud::autoscaler::{self, ScalingPlan};
 use crate::policy::Policy;
 use crate::protocol::{Clock, Settings};
-use crate::scheduling::backfill::{self, TaskPlacement};
+use crate::scheduling::backfill::{self, QueueEntry, SchedulingPlan, TaskPlacement};
 use crate::scheduling::capacity_index::CapacityIndex;
-use crate::scheduling::cluster_snapshot::{ClusterSnapshot, JobFindings, SnapshotBuilder, TaskRef};
+use crate::scheduling::cluster_snapshot::{ClusterSnapshot, SnapshotBuilder};
+use crate::scheduling::findings::{JobFindings, TaskRef};
 use crate::scheduling::host_table::{HostTable, ImageAvailability};
 use crate::scheduling::job_queue::JobQueue;
 use crate::scheduling::pending_jobs::{PendingJobs, SchedulingContext};
@@ -151,32 +152,15 @@
         &mut quotas,
         largest_demand,
     );
-    let zones = offered_zones(cache, &context.backlog.names);
-    let demand = QueueDemand {
+    let placed = PlacedQueue {
         entries: &entries,
         pending: &pending,
-        placed_zones: placed_zones(&plan, &capacity),
-        zones: &zones,
+        host_table: &host_table,
+        capacity: &capacity,
+        plan: &plan,
+        knows_agents,
     };
-    if let Some(unplaced) = unplaced {
-        unplaced.extend(demand.unplaced_jobs(&plan.lacks));
-    }
-    let fleet_snapshot = autoscaler::FleetSnapshot {
-        leader,
-        cache,
-        settings: inputs.settings,
-        policy: inputs.policy,
-        clock: inputs.clock,
-        hosts: &host_table,
-        rooms: &capacity,
-        learnt: knows_agents,
-    };
-    let scaling = autoscaler::plan(
-        &fleet_snapshot,
-        &context.backlog.names,
-        &demand,
-        &plan.lacks,
-    );
+    let scaling = placed.scaling_plan(inputs, &context.backlog.names, unplaced);
     let decision = PassDecision {
         starts: task_starts(plan.places, &host_table, &capacity, cache),
         preemptions: task_refs(plan.stops),
@@ -192,6 +176,52 @@
     decision
 }
 
+/// The queue and the machines after tasks have been placed.
+struct PlacedQueue<'p, 'a> {
+    /// Entries of the inspected jobs.
+    entries: &'p [QueueEntry<'a>],
+    /// All other queued jobs.
+    pending: &'p PendingJobs<'a>,
+    host_table: &'p HostTable<'a>,
+    /// The machines, with the resources that are free after the pass.
+    capacity: &'p CapacityIndex,
+    plan: &'p SchedulingPlan<'a>,
+    /// The leader has been in office long enough to know all agents.
+    knows_agents: bool,
+}
+
+impl PlacedQueue<'_, '_> {
+    /// Plans which machines to rent and to return. `unplaced` receives the jobs with unmet demand.
+    fn scaling_plan(
+        &self,
+        inputs: &PassInputs<'_>,
+        names: &NameTable,
+        unplaced: Option<&mut Vec<UnplacedJob>>,
+    ) -> ScalingPlan {
+        let zones = offered_zones(inputs.cache, names);
+        let demand = QueueDemand {
+            entries: self.entries,
+            pending: self.pending,
+            placed_zones: placed_zones(self.plan, self.capacity),
+            zones: &zones,
+        };
+        if let Some(unplaced) = unplaced {
+            unplaced.extend(demand.unplaced_jobs(&self.plan.lacks));
+        }
+        let fleet_snapshot = autoscaler::FleetSnapshot {
+            leader: inputs.leader,
+            cache: inputs.cache,
+            settings: inputs.settings,
+            policy: inputs.policy,
+            clock: inputs.clock,
+            hosts: self.host_table,
+            rooms: self.capacity,
+            learnt: self.knows_agents,
+        };
+        autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.lacks)
+    }
+}
+
 /// What a pass has to know about any job besides its record.
 fn scheduling_context<'a>(inputs: &PassInputs<'a>, backlog: &'a JobQueue) -> SchedulingContext<'a> {
     let types = inputs.cache.types.iter().flatten();
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -18,7 +18,7 @@
 use walnuttrestle::protocol::settings::Team;
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::records::record_writer::PendingWrite;
-use walnuttrestle::scheduling::cluster_snapshot::TaskRef;
+use walnuttrestle::scheduling::findings::TaskRef;
 use walnuttrestle::scheduling::pass::{
     self, PassDecision, PassInputs, PassState, Reservation, TaskStart,
 };
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -1,8 +1,8 @@
-//! A pass as it was made before the queue was kept (its version of 2026-12-01, commit 8b93c06): every
-//! job is surveyed, sorted and tried against every machine. Kept as the plain reference to which the
-//! scheduler's passes are compared, and as what they are measured against. The largest demand counts
-//! before the walk, and a gang that has waited for long takes the place of tasks that cannot save, as now; all
-//! else is as it was.
+//! The reference implementation of a scheduling pass: the one of 2026-12-01 (commit 8b93c06), before the
+//! queue was updated incrementally. It inspects every job, sorts all of them, and tries each against
+//! every machine. The scheduler's passes are compared with it, and measured against it. Only two rules
+//! have followed later changes: the largest demand is determined before jobs are placed, and a gang that
+//! has waited long preempts tasks that cannot save.
 
 #![allow(dead_code)]
 
@@ -16,7 +16,7 @@
 use walnuttrestle::protocol::records::{CHUNK, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
-use walnuttrestle::scheduling::cluster_snapshot::{BrokenGang, TaskRef, TaskStop};
+use walnuttrestle::scheduling::findings::{BrokenGang, TaskRef, TaskStop};
 use walnuttrestle::scheduling::pass::{PassInputs, Reservation, TaskStart};
 use walnuttrestle::scheduling::placement::{
     self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, may_take, slots,
@@ -26,27 +26,49 @@
 use walnuttrestle::state::agent::TaskLiveness;
 use walnuttrestle::state::record_cache::{Job, RecordCache};
 
-const PLACES: usize = 128;
-const OVERDUE: Micros = Micros::millis(60_000);
-const STARVED: Micros = Micros::millis(120_000);
-const AGED: Micros = Micros::millis(20_000);
+/// Most placements of one pass.
+const MAX_PLACEMENTS: usize = 128;
+/// A guaranteed job that has waited this long may preempt gangs of other teams.
+const OVERDUE_AFTER: Micros = Micros::millis(60_000);
+/// A job that has waited this long is backfilled before shorter ones.
+const STARVED_AFTER: Micros = Micros::millis(120_000);
+/// A gang that has waited this long may preempt tasks that cannot save.
+const AGED_AFTER: Micros = Micros::millis(20_000);
+/// A job class that takes no more than this fraction of the cluster is spared from aged gangs.
+const SPARED_FRACTION: f64 = 0.1;
+/// Sums of resource amounts may be off by this much.
+const TOLERANCE: f64 = 1e-6;
+/// Lower bound of the image fetch rate, in GB a second.
+const MIN_FETCH_RATE: f64 = 1e-3;
+/// Lower bound of the largest demand, which demands are divided by.
+const MIN_LARGEST_DEMAND: f64 = 1e-9;
 
-/// What a pass decides, in the words of `pass::PassDecision`.
+/// The result of a pass, in the types of `pass::PassDecision`.
 #[derive(Debug, Default)]
 pub struct ReferenceDecision {
+    /// Tasks to start, in the order in which they were placed.
     pub starts: Vec<TaskStart>,
+    /// Tasks to preempt.
     pub preemptions: Vec<TaskRef>,
+    /// Machines to hold for jobs whose room is being cleared.
     pub reservations: Vec<Reservation>,
+    /// Jobs with tasks that could not be placed.
     pub unplaced: Vec<UnplacedJob>,
+    /// The largest demand of any job so far.
     pub largest_demand: f64,
+    /// Ended jobs without any task on a machine.
     pub cleanable_jobs: Vec<String>,
+    /// Tasks that were reported as done, and are not recorded so yet.
     pub done_tasks: Vec<TaskRef>,
+    /// Tasks to stop for other reasons than preemption.
     pub stops: Vec<TaskStop>,
+    /// Gangs that have lost a member.
     pub broken_gangs: Vec<BrokenGang>,
 }
 
+/// The machines. All lists are in the same order.
 struct HostTable {
-    list: Vec<Host>,
+    hosts: Vec<Host>,
     names: Vec<String>,
     index: HashMap<String, usize>,
 }
@@ -57,23 +79,42 @@
     }
 }
 
-type Room = BTreeMap<String, [f64; 2]>;
+/// By team: CPUs and GPUs that it may still take.
+type Quotas = BTreeMap<String, [f64; 2]>;
 
 #[derive(Default)]
 struct SchedulingPlan {
-    places: Vec<(String, u32, usize, bool)>,
-    stops: Vec<(String, u32)>,
-    reserved: Vec<(usize, String)>,
-    lacks: Vec<(String, u32)>,
-    /// What wide arrays may still take before all others have been met, and which of them were cut short.
-    wide: u32,
-    cut: Vec<(String, u32, f64, bool)>,
+    placements: Vec<Placement>,
+    preemptions: Vec<TaskRef>,
+    /// Machines, by index, that are held for a job.
+    reservations: Vec<(usize, String)>,
+    unplaced: Vec<UnplacedJob>,
+    /// Number of tasks that wide arrays may still start before all other jobs have been considered.
+    wide_budget: u32,
+    /// Wide arrays that were cut short.
+    cut_arrays: Vec<CutArray>,
 }
 
-/// One pass.
+struct Placement {
+    job: String,
+    task: u32,
+    host: usize,
+    backfilled: bool,
+}
+
+/// A wide array that continues after all other jobs have been considered.
+struct CutArray {
+    job: String,
+    /// Number of its startable tasks that have been placed.
+    placed: u32,
+    demand_ratio: f64,
+    backfill: bool,
+}
+
+/// Decides on one pass.
 pub fn decide(inputs: &PassInputs<'_>) -> ReferenceDecision {
     let PassInputs {
-        leader: l,
+        leader,
         cache,
         settings,
         policy,
@@ -81,264 +122,277 @@
     } = *inputs;
     let now = clock.now;
     let mut names = NameTable::default();
-    let mut hosts = hosts(l, settings, policy, cache, &mut names, now);
-    let mut room: Room = Room::new();
-    for t in &settings.params.teams {
-        let most = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
-        room.insert(t.name.clone(), [most(t.cpus_max), most(t.gpus_max)]);
-    }
-    let mut victims: Vec<PreemptibleTask<'_>> = Vec::new();
-    let mut items: Vec<QueueEntry<'_>> = Vec::new();
-    let mut found = ReferenceDecision::default();
-    let within = guaranteed(settings, cache);
-    let lifted = InheritedPriorities::new(cache);
-    let rates = cache.types.iter().flatten().map(|t| t.fetch_gb_per_s);
-    let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(1e-3);
-    let mut all = [0.0; 3];
-    for h in &hosts.list {
-        placement::add(&mut all, &h.total);
-    }
-    let mut used: HashMap<&str, f64> = HashMap::new();
+    let mut host_table = host_table(leader, settings, policy, cache, &mut names, now);
+    let mut quotas: Quotas = Quotas::new();
+    for team in &settings.params.teams {
+        let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+        quotas.insert(
+            team.name.clone(),
+            [limit(team.cpus_max), limit(team.gpus_max)],
+        );
+    }
+    let mut preemptible: Vec<PreemptibleTask<'_>> = Vec::new();
+    let mut entries: Vec<QueueEntry<'_>> = Vec::new();
+    let mut decision = ReferenceDecision::default();
+    let guaranteed_jobs = guaranteed_jobs(settings, cache);
+    let inherited = InheritedPriorities::new(cache);
+    let rates = cache.types.iter().flatten().map(|kind| kind.fetch_gb_per_s);
+    let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_RATE);
+    let mut cluster_total = [0.0; 3];
+    for host in &host_table.hosts {
+        placement::add(&mut cluster_total, &host.total);
+    }
+    let mut usage_by_class: HashMap<&str, f64> = HashMap::new();
     for (id, job) in &cache.jobs {
-        let item = survey(
-            l,
+        let entry = inspect(
+            leader,
             id,
             job,
-            &mut hosts,
+            &mut host_table,
             &mut names,
-            &mut room,
-            (&all, &mut used),
-            &mut victims,
-            &mut found,
-            within.contains(id.as_str()),
-            &lifted,
+            &mut quotas,
+            (&cluster_total, &mut usage_by_class),
+            &mut preemptible,
+            &mut decision,
+            guaranteed_jobs.contains(id.as_str()),
+            &inherited,
             fetch_rate,
             clock,
         );
-        items.extend(item);
-    }
-    unrecorded(l, cache, &mut hosts, &mut room);
-    let first = |i: &QueueEntry<'_>| i.lost > 0 && i.spec.kind == JobKind::Service;
-    items.sort_by_key(|i| (!first(i), i.at, i.id));
-    for h in &mut hosts.list {
-        if h.reserved
-            .as_ref()
-            .is_some_and(|r| items.iter().all(|i| i.id != &**r))
-        {
-            h.reserved = None;
+        entries.extend(entry);
+    }
+    add_unrecorded_tasks(leader, cache, &mut host_table, &mut quotas);
+    let is_urgent = |entry: &QueueEntry<'_>| entry.lost > 0 && entry.spec.kind == JobKind::Service;
+    entries.sort_by_key(|entry| (!is_urgent(entry), entry.at, entry.id));
+    for host in &mut host_table.hosts {
+        let reserved = host.reserved.as_deref();
+        if reserved.is_some_and(|job| entries.iter().all(|entry| entry.id != job)) {
+            host.reserved = None;
         }
     }
-    if !l.learnt(settings, now) {
-        victims.clear();
+    if !leader.learnt(settings, now) {
+        preemptible.clear();
     }
     let class = |id: &str| cache.jobs[id].rec.spec.class.as_str();
-    for v in &mut victims {
-        let used = used.get(class(v.job)).copied().unwrap_or(0.0);
-        v.spared = used <= 0.1;
-    }
-    let typical = hosts.list.first().map_or([1.0; 3], |h| h.total);
-    let waits = cache.jobs.values().filter(|j| j.active() && !j.waits());
-    let demands = waits.map(|j| {
-        let s = &j.rec.spec;
-        s.tasks as f64 * placement::size(&typical, &placement::need(s))
+    for task in &mut preemptible {
+        let usage = usage_by_class.get(class(task.job)).copied().unwrap_or(0.0);
+        task.spared = usage <= SPARED_FRACTION;
+    }
+    let typical_host = host_table.hosts.first().map_or([1.0; 3], |host| host.total);
+    let queued = cache
+        .jobs
+        .values()
+        .filter(|job| job.active() && !job.waits());
+    let demands = queued.map(|job| {
+        let spec = &job.rec.spec;
+        spec.tasks as f64 * placement::size(&typical_host, &placement::need(spec))
     });
-    found.largest_demand = demands.fold(l.b_max, f64::max);
-    let b_max = found.largest_demand;
-    let plan = pass(&items, &mut hosts.list, &victims, &mut room, b_max, PLACES);
-    let start = |(job, task, host, backfilled): (String, u32, usize, bool)| TaskStart {
-        job,
-        task,
-        machine: hosts.names[host].clone(),
-        agent_epoch: hosts.list[host].agent_epoch,
-        backfilled,
+    let largest_demand = demands.fold(leader.b_max, f64::max);
+    decision.largest_demand = largest_demand;
+    let plan = pass(
+        &entries,
+        &mut host_table.hosts,
+        &preemptible,
+        &mut quotas,
+        largest_demand,
+    );
+    let start = |placement: Placement| TaskStart {
+        job: placement.job,
+        task: placement.task,
+        machine: host_table.names[placement.host].clone(),
+        agent_epoch: host_table.hosts[placement.host].agent_epoch,
+        backfilled: placement.backfilled,
     };
-    found.starts = plan.places.into_iter().map(start).collect();
-    found.preemptions = plan
-        .stops
+    decision.starts = plan.placements.into_iter().map(start).collect();
+    decision.preemptions = plan.preemptions;
+    decision.reservations = plan
+        .reservations
         .into_iter()
-        .map(|(job, task)| TaskRef { job, task })
-        .collect();
-    let reserved = plan.reserved.into_iter();
-    found.reservations = reserved
-        .map(|(h, job)| Reservation {
-            machine: hosts.names[h].clone(),
+        .map(|(host, job)| Reservation {
+            machine: host_table.names[host].clone(),
             job,
         })
         .collect();
-    found.unplaced = plan
-        .lacks
-        .into_iter()
-        .map(|(job, tasks)| UnplacedJob { job, tasks })
-        .collect();
-    found
+    decision.unplaced = plan.unplaced;
+    decision
 }
 
-fn hosts(
-    l: &LeaderState,
-    s: &Settings,
+/// The machines that may run tasks, with all their resources free.
+fn host_table(
+    leader: &LeaderState,
+    settings: &Settings,
     policy: &Policy,
     cache: &RecordCache,
     names: &mut NameTable,
     now: Micros,
 ) -> HostTable {
-    let fresh = Micros::secs(s.params.agents.report_s * FRESH_REPORTS);
-    let mut hosts = HostTable {
-        list: Vec::with_capacity(l.agents.len()),
-        names: Vec::with_capacity(l.agents.len()),
-        index: HashMap::with_capacity(l.agents.len()),
+    let fresh = Micros::secs(settings.params.agents.report_s * FRESH_REPORTS);
+    let count = leader.agents.len();
+    let mut host_table = HostTable {
+        hosts: Vec::with_capacity(count),
+        names: Vec::with_capacity(count),
+        index: HashMap::with_capacity(count),
     };
-    for (name, w) in &l.agents {
-        let types = cache.types.iter().flatten();
-        let Some(t) = types.into_iter().find(|t| t.name == w.kind) else {
+    for (name, agent) in &leader.agents {
+        let mut types = cache.types.iter().flatten();
+        let Some(machine_type) = types.find(|known| known.name == agent.kind) else {
             continue;
         };
-        if w.is_over() || l.fleet.is_gone(name) {
+        if agent.is_over() || leader.fleet.is_gone(name) {
             continue;
         }
-        let open = w.term == l.term
-            && w.answered.is_some_and(|t| now < t + fresh)
-            && w.notice.is_none()
-            && w.hearing.hears()
-            && !l.fleet.leaving(name)
-            && !l.sick(w, policy)
-            && !l.suspect(w, now);
-        let total = [t.cpus, t.gpus, t.memory_gb];
-        hosts.index.insert(name.clone(), hosts.list.len());
-        hosts.names.push(name.clone());
-        hosts.list.push(Host {
-            kind: names.id(&w.kind),
-            zone: names.id(&w.zone),
-            spot: w.spot,
-            agent_epoch: w.agent_epoch,
+        let open = agent.term == leader.term
+            && agent.answered.is_some_and(|at| now < at + fresh)
+            && agent.notice.is_none()
+            && agent.hearing.hears()
+            && !leader.fleet.leaving(name)
+            && !leader.sick(agent, policy)
+            && !leader.suspect(agent, now);
+        let total = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
+        host_table
+            .index
+            .insert(name.clone(), host_table.hosts.len());
+        host_table.names.push(name.clone());
+        host_table.hosts.push(Host {
+            kind: names.id(&agent.kind),
+            zone: names.id(&agent.zone),
+            spot: agent.spot,
+            agent_epoch: agent.agent_epoch,
             total,
             free: total,
             leaving: [0.0; 3],
             open,
             images: cache
                 .images
-                .of(name, t.cache_gb)
-                .map(|i| names.id(i))
+                .of(name, machine_type.cache_gb)
+                .map(|image| names.id(image))
                 .collect::<Vec<u32>>()
                 .into(),
-            reserved: l
+            reserved: leader
                 .reserved
                 .get(name)
                 .filter(|(_, until)| *until > now)
-                .map(|(j, _)| j.as_str().into()),
+                .map(|(job, _)| job.as_str().into()),
         });
     }
-    hosts
+    host_table
 }
 
+/// Inspects a job: takes the resources of its tasks, notes what is to be done about them, and returns
+/// its queue entry if it has tasks to start.
 #[allow(clippy::too_many_arguments)]
-fn survey<'a>(
-    l: &LeaderState,
+fn inspect<'a>(
+    leader: &LeaderState,
     id: &'a str,
     job: &'a Job,
-    hosts: &mut HostTable,
+    host_table: &mut HostTable,
     names: &mut NameTable,
-    room: &mut Room,
-    (all, used): (&[f64; 3], &mut HashMap<&'a str, f64>),
-    victims: &mut Vec<PreemptibleTask<'a>>,
-    found: &mut ReferenceDecision,
+    quotas: &mut Quotas,
+    (cluster_total, usage_by_class): (&[f64; 3], &mut HashMap<&'a str, f64>),
+    preemptible: &mut Vec<PreemptibleTask<'a>>,
+    decision: &mut ReferenceDecision,
     guaranteed: bool,
-    lifted: &InheritedPriorities<'_>,
+    inherited: &InheritedPriorities<'_>,
     fetch_rate: f64,
     clock: Clock,
 ) -> Option<QueueEntry<'a>> {
     if job.waits() {
-        // Nothing of it starts before the jobs that it needs are recorded as done; it takes no
-        // room and no place in the queue, and holds nobody up.
+        // None of its tasks starts before the jobs that it depends on are recorded as done, so it takes
+        // no resources and no position in the queue, and blocks no other job.
         return None;
     }
-    let priority = lifted.of(id, job);
+    let priority = inherited.of(id, job);
     let team = names.id(&job.rec.spec.team);
     let now = clock.now;
     let spec = &job.rec.spec;
-    let shape = TaskRequirements {
+    let requirements = TaskRequirements {
         need: placement::need(spec),
         allow: Arc::new(PlacementConstraints::of(spec, names)),
         saves: spec.saves(),
         image: names.id(&spec.image),
         avoid: Vec::new(),
     };
-    let in_flight = l.edits.in_flight(id);
-    let chosen: Vec<TaskEntry> = l.edits.places(id).cloned().collect();
+    let in_flight = leader.edits.in_flight(id);
+    let pending: Vec<TaskEntry> = leader.edits.places(id).cloned().collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
     let mut lost = 0;
-    let mut latest = 0;
-    let mut unknown_zone = false;
-    let mut complete = false;
-    let mut runs = false;
-    let mut standing: Vec<(u32, TaskLiveness)> = Vec::new();
-    // A task with a new place has been proven gone from the old one. To count that attempt as
-    // lost beside the new one would take the gang for broken before it has started.
-    let replaced = |e: &&TaskEntry| chosen.iter().any(|c| c.task() == e.task());
-    let recorded = job.entries().filter(|e| !replaced(e));
-    for e in recorded.chain(&chosen) {
-        let Some(m) = e.machine() else { continue };
-        let s = l.standing(id, e);
-        if !l.presumed(id, e, job.active()) {
+    let mut latest_attempt = 0;
+    let mut has_unknown_zone = false;
+    let mut gang_is_done = false;
+    let mut is_running = false;
+    let mut members: Vec<(u32, TaskLiveness)> = Vec::new();
+    // A task with a pending placement has been proven gone from its recorded machine. If the recorded
+    // attempt counted as lost beside the new one, a gang would be taken for broken before it has
+    // started.
+    let is_replaced = |entry: &&TaskEntry| pending.iter().any(|new| new.task() == entry.task());
+    let recorded = job.entries().filter(|entry| !is_replaced(entry));
+    for attempt in recorded.chain(&pending) {
+        let Some(machine) = attempt.machine() else {
+            continue;
+        };
+        let liveness = leader.standing(id, attempt);
+        if !leader.presumed(id, attempt, job.active()) {
             lost += 1;
-            if s == TaskLiveness::Ended(ExitReason::Done) && job.active() && !in_flight {
-                complete = spec.kind == JobKind::Gang;
-                found.done_tasks.push(TaskRef {
+            if liveness == TaskLiveness::Ended(ExitReason::Done) && job.active() && !in_flight {
+                gang_is_done = spec.kind == JobKind::Gang;
+                decision.done_tasks.push(TaskRef {
                     job: id.to_string(),
-                    task: e.task(),
+                    task: attempt.task(),
                 });
             }
             continue;
         }
-        latest = latest.max(e.attempt());
-        runs |= s == TaskLiveness::Present(TaskPhase::Running);
+        latest_attempt = latest_attempt.max(attempt.attempt());
+        is_running |= liveness == TaskLiveness::Present(TaskPhase::Running);
         if spec.kind == JobKind::Gang {
-            standing.push((e.task(), s));
+            members.push((attempt.task(), liveness));
         }
-        let at = hosts.find(m);
-        let zone = match at {
-            Some(h) => {
-                let host = &mut hosts.list[h];
-                host.take(&shape.need);
-                host.gets(shape.image);
-                if l.stop_of(id, e.task()).is_some() {
-                    placement::add(&mut host.leaving, &shape.need);
+        let host_index = host_table.find(machine);
+        let zone = match host_index {
+            Some(index) => {
+                let host = &mut host_table.hosts[index];
+                host.take(&requirements.need);
+                host.gets(requirements.image);
+                if leader.stop_of(id, attempt.task()).is_some() {
+                    placement::add(&mut host.leaving, &requirements.need);
                 }
-                // A machine that the cloud is about to take: what can save does so now,
-                // a gang as a whole.
-                let notice = l.agents.get(m).and_then(|w| w.notice);
-                let save = grace(job);
-                if save > 0.0
-                    && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
-                    && s == TaskLiveness::Present(TaskPhase::Running)
+                // The spot instance is about to be reclaimed: a task that can save does so now, a gang
+                // as a whole.
+                let reclaimed_at = leader.agents.get(machine).and_then(|agent| agent.notice);
+                let grace_s = grace(job);
+                if grace_s > 0.0
+                    && reclaimed_at.is_some_and(|at| at > now + Micros::secs(spec.save_s))
+                    && liveness == TaskLiveness::Present(TaskPhase::Running)
                 {
-                    let all = match spec.kind {
+                    let tasks = match spec.kind {
                         JobKind::Gang => 0..spec.tasks,
-                        _ => e.task()..e.task() + 1,
+                        _ => attempt.task()..attempt.task() + 1,
                     };
-                    let all = all.map(|task| TaskStop {
+                    let stops = tasks.map(|task| TaskStop {
                         job: id.to_string(),
                         task,
-                        grace_s: save,
+                        grace_s,
                     });
-                    found.stops.extend(all);
+                    decision.stops.extend(stops);
                 }
-                let single = spec.kind == JobKind::Array || spec.tasks == 1;
+                let stops_alone = spec.kind == JobKind::Array || spec.tasks == 1;
                 if spec.kind != JobKind::Service
                     && job.active()
-                    && chosen.is_empty()
+                    && pending.is_empty()
                     && !in_flight
-                    && l.stop_of(id, e.task()).is_none()
+                    && leader.stop_of(id, attempt.task()).is_none()
                 {
-                    let order = l.order_of.get(id).and_then(|o| o.get(&e.task()));
-                    victims.push(PreemptibleTask {
+                    let orders = leader.order_of.get(id);
+                    let order = orders.and_then(|orders| orders.get(&attempt.task()));
+                    preemptible.push(PreemptibleTask {
                         job: id,
-                        task: e.task(),
-                        host: h,
-                        need: shape.need,
+                        task: attempt.task(),
+                        host: index,
+                        need: requirements.need,
                         order: order.copied().unwrap_or(0),
-                        backfilled: e.backfilled(),
+                        backfilled: attempt.backfilled(),
                         priority,
-                        saves: single && spec.saves(),
+                        saves: stops_alone && spec.saves(),
                         save_s: spec.save_s,
                         team,
                         surplus: !guaranteed,
@@ -349,93 +403,104 @@
                 }
                 host.zone
             }
-            None => match l.zone_of(m) {
-                Some(z) => names.id(&z),
+            None => match leader.zone_of(machine) {
+                Some(zone) => names.id(&zone),
                 None => {
-                    unknown_zone = true;
+                    has_unknown_zone = true;
                     u32::MAX
                 }
             },
         };
-        if let Some(r) = room.get_mut(&spec.team) {
-            r[0] -= spec.cpus;
-            r[1] -= spec.gpus;
+        if let Some([cpus, gpus]) = quotas.get_mut(&spec.team) {
+            *cpus -= spec.cpus;
+            *gpus -= spec.gpus;
         }
-        *used.entry(&spec.class).or_default() += placement::size(all, &shape.need);
-        present.push((zone, at));
+        *usage_by_class.entry(&spec.class).or_default() +=
+            placement::size(cluster_total, &requirements.need);
+        present.push((zone, host_index));
     }
     if !job.active() {
         if present.is_empty() && !in_flight {
-            found.cleanable_jobs.push(id.to_string());
+            decision.cleanable_jobs.push(id.to_string());
         }
         return None;
     }
-    // They complete together: the others are not lost when one has reported it first.
-    if complete {
+    // The members of a gang complete together: when one has reported that it is done, the others are
+    // not lost.
+    if gang_is_done {
         return None;
     }
     if spec.kind == JobKind::Gang && !present.is_empty() {
         if lost > 0 {
-            found.broken_gangs.push(BrokenGang {
+            decision.broken_gangs.push(BrokenGang {
                 job: id.to_string(),
-                attempt: latest,
+                attempt: latest_attempt,
             });
-            // Members that save on command are left to it.
+            // Members that are saving a checkpoint may finish.
             let saving = TaskLiveness::Present(TaskPhase::Saving);
-            if standing.iter().all(|(_, s)| *s != saving) {
-                let all = standing.iter().map(|(t, _)| TaskStop {
+            if members.iter().all(|(_, liveness)| *liveness != saving) {
+                let stops = members.iter().map(|(task, _)| TaskStop {
                     job: id.to_string(),
-                    task: *t,
+                    task: *task,
                     grace_s: 0.0,
                 });
-                found.stops.extend(all);
+                decision.stops.extend(stops);
             }
         }
         return None;
     }
-    // A job that fails wherever it is tried waits longer and longer, unless tasks of it do run.
-    let trouble = l.troubles.get(id);
-    let held_off = trouble.is_some_and(|t| t.again > now) && !runs && job.done_count() == 0;
-    // More replicas of a job may be placed while some are being written: if they had to wait, jobs
-    // that came later would take their room. Of other jobs an end may be among what is written.
-    if (in_flight && spec.kind != JobKind::Service) || held_off {
+    // The retry backoff of a failing job does not apply while tasks of it are running.
+    let failures = leader.troubles.get(id);
+    let in_backoff = failures.is_some_and(|failures| failures.again > now)
+        && !is_running
+        && job.done_count() == 0;
+    // Replicas of a service may be placed while others are being written: if they had to wait, jobs that
+    // arrived later would take their resources. For other jobs the pending change may be an end.
+    if (in_flight && spec.kind != JobKind::Service) || in_backoff {
         return None;
     }
-    let avoid = |t: &FailureHistory| t.machines.keys().filter_map(|m| hosts.find(m)).collect();
-    let shape = TaskRequirements {
-        avoid: trouble.map(avoid).unwrap_or_default(),
-        ..shape
+    let failed_hosts = |failures: &FailureHistory| {
+        let machines = failures.machines.keys();
+        machines
+            .filter_map(|machine| host_table.find(machine))
+            .collect()
+    };
+    let requirements = TaskRequirements {
+        avoid: failures.map(failed_hosts).unwrap_or_default(),
+        ..requirements
     };
-    // Zones of tasks nobody can place are unknown: such a job waits.
-    if (spec.one_zone || spec.spread) && unknown_zone {
+    // Zone constraints cannot be checked against tasks whose zones are unknown.
+    if (spec.one_zone || spec.spread) && has_unknown_zone {
         return None;
     }
-    let mut tasks = startable(l, id, job, 2 * PLACES);
-    let fails = |t: &FailureHistory| t.jobs_fault() && !(runs && t.quiet(now));
-    if spec.kind == JobKind::Array && trouble.is_some_and(fails) {
+    let mut tasks = startable(leader, id, job, 2 * MAX_PLACEMENTS);
+    let is_failing =
+        |failures: &FailureHistory| failures.jobs_fault() && !(is_running && failures.quiet(now));
+    if spec.kind == JobKind::Array && failures.is_some_and(is_failing) {
         tasks.truncate(usize::from(present.is_empty()));
     }
     if tasks.is_empty() {
         return None;
     }
-    // What was stopped or has failed was not lost; what went with its machine or its gang was.
-    let gone = |t: &u32| {
-        job.entry(*t).is_some_and(|e| {
-            let s = l.standing(id, e);
-            e.machine().is_some()
-                && matches!(
-                    s,
-                    TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
-                )
+    // A task that was stopped or has failed does not count as lost; one that was lost with its machine
+    // or its gang does.
+    let is_displaced = |task: &&u32| {
+        job.entry(**task).is_some_and(|entry| {
+            let liveness = leader.standing(id, entry);
+            let displaced = matches!(
+                liveness,
+                TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
+            );
+            entry.machine().is_some() && displaced
         })
     };
-    let lost = tasks.iter().filter(|t| gone(t)).count();
+    let lost = tasks.iter().filter(is_displaced).count();
     Some(QueueEntry {
         id,
         at: job.rec.at,
         lost: lost as u32,
         spec,
-        shape,
+        shape: requirements,
         team,
         reach: 0,
         tasks,
@@ -444,95 +509,106 @@
         estimate_s: spec.estimate_s,
         priority,
         guaranteed,
-        overdue: clock.wall.since(job.released) > OVERDUE,
-        aged: clock.wall.since(job.released) > AGED,
-        starved: clock.wall.since(job.released) > STARVED,
+        overdue: clock.wall.since(job.released) > OVERDUE_AFTER,
+        aged: clock.wall.since(job.released) > AGED_AFTER,
+        starved: clock.wall.since(job.released) > STARVED_AFTER,
     })
 }
 
-fn unrecorded(l: &LeaderState, cache: &RecordCache, hosts: &mut HostTable, room: &mut Room) {
-    for (h, name) in hosts.names.iter().enumerate() {
-        let Some(w) = l.agents.get(name) else {
+/// Takes the resources of tasks that agents report but no record places. Nothing is placed on a machine
+/// with a task of an unknown job.
+fn add_unrecorded_tasks(
+    leader: &LeaderState,
+    cache: &RecordCache,
+    host_table: &mut HostTable,
+    quotas: &mut Quotas,
+) {
+    for (name, host) in host_table.names.iter().zip(&mut host_table.hosts) {
+        let Some(agent) = leader.agents.get(name) else {
             continue;
         };
-        for t in w.tasks.iter().filter(|t| t.phase != TaskPhase::Exited) {
-            match cache.jobs.get(&t.job) {
-                Some(j) => {
-                    let on = |e: &TaskEntry| {
-                        (e.task(), e.attempt()) == (t.task, t.attempt) && e.machine().is_some()
-                    };
-                    let known = j.entry(t.task).is_some_and(on) || l.edits.places(&t.job).any(on);
-                    if !known {
-                        let s = &j.rec.spec;
-                        let need = [s.cpus, s.gpus, s.memory_gb];
-                        hosts.list[h].take(&need);
-                        if let Some(r) = room.get_mut(&s.team) {
-                            r[0] -= s.cpus;
-                            r[1] -= s.gpus;
-                        }
-                    }
+        let reported = agent.tasks.iter();
+        for status in reported.filter(|status| status.phase != TaskPhase::Exited) {
+            let Some(job) = cache.jobs.get(&status.job) else {
+                host.open = false;
+                continue;
+            };
+            let places_it = |entry: &TaskEntry| {
+                let attempt = (entry.task(), entry.attempt());
+                attempt == (status.task, status.attempt) && entry.machine().is_some()
+            };
+            let is_placed = job.entry(status.task).is_some_and(places_it)
+                || leader.edits.places(&status.job).any(places_it);
+            if !is_placed {
+                let spec = &job.rec.spec;
+                host.take(&[spec.cpus, spec.gpus, spec.memory_gb]);
+                if let Some([cpus, gpus]) = quotas.get_mut(&spec.team) {
+                    *cpus -= spec.cpus;
+                    *gpus -= spec.gpus;
                 }
-                None => hosts.list[h].open = false,
             }
         }
     }
 }
 
-/// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
-fn guaranteed<'a>(s: &Settings, cache: &'a RecordCache) -> HashSet<&'a str> {
+/// Jobs that fit into their team's guarantee together with all earlier unfinished jobs of the team.
+fn guaranteed_jobs<'a>(settings: &Settings, cache: &'a RecordCache) -> HashSet<&'a str> {
     let mut left: HashMap<&str, [f64; 2]> = HashMap::new();
-    for t in &s.params.teams {
-        if t.cpus > 0.0 || t.gpus > 0.0 {
-            let amount = |v: f64| if v > 0.0 { v } else { f64::INFINITY };
-            left.insert(&t.name, [amount(t.cpus), amount(t.gpus)]);
+    for team in &settings.params.teams {
+        if team.cpus > 0.0 || team.gpus > 0.0 {
+            let amount = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+            left.insert(&team.name, [amount(team.cpus), amount(team.gpus)]);
         }
     }
-    let mut within = HashSet::new();
+    let mut guaranteed = HashSet::new();
     if left.is_empty() {
-        return within;
+        return guaranteed;
     }
-    let active = cache.jobs.iter().filter(|(_, j)| j.active() && !j.waits());
-    let mut jobs: Vec<(&String, &Job)> = active.collect();
-    jobs.sort_by_key(|(id, j)| (j.rec.at, *id));
+    let queued = cache
+        .jobs
+        .iter()
+        .filter(|(_, job)| job.active() && !job.waits());
+    let mut jobs: Vec<(&String, &Job)> = queued.collect();
+    jobs.sort_by_key(|(id, job)| (job.rec.at, *id));
     for (id, job) in jobs {
         let spec = &job.rec.spec;
-        let Some(left) = left.get_mut(spec.team.as_str()) else {
+        let Some([cpus, gpus]) = left.get_mut(spec.team.as_str()) else {
             continue;
         };
-        let n = (spec.tasks as u64).saturating_sub(job.done_count()) as f64;
-        left[0] -= spec.cpus * n;
-        left[1] -= spec.gpus * n;
-        if left.iter().all(|l| *l >= -1e-6) {
-            within.insert(id.as_str());
+        let unfinished = (spec.tasks as u64).saturating_sub(job.done_count()) as f64;
+        *cpus -= spec.cpus * unfinished;
+        *gpus -= spec.gpus * unfinished;
+        if *cpus >= -TOLERANCE && *gpus >= -TOLERANCE {
+            guaranteed.insert(id.as_str());
         }
     }
-    within
+    guaranteed
 }
 
-/// Tasks of a job that may start: not done, and on no machine. At most `most` for arrays.
-fn startable(l: &LeaderState, id: &str, job: &Job, most: usize) -> Vec<u32> {
+/// Tasks of a job that may start: neither done nor on a machine. At most `limit`, except for gangs.
+fn startable(leader: &LeaderState, id: &str, job: &Job, limit: usize) -> Vec<u32> {
     let spec = &job.rec.spec;
-    let most = if spec.kind == JobKind::Gang {
+    let limit = if spec.kind == JobKind::Gang {
         spec.tasks as usize
     } else {
-        most
+        limit
     };
     let mut tasks = Vec::new();
-    let chunks = spec.tasks.div_ceil(CHUNK);
-    let ended = |e: &TaskEntry| {
-        // Its end is on its way to the record.
-        l.presumed(id, e, true) || l.standing(id, e) == TaskLiveness::Ended(ExitReason::Done)
+    let is_occupied = |entry: &TaskEntry| {
+        // A task that was reported as done is about to be recorded so.
+        leader.presumed(id, entry, true)
+            || leader.standing(id, entry) == TaskLiveness::Ended(ExitReason::Done)
     };
-    for c in 0..chunks {
-        let chunk = job.chunk_of(c * CHUNK);
-        for task in c * CHUNK..spec.tasks.min((c + 1) * CHUNK) {
-            let free = match chunk {
+    for first in (0..spec.tasks).step_by(CHUNK as usize) {
+        let chunk = job.chunk_of(first);
+        for task in first..spec.tasks.min(first + CHUNK) {
+            let is_free = match chunk {
                 None => true,
-                Some(ch) => !ch.is_done(task) && !ch.entry(task).is_some_and(ended),
+                Some(chunk) => !chunk.is_done(task) && !chunk.entry(task).is_some_and(is_occupied),
             };
-            if free && !l.edits.finishing(id, task) && !l.edits.placing(id, task) {
+            if is_free && !leader.edits.finishing(id, task) && !leader.edits.placing(id, task) {
                 tasks.push(task);
-                if tasks.len() >= most {
+                if tasks.len() >= limit {
                     return tasks;
                 }
             }
@@ -541,358 +617,458 @@
     tasks
 }
 
-/// Room is looked for on behalf of this many blocked jobs a pass, first come first: the work of a
-/// pass must not grow with the length of the queue times the size of the fleet.
-const MAKE_WAY: usize = 8;
-const MACHINES_AT_ONCE: usize = 16;
-
-/// What it takes besides saving until a stopped task's place is taken: a stop, a report, a pass, a
-/// record and a start.
+/// In one pass, preemption is tried for this many blocked jobs, in their order: the work of a pass must
+/// not grow with the length of the queue times the size of the fleet.
+const MAX_PREEMPTION_ATTEMPTS: usize = 8;
+/// Tasks that start one by one are given this many machines at once.
+const MAX_CLEARED_MACHINES: usize = 16;
+/// Seconds from the stop of a task to the start of the next one in its place, besides saving: a stop
+/// command, a heartbeat, a pass, a record and a start.
 const STOP_S: f64 = 2.0;
 
-fn team_slots(room: &Room, spec: &JobSpec) -> u32 {
-    let Some([cpus, gpus]) = room.get(&spec.team) else {
+/// How many tasks of a job fit into its team's limit.
+fn team_slots(quotas: &Quotas, spec: &JobSpec) -> u32 {
+    let Some([cpus, gpus]) = quotas.get(&spec.team) else {
         return u32::MAX;
     };
     slots(&[*cpus, *gpus, f64::INFINITY], &[spec.cpus, spec.gpus, 0.0])
 }
 
-fn take(host: &mut Host, room: &mut Room, item: &QueueEntry<'_>) {
-    host.take(&item.shape.need);
-    if let Some(r) = room.get_mut(&item.spec.team) {
-        r[0] -= item.spec.cpus;
-        r[1] -= item.spec.gpus;
+/// Takes the resources of one task of a job.
+fn take(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
+    host.take(&entry.shape.need);
+    if let Some([cpus, gpus]) = quotas.get_mut(&entry.spec.team) {
+        *cpus -= entry.spec.cpus;
+        *gpus -= entry.spec.gpus;
     }
-    host.gets(item.shape.image);
+    host.gets(entry.shape.image);
 }
 
-/// Starts what fits, in order; `b_max` is the largest demand seen and is raised here.
+/// Places what fits, in order. `largest_demand` is that of any job so far, these jobs included.
 fn pass(
-    items: &[QueueEntry<'_>],
+    entries: &[QueueEntry<'_>],
     hosts: &mut [Host],
-    victims: &[PreemptibleTask<'_>],
-    room: &mut Room,
-    b_max: f64,
-    most: usize,
+    preemptible: &[PreemptibleTask<'_>],
+    quotas: &mut Quotas,
+    largest_demand: f64,
 ) -> SchedulingPlan {
     let mut plan = SchedulingPlan {
-        wide: PLACES as u32 / 2,
+        wide_budget: MAX_PLACEMENTS as u32 / 2,
         ..SchedulingPlan::default()
     };
-    let mut blocked = false;
+    let mut is_blocked = false;
     let mut later: Vec<&QueueEntry<'_>> = Vec::new();
-    let typical = hosts.first().map_or([1.0; 3], |h| h.total);
-    let demand =
-        |i: &QueueEntry<'_>| i.spec.tasks as f64 * placement::size(&typical, &i.shape.need);
-    let mut tries = MAKE_WAY;
-    for item in items {
-        if plan.places.len() >= most {
+    let typical_host = hosts.first().map_or([1.0; 3], |host| host.total);
+    let demand_ratio = |entry: &QueueEntry<'_>| {
+        let size = placement::size(&typical_host, &entry.shape.need);
+        entry.spec.tasks as f64 * size / largest_demand.max(MIN_LARGEST_DEMAND)
+    };
+    let mut attempts = MAX_PREEMPTION_ATTEMPTS;
+    for entry in entries {
+        if plan.placements.len() >= MAX_PLACEMENTS {
             break;
         }
-        if blocked && item.spec.kind != JobKind::Service {
-            later.push(item);
+        if is_blocked && entry.spec.kind != JobKind::Service {
+            later.push(entry);
             continue;
         }
-        let before = plan.places.len();
-        let ratio = demand(item) / b_max.max(1e-9);
-        let short = start(item, hosts, room, ratio, false, victims, &mut plan);
+        let before = plan.placements.len();
+        let ratio = demand_ratio(entry);
+        let short = start(entry, hosts, quotas, ratio, false, preemptible, &mut plan);
         if short == 0 {
             continue;
         }
-        plan.lacks.push((item.id.to_string(), short));
-        let presses = item.spec.kind != JobKind::Array || item.guaranteed;
-        let singly = item.spec.kind == JobKind::Array;
-        if presses && (plan.places.len() == before || singly) && tries > 0 {
-            tries -= usize::from(make_way(item, short, hosts, victims, !blocked, &mut plan));
+        plan.unplaced.push(UnplacedJob {
+            job: entry.id.to_string(),
+            tasks: short,
+        });
+        let may_preempt = entry.spec.kind != JobKind::Array || entry.guaranteed;
+        let starts_singly = entry.spec.kind == JobKind::Array;
+        let placed_none = plan.placements.len() == before;
+        if may_preempt && (placed_none || starts_singly) && attempts > 0 {
+            let is_top = !is_blocked;
+            let tried = make_way(entry, short, hosts, preemptible, is_top, &mut plan);
+            attempts -= usize::from(tried);
         }
-        blocked |= item.spec.kind != JobKind::Service;
+        is_blocked |= entry.spec.kind != JobKind::Service;
     }
-    later.sort_by(|a, b| {
-        let of = |i: &QueueEntry<'_>| if i.starved { 0.0 } else { i.estimate_s };
-        let starved = b.starved.cmp(&a.starved);
-        starved.then(of(a).total_cmp(&of(b)))
+    later.sort_by(|left, right| {
+        let estimate_s = |entry: &QueueEntry<'_>| match entry.starved {
+            true => 0.0,
+            false => entry.estimate_s,
+        };
+        let starved_first = right.starved.cmp(&left.starved);
+        starved_first.then(estimate_s(left).total_cmp(&estimate_s(right)))
     });
-    let mut topped = false;
-    for item in later {
-        if plan.places.len() >= most {
+    let mut has_top = false;
+    for entry in later {
+        if plan.placements.len() >= MAX_PLACEMENTS {
             break;
         }
-        let ratio = demand(item) / b_max.max(1e-9);
-        let short = start(item, hosts, room, ratio, true, victims, &mut plan);
+        let ratio = demand_ratio(entry);
+        let short = start(entry, hosts, quotas, ratio, true, preemptible, &mut plan);
         if short > 0 {
-            plan.lacks.push((item.id.to_string(), short));
-            let top = item.starved && !topped && item.spec.kind == JobKind::Gang;
-            topped |= top;
-            if (item.spec.kind == JobKind::Gang || item.guaranteed) && tries > 0 {
-                tries -= usize::from(make_way(item, short, hosts, victims, top, &mut plan));
+            plan.unplaced.push(UnplacedJob {
+                job: entry.id.to_string(),
+                tasks: short,
+            });
+            let is_top = entry.starved && !has_top && entry.spec.kind == JobKind::Gang;
+            has_top |= is_top;
+            let may_preempt = entry.spec.kind == JobKind::Gang || entry.guaranteed;
+            if may_preempt && attempts > 0 {
+                let tried = make_way(entry, short, hosts, preemptible, is_top, &mut plan);
+                attempts -= usize::from(tried);
             }
         }
     }
-    for (id, first, ratio, backfill) in std::mem::take(&mut plan.cut) {
-        let Some(item) = items.iter().find(|i| i.id == id) else {
+    for cut in std::mem::take(&mut plan.cut_arrays) {
+        let Some(entry) = entries.iter().find(|entry| entry.id == cut.job) else {
             continue;
         };
-        let left = (2 * most).saturating_sub(plan.places.len());
-        let rest = &item.tasks[first as usize..];
-        let n = (team_slots(room, item.spec) as usize).min(left);
-        let rest = &rest[..n.min(rest.len())];
-        spread(item, rest, hosts, room, ratio, backfill, victims, &mut plan);
+        let left = (2 * MAX_PLACEMENTS).saturating_sub(plan.placements.len());
+        let rest = &entry.tasks[cut.placed as usize..];
+        let count = (team_slots(quotas, entry.spec) as usize).min(left);
+        let rest = &rest[..count.min(rest.len())];
+        place_singly(
+            entry,
+            rest,
+            hosts,
+            quotas,
+            cut.demand_ratio,
+            cut.backfill,
+            preemptible,
+            &mut plan,
+        );
     }
     plan
 }
 
-/// Starts what fits of one job; returns how many tasks found no room (its team's limit aside).
+/// Places what fits of one job. Returns how many tasks do not fit, not counting those beyond the limit
+/// of its team.
 fn start(
-    item: &QueueEntry<'_>,
+    entry: &QueueEntry<'_>,
     hosts: &mut [Host],
-    room: &mut Room,
-    ratio: f64,
+    quotas: &mut Quotas,
+    demand_ratio: f64,
     backfill: bool,
-    victims: &[PreemptibleTask<'_>],
+    preemptible: &[PreemptibleTask<'_>],
     plan: &mut SchedulingPlan,
 ) -> u32 {
-    let spec = item.spec;
-    let n = item.tasks.len() as u32;
-    let may = team_slots(room, spec).min(n);
+    let spec = entry.spec;
+    let wanted = entry.tasks.len() as u32;
+    let allowed = team_slots(quotas, spec).min(wanted);
     if spec.kind == JobKind::Gang {
-        if may < n {
+        if allowed < wanted {
             return 0;
         }
-        let Some(found) =
-            placement::gang(hosts, 0..hosts.len(), item.id, spec, &item.shape, n, ratio)
-        else {
-            return n;
+        let all_hosts = 0..hosts.len();
+        let requirements = &entry.shape;
+        let found = placement::gang(
+            hosts,
+            all_hosts,
+            entry.id,
+            spec,
+            requirements,
+            wanted,
+            demand_ratio,
+        );
+        let Some(found) = found else {
+            return wanted;
         };
-        for (task, host) in item.tasks.iter().zip(found) {
-            take(&mut hosts[host], room, item);
-            plan.places
-                .push((item.id.to_string(), *task, host, backfill));
+        for (task, host) in entry.tasks.iter().zip(found) {
+            take(&mut hosts[host], quotas, entry);
+            plan.placements.push(Placement {
+                job: entry.id.to_string(),
+                task: *task,
+                host,
+                backfilled: backfill,
+            });
         }
         return 0;
     }
-    let wide = spec.kind == JobKind::Array && !spec.one_zone && !spec.spread;
-    if wide && n as usize >= PLACES {
-        let takes = |h: &&Host| may_take(h, item.id, &item.shape.need, &item.shape.allow);
-        let free: u32 = hosts
+    let is_wide = spec.kind == JobKind::Array
+        && !spec.one_zone
+        && !spec.spread
+        && wanted as usize >= MAX_PLACEMENTS;
+    let (need, constraints) = (&entry.shape.need, &entry.shape.allow);
+    let free: u32 = if is_wide {
+        hosts
             .iter()
-            .filter(takes)
-            .map(|h| slots(&h.free, &item.shape.need))
-            .sum();
-        let share = (free / 2).max(u32::from(item.present.is_empty()).min(free));
-        let first = may.min(plan.wide).min(share);
-        let tasks = &item.tasks[..first as usize];
-        let short = spread(item, tasks, hosts, room, ratio, backfill, victims, plan);
-        plan.wide -= first - short;
-        let cut = (item.id.to_string(), first - short, ratio, backfill);
-        plan.cut.push(cut);
-        return may.saturating_sub(free);
-    }
-    let tasks = &item.tasks[..may as usize];
-    spread(item, tasks, hosts, room, ratio, backfill, victims, plan)
+            .filter(|host| may_take(host, entry.id, need, constraints))
+            .map(|host| slots(&host.free, need))
+            .sum()
+    } else {
+        0
+    };
+    let first = if is_wide {
+        let share = (free / 2).max(u32::from(entry.present.is_empty()).min(free));
+        allowed.min(plan.wide_budget).min(share)
+    } else {
+        allowed
+    };
+    let tasks = &entry.tasks[..first as usize];
+    let short = place_singly(
+        entry,
+        tasks,
+        hosts,
+        quotas,
+        demand_ratio,
+        backfill,
+        preemptible,
+        plan,
+    );
+    if !is_wide {
+        return short;
+    }
+    let placed = first - short;
+    plan.wide_budget -= placed;
+    plan.cut_arrays.push(CutArray {
+        job: entry.id.to_string(),
+        placed,
+        demand_ratio,
+        backfill,
+    });
+    allowed.saturating_sub(free)
 }
 
-/// Starts tasks one by one; returns how many found no room.
+/// Places tasks one by one. Returns how many do not fit.
 #[allow(clippy::too_many_arguments)]
-fn spread(
-    item: &QueueEntry<'_>,
+fn place_singly(
+    entry: &QueueEntry<'_>,
     tasks: &[u32],
     hosts: &mut [Host],
-    room: &mut Room,
-    ratio: f64,
+    quotas: &mut Quotas,
+    demand_ratio: f64,
     backfill: bool,
-    victims: &[PreemptibleTask<'_>],
+    preemptible: &[PreemptibleTask<'_>],
     plan: &mut SchedulingPlan,
 ) -> u32 {
-    let spec = item.spec;
-    let service = spec.kind == JobKind::Service;
-    let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
-    let half = spec.tasks.div_ceil(2) as usize;
-    let has = |i: usize| item.present.iter().any(|(_, m)| *m == Some(i));
+    let spec = entry.spec;
+    let need = &entry.shape.need;
+    let is_service = spec.kind == JobKind::Service;
+    let mut zones: Vec<u32> = entry.present.iter().map(|(zone, _)| *zone).collect();
+    let most_per_zone = spec.tasks.div_ceil(2) as usize;
+    let has_task = |host: usize| entry.present.iter().any(|(_, other)| *other == Some(host));
     let mut picker = HostPicker::new(
         hosts,
         0..hosts.len(),
-        item.id,
-        &item.shape,
-        ratio,
-        service,
-        has,
+        entry.id,
+        &entry.shape,
+        demand_ratio,
+        is_service,
+        has_task,
     );
-    let mut clearing = None;
-    for (k, task) in tasks.iter().enumerate() {
-        let fits = |zone: u32| {
-            (!spec.one_zone || zones.iter().all(|z| *z == zone))
-                && (!spec.spread || zones.iter().filter(|z| **z == zone).count() < half)
+    let mut being_cleared = None;
+    for (index, task) in tasks.iter().enumerate() {
+        let fits_zone = |zone: u32| {
+            let in_zone = zones.iter().filter(|other| **other == zone).count();
+            (!spec.one_zone || in_zone == zones.len()) && (!spec.spread || in_zone < most_per_zone)
         };
-        let Some(host) = picker.next(hosts, fits) else {
-            return (tasks.len() - k) as u32;
+        let Some(host) = picker.next(hosts, fits_zone) else {
+            return (tasks.len() - index) as u32;
         };
-        if service && !hosts[host].has(item.shape.image) {
-            let cleared = |h: &&Host| {
-                h.reserved.as_deref() == Some(item.id)
-                    && slots(&h.free, &item.shape.need) == 0
-                    && slots(&h.soon(), &item.shape.need) > 0
+        if is_service && !hosts[host].has(entry.shape.image) {
+            let is_being_cleared = |host: &&Host| {
+                host.reserved.as_deref() == Some(entry.id)
+                    && slots(&host.free, need) == 0
+                    && slots(&host.soon(), need) > 0
             };
-            let waits = clearing.get_or_insert_with(|| hosts.iter().filter(cleared).count());
-            if *waits > 0 {
-                // It starts as soon as its place is clear.
-                *waits -= 1;
+            let count = || hosts.iter().filter(is_being_cleared).count();
+            let waiting = being_cleared.get_or_insert_with(count);
+            if *waiting > 0 {
+                // The replica starts as soon as its place is clear.
+                *waiting -= 1;
                 picker.back(hosts, host);
                 continue;
             }
-            if let Some(v) = in_the_way(item, hosts, victims, fits) {
-                plan.stops.push((v.job.to_string(), v.task));
-                plan.reserved.push((v.host, item.id.to_string()));
-                hosts[v.host].reserved = Some(item.id.into());
-                zones.push(hosts[v.host].zone);
+            if let Some(task) = in_the_way(entry, hosts, preemptible, fits_zone) {
+                plan.preemptions.push(task_ref(task));
+                plan.reservations.push((task.host, entry.id.to_string()));
+                hosts[task.host].reserved = Some(entry.id.into());
+                zones.push(hosts[task.host].zone);
                 picker.back(hosts, host);
                 continue;
             }
         }
-        take(&mut hosts[host], room, item);
+        take(&mut hosts[host], quotas, entry);
         picker.taken(hosts, host);
         zones.push(hosts[host].zone);
-        plan.places
-            .push((item.id.to_string(), *task, host, backfill && !service));
+        plan.placements.push(Placement {
+            job: entry.id.to_string(),
+            task: *task,
+            host,
+            backfilled: backfill && !is_service,
+        });
     }
     0
 }
 
-/// A task of a lower priority, saving and alone, that keeps a replica from a machine with its image,
-/// where the replica would start in less than half the time that a fetch takes.
+fn task_ref(task: &PreemptibleTask<'_>) -> TaskRef {
+    TaskRef {
+        job: task.job.to_string(),
+        task: task.task,
+    }
+}
+
+/// A task of a lower priority that can save, stops alone, and keeps a replica from a machine with its
+/// image, if the replica would start there in less than half the time that a fetch takes.
 fn in_the_way<'a, 'b>(
-    item: &QueueEntry<'_>,
+    entry: &QueueEntry<'_>,
     hosts: &[Host],
-    victims: &'a [PreemptibleTask<'b>],
-    fits: impl Fn(u32) -> bool,
+    preemptible: &'a [PreemptibleTask<'b>],
+    fits_zone: impl Fn(u32) -> bool,
 ) -> Option<&'a PreemptibleTask<'b>> {
-    let serves = |v: &&PreemptibleTask<'_>| {
-        let h = &hosts[v.host];
-        let room = || {
-            let mut room = h.free;
-            placement::add(&mut room, &v.need);
-            room
+    let serves = |task: &&PreemptibleTask<'_>| {
+        let host = &hosts[task.host];
+        let free_afterwards = || {
+            let mut free = host.free;
+            placement::add(&mut free, &task.need);
+            free
         };
-        v.single
-            && v.saves
-            && v.priority < item.priority
-            && item.fetch_s > 2.0 * (v.save_s + STOP_S)
-            && h.open
-            && h.reserved.is_none()
-            && h.has(item.shape.image)
-            && slots(&room(), &item.shape.need) > 0
-            && item.shape.allow.takes(h.kind, h.zone, h.spot)
-            && !item.shape.avoid.contains(&v.host)
-            && item.present.iter().all(|(_, m)| *m != Some(v.host))
-            && fits(h.zone)
+        task.single
+            && task.saves
+            && task.priority < entry.priority
+            && entry.fetch_s > 2.0 * (task.save_s + STOP_S)
+            && host.open
+            && host.reserved.is_none()
+            && host.has(entry.shape.image)
+            && slots(&free_afterwards(), &entry.shape.need) > 0
+            && entry.shape.allow.takes(host.kind, host.zone, host.spot)
+            && !entry.shape.avoid.contains(&task.host)
+            && entry
+                .present
+                .iter()
+                .all(|(_, other)| *other != Some(task.host))
+            && fits_zone(host.zone)
     };
-    victims.iter().filter(serves).max_by_key(|v| v.order)
+    let candidates = preemptible.iter().filter(serves);
+    candidates.max_by_key(|task| task.order)
 }
 
-/// If a blocked job fits once others are gone, stops those on its room, latest first: what was
-/// backfilled, for the job at the top; what has a lower priority, if it can save or makes room for
-/// replicas; and what other teams run beyond their guarantees, for a job within its own. The
-/// machines are kept for the job until it has started. Tells whether there was anything to weigh.
+/// If a blocked job fits once other tasks are gone, preempts those in its place, latest start first:
+/// backfilled tasks, for the job at the top of the queue; tasks of a lower priority, if they can save or
+/// make room for replicas; and what other teams run beyond their guarantees, for a job within its own.
+/// The machines are reserved for the job until it has started. Returns whether any task could be
+/// preempted.
 fn make_way(
-    item: &QueueEntry<'_>,
+    entry: &QueueEntry<'_>,
     short: u32,
     hosts: &[Host],
-    victims: &[PreemptibleTask<'_>],
-    top: bool,
+    preemptible: &[PreemptibleTask<'_>],
+    is_top: bool,
     plan: &mut SchedulingPlan,
 ) -> bool {
-    let service = item.spec.kind == JobKind::Service;
-    let gang = item.spec.kind == JobKind::Gang;
-    let array = item.spec.kind == JobKind::Array;
-    let need = item.shape.need;
-    let kept = |h: &&Host| h.reserved.as_deref() == Some(item.id);
-    if (gang || !item.guaranteed) && hosts.iter().any(|h| kept(&h)) {
+    let is_service = entry.spec.kind == JobKind::Service;
+    let is_gang = entry.spec.kind == JobKind::Gang;
+    let is_array = entry.spec.kind == JobKind::Array;
+    let need = entry.shape.need;
+    let is_reserved = |host: &&Host| host.reserved.as_deref() == Some(entry.id);
+    let holds_any = hosts.iter().any(|host| is_reserved(&host));
+    if (is_gang || !entry.guaranteed) && holds_any {
         return false;
     }
-    let coming: u32 = hosts
+    let reserved_slots: u32 = hosts
         .iter()
-        .filter(kept)
-        .map(|h| slots(&h.soon(), &need))
+        .filter(is_reserved)
+        .map(|host| slots(&host.soon(), &need))
         .sum();
-    let mut left = short.saturating_sub(coming);
+    let mut left = short.saturating_sub(reserved_slots);
     if left == 0 {
         return false;
     }
-    let may = |v: &&PreemptibleTask<'_>| {
-        let lower = v.priority < item.priority && (v.saves || service) && !array;
-        // A guarantee is given back by whoever runs beyond their own: at once by single tasks that
-        // lose little; by gangs, which stop as a whole, when nothing else has helped.
-        let surplus = v.surplus && v.team != item.team && (v.single || item.overdue);
-        let owed = item.guaranteed && surplus;
-        let aged = gang && item.aged && v.single && !v.spared && v.priority < item.priority;
-        hosts[v.host].reserved.is_none()
-            && plan.reserved.iter().all(|(h, _)| *h != v.host)
-            && ((top && gang && v.backfilled) || lower || owed || aged)
+    let may_preempt = |task: &&PreemptibleTask<'_>| {
+        let is_lower = task.priority < entry.priority;
+        let yields_to_priority = is_lower && (task.saves || is_service) && !is_array;
+        // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
+        // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
+        let is_surplus = task.surplus && task.team != entry.team && (task.single || entry.overdue);
+        let yields_to_guarantee = entry.guaranteed && is_surplus;
+        let yields_to_age = is_gang && entry.aged && task.single && !task.spared && is_lower;
+        let yields_to_top = is_top && is_gang && task.backfilled;
+        let yields = yields_to_top || yields_to_priority || yields_to_guarantee || yields_to_age;
+        let is_free = hosts[task.host].reserved.is_none()
+            && plan.reservations.iter().all(|(host, _)| *host != task.host);
+        is_free && yields
     };
-    let victims: Vec<&PreemptibleTask<'_>> = victims.iter().filter(may).collect();
+    let victims: Vec<&PreemptibleTask<'_>> = preemptible.iter().filter(may_preempt).collect();
     if victims.is_empty() {
         return false;
     }
-    let mut without: Vec<Host> = hosts.to_vec();
-    for (h, _) in &plan.reserved {
-        without[*h].open = false;
+    let mut cleared: Vec<Host> = hosts.to_vec();
+    for (host, _) in &plan.reservations {
+        cleared[*host].open = false;
     }
-    for v in &victims {
-        without[v.host].give(&v.need);
+    for victim in &victims {
+        cleared[victim.host].give(&victim.need);
     }
-    let mut by_host: BTreeMap<usize, u32> = BTreeMap::new();
-    if gang && short > 1 {
-        let all = 0..without.len();
-        let found = placement::gang(&without, all, item.id, item.spec, &item.shape, short, 1.0);
-        for h in found.into_iter().flatten() {
-            *by_host.entry(h).or_default() += 1;
+    let mut tasks_by_host: BTreeMap<usize, u32> = BTreeMap::new();
+    if is_gang && short > 1 {
+        let all_hosts = 0..cleared.len();
+        let requirements = &entry.shape;
+        let found = placement::gang(
+            &cleared,
+            all_hosts,
+            entry.id,
+            entry.spec,
+            requirements,
+            short,
+            1.0,
+        );
+        for host in found.into_iter().flatten() {
+            *tasks_by_host.entry(host).or_default() += 1;
         }
     } else {
-        // The fullest machines serve, so that as few as possible have to go.
-        let mut zones: Vec<u32> = item.present.iter().map(|(z, _)| *z).collect();
-        let soon = hosts.iter().filter(kept);
-        let soon = soon.filter(|h| slots(&h.soon(), &need) > 0);
-        zones.extend(soon.map(|h| h.zone));
-        let at_once = if item.guaranteed { MACHINES_AT_ONCE } else { 1 };
-        while left > 0 && by_host.len() < at_once {
-            let fits = |h: &Host| {
-                let in_zone = zones.iter().filter(|z| **z == h.zone).count() as u32;
-                let apart = item.spec.one_zone && zones.iter().any(|z| *z != h.zone);
-                let crowded = item.spec.spread && in_zone >= item.spec.tasks.div_ceil(2);
-                !apart && !crowded
+        // The fullest machines come first, so that as few tasks as possible have to stop.
+        let mut zones: Vec<u32> = entry.present.iter().map(|(zone, _)| *zone).collect();
+        let reserved = hosts.iter().filter(is_reserved);
+        let usable = reserved.filter(|host| slots(&host.soon(), &need) > 0);
+        zones.extend(usable.map(|host| host.zone));
+        let max_hosts = if entry.guaranteed {
+            MAX_CLEARED_MACHINES
+        } else {
+            1
+        };
+        while left > 0 && tasks_by_host.len() < max_hosts {
+            let fits_zone = |host: &Host| {
+                let in_zone = zones.iter().filter(|zone| **zone == host.zone).count() as u32;
+                let is_apart = entry.spec.one_zone && zones.iter().any(|zone| *zone != host.zone);
+                let is_crowded = entry.spec.spread && in_zone >= entry.spec.tasks.div_ceil(2);
+                !is_apart && !is_crowded
             };
-            let lost = |i: usize| (without[i].free[1] - hosts[i].free[1]).max(0.0);
-            let best = (0..without.len())
-                .filter(|i| {
-                    !by_host.contains_key(i)
-                        && fits(&without[*i])
-                        && may_take(&without[*i], item.id, &need, &item.shape.allow)
+            let gpus_lost = |host: usize| (cleared[host].free[1] - hosts[host].free[1]).max(0.0);
+            let lacks_image = |host: usize| !cleared[host].has(entry.shape.image);
+            let best = (0..cleared.len())
+                .filter(|host| {
+                    !tasks_by_host.contains_key(host)
+                        && fits_zone(&cleared[*host])
+                        && may_take(&cleared[*host], entry.id, &need, &entry.shape.allow)
                 })
-                .min_by(|a, b| {
-                    let image = |i: usize| !without[i].has(item.shape.image);
-                    (lost(*a), image(*a))
-                        .partial_cmp(&(lost(*b), image(*b)))
+                .min_by(|one, other| {
+                    (gpus_lost(*one), lacks_image(*one))
+                        .partial_cmp(&(gpus_lost(*other), lacks_image(*other)))
                         .unwrap_or(std::cmp::Ordering::Equal)
                 });
-            let Some(h) = best else { break };
-            let most = if array { left } else { 1 };
-            let n = slots(&without[h].free, &need).min(most);
-            zones.push(without[h].zone);
-            by_host.insert(h, n);
-            left -= n;
+            let Some(host) = best else { break };
+            let limit = if is_array { left } else { 1 };
+            let count = slots(&cleared[host].free, &need).min(limit);
+            zones.push(cleared[host].zone);
+            tasks_by_host.insert(host, count);
+            left -= count;
         }
     }
-    for (h, n) in by_host {
-        let mut free = hosts[h].free;
-        let mut here: Vec<&&PreemptibleTask<'_>> = victims.iter().filter(|v| v.host == h).collect();
-        here.sort_by_key(|v| std::cmp::Reverse(v.order));
-        for v in here {
-            if slots(&free, &need) >= n {
+    for (host, count) in tasks_by_host {
+        let mut free = hosts[host].free;
+        let on_host = victims.iter().filter(|victim| victim.host == host);
+        let mut on_host: Vec<&&PreemptibleTask<'_>> = on_host.collect();
+        on_host.sort_by_key(|victim| std::cmp::Reverse(victim.order));
+        for victim in on_host {
+            if slots(&free, &need) >= count {
                 break;
             }
-            placement::add(&mut free, &v.need);
-            plan.stops.push((v.job.to_string(), v.task));
+            placement::add(&mut free, &victim.need);
+            plan.preemptions.push(task_ref(victim));
         }
-        plan.reserved.push((h, item.id.to_string()));
+        plan.reservations.push((host, entry.id.to_string()));
     }
     true
 }
