--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -75,7 +75,7 @@
         let broken_gangs = findings.broken_gangs.into_iter();
         self.broken_gangs
             .extend(broken_gangs.map(|gang| (gang.job, gang.attempt)));
-        self.renew_reservations(decision.reservations, now);
+        self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
             self.edits.want(&job, now).clean = true;
@@ -90,7 +90,7 @@
     }
 
     /// Drops expired reservations and adds new ones.
-    fn renew_reservations(&mut self, reservations: Vec<Reservation>, now: Micros) {
+    fn update_reservations(&mut self, reservations: Vec<Reservation>, now: Micros) {
         self.reserved.retain(|_, (_, until)| *until > now);
         for Reservation { machine, job } in reservations {
             self.reserved.insert(machine, (job, now + RESERVATION_TTL));
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -4,7 +4,7 @@
 use crate::protocol::Micros;
 use crate::protocol::cloud_api::MachineType;
 use crate::scheduling::pass::PassInputs;
-use crate::scheduling::placement::{Host, NameTable};
+use crate::scheduling::placement::{Host, NameTable, Resources};
 use crate::state::agent::Agent;
 use crate::state::record_cache::RecordCache;
 use foldhash::{HashMap, HashMapExt};
@@ -27,6 +27,11 @@
         self.index.get(machine).map(|index| *index as usize)
     }
 
+    /// Resources of the machine in which demands are measured.
+    pub(crate) fn typical_host(&self) -> Resources {
+        self.hosts.first().map_or([1.0; 3], |host| host.total)
+    }
+
     /// Lists the machines of all agents that may still run tasks, with all their resources free.
     pub(crate) fn build(
         inputs: &PassInputs<'a>,
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -304,8 +304,7 @@
         }
     }
 
-    /// How many different searches for free resources there are: the numbers in `JobProfile::reach` are
-    /// less than this.
+    /// How many different searches for free resources there are. Profiles number them from 0.
     pub fn feasibility_classes(&self) -> usize {
         self.profiles.feasibility_classes()
     }
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -127,12 +127,12 @@
     let host_table = HostTable::build(inputs, &mut state.backlog.names, &mut state.images);
     let quotas = state.team_quotas(inputs.settings);
     autoscaler::name_zones(leader, cache, &mut state.backlog.names);
-    let typical_host = host_table.hosts.first().map_or([1.0; 3], |host| host.total);
-    let largest_demand = leader.b_max.max(state.backlog.largest_demand(typical_host));
+    let queue_demand = state.backlog.largest_demand(host_table.typical_host());
+    let largest_demand = leader.b_max.max(queue_demand);
     let context = scheduling_context(inputs, &state.backlog);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
     let knows_agents = leader.learnt(inputs.settings, inputs.clock.now);
-    prepare(&mut snapshot, knows_agents);
+    prepare_snapshot(&mut snapshot, knows_agents);
     let ClusterSnapshot {
         mut host_table,
         mut quotas,
@@ -240,7 +240,7 @@
 
 /// Sorts the queue entries, releases reservations of jobs that no longer wait, and determines which
 /// tasks may be preempted: none while the leader does not know all agents yet.
-fn prepare(snapshot: &mut ClusterSnapshot<'_>, knows_agents: bool) {
+fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, knows_agents: bool) {
     Recovery::sort_entries(&mut snapshot.entries);
     let waiting: HashSet<&str> = snapshot.entries.iter().map(|entry| entry.id).collect();
     for host in &mut snapshot.host_table.hosts {
@@ -289,6 +289,7 @@
     placements.into_iter().filter(readable).map(start).collect()
 }
 
+/// Names the fields of the tasks that a plan preempts.
 fn task_refs(stops: Vec<(String, u32)>) -> Vec<TaskRef> {
     stops
         .into_iter()
@@ -296,6 +297,7 @@
         .collect()
 }
 
+/// Resolves host indexes to machine names.
 fn reservations(reserved: Vec<(usize, String)>, host_table: &HostTable<'_>) -> Vec<Reservation> {
     reserved
         .into_iter()
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -220,8 +220,7 @@
         self.context.backlog.profile(summary.profile)
     }
 
-    /// How many different searches for free resources there are: the numbers in `JobProfile::reach` are
-    /// less than this.
+    /// How many different searches for free resources there are. Profiles number them from 0.
     pub fn reaches(&self) -> usize {
         self.context.backlog.feasibility_classes()
     }
