--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -108,7 +108,7 @@
             .map(|t| {
                 // Neighbours in number are in different zones.
                 let m = (j * TASKS + t) % machines;
-                TaskEntry(t as u32, 1, name(m), 1, 1, false)
+                TaskEntry::new(t as u32, 1, name(m), 1, 1, false)
             })
             .collect();
         let rec = JobRecord {
@@ -317,7 +317,7 @@
                     cleaned: false,
                 };
                 rec.spec.tasks = 1;
-                rec.first.set(TaskEntry(0, 1, name(m), 1, 1, false));
+                rec.first.set(TaskEntry::new(0, 1, name(m), 1, 1, false));
                 node.cache.put_job(&id, rec, 3);
                 w.tasks.push(ReportedTask {
                     job: id,
--- a/src/protocol/agent_api.rs
+++ b/src/protocol/agent_api.rs
@@ -1,23 +1,25 @@
-//! Messages between agents and controllers: heartbeats with status, commands and their results.
+//! Messages between agents and controllers: heartbeats with task status, commands and their results.
+//!
+//! The wire names are in the serde renames; the table in [`super`] lists them.
 
 use serde::{Deserialize, Serialize};
 
-/// State of a task on an agent.
+/// State of a task on an agent's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// Waits for its image.
+    /// Waits until the machine has its image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Waits for its gang.
+    /// Gang task: waits for the other tasks of its attempt.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Running.
+    /// Runs; also reported for gang tasks that are about to exit.
     #[serde(rename = "running")]
     Running,
-    /// Saving before it exits.
+    /// Saves its progress after a stop command, and then exits.
     #[serde(rename = "flushing")]
     Saving,
-    /// Exited.
+    /// Exited; reported until a `Forget` command removes it.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -25,83 +27,83 @@
 /// Why a task exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// Completed.
+    /// Completed; the agent keeps the result.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of the gang is gone.
+    /// Gang task: another task of the gang is gone.
     #[serde(rename = "mates_gone")]
     Peers,
-    /// The gang was not complete in time.
+    /// Gang task: the gang was not complete within `gang_wait_s`.
     #[serde(rename = "incomplete")]
     Alone,
-    /// Failed.
+    /// Failed by itself.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room.
+    /// Start refused: not enough free resources on the machine.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Refused: on this machine with another attempt.
+    /// Start refused: the task is on this machine with another attempt.
     #[serde(rename = "busy")]
     Busy,
-    /// Refused: no such job or task.
+    /// Start refused: the agent knows no such job or task.
     #[serde(rename = "unknown")]
     Unknown,
 }
 
-/// A task in an agent's report.
+/// A task in an agent's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// `job/number`.
+    /// Task id: the job id, a slash and the task number.
     #[serde(rename = "sheet")]
     pub task: String,
-    /// Attempt.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// State of the task.
     #[serde(rename = "status")]
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Reason of the exit; present only for an exited task.
     #[serde(rename = "cause", default)]
     pub why: Option<ExitReason>,
-    /// Progress was saved.
+    /// Whether the progress was saved; present only for a stopped task.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
 
-/// An agent's report.
+/// An agent's heartbeat, which reports all tasks on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentHeartbeat {
     /// Machine name.
     #[serde(rename = "kernel")]
     pub machine: String,
-    /// Where direct commands go.
+    /// Address, host and port, that takes direct commands.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "press")]
     pub kind: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session.
+    /// Epoch of the agent: starts at 1 and increases each time its lease expires.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Sequence number within the session.
+    /// Sequence number, which increases with every message within an epoch.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest term the agent has seen.
+    /// Highest term that the agent has seen.
     #[serde(rename = "baton")]
     pub term: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the spot instance; absent without a notice.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// Tasks.
+    /// All tasks on the machine, including exited ones that were not forgotten.
     #[serde(rename = "sheets")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -110,70 +112,70 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Start a task.
+    /// Starts a task; has no effect if the agent already knows this attempt.
     #[serde(rename = "launch")]
     Start {
-        /// Task.
+        /// Task id.
         #[serde(rename = "sheet")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "stop")]
     Stop {
-        /// Task.
+        /// Task id.
         #[serde(rename = "sheet")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time given for saving.
+        /// Seconds that the task may take to save its progress; 0 ends it at once.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Forget an exited task.
+    /// Removes an exited task from the heartbeats.
     #[serde(rename = "forget")]
     Forget {
-        /// Task.
+        /// Task id.
         #[serde(rename = "sheet")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Response to an agent's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentHeartbeatResponse {
-    /// Our term.
+    /// The controller's term, which fences commands of earlier leaders.
     #[serde(rename = "baton")]
     pub term: u64,
-    /// Commands.
+    /// Commands, which the agent executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Direct commands.
+/// Commands sent directly to an agent's address.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentCommands {
-    /// Our term.
+    /// The controller's term, which fences commands of earlier leaders.
     #[serde(rename = "baton")]
     pub term: u64,
-    /// The agent's session they are meant for.
+    /// Epoch of the agent for which the commands are valid.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Commands.
+    /// Commands, which the agent executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// 421: where to report instead.
+/// Body of a 421 response to an agent's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Misdirected {
-    /// The node to report to.
+    /// Name of the controller that takes the agent's heartbeats; absent if unknown.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
 }
--- a/src/protocol/client_api.rs
+++ b/src/protocol/client_api.rs
@@ -1,25 +1,25 @@
-//! Answers to clients.
+//! Response bodies for clients.
 
 use serde::{Deserialize, Serialize};
 
-/// A job's state for users.
+/// The state of a job as clients see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
     /// Job id.
     pub id: String,
     /// `pending`, `running`, `done` or `cancelled`.
     pub status: String,
-    /// Tasks done.
+    /// Number of tasks that are done; absent when the job was only accepted.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u64>,
-    /// Tasks running.
+    /// Number of running tasks; absent when the job was only accepted.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u64>,
 }
 
-/// An error for people.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// What is wrong.
+    /// Description of the error for people.
     pub error: String,
 }
--- a/src/protocol/cloud_api.rs
+++ b/src/protocol/cloud_api.rs
@@ -1,107 +1,109 @@
-//! Requests to the cloud and its answers: machine types, instances, scale out and in.
+//! Requests to the cloud and its responses: machine types, listed instances, renting and deletion.
+//!
+//! The wire names are in the serde renames; the table in [`super`] lists them.
 
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the type.
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory.
+    /// Memory of a machine, in gigabytes.
     pub memory_gb: f64,
-    /// Image cache.
+    /// Size of the image cache, in gigabytes.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Image fetch rate.
+    /// Rate at which a machine fetches images, in gigabytes a second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// On-demand price per hour.
     #[serde(default)]
     pub price: f64,
-    /// Spot price an hour.
+    /// Current spot price per hour.
     #[serde(rename = "low_price", default)]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Nominal boot time, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones that offer the type.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
 
-/// Answer of the cloud: machine types.
+/// Response with all machine types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// Machine types in the order of the cloud.
     #[serde(rename = "presses")]
     pub types: Vec<MachineType>,
 }
 
-/// Rental request.
+/// Request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request, never used twice.
+    /// Name of the request, which makes retries idempotent; never reused for another request.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "press")]
     pub kind: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot.
+    /// Whether the machines are spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most 50.
+    /// Number of machines, at most 50.
     pub count: u32,
 }
 
-/// Machine names: a rental's answer, and a deletion's request.
+/// Names of machines: the response to a rental, and the request of a deletion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names.
+    /// Names of the machines.
     #[serde(rename = "kernels")]
     pub machines: Vec<String>,
 }
 
-/// State of a listed machine.
+/// State of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet.
+    /// Rented and not up yet.
     Booting,
-    /// Up.
+    /// Up; a machine that died is still listed so for a while.
     Running,
-    /// Stopped by itself.
+    /// Stopped by itself; listed until it is deleted.
     Failed,
 }
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
+    /// Name of the machine.
     pub id: String,
-    /// Where direct commands go.
+    /// Address, host and port, that takes direct commands; absent while it is unknown.
     #[serde(rename = "endpoint", default)]
     pub address: Option<String>,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "press")]
     pub kind: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot.
+    /// Whether the machines are spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// State.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
-    /// Age since the rental request.
+    /// Seconds between the rental request and the time that the list describes.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -109,9 +111,9 @@
 /// A page of the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in the order of their names.
+    /// Machines in the order of their names, which is the order of their creation.
     #[serde(rename = "kernels")]
     pub machines: Vec<ListedMachine>,
-    /// There is more.
+    /// Whether machines follow after this page.
     pub more: bool,
 }
--- a/src/protocol/codec.rs
+++ b/src/protocol/codec.rs
@@ -1,47 +1,55 @@
-//! Encoding of messages and stored values: MessagePack with named maps.
+//! Encoding of messages and stored values: MessagePack, with structs as maps keyed by field name.
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Encodes with named maps.
-pub fn encode<T: Serialize>(v: &T) -> Vec<u8> {
-    // Encoding into memory fails only for types without a MessagePack form; ours all have one.
-    rmp_serde::to_vec_named(v).unwrap_or_default()
+/// Initial buffer for the bytes of one value; most records fit into it.
+const VALUE_CAPACITY: usize = 256;
+
+/// Encodes a value as MessagePack with named fields.
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
+    // Encoding into memory fails only for types that MessagePack cannot represent, and we use none.
+    rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes; anything malformed is none.
-pub fn decode<T: DeserializeOwned>(b: &[u8]) -> Option<T> {
-    rmp_serde::from_slice(b).ok()
+/// Decodes a MessagePack value; returns `None` if the bytes are malformed or do not fit the type.
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+    rmp_serde::from_slice(bytes).ok()
 }
 
-/// A generic value as one of our types. Through bytes: `rmpv`'s own conversion takes no enum
-/// from a string.
-pub fn from_value<T: DeserializeOwned>(v: &rmpv::Value) -> Option<T> {
-    let mut bytes = Vec::with_capacity(256);
-    rmpv::encode::write_value(&mut bytes, v).ok()?;
+/// Converts a generic value into a typed one; returns `None` if it does not fit the type.
+///
+/// The conversion goes through bytes, because `rmpv` itself does not convert strings to enum variants.
+pub fn from_value<T: DeserializeOwned>(value: &rmpv::Value) -> Option<T> {
+    let mut bytes = Vec::with_capacity(VALUE_CAPACITY);
+    rmpv::encode::write_value(&mut bytes, value).ok()?;
     decode(&bytes)
 }
 
-/// One of our types as a generic value, with named maps.
-pub fn to_value<T: Serialize>(v: &T) -> rmpv::Value {
-    rmpv::decode::read_value(&mut encode(v).as_slice()).unwrap_or(rmpv::Value::Nil)
+/// Converts a typed value into a generic one with named fields.
+pub fn to_value<T: Serialize>(value: &T) -> rmpv::Value {
+    rmpv::decode::read_value(&mut encode(value).as_slice()).unwrap_or(rmpv::Value::Nil)
 }
 
-/// How long a value is as the state service counts it, which is as JSON.
-pub fn json_len<T: Serialize>(v: &T) -> usize {
-    struct Count(usize);
-    impl std::io::Write for Count {
-        fn write(&mut self, b: &[u8]) -> std::io::Result<usize> {
-            self.0 += b.len();
-            Ok(b.len())
-        }
-        fn flush(&mut self) -> std::io::Result<()> {
-            Ok(())
-        }
-    }
-    let mut n = Count(0);
-    match serde_json::to_writer(&mut n, v) {
-        Ok(()) => n.0,
-        // Only types without a JSON form fail; ours all have one.
+/// Returns the size of a value in bytes as the key-value store counts it, which is the length of its JSON form.
+pub fn json_len<T: Serialize>(value: &T) -> usize {
+    let mut counter = ByteCounter(0);
+    match serde_json::to_writer(&mut counter, value) {
+        Ok(()) => counter.0,
+        // Serialization fails only for types that JSON cannot represent, and we use none.
         Err(_) => usize::MAX,
     }
 }
+
+/// A writer that counts bytes and discards them.
+struct ByteCounter(usize);
+
+impl std::io::Write for ByteCounter {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0 += bytes.len();
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -1,27 +1,27 @@
-//! Formats of our records, and how controllers of different versions agree on one.
+//! Format numbers of the stored records and heartbeats, by which controllers of different versions agree.
 //!
-//! While a new version is rolled out, controllers of both versions work on the same records. Each
-//! controller records the newest format that it reads (`records::format_key`) and tells it in its
-//! heartbeats; one without such a record is of the first version. Whatever a format adds is written
-//! only once every controller named in the settings has recorded that it reads it. A later change of
-//! the records takes the next number here, and asks `Controller::all_peers_read` for it.
+//! During a rolling upgrade, controllers of both versions work on the same records. Each controller stores the
+//! newest format that it reads under `records::format_key` and states it in its heartbeats. A controller without
+//! such a record runs the first version. What a format adds is written only after every controller named in the
+//! settings has stored that it reads this format. A later change of the records takes the next number here and
+//! checks it with `Controller::all_peers_read`.
 
-/// Records and heartbeats of the first version, which names no format.
+/// Records and heartbeats of the first version, which states no format.
 pub const FIRST: u32 = 1;
-/// Jobs may need other jobs (`JobSpec::needs`). The first version would drop the field whenever it
-/// writes the record, and start the job too early.
+/// Jobs may depend on other jobs (`JobSpec::needs`). The first version would drop the field whenever it rewrites
+/// the record, and would start the job too early.
 pub const PIPELINES: u32 = 2;
-/// Places of many jobs may be in one record (`records::PlacementBatch`). A controller that does not read it would
-/// take tasks for lost that run.
+/// One record may hold placements of many jobs (`records::PlacementBatch`). A controller that does not read it
+/// would consider running tasks lost.
 pub const BUNDLES: u32 = 3;
-/// Parts of the budget of changes are on record (`records::BudgetSharesRecord`). A controller that does not read it
-/// keeps to its fixed share, which is never lent.
+/// The shares of the write budget are stored (`records::BudgetSharesRecord`), and heartbeats carry requests for
+/// them. A controller that does not read them keeps its fixed share, which is never lent.
 pub const PARTS: u32 = 4;
-/// Heartbeats carry runs, rights and pledges (crates/rights). Records are as before; a controller that does
-/// not know these is given no rights, and gives none.
+/// Heartbeats carry the fields of `peer_messages::HeartbeatExtension` (crates/lease-delegation). Records are
+/// unchanged. A controller that does not read this format neither grants nor receives lease delegations.
 pub const RIGHTS: u32 = 5;
-/// Heartbeats carry cancellations (crates/rights). Records are as before; a controller that does not know these is
-/// told none, and vouches by the revision of the newest that it knows.
+/// Heartbeats carry cancellations (crates/lease-delegation). Records are unchanged. A controller that does not read
+/// this format receives no cancellations; it vouches by the revision of the newest cancellation that it knows.
 pub const CANCELLATIONS: u32 = 6;
 /// The newest format that this version reads.
 pub const NEWEST: u32 = CANCELLATIONS;
--- a/src/protocol/key_value_api.rs
+++ b/src/protocol/key_value_api.rs
@@ -1,15 +1,17 @@
-//! Requests to the consensus-backed key-value store and its answers.
+//! Requests to the consensus-backed key-value store and its responses.
+//!
+//! The wire names are in the serde renames; the table in [`super`] lists them.
 
 use super::codec::to_value;
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction.
+/// A condition of a transaction: the key has this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionCondition {
-    /// Key.
+    /// Key to compare.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its version, 0: does not exist.
+    /// Expected version; 0: the key does not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -18,117 +20,117 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Put a value.
+    /// Writes a value.
     Put {
-        /// Key.
+        /// Key to write.
         put: String,
-        /// Value.
+        /// New value.
         value: rmpv::Value,
-        /// Lease the key hangs on.
+        /// Lease to which the key is attached; `None` detaches it.
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Delete a key.
+    /// Deletes a key.
     Delete {
-        /// Key.
+        /// Key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// A transaction.
+/// A transaction: makes all changes atomically if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub conds: Vec<VersionCondition>,
-    /// Changes.
+    /// Changes, which all get the same revision.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
-/// Answer to a transaction.
+/// Response to a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision.
+    /// Revision of the store after the transaction.
     #[serde(rename = "edition", default)]
     pub revision: u64,
-    /// Keys whose conditions failed.
+    /// Keys whose conditions failed; empty if the transaction was committed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A change in a watch's answer.
+/// A change in the response to a watch: either `put` and `value`, or `deleted`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Key that was put.
+    /// Key that was written.
     #[serde(default)]
     pub put: Option<String>,
-    /// Its value.
+    /// Value that was written.
     #[serde(default)]
     pub value: Option<rmpv::Value>,
     /// Key that was deleted.
     #[serde(rename = "drop", default)]
     pub deleted: Option<String>,
-    /// Revision.
+    /// Revision of the change, which is the key's new version.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// Answer of a watch.
+/// Response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which the answer is complete.
+    /// Revision up to which the response is complete.
     #[serde(rename = "edition")]
     pub revision: u64,
-    /// Changes.
+    /// Changes after the requested revision.
     #[serde(rename = "news")]
     pub events: Vec<WatchEvent>,
 }
 
-/// A key in a listing.
+/// A key with its value in a listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// Key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Value.
+    /// Value of the key.
     pub value: rmpv::Value,
-    /// Version.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of keys.
+/// A page of a listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ItemPage {
-    /// Keys in order.
+    /// Keys in ascending order.
     pub items: Vec<Item>,
-    /// There is more.
+    /// Whether keys follow after this page.
     pub more: bool,
-    /// Revision.
+    /// Revision of the store that the page shows.
     #[serde(rename = "edition")]
     pub revision: u64,
 }
 
-/// Request for a lease of the state service.
+/// Request for a lease of the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long it lives unrenewed.
+    /// Time until the lease expires unless it is renewed, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// A lease of the state service.
+/// Response to a lease request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Its number.
+    /// Id of the lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
 
 impl VersionCondition {
-    /// Holds while the key has this version; 0 stands for a key that does not exist.
+    /// Requires that `key` has this version; 0 requires that it does not exist.
     pub fn new(key: &str, version: u64) -> VersionCondition {
         VersionCondition {
             key: key.to_string(),
@@ -138,7 +140,7 @@
 }
 
 impl Change {
-    /// Writes a value, on a lease if one is given.
+    /// Writes a typed value, attached to `lease` if one is given.
     pub fn put<T: Serialize>(key: &str, value: &T, lease: Option<u64>) -> Change {
         Change::Put {
             put: key.to_string(),
--- /dev/null
+++ b/src/protocol/records/budget_shares.rs
@@ -0,0 +1,100 @@
+//! The stored shares of the write budget.
+
+use crate::protocol::Micros;
+use admission_control::parts::{Grant, Part};
+use serde::{Deserialize, Serialize};
+
+/// A controller's share of the write budget, stored as an array.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u64, Micros, u64)", into = "(u64, Micros, u64)")]
+struct StoredShare {
+    /// Thousandths of changes a second.
+    amount: u64,
+    /// Time of day at which the share expires.
+    until: Micros,
+    /// Number of the grant that the share belongs to.
+    epoch: u64,
+}
+
+impl From<(u64, Micros, u64)> for StoredShare {
+    fn from((amount, until, epoch): (u64, Micros, u64)) -> StoredShare {
+        StoredShare {
+            amount,
+            until,
+            epoch,
+        }
+    }
+}
+
+impl From<StoredShare> for (u64, Micros, u64) {
+    fn from(share: StoredShare) -> (u64, Micros, u64) {
+        (share.amount, share.until, share.epoch)
+    }
+}
+
+impl From<&Part> for StoredShare {
+    fn from(part: &Part) -> StoredShare {
+        StoredShare {
+            amount: part.amount,
+            until: Micros(part.until),
+            epoch: part.epoch,
+        }
+    }
+}
+
+impl From<StoredShare> for Part {
+    fn from(share: StoredShare) -> Part {
+        Part {
+            amount: share.amount,
+            until: share.until.0,
+            epoch: share.epoch,
+        }
+    }
+}
+
+/// The newest grant of shares of the write budget (`admission_control::parts`), by holder in ascending order.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct BudgetSharesRecord {
+    /// Number of the grant.
+    #[serde(rename = "e")]
+    epoch: u64,
+    /// Shares of this grant.
+    #[serde(rename = "p")]
+    shares: Vec<(String, StoredShare)>,
+    /// Shares of earlier grants that a holder may still use.
+    #[serde(rename = "o")]
+    earlier_shares: Vec<(String, Vec<StoredShare>)>,
+}
+
+impl BudgetSharesRecord {
+    /// Converts a grant into its stored form.
+    pub fn of(grant: &Grant) -> BudgetSharesRecord {
+        let shares = grant.parts.iter();
+        let shares = shares.map(|(holder, part)| (holder.clone(), part.into()));
+        let earlier = grant.owed.iter().map(|(holder, parts)| {
+            let parts = parts.iter().map(StoredShare::from);
+            (holder.clone(), parts.collect())
+        });
+        BudgetSharesRecord {
+            epoch: grant.epoch,
+            shares: shares.collect(),
+            earlier_shares: earlier.collect(),
+        }
+    }
+
+    /// Converts the stored form into a grant.
+    pub fn grant(self) -> Grant {
+        let shares = self.shares.into_iter();
+        let shares = shares.map(|(holder, share)| (holder, share.into()));
+        let earlier = self.earlier_shares.into_iter();
+        let earlier = earlier.map(|(holder, shares)| {
+            let parts = shares.into_iter().map(Part::from);
+            (holder, parts.collect())
+        });
+        Grant {
+            epoch: self.epoch,
+            parts: shares.collect(),
+            owed: earlier.collect(),
+        }
+    }
+}
--- a/src/protocol/records/tests.rs
+++ b/src/protocol/records/renewals/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of the renewals record.
 
 use super::*;
 use std::collections::BTreeSet;
--- a/src/protocol/time.rs
+++ b/src/protocol/time.rs
@@ -1,10 +1,13 @@
-//! Times as whole microseconds.
+//! Times and durations in whole microseconds.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, Sub};
 
-/// A point on a clock, or a span, in whole microseconds.
+const MICROS_PER_SECOND: f64 = 1e6;
+const MICROS_PER_MILLISECOND: u64 = 1_000;
+
+/// A point on a clock, or a duration, in whole microseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,62 +15,64 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// Zero.
+    /// The zero duration, and the start of a clock.
     pub const ZERO: Micros = Micros(0);
-    /// Further away than any deadline.
+    /// Later than any deadline; adding a duration to it does not overflow.
     pub const FAR: Micros = Micros(u64::MAX / 4);
 
-    /// From seconds as the wire gives them; negative and NaN become zero.
-    pub fn secs(s: f64) -> Micros {
-        Micros((s.max(0.0) * 1e6) as u64)
+    /// Converts seconds as the wire gives them; negative values and NaN become zero.
+    pub fn secs(seconds: f64) -> Micros {
+        Micros((seconds.max(0.0) * MICROS_PER_SECOND) as u64)
     }
 
-    /// From whole milliseconds.
-    pub const fn millis(ms: u64) -> Micros {
-        Micros(ms * 1000)
+    /// Converts whole milliseconds.
+    pub const fn millis(milliseconds: u64) -> Micros {
+        Micros(milliseconds * MICROS_PER_MILLISECOND)
     }
 
-    /// As seconds.
+    /// Converts to seconds.
     pub fn as_secs(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The span since `earlier`, or zero.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Stretched by a factor.
-    pub fn times(self, f: f64) -> Micros {
-        Micros((self.0 as f64 * f) as u64)
+    /// Multiplies a duration by a factor and rounds down.
+    pub fn times(self, factor: f64) -> Micros {
+        Micros((self.0 as f64 * factor) as u64)
     }
 }
 
 impl Add for Micros {
     type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
+
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
     }
 }
 
 impl Sub for Micros {
     type Output = Micros;
-    fn sub(self, o: Micros) -> Micros {
-        self.since(o)
+
+    fn sub(self, other: Micros) -> Micros {
+        self.since(other)
     }
 }
 
 impl fmt::Display for Micros {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3}s", self.as_secs())
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:.3}s", self.as_secs())
     }
 }
 
-/// The steady clock and the time of day.
+/// One reading of both clocks of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Steady.
+    /// Monotonic clock, counted from the start of the process.
     pub now: Micros,
-    /// Time of day since 1970.
+    /// Time of day, counted from 1970-01-01 UTC.
     pub wall: Micros,
 }
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -12,7 +12,7 @@
     for t in 0..tasks {
         let machine = ["", "n-1", "n-2"][rng.random_range(0..3)];
         if rng.random_bool(0.2) {
-            entries.push(TaskEntry(t, 1, machine.into(), 1, 1, false));
+            entries.push(TaskEntry::new(t, 1, machine.into(), 1, 1, false));
         }
     }
     let ended = rng.random_bool(0.1);
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -428,7 +428,7 @@
         if let Some(of) = l.stopping.get_mut(&s.job) {
             of.remove(&s.task);
         }
-        let entry = TaskEntry(
+        let entry = TaskEntry::new(
             s.task,
             attempt,
             s.machine,
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn entry(task: u32, attempt: u64) -> TaskEntry {
-    TaskEntry(task, attempt, format!("n-{attempt}"), 1, 1, false)
+    TaskEntry::new(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
 fn bundle(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -23,7 +23,7 @@
 }
 
 fn entry(task: u32, attempt: u64) -> TaskEntry {
-    TaskEntry(task, attempt, format!("n-{attempt}"), 1, 1, false)
+    TaskEntry::new(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
 fn bundle(places: Vec<TaskEntry>) -> PlacementBatch {
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -179,7 +179,14 @@
                 let attempt = self.rng.random_range(1..3);
                 let agent_epoch = self.rng.random_range(1..3);
                 let backfilled = self.chance(0.4);
-                first.set(TaskEntry(t, attempt, machine, agent_epoch, 1, backfilled));
+                first.set(TaskEntry::new(
+                    t,
+                    attempt,
+                    machine,
+                    agent_epoch,
+                    1,
+                    backfilled,
+                ));
             } else if spec.kind != JobKind::Service && self.chance(0.1) {
                 first.finish(t);
             }
@@ -359,7 +366,7 @@
             self.leader.started += 1;
             let order = self.leader.order_of.entry(s.job.clone()).or_default();
             order.insert(s.task, self.leader.started);
-            let entry = TaskEntry(s.task, 5, s.machine, s.agent_epoch, 1, s.backfilled);
+            let entry = TaskEntry::new(s.task, 5, s.machine, s.agent_epoch, 1, s.backfilled);
             if self.rng.random_bool(0.5) {
                 self.leader.edits.want(&s.job, now).places.push(entry);
             } else if self.rng.random_bool(0.5) {
--- a/tests/wire_compatibility.rs
+++ b/tests/wire_compatibility.rs
@@ -234,9 +234,9 @@
 fn chunk() -> TaskChunk {
     TaskChunk {
         entries: vec![
-            TaskEntry(0, 1, "n-000017".into(), 4_000_000_000, 7, false),
-            TaskEntry(5, 300, String::new(), 0, 6, false),
-            TaskEntry(47, 70_000, "n-000900".into(), u64::MAX, 8, true),
+            TaskEntry::new(0, 1, "n-000017".into(), 4_000_000_000, 7, false),
+            TaskEntry::new(5, 300, String::new(), 0, 6, false),
+            TaskEntry::new(47, 70_000, "n-000900".into(), u64::MAX, 8, true),
         ],
         done: (1 << 46) | 0b110,
     }
