--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -49,7 +49,7 @@
     let question = PeerHeartbeat {
         knows: Some(CancellationCursor {
             complete,
-            heard: (cursor.run, cursor.next),
+            heard: cursor.into(),
         }),
         ..beat(format::NEWEST)
     };
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -113,7 +113,7 @@
         let cursor = self.peers.heard.cursor(i);
         beat.knows = self.complete().map(|complete| CancellationCursor {
             complete,
-            heard: (cursor.run, cursor.next),
+            heard: cursor.into(),
         });
         let s = &mut self.peers;
         s.flying[i] = true;
@@ -191,7 +191,7 @@
         let jobs = self.cache.jobs.iter();
         let cancelled = jobs.filter(|(_, j)| j.rec.stage == JobStage::Cancelled);
         Some(RecordSummary {
-            lead: (lead.node.clone(), lead.incarnation, lead.term),
+            lead: lead.clone(),
             revision: self.cache.revision,
             cancelled: cancelled.map(|(id, _)| id).chain(heard).cloned().collect(),
             known,
@@ -368,7 +368,7 @@
                 (&l.node, l.incarnation, l.term, since)
             }
             (_, Some((g, since))) if !self.cache.synced => {
-                (&g.lead.0, g.lead.1, g.lead.2, Some(*since))
+                (&g.lead.node, g.lead.incarnation, g.lead.term, Some(*since))
             }
             _ => return None,
         };
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -1,110 +1,145 @@
-//! What controllers tell one another (postcard).
+//! Heartbeats between controllers, encoded with postcard.
+//!
+//! A heartbeat and its response are both a [`PeerHeartbeat`]. Postcard encodes fields by position and without names,
+//! so fields are never reordered, and each format (see [`format`]) appends its fields to those of the formats before.
+//! The fields in the order in which they are sent:
+//!
+//! | since format | fields |
+//! | --- | --- |
+//! | `FIRST` | `node`, `leading`, `leader_silent_ms`, `newest`, `served` |
+//! | `PIPELINES` | `format` |
+//! | `PARTS` | `asks`, `epoch` |
+//! | `RIGHTS` | `more`, `record_summary` |
+//! | `CANCELLATIONS` | `knows`, `news` |
+//!
+//! A receiver that reads only an older format ignores the fields that it does not know.
 
 use super::format;
 use super::job::valid_id;
-use lease_delegation::cancellations::Batch;
+use super::records::LeaderRecord;
+use lease_delegation::cancellations::{Batch, Cursor};
 use serde::{Deserialize, Serialize};
 
-/// Path under which peers take users' requests from one another.
+/// Prefix of the paths under which a controller takes client requests that a peer forwards.
 pub const FORWARD_PREFIX: &str = "/user";
 
-/// Cancellations in one heartbeat at most; the rest follows with the next.
+/// Most cancellations in one heartbeat; the others follow with the next one.
 pub const MOST_CANCELLATIONS: usize = 512;
-/// Peers of which a heartbeat may tell.
-const MOST_SIBLINGS: usize = 64;
+/// Most peers in one list of a heartbeat.
+const MAX_PEERS: usize = 64;
 
-/// Why a message of a peer is not believed.
+/// Why a heartbeat of a peer is rejected as a whole.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum InvalidPeerHeartbeat {
-    /// It is shorter than its format has it, or not of it.
+    /// The message is too short for its format, or a field is malformed.
     #[error("it cannot be read as format {0}")]
     Unreadable(u32),
-    /// There is more of it than its format has.
+    /// This number of bytes follows the last field of a format that is known completely.
     #[error("{0} bytes follow its end")]
     TooLong(usize),
-    /// No version says that.
+    /// The format number is 0, which no version sends.
     #[error("there is no format 0")]
     NoFormat,
-    /// Its cancellations are too many, or none could be of these jobs.
+    /// The cancellations exceed their limits, contradict themselves, or contain an invalid job id.
     #[error("its cancellations are impossible")]
     Cancellations,
 }
 
-/// Sent to every peer at a steady pace.
+/// The state of a controller, sent to each peer at regular intervals and returned in the response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Sender.
+    /// Name of the sender.
     pub node: String,
-    /// Term the sender leads with, if it leads and has proof of it.
+    /// Term of the sender, if it leads and has recent proof of its leadership.
     pub leading: Option<u64>,
-    /// Milliseconds since the sender last heard the leader it knows of; none: never.
+    /// Milliseconds since the sender last received a heartbeat of the leader that it knows; `None`: never.
     pub leader_silent_ms: Option<u64>,
-    /// Revision of the newest cancellation or change of the lead that the sender knows of; none
-    /// before it has read the records, since its earlier run may have known of a newer one.
+    /// Revision of the newest cancellation or change of leadership that the sender knows. `None` until it has read
+    /// the records, since an earlier run of its process may have known a newer one.
     pub newest: Option<u64>,
-    /// The sender has read the records, and the state service serves it.
+    /// Whether the sender has read the records and the key-value store is available to it.
     pub served: bool,
-    /// Newest format of records that the sender reads. It follows the rest of the message: the first
-    /// version neither sends it nor looks at what comes after the fields it knows.
+    /// Newest format that the sender reads. The first version neither sends it nor reads past the fields before it.
     #[serde(skip)]
     pub format: u32,
-    /// What the sender asks for of the budget of changes, in thousandths of changes a second; after the
-    /// format, as format `PARTS` has it.
+    /// Share of the write budget that the sender requests, in thousandths of changes a second.
     #[serde(skip)]
     pub asks: u64,
-    /// Number of the newest grant of parts that it has seen; 0: none.
+    /// Number of the newest grant of budget shares that the sender has seen; 0: none.
     #[serde(skip)]
     pub epoch: u64,
-    /// What came with format `RIGHTS`; a sender of an older format tells none of it.
+    /// Lease delegation; `None` if the sender's format is older than `RIGHTS`.
     #[serde(skip)]
     pub more: Option<HeartbeatExtension>,
-    /// In an answer to a peer that has not read the records; behind all else.
+    /// Only in a response to a peer that has not read the records.
     #[serde(skip)]
     pub record_summary: Option<RecordSummary>,
-    /// How far the sender knows the log of whoever it asks; since format `CANCELLATIONS`, behind the gist.
+    /// Which cancellations the sender knows; in a request, which part of the receiver's log it has.
     #[serde(skip)]
     pub knows: Option<CancellationCursor>,
-    /// In an answer: what whoever asked does not know yet.
+    /// Only in a response: cancellations that the requesting peer does not know yet.
     #[serde(skip)]
     pub news: Option<CancellationNews>,
 }
 
-/// What of the cancellations a controller knows that asks a peer.
+/// Which cancellations a controller knows when it asks a peer for more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationCursor {
-    /// Its copy of the records is complete up to this revision.
+    /// The sender's cache of the records is complete up to this revision.
     pub complete: u64,
-    /// The run of the peer whose log it has heard of, and the number of the first entry that it has not.
-    pub heard: (u64, u64),
+    /// Position in the receiver's log up to which the sender has received it.
+    pub heard: LogPosition,
 }
 
 impl CancellationCursor {
-    /// Where the log of this run goes on for the sender.
+    /// Returns the number of the first entry to send from the log of this run of the receiver's process.
     pub fn from(&self, run: u64) -> u64 {
-        if self.heard.0 == run { self.heard.1 } else { 0 }
+        if self.heard.run == run {
+            self.heard.next
+        } else {
+            0
+        }
+    }
+}
+
+/// A position in the cancellation log of a controller.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct LogPosition {
+    /// Incarnation of the controller: each run of its process has its own log.
+    pub run: u64,
+    /// Number of the first entry that was not received.
+    pub next: u64,
+}
+
+impl From<Cursor> for LogPosition {
+    fn from(cursor: Cursor) -> LogPosition {
+        LogPosition {
+            run: cursor.run,
+            next: cursor.next,
+        }
     }
 }
 
-/// What a controller tells a peer of cancellations.
+/// A batch of the sender's cancellation log, and what the sender knows of its other peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationNews {
-    /// Version of the record of the lead in the sender's copy.
+    /// Version of the leader's record in the sender's cache; 0: it knows none.
     pub lead: u64,
-    /// Begin and end of the batch of the sender's log that this is, and whether there is more.
+    /// Number of the first log entry of the batch.
     pub from: u64,
-    /// See `from`.
+    /// Number of the first log entry after the batch.
     pub next: u64,
-    /// See `from`.
+    /// Whether the log has entries after the batch.
     pub more: bool,
-    /// Jobs with the versions of the records that show them cancelled.
+    /// Cancelled jobs, each with the version of the record that shows the cancellation.
     pub jobs: Vec<(String, u64)>,
-    /// For each of its peers, how long ago the sender last knew of everything that it had told users, in
-    /// microseconds.
+    /// Per peer of the sender: age in microseconds of the moment at which the sender last knew everything that this
+    /// peer had told its clients.
     pub known: Vec<(String, u64)>,
 }
 
 impl CancellationNews {
-    /// The batch of a log in it.
+    /// Returns the batch of the sender's log.
     pub fn batch(&self) -> Batch {
         Batch {
             from: self.from,
@@ -114,100 +149,144 @@
         }
     }
 
-    fn possible(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.jobs.len() <= MOST_CANCELLATIONS
-            && self.known.len() <= MOST_SIBLINGS
+            && self.known.len() <= MAX_PEERS
             && self.from <= self.next
             && self.jobs.iter().all(|(id, _)| valid_id(id))
     }
 }
 
-/// What a controller that starts in an outage has to know of the records to keep agents alive, from a peer
-/// that has read them.
+/// What a controller that starts while the store is unavailable has to know of the records to keep agents alive.
+/// It gets this from a peer that has read them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordSummary {
-    /// Who leads, in which run, with which term.
-    pub lead: (String, u64, u64),
-    /// Up to which revision the sender's copy is complete.
+    /// The leader on record.
+    pub lead: LeaderRecord,
+    /// Revision up to which the sender's cache of the records is complete.
     pub revision: u64,
-    /// Cancelled jobs that may still have tasks somewhere.
+    /// Cancelled jobs that may still have tasks on machines.
     pub cancelled: Vec<String>,
-    /// For each of its peers, how long ago the sender last knew of everything that it had told users, in
-    /// microseconds.
+    /// See [`CancellationNews::known`].
     pub known: Vec<(String, u64)>,
 }
 
-/// What heartbeats tell since format `RIGHTS`, behind what older formats know.
+/// Lease delegation in a heartbeat, since format `RIGHTS`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatExtension {
-    /// Names this run of the sender's process.
+    /// Incarnation of the sender: which run of its process this is.
     pub run: u64,
-    /// In an answer: whoever asked may renew leases under this term of the sender's.
+    /// Only in a response: the requesting peer may renew agents' leases under this term of the sender.
     pub right: Option<u64>,
-    /// How long ago the sender last renewed a lease by a right, in microseconds; none: never in this run.
+    /// Microseconds since the sender last renewed a lease by such a delegation; `None`: never in this run.
     pub used_ago: Option<u64>,
-    /// The state service does not serve the sender. In an answer: a pledge to whoever asked.
+    /// The key-value store is not available to the sender. In a response this is also a pledge: for a while the
+    /// sender tells its clients nothing that the requesting peer may not know.
     pub quiet: bool,
 }
 
+/// The fields that format `PARTS` appends.
+type BudgetFields = (u64, u64);
+/// The fields that format `RIGHTS` appends.
+type DelegationFields = (HeartbeatExtension, Option<RecordSummary>);
+/// The fields that format `CANCELLATIONS` appends.
+type CancellationFields = (Option<CancellationCursor>, Option<CancellationNews>);
+
 impl PeerHeartbeat {
-    /// As bytes.
+    /// Encodes the heartbeat. The fields of `RIGHTS` and `CANCELLATIONS` are left out if `more` is `None`.
     pub fn encode(&self) -> Vec<u8> {
-        let known = postcard::to_stdvec(self).unwrap_or_default();
-        let known = postcard::to_extend(&(self.format, self.asks, self.epoch), known);
-        match &self.more {
-            Some(more) => {
-                let known =
-                    known.and_then(|k| postcard::to_extend(&(more, &self.record_summary), k));
-                known.and_then(|k| postcard::to_extend(&(&self.knows, &self.news), k))
-            }
-            None => known,
-        }
-        .unwrap_or_default()
+        // Encoding into memory does not fail for these types.
+        self.try_encode().unwrap_or_default()
     }
 
-    /// From bytes. What a newer format may have behind what we know is passed over; whatever else is not as its
-    /// format has it makes the whole message worth nothing.
-    pub fn decode(b: &[u8]) -> Result<PeerHeartbeat, InvalidPeerHeartbeat> {
-        let (mut beat, rest) = take::<PeerHeartbeat>(b, format::FIRST)?;
-        if rest.is_empty() {
-            // The first version ends here, and names no format.
-            beat.format = format::FIRST;
-            return Ok(beat);
-        }
-        let (told, mut rest) = take::<u32>(rest, format::FIRST)?;
-        if told == 0 {
-            return Err(InvalidPeerHeartbeat::NoFormat);
-        }
-        beat.format = told;
-        if told >= format::PARTS {
-            let (parts, after) = take(rest, told)?;
-            ((beat.asks, beat.epoch), rest) = (parts, after);
+    fn try_encode(&self) -> postcard::Result<Vec<u8>> {
+        let bytes = postcard::to_stdvec(self)?;
+        let bytes = postcard::to_extend(&(self.format, self.asks, self.epoch), bytes)?;
+        let Some(more) = &self.more else {
+            return Ok(bytes);
+        };
+        let bytes = postcard::to_extend(&(more, &self.record_summary), bytes)?;
+        postcard::to_extend(&(&self.knows, &self.news), bytes)
+    }
+
+    /// Decodes a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// Any field that does not fit the stated format makes the whole message invalid. Bytes after the known fields
+    /// are accepted only if the stated format is newer than ours, or so old that it says nothing of them.
+    pub fn decode(bytes: &[u8]) -> Result<PeerHeartbeat, InvalidPeerHeartbeat> {
+        let mut reader = FieldReader {
+            rest: bytes,
+            format: format::FIRST,
+        };
+        let mut heartbeat: PeerHeartbeat = reader.take()?;
+        if reader.rest.is_empty() {
+            // The first version ends here and states no format.
+            heartbeat.format = format::FIRST;
+            return Ok(heartbeat);
         }
-        if told >= format::RIGHTS {
-            let (more, after) = take::<(HeartbeatExtension, Option<RecordSummary>)>(rest, told)?;
-            ((beat.more, beat.record_summary), rest) = ((Some(more.0), more.1), after);
+        heartbeat.format = reader.take_format()?;
+        heartbeat.read_appended_fields(&mut reader)?;
+        if heartbeat.news.as_ref().is_some_and(|news| !news.is_valid()) {
+            return Err(InvalidPeerHeartbeat::Cancellations);
         }
-        if told >= format::CANCELLATIONS {
-            let (of, after) = take(rest, told)?;
-            ((beat.knows, beat.news), rest) = (of, after);
+        reader.finish()?;
+        Ok(heartbeat)
+    }
+
+    fn read_appended_fields(
+        &mut self,
+        reader: &mut FieldReader<'_>,
+    ) -> Result<(), InvalidPeerHeartbeat> {
+        if self.format >= format::PARTS {
+            let fields: BudgetFields = reader.take()?;
+            (self.asks, self.epoch) = fields;
         }
-        if beat.news.as_ref().is_some_and(|n| !n.possible()) {
-            return Err(InvalidPeerHeartbeat::Cancellations);
+        if self.format >= format::RIGHTS {
+            let (more, record_summary): DelegationFields = reader.take()?;
+            self.more = Some(more);
+            self.record_summary = record_summary;
         }
-        match rest.len() {
-            // Before format `PARTS` whatever followed was not looked at.
-            n if n > 0 && (format::PARTS..=format::NEWEST).contains(&told) => {
-                Err(InvalidPeerHeartbeat::TooLong(n))
-            }
-            _ => Ok(beat),
+        if self.format >= format::CANCELLATIONS {
+            let fields: CancellationFields = reader.take()?;
+            (self.knows, self.news) = fields;
         }
+        Ok(())
     }
 }
 
-fn take<'b, T: Deserialize<'b>>(
-    b: &'b [u8],
-    told: u32,
-) -> Result<(T, &'b [u8]), InvalidPeerHeartbeat> {
-    postcard::take_from_bytes(b).map_err(|_| InvalidPeerHeartbeat::Unreadable(told))
+/// Reads the fields of a heartbeat one after the other.
+struct FieldReader<'bytes> {
+    rest: &'bytes [u8],
+    /// The format that the message states; `FIRST` until it was read.
+    format: u32,
+}
+
+impl<'bytes> FieldReader<'bytes> {
+    fn take<T: Deserialize<'bytes>>(&mut self) -> Result<T, InvalidPeerHeartbeat> {
+        let (value, rest) = postcard::take_from_bytes(self.rest)
+            .map_err(|_| InvalidPeerHeartbeat::Unreadable(self.format))?;
+        self.rest = rest;
+        Ok(value)
+    }
+
+    fn take_format(&mut self) -> Result<u32, InvalidPeerHeartbeat> {
+        let stated: u32 = self.take()?;
+        if stated == 0 {
+            return Err(InvalidPeerHeartbeat::NoFormat);
+        }
+        self.format = stated;
+        Ok(stated)
+    }
+
+    /// Checks that nothing follows the last field. Versions before format `PARTS` did not check it, and a newer
+    /// format than ours may append fields.
+    fn finish(self) -> Result<(), InvalidPeerHeartbeat> {
+        let is_checked = (format::PARTS..=format::NEWEST).contains(&self.format);
+        if is_checked && !self.rest.is_empty() {
+            return Err(InvalidPeerHeartbeat::TooLong(self.rest.len()));
+        }
+        Ok(())
+    }
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,36 +1,48 @@
-//! The settings file that the platform hands over, checked.
+//! The settings file of a deployment: its types and their validation.
+//!
+//! The file is TOML; its field names are in the serde renames, and the table in [`super`] lists them.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why a settings file is refused.
+/// Longest valid name of a controller, in bytes.
+const MAX_NODE_NAME_BYTES: usize = 60;
+/// Fewest changes of a transaction that we can work with.
+const MIN_TXN_OPS: usize = 2;
+/// Fewest sockets that we can work with.
+const MIN_SOCKETS: usize = 32;
+/// Share of the store's value limit that we use, since we do not know how exactly the store counts.
+const VALUE_LIMIT_USED: f64 = 0.9;
+const BYTES_PER_KB: f64 = 1024.0;
+
+/// Why a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {source}")]
     Read {
-        /// File.
+        /// Path of the file.
         file: String,
-        /// Reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Not TOML, or a field is missing or of the wrong type.
+    /// The file is not TOML, or a field is missing or has the wrong type.
     #[error("{file}: {reason}")]
     Parse {
-        /// File.
+        /// Path of the file.
         file: String,
-        /// Reason, which names the field.
+        /// Message of the parser, which names the field.
         reason: String,
     },
     /// A field is out of range.
     #[error("{file}: {field}: {reason}")]
     Field {
-        /// File.
+        /// Path of the file.
         file: String,
-        /// Field.
+        /// Path of the field within the file.
         field: String,
-        /// Reason.
+        /// Requirement that the field does not meet.
         reason: String,
     },
 }
@@ -38,100 +50,100 @@
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PeerSettings {
-    /// Its name.
+    /// Name of the controller.
     #[serde(rename = "member")]
     pub node: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Its internal address.
+    /// Address for other controllers.
     pub address: SocketAddr,
 }
 
-/// Where the services are.
+/// Addresses of the services that the controllers use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct External {
-    /// Cloud.
+pub struct ExternalServices {
+    /// Cloud API.
     pub cloud: SocketAddr,
-    /// State service.
+    /// Key-value store.
     pub state: SocketAddr,
 }
 
-/// A team.
+/// A team with its guarantees and quotas.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs; 0: no limit.
+    /// CPU quota; 0: none.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs; 0: no limit.
+    /// GPU quota; 0: none.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim of the users.
+/// A service level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// `wait`, `deadline`, `finished`, `guarantee`, ...
+    /// What is measured: `wait`, `deadline`, `finished`, `guarantee`, ...
     pub kind: String,
-    /// Class of jobs.
+    /// Class of jobs to which it applies; `None`: all.
     #[serde(default)]
     pub class: Option<String>,
-    /// Within how long.
+    /// Time limit, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Which share.
+    /// Share of the jobs that must meet it.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// How agents behave.
+/// Timing of the agents, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct AgentParams {
-    /// Report interval.
+pub struct AgentTimings {
+    /// Interval between two heartbeats of an agent.
     pub report_s: f64,
-    /// Lease.
+    /// Duration of an agent's lease: without a response for this long, the agent kills its tasks.
     pub lease_s: f64,
-    /// How long a gang task waits for the others.
+    /// How long a gang task waits for the other tasks of its attempt.
     pub gang_wait_s: f64,
-    /// How fast gang tasks notice a loss.
+    /// How soon the tasks of a gang notice that one of them is gone.
     pub gang_peer_s: f64,
-    /// How soon cancelled tasks must be gone.
+    /// How soon after a cancellation all tasks of the job must be gone.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateParams {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Changes a second.
     pub write_rps: f64,
-    /// Largest value.
+    /// Largest value, in KiB of JSON.
     pub value_kb: f64,
     /// Most changes of a transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Limits that will apply from some moment on, without further notice.
     #[serde(default)]
-    pub next: Option<NextStateParams>,
+    pub next: Option<FutureStoreLimits>,
 }
 
-/// Limits that the state service will have later; what is not named does not change.
+/// Future limits of the key-value store; an absent limit does not change.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct NextStateParams {
+pub struct FutureStoreLimits {
     /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
     /// Changes a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value.
+    /// Largest value, in KiB of JSON.
     #[serde(default)]
     pub value_kb: Option<f64>,
     /// Most changes of a transaction.
@@ -139,107 +151,126 @@
     pub txn_ops: Option<usize>,
 }
 
-/// Part of a value's limit that we use: how exactly the service counts is its own business.
-const VALUE_USED: f64 = 0.9;
-
-impl StateParams {
-    /// The lower of a present and a coming limit. Nobody tells when the coming ones begin, so we
-    /// keep to the lower from the start.
-    fn lower(&self, now: f64, later: impl Fn(&NextStateParams) -> Option<f64>) -> f64 {
-        let later = self.next.as_ref().and_then(later);
-        later.map_or(now, |l| now.min(l))
+impl StoreLimits {
+    /// Returns the lower of a present limit and its future value. The moment of the change is not announced, so the
+    /// lower limit is kept from the start.
+    fn lower(&self, present: f64, future: impl Fn(&FutureStoreLimits) -> Option<f64>) -> f64 {
+        let future = self.next.as_ref().and_then(future);
+        future.map_or(present, |limit| present.min(limit))
     }
 
-    /// Requests a second that we may count on.
+    /// Returns the requests a second that the store accepts now and later.
     pub fn least_rps(&self) -> f64 {
-        self.lower(self.rps, |n| n.rps)
+        self.lower(self.rps, |future| future.rps)
     }
 
-    /// Changes a second that we may count on.
+    /// Returns the changes a second that the store accepts now and later.
     pub fn least_write_rps(&self) -> f64 {
-        self.lower(self.write_rps, |n| n.write_rps)
+        self.lower(self.write_rps, |future| future.write_rps)
     }
 
-    /// How long a value may be, as JSON.
+    /// Returns the largest value, in bytes of JSON, that we write.
     pub fn least_value_bytes(&self) -> usize {
-        (self.lower(self.value_kb, |n| n.value_kb) * 1024.0 * VALUE_USED) as usize
+        let limit_kb = self.lower(self.value_kb, |future| future.value_kb);
+        (limit_kb * BYTES_PER_KB * VALUE_LIMIT_USED) as usize
     }
 
-    /// How many changes a transaction may have.
+    /// Returns the changes that a transaction may have now and later.
     pub fn least_txn_ops(&self) -> usize {
-        let later = self.next.as_ref().and_then(|n| n.txn_ops);
-        later.map_or(self.txn_ops, |l| self.txn_ops.min(l))
+        let future = self.next.as_ref().and_then(|future| future.txn_ops);
+        future.map_or(self.txn_ops, |limit| self.txn_ops.min(limit))
     }
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud API.
 #[derive(Clone, Debug, Deserialize)]
-pub struct CloudParams {
+pub struct CloudLimits {
     /// Requests a second.
     pub rps: f64,
-    /// How late lists are.
+    /// Usual age of the cloud's list of machines, in seconds; at times it is twice as old.
     pub list_lag_s: f64,
 }
 
-/// What the process may use.
+/// Resources that the process may use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
-    /// Share of a core.
+pub struct ProcessLimits {
+    /// Share of one CPU core.
     pub core_share: f64,
-    /// Memory.
+    /// Memory, in megabytes.
     pub mem_mb: f64,
-    /// Sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// Parameters of the deployment.
+/// Parameters of the deployment, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Bound on the error of the time of day.
+    /// Bound on the error of the time of day, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
     /// Teams.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Objectives.
+    /// Service level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Agents.
+    /// Timing of the agents.
     #[serde(rename = "workers")]
-    pub agents: AgentParams,
-    /// State service.
-    pub state: StateParams,
-    /// Cloud.
-    pub cloud: CloudParams,
-    /// Limits.
-    pub limits: Limits,
+    pub agents: AgentTimings,
+    /// Limits of the key-value store.
+    pub state: StoreLimits,
+    /// Limits of the cloud API.
+    pub cloud: CloudLimits,
+    /// Resources that the process may use.
+    pub limits: ProcessLimits,
 }
 
-/// The whole file.
+/// The settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// Our name.
+    /// Name of this controller.
     #[serde(rename = "member")]
     pub node: String,
-    /// Our zone.
+    /// Zone of this controller.
     pub zone: String,
-    /// Where users and agents reach us.
+    /// Address for clients and agents.
     pub serve_on: SocketAddr,
-    /// Where peers reach us.
+    /// Address for other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<PeerSettings>,
-    /// Services.
-    pub external: External,
-    /// Parameters.
+    /// Addresses of the services.
+    pub external: ExternalServices,
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
+/// A field that is out of range.
+struct FieldError {
+    field: String,
+    reason: &'static str,
+}
+
+/// Returns an error for `field` unless `valid`.
+fn require(valid: bool, field: &str, reason: &'static str) -> Result<(), FieldError> {
+    if valid {
+        return Ok(());
+    }
+    Err(FieldError {
+        field: field.to_string(),
+        reason,
+    })
+}
+
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, is not valid TOML, or has a field that is missing, of the wrong type or out of range.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
@@ -249,84 +280,114 @@
         Settings::parse(&file, &text)
     }
 
-    /// Parses and checks; `file` is only for messages.
+    /// Parses and validates the text of a settings file; `file` only appears in errors.
+    ///
+    /// # Errors
+    ///
+    /// See [`Settings::load`].
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-        let s: Settings = toml::from_str(text).map_err(|e| SettingsError::Parse {
+        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             file: file.to_string(),
-            reason: e.to_string(),
+            reason: error.to_string(),
         })?;
-        s.check().map_err(|(field, reason)| SettingsError::Field {
+        settings.validate().map_err(|error| SettingsError::Field {
             file: file.to_string(),
-            field,
-            reason,
+            field: error.field,
+            reason: error.reason.to_string(),
         })?;
-        Ok(s)
+        Ok(settings)
     }
 
-    fn check(&self) -> Result<(), (String, String)> {
-        let bad = |field: &str, reason: &str| Err((field.to_string(), reason.to_string()));
-        if self.node.is_empty() || self.node.contains(' ') || self.node.len() > 60 {
-            return bad("member", "must be a name without spaces");
-        }
-        if self.peers.iter().any(|s| s.node == self.node) {
-            return bad("siblings", "must not name this member itself");
-        }
-        let p = &self.params;
-        let positive = [
-            ("params.workers.report_s", p.agents.report_s),
-            ("params.workers.lease_s", p.agents.lease_s),
-            ("params.workers.gang_wait_s", p.agents.gang_wait_s),
-            ("params.workers.gang_peer_s", p.agents.gang_peer_s),
-            ("params.workers.cancel_s", p.agents.cancel_s),
-            ("params.state.rps", p.state.rps),
-            ("params.state.write_rps", p.state.write_rps),
-            ("params.state.value_kb", p.state.value_kb),
-            ("params.cloud.rps", p.cloud.rps),
-            ("params.limits.core_share", p.limits.core_share),
-            ("params.limits.mem_mb", p.limits.mem_mb),
+    fn validate(&self) -> Result<(), FieldError> {
+        self.validate_names()?;
+        self.params.validate_positive()?;
+        require(
+            self.params.agents.cancel_s > self.params.agents.lease_s,
+            "params.workers.cancel_s",
+            "must exceed lease_s: a cut-off worker keeps its tasks that long",
+        )?;
+        self.params.state.validate_txn_ops()?;
+        require(
+            self.params.limits.sockets >= MIN_SOCKETS,
+            "params.limits.sockets",
+            "must be at least 32",
+        )?;
+        self.params.teams.iter().try_for_each(Team::validate)
+    }
+
+    fn validate_names(&self) -> Result<(), FieldError> {
+        let valid_name = !self.node.is_empty()
+            && !self.node.contains(' ')
+            && self.node.len() <= MAX_NODE_NAME_BYTES;
+        require(valid_name, "member", "must be a name without spaces")?;
+        require(
+            self.peers.iter().all(|peer| peer.node != self.node),
+            "siblings",
+            "must not name this member itself",
+        )
+    }
+
+    /// Returns the team of that name.
+    pub fn team(&self, name: &str) -> Option<&Team> {
+        self.params.teams.iter().find(|team| team.name == name)
+    }
+}
+
+impl Params {
+    /// Checks the numbers that must be above 0.
+    fn validate_positive(&self) -> Result<(), FieldError> {
+        let present = [
+            ("params.workers.report_s", self.agents.report_s),
+            ("params.workers.lease_s", self.agents.lease_s),
+            ("params.workers.gang_wait_s", self.agents.gang_wait_s),
+            ("params.workers.gang_peer_s", self.agents.gang_peer_s),
+            ("params.workers.cancel_s", self.agents.cancel_s),
+            ("params.state.rps", self.state.rps),
+            ("params.state.write_rps", self.state.write_rps),
+            ("params.state.value_kb", self.state.value_kb),
+            ("params.cloud.rps", self.cloud.rps),
+            ("params.limits.core_share", self.limits.core_share),
+            ("params.limits.mem_mb", self.limits.mem_mb),
         ];
-        let next = p.state.next.clone().unwrap_or_default();
-        let later = [
+        let next = self.state.next.clone().unwrap_or_default();
+        let future = [
             ("params.state.next.rps", next.rps),
             ("params.state.next.write_rps", next.write_rps),
             ("params.state.next.value_kb", next.value_kb),
         ];
-        let later = later.into_iter().filter_map(|(f, v)| Some((f, v?)));
-        for (field, v) in positive.into_iter().chain(later) {
-            if !(v.is_finite() && v > 0.0) {
-                return bad(field, "must be above 0");
-            }
-        }
-        let w = &p.agents;
-        if w.cancel_s <= w.lease_s {
-            return bad(
-                "params.workers.cancel_s",
-                "must exceed lease_s: a cut-off worker keeps its tasks that long",
-            );
-        }
-        if p.state.txn_ops < 2 {
-            return bad("params.state.txn_ops", "must be at least 2");
-        }
-        if next.txn_ops.is_some_and(|n| n < 2) {
-            return bad("params.state.next.txn_ops", "must be at least 2");
-        }
-        if p.limits.sockets < 32 {
-            return bad("params.limits.sockets", "must be at least 32");
-        }
-        for t in &p.teams {
-            let amounts = [t.cpus, t.cpus_max, t.gpus, t.gpus_max];
-            if amounts.iter().any(|v| !(v.is_finite() && *v >= 0.0)) {
-                return bad(
-                    &format!("params.teams.{}", t.name),
-                    "amounts must be 0 or more",
-                );
-            }
+        let future = future
+            .into_iter()
+            .filter_map(|(field, value)| Some((field, value?)));
+        for (field, value) in present.into_iter().chain(future) {
+            let valid = value.is_finite() && value > 0.0;
+            require(valid, field, "must be above 0")?;
         }
         Ok(())
     }
+}
 
-    /// The team of that name.
-    pub fn team(&self, name: &str) -> Option<&Team> {
-        self.params.teams.iter().find(|t| t.name == name)
+impl StoreLimits {
+    fn validate_txn_ops(&self) -> Result<(), FieldError> {
+        let reason = "must be at least 2";
+        require(self.txn_ops >= MIN_TXN_OPS, "params.state.txn_ops", reason)?;
+        let future = self.next.as_ref().and_then(|future| future.txn_ops);
+        require(
+            future.is_none_or(|limit| limit >= MIN_TXN_OPS),
+            "params.state.next.txn_ops",
+            reason,
+        )
+    }
+}
+
+impl Team {
+    fn validate(&self) -> Result<(), FieldError> {
+        let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
+        require(
+            amounts
+                .iter()
+                .all(|amount| amount.is_finite() && *amount >= 0.0),
+            &format!("params.teams.{}", self.name),
+            "amounts must be 0 or more",
+        )
     }
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,145 +1,156 @@
-//! HTTP/1.1 framing over byte buffers (heads are parsed by `httparse`).
+//! HTTP/1.1 messages in byte buffers: parsing (heads by `httparse`) and writing.
 
-/// Largest request body.
+mod body;
+
+use body::Body;
+use std::io::Write;
+
+/// Largest request body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
+/// Largest request head, in bytes, that is waited for.
 const MAX_HEAD: usize = 8 * 1024;
+/// Most headers of a message.
 const MAX_HEADERS: usize = 48;
 
-/// A whole message cut from a buffer.
+const STATUS_NO_CONTENT: u16 = 204;
+const STATUS_BAD_REQUEST: u16 = 400;
+const STATUS_CONTENT_TOO_LARGE: u16 = 413;
+const STATUS_HEADERS_TOO_LARGE: u16 = 431;
+/// Stands for "no status" in a request, and in [`Parsed::Bad`] for a response.
+const NO_STATUS: u16 = 0;
+
+/// A complete message.
 #[derive(Debug, PartialEq)]
 pub struct Message {
-    /// Method, or empty in a response.
+    /// Method; empty in a response.
     pub method: String,
-    /// Path and query, or empty in a response.
+    /// Path and query; empty in a response.
     pub path: String,
-    /// Status, or 0 in a request.
+    /// Status code; 0 in a request.
     pub status: u16,
-    /// Body.
+    /// Body, without its framing.
     pub body: Vec<u8>,
-    /// The sender keeps the connection open.
+    /// Whether the sender keeps the connection open after this exchange.
     pub keep: bool,
 }
 
-/// What a buffer holds so far.
+/// Result of parsing the front of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
-    /// Not yet a whole message.
+    /// The message is not complete yet; the buffer is unchanged.
     Partial,
-    /// A message, cut from the buffer.
+    /// A complete message, which was removed from the buffer.
     Whole(Message),
-    /// Answer with this status and close.
+    /// The message is invalid: answer a request with this status (0 for a response) and close the connection.
     Bad(u16),
 }
 
-struct Frame {
-    length: Option<usize>,
-    chunked: bool,
-    keep: bool,
+/// What the headers say about the body and the connection.
+struct Framing {
+    content_length: Option<usize>,
+    is_chunked: bool,
+    keep_alive: bool,
 }
 
-fn frame(headers: &[httparse::Header<'_>]) -> Option<Frame> {
-    let mut f = Frame {
-        length: None,
-        chunked: false,
-        keep: true,
-    };
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            f.length = Some(std::str::from_utf8(h.value).ok()?.trim().parse().ok()?);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            f.chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            f.keep = !h.value.eq_ignore_ascii_case(b"close");
+impl Framing {
+    /// Reads the headers; returns `None` if the content length is malformed.
+    fn parse(headers: &[httparse::Header<'_>]) -> Option<Framing> {
+        let mut framing = Framing {
+            content_length: None,
+            is_chunked: false,
+            keep_alive: true,
+        };
+        for header in headers {
+            if header.name.eq_ignore_ascii_case("content-length") {
+                let length = std::str::from_utf8(header.value).ok()?;
+                framing.content_length = Some(length.trim().parse().ok()?);
+            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+                framing.is_chunked = true;
+            } else if header.name.eq_ignore_ascii_case("connection") {
+                framing.keep_alive = !header.value.eq_ignore_ascii_case(b"close");
+            }
         }
+        Some(framing)
     }
-    Some(f)
 }
 
-/// Cuts a request from the front of `buf`.
-pub fn take_request(buf: &mut Vec<u8>) -> Parsed {
+/// Parses a request at the front of `buffer` and removes it.
+pub fn take_request(buffer: &mut Vec<u8>) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut req = httparse::Request::new(&mut headers);
-    let head = match req.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => return Parsed::Bad(431),
+    let mut request = httparse::Request::new(&mut headers);
+    let head_length = match request.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
+            return Parsed::Bad(STATUS_HEADERS_TOO_LARGE);
+        }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(400),
+        Err(_) => return Parsed::Bad(STATUS_BAD_REQUEST),
     };
-    let Some(f) = frame(req.headers) else {
-        return Parsed::Bad(400);
+    let Some(framing) = Framing::parse(request.headers) else {
+        return Parsed::Bad(STATUS_BAD_REQUEST);
     };
-    if f.length.unwrap_or(0) > MAX_BODY {
-        return Parsed::Bad(413);
+    let content_length = framing.content_length.unwrap_or(0);
+    if content_length > MAX_BODY {
+        return Parsed::Bad(STATUS_CONTENT_TOO_LARGE);
     }
-    let keep = f.keep && req.version == Some(1);
-    let (method, path) = (
-        req.method.unwrap_or("").to_string(),
-        req.path.unwrap_or("").to_string(),
-    );
-    if f.chunked {
-        return match unchunk(&buf[head..], MAX_BODY) {
-            Chunked::Partial => Parsed::Partial,
-            Chunked::TooLong => Parsed::Bad(413),
-            Chunked::Bad => Parsed::Bad(400),
-            Chunked::Whole(body, used) => {
-                buf.drain(..head + used);
-                Parsed::Whole(Message {
-                    method,
-                    path,
-                    status: 0,
-                    body,
-                    keep,
-                })
-            }
-        };
-    }
-    let total = head + f.length.unwrap_or(0);
-    if buf.len() < total {
-        return Parsed::Partial;
-    }
-    let body = buf[head..total].to_vec();
-    buf.drain(..total);
-    Parsed::Whole(Message {
-        method,
-        path,
-        status: 0,
+    let received = &buffer[head_length..];
+    let body = if framing.is_chunked {
+        Body::chunked(received, MAX_BODY)
+    } else {
+        Body::sized(received, content_length)
+    };
+    let (body, body_length) = match body {
+        Body::Partial => return Parsed::Partial,
+        Body::TooLong => return Parsed::Bad(STATUS_CONTENT_TOO_LARGE),
+        Body::Invalid => return Parsed::Bad(STATUS_BAD_REQUEST),
+        Body::Complete { bytes, length } => (bytes, length),
+    };
+    let is_http_1_1 = request.version == Some(1);
+    let message = Message {
+        method: request.method.unwrap_or("").to_string(),
+        path: request.path.unwrap_or("").to_string(),
+        status: NO_STATUS,
         body,
-        keep,
-    })
+        keep: framing.keep_alive && is_http_1_1,
+    };
+    buffer.drain(..head_length + body_length);
+    Parsed::Whole(message)
 }
 
-/// Cuts a response from the front of `buf`; `eof`: the other side has closed.
-pub fn take_response(buf: &mut Vec<u8>, eof: bool) -> Parsed {
+/// Parses a response at the front of `buffer` and removes it; `ended`: the other side has closed the connection.
+pub fn take_response(buffer: &mut Vec<u8>, ended: bool) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut resp = httparse::Response::new(&mut headers);
-    let head = match resp.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
+    let mut response = httparse::Response::new(&mut headers);
+    let head_length = match response.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(0),
+        Err(_) => return Parsed::Bad(NO_STATUS),
     };
-    let Some(f) = frame(resp.headers) else {
-        return Parsed::Bad(0);
+    let Some(framing) = Framing::parse(response.headers) else {
+        return Parsed::Bad(NO_STATUS);
     };
-    let status = resp.code.unwrap_or(0);
-    let (body, used, keep) = if f.chunked {
-        match unchunk(&buf[head..], usize::MAX) {
-            Chunked::Partial => return Parsed::Partial,
-            Chunked::Whole(body, used) => (body, used, f.keep),
-            Chunked::Bad | Chunked::TooLong => return Parsed::Bad(0),
-        }
-    } else if let Some(n) = f.length {
-        if buf.len() < head + n {
-            return Parsed::Partial;
-        }
-        (buf[head..head + n].to_vec(), n, f.keep)
-    } else if status == 204 {
-        (Vec::new(), 0, f.keep)
-    } else if eof {
-        (buf[head..].to_vec(), buf.len() - head, false)
+    let status = response.code.unwrap_or(NO_STATUS);
+    let received = &buffer[head_length..];
+    let mut keep = framing.keep_alive;
+    let body = if framing.is_chunked {
+        Body::chunked(received, usize::MAX)
+    } else if let Some(length) = framing.content_length {
+        Body::sized(received, length)
+    } else if status == STATUS_NO_CONTENT {
+        Body::sized(received, 0)
+    } else if ended {
+        // A body without a length extends to the end of the connection.
+        keep = false;
+        Body::sized(received, received.len())
     } else {
-        return Parsed::Partial;
+        Body::Partial
     };
-    buf.drain(..head + used);
+    let (body, body_length) = match body {
+        Body::Partial => return Parsed::Partial,
+        Body::Invalid | Body::TooLong => return Parsed::Bad(NO_STATUS),
+        Body::Complete { bytes, length } => (bytes, length),
+    };
+    buffer.drain(..head_length + body_length);
     Parsed::Whole(Message {
         method: String::new(),
         path: String::new(),
@@ -149,42 +160,7 @@
     })
 }
 
-enum Chunked {
-    Partial,
-    Bad,
-    TooLong,
-    Whole(Vec<u8>, usize),
-}
-
-fn unchunk(b: &[u8], most: usize) -> Chunked {
-    let mut body = Vec::new();
-    let mut at = 0;
-    loop {
-        let (skip, n) = match httparse::parse_chunk_size(&b[at..]) {
-            Ok(httparse::Status::Complete((skip, n))) => (skip, n as usize),
-            Ok(httparse::Status::Partial) => return Chunked::Partial,
-            Err(_) => return Chunked::Bad,
-        };
-        at += skip;
-        if n == 0 {
-            // No trailers are used on these interfaces.
-            return if b.len() < at + 2 {
-                Chunked::Partial
-            } else {
-                Chunked::Whole(body, at + 2)
-            };
-        }
-        if body.len().saturating_add(n) > most {
-            return Chunked::TooLong;
-        }
-        if b.len() < at + n + 2 {
-            return Chunked::Partial;
-        }
-        body.extend_from_slice(&b[at..at + n]);
-        at += n + 2;
-    }
-}
-
+/// Returns the reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -201,45 +177,44 @@
     }
 }
 
-/// Writes a response.
+/// Appends a response to `output`; `retry_after` is in seconds, `close` announces that the connection is closed.
 pub fn put_response(
-    out: &mut Vec<u8>,
+    output: &mut Vec<u8>,
     status: u16,
     body: &[u8],
     retry_after: Option<u32>,
     close: bool,
 ) {
-    use std::io::Write;
     // Writing into memory does not fail.
     let _ = write!(
-        out,
+        output,
         "HTTP/1.1 {status} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
         reason(status),
         body.len()
     );
-    if let Some(s) = retry_after {
-        let _ = write!(out, "Retry-After: {s}\r\n");
+    if let Some(seconds) = retry_after {
+        let _ = write!(output, "Retry-After: {seconds}\r\n");
     }
     if close {
-        out.extend_from_slice(b"Connection: close\r\n");
+        output.extend_from_slice(b"Connection: close\r\n");
     }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
+    output.extend_from_slice(b"\r\n");
+    output.extend_from_slice(body);
 }
 
-/// Writes a request.
-pub fn put_request(out: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
-    use std::io::Write;
-    let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
+/// Appends a request to `output`.
+pub fn put_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
+    // Writing into memory does not fail.
+    let _ = write!(output, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
         let _ = write!(
-            out,
+            output,
             "Content-Type: application/msgpack\r\nContent-Length: {}\r\n",
             body.len()
         );
     }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
+    output.extend_from_slice(b"\r\n");
+    output.extend_from_slice(body);
 }
 
 #[cfg(test)]
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of HTTP parsing and writing.
 
 use super::*;
 
@@ -44,3 +44,19 @@
     };
     assert_eq!((m.body.as_slice(), m.keep), (b"sorry".as_slice(), false));
 }
+
+#[test]
+fn a_length_that_overflows_is_never_complete() {
+    let heads = [
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nabc", u64::MAX),
+        format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\nabc",
+            u64::MAX
+        ),
+    ];
+    for head in heads {
+        let mut buffer = head.into_bytes();
+        assert_eq!(take_response(&mut buffer, false), Parsed::Partial);
+        assert_eq!(take_response(&mut buffer, true), Parsed::Partial);
+    }
+}
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,638 +1,290 @@
-//! The network thread: every socket of the process, on one readiness loop.
+//! The network thread: all sockets of the process on one event loop.
 //!
-//! Connections that hang cost a socket and a deadline, not a thread; idle clients are
-//! dropped; a full socket table delays newcomers and never ends the listener.
+//! A connection that hangs costs a socket and a deadline, but no thread. Idle connections are closed. When no socket
+//! is free, new connections are refused or delayed, and the listeners stay open.
 
-use super::http::{self, Parsed};
-use super::{Call, NetworkCommand, NetworkEvent, Outcome};
+mod calls;
+mod connection;
+mod connections;
+mod listeners;
+
+pub use listeners::Listeners;
+
+use super::{NetworkCommand, NetworkEvent, Outcome};
 use crate::protocol::Micros;
+use connection::{ConnectProgress, Connection, Readiness, Role, WriteProgress};
+use connections::Connections;
 use crossbeam_channel::{Receiver, Sender};
-use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use std::collections::{BTreeSet, HashMap};
-use std::io::{ErrorKind, Read, Write};
-use std::net::SocketAddr;
+use std::io::ErrorKind;
 use std::thread::Thread;
 use std::time::{Duration, Instant};
 
-const WAKE: Token = Token(0);
-const PUBLIC: Token = Token(1);
-const INTERNAL: Token = Token(2);
-const FIRST_CONN: usize = 3;
-/// A server connection without any request for this long is closed. Users poll every 5 s and
-/// agents report every few seconds, so only the forgotten ones are hit.
-const SERVER_IDLE: Micros = Micros::millis(40_000);
-/// Once a request has begun to arrive, all of it must come within this.
-const REQUEST_ARRIVES: Micros = Micros::millis(10_000);
-/// An unused connection to a server is closed after this long.
-const CLIENT_IDLE: Micros = Micros::millis(20_000);
-/// Share of the socket limit that clients of ours may take; the rest is for our own calls.
+/// Token of the waker by which other threads announce commands.
+const WAKER: Token = Token(0);
+/// Token of the listener for clients and agents.
+const PUBLIC_LISTENER: Token = Token(1);
+/// Token of the listener for other controllers.
+const INTERNAL_LISTENER: Token = Token(2);
+/// Tokens of connections start here.
+const FIRST_CONNECTION: Token = Token(3);
+/// Share of the socket limit for connections on which we serve requests; the others are for our own calls.
 const SERVER_SHARE: f64 = 0.75;
-/// Sockets that connections kept for later calls leave free. With hundreds of agents they would
-/// fill the table, and the state service or a peer could not be called when it matters.
-const SPARE: usize = 32;
-
-enum Role {
-    Server {
-        internal: bool,
-        serial: u64,
-        busy: bool,
-        close_after: bool,
-    },
-    Client {
-        call: Option<u64>,
-        connected: bool,
-    },
-}
-
-struct Conn {
-    stream: TcpStream,
-    peer: SocketAddr,
-    role: Role,
-    input: Vec<u8>,
-    output: Vec<u8>,
-    sent: usize,
-    due: Micros,
-    writable_wanted: bool,
-}
-
-/// What a socket is ready for; `ends`: the other side will send no more, or has gone.
-#[derive(Clone, Copy)]
-struct Ready {
-    readable: bool,
-    writable: bool,
-    ends: bool,
-}
-
-/// Bound listeners.
-pub struct Listeners {
-    public: TcpListener,
-    internal: TcpListener,
-}
-
-impl Listeners {
-    /// Binds both addresses.
-    pub fn bind(public: SocketAddr, internal: SocketAddr) -> std::io::Result<Listeners> {
-        Ok(Listeners {
-            public: TcpListener::bind(public)?,
-            internal: TcpListener::bind(internal)?,
-        })
-    }
-}
+/// Sockets that must stay free when a connection is kept for later calls. Connections to hundreds of agents would
+/// otherwise fill the table, and the store or a peer could not be called when it matters.
+const RESERVED_SOCKETS: usize = 32;
+/// Events that one round of the event loop handles at most.
+const EVENTS_PER_ROUND: usize = 256;
+/// Delay of the event loop's timer, so that a deadline has certainly passed when it fires.
+const TIMER_SLACK: Micros = Micros(500);
+/// Pause after a failed poll, so that a lasting failure does not take a whole core.
+const POLL_FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Lets other threads wake the network thread.
+/// Passes commands to the network thread.
 pub struct Handle {
-    /// Commands for the thread.
-    pub cmds: Sender<Vec<NetworkCommand>>,
+    commands: Sender<Vec<NetworkCommand>>,
     waker: Waker,
 }
 
 impl Handle {
-    /// Hands over a batch of commands.
+    /// Sends a batch of commands.
     pub fn send(&self, batch: Vec<NetworkCommand>) {
-        if !batch.is_empty() && self.cmds.send(batch).is_ok() {
-            // A failed wake only delays the batch until the next event.
+        if !batch.is_empty() && self.commands.send(batch).is_ok() {
+            // If the wake-up fails, the batch is only delayed until the next event.
             let _ = self.waker.wake();
         }
     }
 }
 
-/// The thread's state.
+/// The state of the network thread.
 pub struct Net {
-    poll: Poll,
+    connections: Connections,
     listeners: Listeners,
-    cmds: Receiver<Vec<NetworkCommand>>,
-    events: Sender<Vec<NetworkEvent>>,
-    /// Who takes the events. It sleeps parked: a blocking receive would first spin and yield,
-    /// which on a small share of a core costs more than the work.
-    taker: Thread,
-    conns: HashMap<usize, Conn>,
-    serials: HashMap<u64, usize>,
-    idle: HashMap<SocketAddr, Vec<usize>>,
-    due: BTreeSet<(Micros, usize)>,
-    next_token: usize,
-    next_serial: u64,
-    servers: usize,
-    most_servers: usize,
-    most: usize,
+    commands: Receiver<Vec<NetworkCommand>>,
+    event_sender: Sender<Vec<NetworkEvent>>,
+    /// The thread that receives the events. It sleeps parked, because a blocking receive would spin and yield first,
+    /// which on a small share of a core costs more than the work itself.
+    event_receiver: Thread,
+    /// Events of this round that are not sent yet.
+    events: Vec<NetworkEvent>,
+    next_server_id: u64,
+    /// Most connections on which we serve requests.
+    max_servers: usize,
+    /// Most connections of any kind beside which one is kept for later calls.
+    max_kept: usize,
+    /// Start of the monotonic clock.
     started: Instant,
-    out: Vec<NetworkEvent>,
 }
 
 impl Net {
-    /// Prepares the thread; `taker` is woken for events, `sockets` is the process's limit.
+    /// Prepares the network thread. `event_receiver` is unparked when events are sent; `sockets` is the limit of the
+    /// process; times are counted from `started`.
+    ///
+    /// # Errors
+    ///
+    /// The operating system refuses an event queue or a registration.
     pub fn new(
         mut listeners: Listeners,
-        events: Sender<Vec<NetworkEvent>>,
-        taker: Thread,
+        event_sender: Sender<Vec<NetworkEvent>>,
+        event_receiver: Thread,
         sockets: usize,
         started: Instant,
     ) -> std::io::Result<(Net, Handle)> {
         let poll = Poll::new()?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
-        poll.registry()
-            .register(&mut listeners.public, PUBLIC, Interest::READABLE)?;
-        poll.registry()
-            .register(&mut listeners.internal, INTERNAL, Interest::READABLE)?;
-        let (cmds_tx, cmds) = crossbeam_channel::unbounded();
+        let registry = poll.registry();
+        let waker = Waker::new(registry, WAKER)?;
+        registry.register(&mut listeners.public, PUBLIC_LISTENER, Interest::READABLE)?;
+        registry.register(
+            &mut listeners.internal,
+            INTERNAL_LISTENER,
+            Interest::READABLE,
+        )?;
+        let (command_sender, commands) = crossbeam_channel::unbounded();
         let net = Net {
-            poll,
+            connections: Connections::new(poll, FIRST_CONNECTION),
             listeners,
-            cmds,
-            events,
-            taker,
-            conns: HashMap::new(),
-            serials: HashMap::new(),
-            idle: HashMap::new(),
-            due: BTreeSet::new(),
-            next_token: FIRST_CONN,
-            next_serial: 1,
-            servers: 0,
-            most_servers: (sockets as f64 * SERVER_SHARE) as usize,
-            most: sockets.saturating_sub(SPARE).max(1),
+            commands,
+            event_sender,
+            event_receiver,
+            events: Vec::new(),
+            next_server_id: 1,
+            max_servers: (sockets as f64 * SERVER_SHARE) as usize,
+            max_kept: sockets.saturating_sub(RESERVED_SOCKETS).max(1),
             started,
-            out: Vec::new(),
         };
-        Ok((
-            net,
-            Handle {
-                cmds: cmds_tx,
-                waker,
-            },
-        ))
+        let handle = Handle {
+            commands: command_sender,
+            waker,
+        };
+        Ok((net, handle))
     }
 
     fn now(&self) -> Micros {
         Micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Runs until the other side of the channel is gone.
+    /// Runs until the receiver of the events is gone.
     pub fn run(mut self) {
-        let mut ready = Events::with_capacity(256);
+        let mut ready = Events::with_capacity(EVENTS_PER_ROUND);
         loop {
-            let wait = self.due.first().map(|(t, _)| t.since(self.now()));
-            let wait = wait.map(|w| Duration::from_micros(w.0 + 500));
-            if let Err(e) = self.poll.poll(&mut ready, wait)
-                && e.kind() != ErrorKind::Interrupted
-            {
-                log::error!("network: poll failed: {e}");
-                std::thread::sleep(Duration::from_millis(50));
-            }
-            let tokens: Vec<(Token, Ready)> = ready
+            self.wait(&mut ready);
+            let ready: Vec<(Token, Readiness)> = ready
                 .iter()
-                .map(|e| {
-                    let ends = e.is_error() || e.is_read_closed() || e.is_write_closed();
-                    let ready = Ready {
-                        readable: e.is_readable() || ends,
-                        writable: e.is_writable() || ends,
-                        ends,
-                    };
-                    (e.token(), ready)
-                })
+                .map(|event| (event.token(), Readiness::from(event)))
                 .collect();
-            for (token, ready) in tokens {
-                match token {
-                    WAKE => {}
-                    PUBLIC => self.accept(false),
-                    INTERNAL => self.accept(true),
-                    Token(t) => self.on_ready(t, ready),
-                }
-            }
-            while let Ok(batch) = self.cmds.try_recv() {
-                for cmd in batch {
-                    self.on_cmd(cmd);
-                }
+            for (token, readiness) in ready {
+                self.on_ready(token, readiness);
             }
-            self.expire();
-            if !self.out.is_empty() {
-                let batch = std::mem::take(&mut self.out);
-                if self.events.send(batch).is_err() {
-                    return;
+            while let Ok(batch) = self.commands.try_recv() {
+                for command in batch {
+                    self.on_command(command);
                 }
-                self.taker.unpark();
             }
-        }
-    }
-
-    fn accept(&mut self, internal: bool) {
-        loop {
-            let listener = if internal {
-                &self.listeners.internal
-            } else {
-                &self.listeners.public
-            };
-            match listener.accept() {
-                Ok((stream, peer)) => {
-                    if self.servers >= self.most_servers && !self.drop_one_idle() {
-                        log::warn!("network: connection refused, all sockets are taken");
-                        continue;
-                    }
-                    // A delayed small write would cost every answer some 40 ms.
-                    let _ = stream.set_nodelay(true);
-                    let serial = self.next_serial;
-                    let role = Role::Server {
-                        internal,
-                        serial,
-                        busy: false,
-                        close_after: false,
-                    };
-                    self.next_serial += 1;
-                    if let Some(t) = self.add(stream, peer, role, SERVER_IDLE) {
-                        self.serials.insert(serial, t);
-                        self.servers += 1;
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => {
-                    // Out of sockets: make room; the listener is told again by the next newcomer.
-                    log::warn!("network: accept failed: {e}");
-                    if !self.drop_one_idle() {
-                        return;
-                    }
-                }
+            self.close_expired();
+            if !self.send_events() {
+                return;
             }
         }
     }
 
-    fn drop_one_idle(&mut self) -> bool {
-        self.drop_first(|role| match role {
-            Role::Server { busy, .. } => !busy,
-            Role::Client { call, .. } => call.is_none(),
-        })
-    }
-
-    /// Closes the connection of those meant that is due first; tells whether there was one.
-    fn drop_first(&mut self, meant: impl Fn(&Role) -> bool) -> bool {
-        let found = self
-            .due
-            .iter()
-            .map(|(_, t)| *t)
-            .find(|t| self.conns.get(t).is_some_and(|c| meant(&c.role)));
-        found.map(|t| self.close(t, Outcome::Lost)).is_some()
-    }
-
-    fn add(
-        &mut self,
-        mut stream: TcpStream,
-        peer: SocketAddr,
-        role: Role,
-        life: Micros,
-    ) -> Option<usize> {
-        let t = self.next_token;
-        self.next_token += 1;
-        let client = matches!(role, Role::Client { .. });
-        let interest = if client {
-            Interest::READABLE | Interest::WRITABLE
-        } else {
-            Interest::READABLE
-        };
-        if let Err(e) = self
-            .poll
-            .registry()
-            .register(&mut stream, Token(t), interest)
+    /// Waits for events, at most until the next deadline.
+    fn wait(&mut self, ready: &mut Events) {
+        let timeout = self.connections.first_deadline().map(|(deadline, _)| {
+            let wait = deadline.since(self.now()) + TIMER_SLACK;
+            Duration::from_micros(wait.0)
+        });
+        if let Err(error) = self.connections.poll.poll(ready, timeout)
+            && error.kind() != ErrorKind::Interrupted
         {
-            log::warn!("network: cannot register a socket: {e}");
-            return None;
+            log::error!("poll failed error=\"{error}\"");
+            std::thread::sleep(POLL_FAILURE_PAUSE);
         }
-        let due = self.now() + life;
-        self.due.insert((due, t));
-        let conn = Conn {
-            stream,
-            peer,
-            role,
-            input: Vec::new(),
-            output: Vec::new(),
-            sent: 0,
-            due,
-            writable_wanted: client,
-        };
-        self.conns.insert(t, conn);
-        Some(t)
     }
 
-    fn set_due(&mut self, t: usize, due: Micros) {
-        if let Some(c) = self.conns.get_mut(&t) {
-            self.due.remove(&(c.due, t));
-            c.due = due;
-            self.due.insert((due, t));
+    /// Sends the events of this round; returns whether there is still a receiver.
+    fn send_events(&mut self) -> bool {
+        if self.events.is_empty() {
+            return true;
         }
-    }
-
-    fn close(&mut self, t: usize, outcome: Outcome) {
-        let Some(mut c) = self.conns.remove(&t) else {
-            return;
-        };
-        self.due.remove(&(c.due, t));
-        let _ = self.poll.registry().deregister(&mut c.stream);
-        match c.role {
-            Role::Server { serial, .. } => {
-                self.servers -= 1;
-                self.serials.remove(&serial);
-            }
-            Role::Client {
-                call: Some(id),
-                connected,
-            } => {
-                let outcome = if connected { outcome } else { Outcome::NotSent };
-                self.out.push(NetworkEvent::Answer { id, outcome });
-            }
-            Role::Client { call: None, .. } => {
-                if let Some(list) = self.idle.get_mut(&c.peer) {
-                    list.retain(|i| *i != t);
-                }
-            }
+        let batch = std::mem::take(&mut self.events);
+        if self.event_sender.send(batch).is_err() {
+            return false;
         }
+        self.event_receiver.unpark();
+        true
     }
 
-    fn expire(&mut self) {
-        let now = self.now();
-        while let Some(&(due, t)) = self.due.first() {
-            if due > now {
-                return;
-            }
-            if let Some(Conn {
-                role: Role::Server { busy: true, .. },
-                ..
-            }) = self.conns.get(&t)
-            {
-                // We still owe the answer.
-                self.set_due(t, now + SERVER_IDLE);
-                continue;
-            }
-            self.close(t, Outcome::Lost);
-        }
-    }
-
-    fn on_cmd(&mut self, cmd: NetworkCommand) {
-        match cmd {
+    fn on_command(&mut self, command: NetworkCommand) {
+        match command {
             NetworkCommand::Respond {
                 conn,
                 status,
                 body,
                 retry_after,
-            } => {
-                let Some(&t) = self.serials.get(&conn) else {
-                    return;
-                };
-                let due = self.now() + SERVER_IDLE;
-                if let Some(c) = self.conns.get_mut(&t)
-                    && let Role::Server {
-                        busy, close_after, ..
-                    } = &mut c.role
-                {
-                    http::put_response(&mut c.output, status, &body, retry_after, *close_after);
-                    *busy = false;
-                }
-                self.set_due(t, due);
-                self.flush(t);
-                // The next request may already be here.
-                self.advance(t, false);
-            }
+            } => self.respond(conn, status, &body, retry_after),
             NetworkCommand::Call(call) => self.call(call),
         }
     }
 
-    fn call(&mut self, call: Call) {
-        let now = self.now();
-        let mut bytes = Vec::with_capacity(160 + call.body.len());
-        http::put_request(
-            &mut bytes,
-            call.method,
-            &call.path,
-            &call.addr.to_string(),
-            &call.body,
-        );
-        let token = match self.idle.get_mut(&call.addr).and_then(Vec::pop) {
-            Some(t) => t,
-            None => {
-                if self.conns.len() >= self.most {
-                    self.drop_first(|role| matches!(role, Role::Client { call: None, .. }));
-                }
-                let stream = match TcpStream::connect(call.addr) {
-                    Ok(s) => s,
-                    Err(e) => {
-                        log::debug!("network: connect to {}: {e}", call.addr);
-                        self.out.push(NetworkEvent::Answer {
-                            id: call.id,
-                            outcome: Outcome::NotSent,
-                        });
-                        return;
-                    }
-                };
-                let _ = stream.set_nodelay(true);
-                let role = Role::Client {
-                    call: None,
-                    connected: false,
-                };
-                match self.add(stream, call.addr, role, call.timeout) {
-                    Some(t) => t,
-                    None => {
-                        self.out.push(NetworkEvent::Answer {
-                            id: call.id,
-                            outcome: Outcome::NotSent,
-                        });
-                        return;
-                    }
-                }
-            }
-        };
-        let mut ready = false;
-        if let Some(c) = self.conns.get_mut(&token)
-            && let Role::Client {
-                call: slot,
-                connected,
-            } = &mut c.role
-        {
-            *slot = Some(call.id);
-            ready = *connected;
-            c.output = bytes;
-            c.sent = 0;
-            c.input.clear();
-        }
-        self.set_due(token, now + call.timeout);
-        if ready {
-            self.flush(token);
+    fn on_ready(&mut self, token: Token, readiness: Readiness) {
+        match token {
+            WAKER => {}
+            PUBLIC_LISTENER => self.accept(false),
+            INTERNAL_LISTENER => self.accept(true),
+            connection => self.on_connection_ready(connection, readiness),
         }
     }
 
-    fn on_ready(&mut self, t: usize, ready: Ready) {
-        if ready.writable {
-            let mut failed = false;
-            if let Some(c) = self.conns.get_mut(&t)
-                && let Role::Client { connected, .. } = &mut c.role
-                && !*connected
-            {
-                match c.stream.take_error() {
-                    Ok(None) if c.stream.peer_addr().is_ok() => *connected = true,
-                    Ok(None) => return,
-                    _ => failed = true,
+    fn on_connection_ready(&mut self, token: Token, readiness: Readiness) {
+        if readiness.writable {
+            let connection = self.connections.get_mut(token);
+            match connection.map(Connection::finish_connect) {
+                Some(ConnectProgress::Failed) => {
+                    self.close(token, Outcome::NotSent);
+                    return;
                 }
+                Some(ConnectProgress::Pending) => return,
+                Some(ConnectProgress::Connected) | None => self.flush(token),
             }
-            if failed {
-                self.close(t, Outcome::NotSent);
-                return;
-            }
-            self.flush(t);
         }
-        if ready.readable {
-            self.read(t, ready.ends);
+        if readiness.readable
+            && let Some(connection) = self.connections.get_mut(token)
+        {
+            let ended = connection.read_input(readiness.ended);
+            self.parse_input(token, ended);
         }
     }
 
-    fn flush(&mut self, t: usize) {
-        let Some(c) = self.conns.get_mut(&t) else {
+    /// Takes whole messages from what has arrived on a connection; `ended`: no more will arrive.
+    fn parse_input(&mut self, token: Token, ended: bool) {
+        match self
+            .connections
+            .get_mut(token)
+            .map(|connection| &connection.role)
+        {
+            Some(Role::Server(_)) => self.parse_request(token, ended),
+            Some(Role::Client(_)) => self.parse_response(token, ended),
+            None => {}
+        }
+    }
+
+    /// Writes what is to be sent on a connection, and closes it if that fails or was the last response.
+    fn flush(&mut self, token: Token) {
+        let Some(connection) = self.connections.get_mut(token) else {
             return;
         };
-        let mut broken = false;
-        while c.sent < c.output.len() {
-            match c.stream.write(&c.output[c.sent..]) {
-                Ok(n) => c.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => {
-                    broken = true;
-                    break;
-                }
-            }
-        }
-        let done = c.sent >= c.output.len();
-        if done {
-            c.output.clear();
-            c.sent = 0;
-        }
-        let closing = matches!(
-            c.role,
-            Role::Server {
-                busy: false,
-                close_after: true,
-                ..
-            }
+        let progress = connection.write_output();
+        let is_done = progress == WriteProgress::Done;
+        let is_last = matches!(
+            &connection.role,
+            Role::Server(server) if !server.busy && server.close_after_response
         );
-        if broken || (done && closing) {
-            self.close(t, Outcome::Lost);
+        if progress == WriteProgress::Broken || (is_done && is_last) {
+            self.close(token, Outcome::Lost);
             return;
         }
-        if c.writable_wanted == done {
-            c.writable_wanted = !done;
-            let interest = if done {
-                Interest::READABLE
-            } else {
-                Interest::READABLE | Interest::WRITABLE
-            };
-            let _ = self
-                .poll
-                .registry()
-                .reregister(&mut c.stream, Token(t), interest);
+        if connection.awaits_writable == is_done {
+            connection.awaits_writable = !is_done;
+            self.connections.update_interest(token);
         }
     }
 
-    fn read(&mut self, t: usize, ends: bool) {
-        let Some(c) = self.conns.get_mut(&t) else {
+    /// Closes a connection. `outcome` is reported for a call that waits on it, unless the connection never came about.
+    fn close(&mut self, token: Token, outcome: Outcome) {
+        let Some(connection) = self.connections.remove(token) else {
             return;
         };
-        let mut eof = false;
-        let mut chunk = [0u8; 8192];
-        loop {
-            match c.stream.read(&mut chunk) {
-                Ok(0) => {
-                    eof = true;
-                    break;
-                }
-                Ok(n) => {
-                    c.input.extend_from_slice(&chunk[..n]);
-                    let server = matches!(c.role, Role::Server { .. });
-                    if server && c.input.len() > 2 * http::MAX_BODY {
-                        break;
-                    }
-                    // A short read has emptied the socket; what comes later is told anew.
-                    if n < chunk.len() && !ends {
-                        break;
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => {
-                    eof = true;
-                    break;
-                }
-            }
+        if let Role::Client(client) = &connection.role
+            && let Some(id) = client.call
+        {
+            let outcome = if client.connected {
+                outcome
+            } else {
+                Outcome::NotSent
+            };
+            self.finish_call(id, outcome);
         }
-        self.advance(t, eof);
     }
 
-    /// Takes whole messages from what has arrived.
-    fn advance(&mut self, t: usize, eof: bool) {
-        let now = self.now();
-        let Some(c) = self.conns.get_mut(&t) else {
-            return;
+    /// Closes the connection with the earliest deadline among those that `matches` accepts; returns whether there
+    /// was one.
+    fn close_first(&mut self, matches: impl Fn(&Connection) -> bool) -> bool {
+        let Some(token) = self.connections.first_match(matches) else {
+            return false;
         };
-        match &mut c.role {
-            Role::Server {
-                internal,
-                serial,
-                busy,
-                close_after,
-            } => {
-                if !*busy && !c.input.is_empty() {
-                    match http::take_request(&mut c.input) {
-                        Parsed::Partial => {
-                            let due = now + REQUEST_ARRIVES;
-                            if c.due > due {
-                                self.set_due(t, due);
-                            }
-                        }
-                        Parsed::Whole(m) => {
-                            *busy = true;
-                            *close_after = !m.keep;
-                            self.out.push(NetworkEvent::Request {
-                                conn: *serial,
-                                internal: *internal,
-                                method: m.method,
-                                path: m.path,
-                                body: m.body,
-                            });
-                        }
-                        Parsed::Bad(status) => {
-                            *close_after = true;
-                            http::put_response(&mut c.output, status, b"", None, true);
-                            self.flush(t);
-                            return;
-                        }
-                    }
-                }
-                if eof {
-                    self.close(t, Outcome::Lost);
-                }
+        self.close(token, Outcome::Lost);
+        true
+    }
+
+    /// Closes the connections whose deadlines have passed.
+    fn close_expired(&mut self) {
+        let now = self.now();
+        while let Some((deadline, token)) = self.connections.first_deadline() {
+            if deadline > now {
+                return;
             }
-            Role::Client { call, .. } => {
-                let Some(id) = *call else {
-                    // Nothing is asked, so this can only be the end.
-                    self.close(t, Outcome::Lost);
-                    return;
-                };
-                match http::take_response(&mut c.input, eof) {
-                    Parsed::Whole(m) => {
-                        *call = None;
-                        let keep = m.keep && !eof && c.input.is_empty() && c.output.is_empty();
-                        let peer = c.peer;
-                        self.out.push(NetworkEvent::Answer {
-                            id,
-                            outcome: Outcome::Reply {
-                                status: m.status,
-                                body: m.body,
-                            },
-                        });
-                        if keep {
-                            self.idle.entry(peer).or_default().push(t);
-                            self.set_due(t, now + CLIENT_IDLE);
-                        } else {
-                            self.close(t, Outcome::Lost);
-                        }
-                    }
-                    Parsed::Partial if !eof => {}
-                    _ => self.close(t, Outcome::Lost),
-                }
+            if !self.extend_if_busy(token) {
+                self.close(token, Outcome::Lost);
             }
         }
     }
--- /dev/null
+++ b/src/transport/net/calls.rs
@@ -0,0 +1,113 @@
+//! Making calls: connections to other processes, requests and responses.
+
+use super::Net;
+use super::connection::{ClientRole, Connection, Role};
+use crate::protocol::Micros;
+use crate::transport::http::{self, Message, Parsed};
+use crate::transport::{Call, NetworkEvent, Outcome};
+use mio::Token;
+use mio::net::TcpStream;
+
+/// A connection that is kept for later calls is closed after being idle for this long.
+const CLIENT_IDLE: Micros = Micros::millis(20_000);
+/// Initial buffer for a request, apart from its body.
+const HEAD_CAPACITY: usize = 160;
+
+impl Net {
+    /// Makes a call, on a connection that was kept or on a new one.
+    pub(super) fn call(&mut self, call: Call) {
+        let now = self.now();
+        let Some(token) = self.client_connection(&call) else {
+            self.finish_call(call.id, Outcome::NotSent);
+            return;
+        };
+        let host = call.addr.to_string();
+        let mut request = Vec::with_capacity(HEAD_CAPACITY + call.body.len());
+        http::put_request(&mut request, call.method, &call.path, &host, &call.body);
+        let mut connected = false;
+        if let Some(connection) = self.connections.get_mut(token)
+            && let Role::Client(client) = &mut connection.role
+        {
+            client.call = Some(call.id);
+            connected = client.connected;
+            connection.set_request(request);
+        }
+        self.connections.set_deadline(token, now + call.timeout);
+        if connected {
+            self.flush(token);
+        }
+    }
+
+    /// Returns an idle connection to the call's address, or opens one; `None` if that fails.
+    fn client_connection(&mut self, call: &Call) -> Option<Token> {
+        if let Some(token) = self.connections.take_idle_client(call.addr) {
+            return Some(token);
+        }
+        if self.connections.len() >= self.max_kept {
+            self.close_first(Connection::is_idle_client);
+        }
+        let stream = match TcpStream::connect(call.addr) {
+            Ok(stream) => stream,
+            Err(error) => {
+                log::debug!("connect failed address={} error=\"{error}\"", call.addr);
+                return None;
+            }
+        };
+        // With Nagle's algorithm a small request could be delayed by 40 ms. Without the option we still work.
+        let _ = stream.set_nodelay(true);
+        let role = Role::Client(ClientRole {
+            call: None,
+            connected: false,
+        });
+        let deadline = self.now() + call.timeout;
+        self.connections.add(stream, call.addr, role, deadline)
+    }
+
+    /// Reports how a call went.
+    pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
+        self.events.push(NetworkEvent::Answer { id, outcome });
+    }
+
+    /// Takes the response that has arrived on a connection, if all of it has; `ended`: no more will arrive.
+    pub(super) fn parse_response(&mut self, token: Token, ended: bool) {
+        let Some(connection) = self.connections.get_mut(token) else {
+            return;
+        };
+        let Role::Client(client) = &mut connection.role else {
+            return;
+        };
+        let Some(id) = client.call else {
+            // No call is pending, so the other side has closed the connection, or sends what nobody asked for.
+            self.close(token, Outcome::Lost);
+            return;
+        };
+        match http::take_response(&mut connection.input, ended) {
+            Parsed::Whole(response) => {
+                client.call = None;
+                self.on_response(token, id, response, ended);
+            }
+            Parsed::Partial if !ended => {}
+            _ => self.close(token, Outcome::Lost),
+        }
+    }
+
+    fn on_response(&mut self, token: Token, id: u64, response: Message, ended: bool) {
+        let outcome = Outcome::Reply {
+            status: response.status,
+            body: response.body,
+        };
+        self.finish_call(id, outcome);
+        let Some(connection) = self.connections.get_mut(token) else {
+            return;
+        };
+        let is_clean = connection.input.is_empty() && connection.output.is_empty();
+        if !response.keep || ended || !is_clean {
+            self.close(token, Outcome::Lost);
+            return;
+        }
+        let remote = connection.remote;
+        let deadline = self.now() + CLIENT_IDLE;
+        self.connections.keep_idle_client(token, remote);
+        self.connections.set_deadline(token, deadline);
+    }
+}
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -3,9 +3,10 @@
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, HeartbeatExtension, InvalidPeerHeartbeat,
+    CancellationCursor, CancellationNews, HeartbeatExtension, InvalidPeerHeartbeat, LogPosition,
     MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
+use walnuttrestle::protocol::records::LeaderRecord;
 
 fn beat(jobs: usize) -> PeerHeartbeat {
     let job = |n: usize| (format!("req-{n:06}"), 400 + n as u64);
@@ -25,14 +26,18 @@
             quiet: false,
         }),
         record_summary: Some(RecordSummary {
-            lead: ("kernel-0".into(), 3, 7),
+            lead: LeaderRecord {
+                node: "kernel-0".into(),
+                incarnation: 3,
+                term: 7,
+            },
             revision: 411,
             cancelled: vec!["req-000009".into()],
             known: vec![("kernel-2".into(), 12)],
         }),
         knows: Some(CancellationCursor {
             complete: 400,
-            heard: (78, 3),
+            heard: LogPosition { run: 78, next: 3 },
         }),
         news: Some(CancellationNews {
             lead: 12,
--- a/tests/wire_compatibility.rs
+++ b/tests/wire_compatibility.rs
@@ -27,7 +27,8 @@
     VersionCondition, WatchEvent, WatchResponse,
 };
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, HeartbeatExtension, PeerHeartbeat, RecordSummary,
+    CancellationCursor, CancellationNews, HeartbeatExtension, LogPosition, PeerHeartbeat,
+    RecordSummary,
 };
 use walnuttrestle::protocol::records::{
     self, BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PlacementBatch, RenewalsRecord,
@@ -495,14 +496,18 @@
             quiet: true,
         }),
         record_summary: since(format::RIGHTS).then(|| RecordSummary {
-            lead: ("kernel-0".into(), 3, 7),
+            lead: LeaderRecord {
+                node: "kernel-0".into(),
+                incarnation: 3,
+                term: 7,
+            },
             revision: 411,
             cancelled: strings(["req-000009", "req-10"]),
             known: vec![("kernel-2".into(), 12)],
         }),
         knows: since(format::CANCELLATIONS).then_some(CancellationCursor {
             complete: 400,
-            heard: (78, 3),
+            heard: LogPosition { run: 78, next: 3 },
         }),
         news: since(format::CANCELLATIONS).then(|| CancellationNews {
             lead: 12,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -33,7 +33,7 @@
 use walnuttrestle::protocol::cloud_api::*;
 use walnuttrestle::protocol::codec::*;
 use walnuttrestle::protocol::key_value_api::*;
-use walnuttrestle::protocol::settings::NextStateParams;
+use walnuttrestle::protocol::settings::FutureStoreLimits;
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 
@@ -437,7 +437,7 @@
         settings.params.state.write_rps = self.write_rps;
         settings.params.agents.lease_s = self.lease_s as f64;
         let next = self.next.filter(|_| !self.nodes[i].old);
-        settings.params.state.next = next.map(|l| NextStateParams {
+        settings.params.state.next = next.map(|l| FutureStoreLimits {
             rps: None,
             write_rps: Some(l.write_rps),
             value_kb: Some(l.value_kb),
