--- a/crates/admission-control/src/fair.rs
+++ b/crates/admission-control/src/fair.rs
@@ -1,36 +1,51 @@
-//! Weighted max-min shares: nobody gets more than they ask for, and nobody who gets less than they ask
-//! for gets less, by weight, than anybody else.
+//! Weighted max-min fair shares of a scarce amount.
+//!
+//! No share exceeds its demand, and a share that falls short of its demand is, divided by its weight, at least as
+//! large as any other.
 
-/// What one party asks for.
+/// Smallest weight that is used in a division.
+const MIN_WEIGHT: f64 = 1e-9;
+
+/// What one party demands.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Asked {
-    /// How much, in the unit of the whole.
+    /// Demanded amount, in the unit of the total. A negative one counts as 0.
     pub amount: f64,
-    /// How much it counts, above zero.
+    /// Weight of the party, above 0.
     pub weight: f64,
 }
 
-/// Shares of `whole`, in the order of `asked`. What one does not use goes to the others.
-pub fn shares(whole: f64, asked: &[Asked]) -> Vec<f64> {
-    // Whoever asks for least by weight is served first; the level of the water rises from there.
-    let mut order: Vec<usize> = (0..asked.len()).collect();
-    let level = |a: &Asked| a.amount.max(0.0) / weight(a);
-    order.sort_by(|a, b| level(&asked[*a]).total_cmp(&level(&asked[*b])));
-    let mut left = whole.max(0.0);
-    let mut weights: f64 = asked.iter().map(weight).sum();
-    let mut shares = vec![0.0; asked.len()];
-    for i in order {
-        let a = &asked[i];
-        let even = left * weight(a) / weights;
-        shares[i] = a.amount.max(0.0).min(even);
-        left = (left - shares[i]).max(0.0);
-        weights -= weight(a);
+impl Asked {
+    fn amount(&self) -> f64 {
+        self.amount.max(0.0)
+    }
+
+    fn weight(&self) -> f64 {
+        self.weight.max(MIN_WEIGHT)
+    }
+
+    fn amount_per_weight(&self) -> f64 {
+        self.amount() / self.weight()
     }
-    shares
 }
 
-fn weight(a: &Asked) -> f64 {
-    a.weight.max(1e-9)
+/// Divides `total` among the demands and returns the shares in the same order.
+pub fn shares(total: f64, demands: &[Asked]) -> Vec<f64> {
+    // The smallest demands by weight are served first. What they leave of their even share goes to the others.
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    let level = |index: &usize| demands[*index].amount_per_weight();
+    order.sort_by(|first, second| level(first).total_cmp(&level(second)));
+    let mut left = total.max(0.0);
+    let mut weight_left: f64 = demands.iter().map(Asked::weight).sum();
+    let mut shares = vec![0.0; demands.len()];
+    for index in order {
+        let demand = &demands[index];
+        let even_share = left * demand.weight() / weight_left;
+        shares[index] = demand.amount().min(even_share);
+        left = (left - shares[index]).max(0.0);
+        weight_left -= demand.weight();
+    }
+    shares
 }
 
 #[cfg(test)]
--- a/crates/admission-control/src/fair/tests.rs
+++ b/crates/admission-control/src/fair/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of max-min fair shares.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/admission-control/src/lanes.rs
+++ b/crates/admission-control/src/lanes.rs
@@ -1,21 +1,29 @@
-//! A bounded queue of lanes: a lane for each class of a team. Teams take turns by weight, classes of a
-//! team evenly; within a lane whoever has tried first goes first. When the queue is full, whoever came
-//! last in the lane that holds most by weight has to go, so a lane that asks for little is never refused
-//! on account of one that asks for much.
+//! A bounded queue with fair scheduling, with one lane per class of a team.
 //!
-//! Each step costs the logarithm of the number of lanes and of what waits in one; lanes with nothing
-//! waiting are forgotten once they have no turn to catch up with.
+//! Teams take turns by weight, and the classes of a team take turns evenly. Within a lane, the entry that was tried
+//! first is served first. When the queue is full, the last entry of the longest lane, of the team with the highest load
+//! for its weight, is evicted; so a lane with few entries is never refused because of one with many.
+//!
+//! The cost of each operation is logarithmic in the number of lanes and in the length of a lane. Empty lanes are
+//! removed once they have no turns to make up for.
+
+mod turns;
 
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
+use turns::TurnOrder;
 
-/// A turn's length at weight 1.
+/// Cost of one turn at weight 1.
 const TURN: f64 = (1u64 << 20) as f64;
+/// Smallest weight that is used in a division.
+const MIN_WEIGHT: f64 = 1e-6;
+/// Empty lanes or teams that are kept before they are cleaned up.
+const EMPTY_KEPT: usize = 16;
 
-/// Place of an entry in its lane: first attempt, then arrival.
+/// Position of an entry in its lane: the time of its first try, then the order of arrival.
 pub type Ticket = (Micros, u64);
 
-/// One lane.
+/// The entries of one class of a team.
 #[derive(Debug)]
 struct Lane<T> {
     waiting: BTreeMap<Ticket, T>,
@@ -26,224 +34,241 @@
 #[derive(Debug)]
 struct Team<C, T> {
     lanes: BTreeMap<C, Lane<T>>,
-    /// Lanes with something waiting, whose turn it is first first.
-    turns: BTreeSet<(u64, C)>,
-    /// The same, the shortest first.
+    /// Lanes that are not empty, in the order of their turns.
+    turns: TurnOrder<C>,
+    /// Lanes that are not empty, the shortest first.
     sizes: BTreeSet<(usize, C)>,
-    /// Turn of the lane served last.
-    now: u64,
     turn: u64,
     weight: f64,
+    /// Number of entries in all lanes.
     len: usize,
 }
 
-/// The queue. `K` names teams, `C` classes.
+impl<C: Ord + Clone, T> Team<C, T> {
+    fn new(weight: f64) -> Team<C, T> {
+        Team {
+            lanes: BTreeMap::new(),
+            turns: TurnOrder::new(),
+            sizes: BTreeSet::new(),
+            turn: 0,
+            weight,
+            len: 0,
+        }
+    }
+
+    /// Returns the number of entries for the team's weight.
+    fn load(&self) -> u64 {
+        (self.len as f64 * TURN / self.weight) as u64
+    }
+
+    fn insert(&mut self, class: C, ticket: Ticket, entry: T) {
+        let lane = self.lanes.entry(class.clone()).or_insert_with(|| Lane {
+            waiting: BTreeMap::new(),
+            turn: 0,
+        });
+        self.sizes.remove(&(lane.waiting.len(), class.clone()));
+        if lane.waiting.is_empty() {
+            self.turns.join(&mut lane.turn, class.clone());
+        }
+        lane.waiting.insert(ticket, entry);
+        self.sizes.insert((lane.waiting.len(), class));
+        self.len += 1;
+    }
+
+    fn remove(&mut self, class: &C, ticket: Ticket) -> Option<T> {
+        let lane = self.lanes.get_mut(class)?;
+        let entry = lane.waiting.remove(&ticket)?;
+        let left = lane.waiting.len();
+        self.len -= 1;
+        self.sizes.remove(&(left + 1, class.clone()));
+        if left > 0 {
+            self.sizes.insert((left, class.clone()));
+            return Some(entry);
+        }
+        self.turns.leave(lane.turn, class);
+        if !self.turns.is_ahead(lane.turn) {
+            self.lanes.remove(class);
+        }
+        Some(entry)
+    }
+
+    /// Removes empty lanes whose turns have passed, if there are many.
+    fn remove_empty_lanes(&mut self) {
+        if self.lanes.len() <= 2 * self.turns.len() + EMPTY_KEPT {
+            return;
+        }
+        let turns = &self.turns;
+        self.lanes
+            .retain(|_, lane| !lane.waiting.is_empty() || turns.is_ahead(lane.turn));
+    }
+}
+
+/// The queue. `K` identifies teams, `C` classes.
 #[derive(Debug)]
 pub struct Lanes<K, C, T> {
     teams: BTreeMap<K, Team<C, T>>,
-    turns: BTreeSet<(u64, K)>,
-    /// Teams by what they hold for their weight, least first.
-    sizes: BTreeSet<(u64, K)>,
-    now: u64,
+    /// Teams that are not empty, in the order of their turns.
+    turns: TurnOrder<K>,
+    /// Teams that are not empty by their loads, the lowest first.
+    loads: BTreeSet<(u64, K)>,
+    /// Number of entries.
     len: usize,
-    most: usize,
-    came: u64,
+    /// Most entries.
+    capacity: usize,
+    /// Number of entries that were ever pushed.
+    arrivals: u64,
 }
 
-/// What came of an entry.
+/// Result of pushing an entry.
 #[derive(Debug, PartialEq)]
 pub enum Taken<T> {
-    /// It waits, and nobody had to go.
+    /// The entry is queued, and none was evicted.
     Waits(Ticket),
-    /// It waits; this one has to go.
+    /// The entry is queued, and the second field was evicted for it.
     Instead(Ticket, T),
-    /// Its own lane holds most, and it is the last there: it has to go itself.
+    /// The entry itself would be the last of the longest lane, so it is returned.
     Refused(T),
 }
 
-fn load(len: usize, weight: f64) -> u64 {
-    (len as f64 * TURN / weight) as u64
-}
-
 impl<K: Ord + Clone, C: Ord + Clone, T> Lanes<K, C, T> {
-    /// Holds at most `most` entries.
-    pub fn new(most: usize) -> Lanes<K, C, T> {
+    /// Creates a queue of at most `capacity` entries.
+    pub fn new(capacity: usize) -> Lanes<K, C, T> {
         Lanes {
             teams: BTreeMap::new(),
-            turns: BTreeSet::new(),
-            sizes: BTreeSet::new(),
-            now: 0,
+            turns: TurnOrder::new(),
+            loads: BTreeSet::new(),
             len: 0,
-            most,
-            came: 0,
+            capacity,
+            arrivals: 0,
         }
     }
 
-    /// Entries that wait.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Holds at most so many from now on; those that are more wait on.
-    pub fn limit(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the capacity; entries beyond it stay queued.
+    pub fn limit(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
-    /// Entries that wait in a lane.
+    /// Returns the number of entries in a lane.
     pub fn waiting(&self, team: &K, class: &C) -> usize {
-        let lane = self.teams.get(team).and_then(|t| t.lanes.get(class));
-        lane.map_or(0, |l| l.waiting.len())
+        self.lane(team, class).map_or(0, |lane| lane.waiting.len())
     }
 
-    /// Lanes with something waiting.
+    /// Returns the number of lanes that are not empty.
     pub fn busy(&self) -> usize {
-        self.teams.values().map(|t| t.turns.len()).sum()
+        self.teams.values().map(|team| team.turns.len()).sum()
+    }
+
+    fn lane(&self, team: &K, class: &C) -> Option<&Lane<T>> {
+        self.teams.get(team)?.lanes.get(class)
     }
 
-    /// Lets an entry wait, or says who has to go. `weight` of its team, above zero; `first`: when its
-    /// user tried for the first time.
+    /// Queues an entry, and evicts one if the queue is full. `weight` is the team's, above 0; `first` is when the
+    /// client first tried to get this entry in.
     pub fn push(&mut self, team: K, weight: f64, class: C, first: Micros, entry: T) -> Taken<T> {
-        self.came += 1;
-        let ticket = (first, self.came);
-        let mut gone = None;
-        if self.len >= self.most {
-            match self.fullest() {
-                Some((k, c)) if k == team && c == class => {
-                    // The lane that holds most is its own: whoever tried last goes.
-                    let last = self.last(&k, &c);
-                    if last.is_none_or(|t| t <= ticket) {
-                        return Taken::Refused(entry);
-                    }
-                    gone = last.and_then(|t| self.remove(&k, &c, t));
-                }
-                Some((k, c)) => {
-                    gone = self.last(&k, &c).and_then(|t| self.remove(&k, &c, t));
-                }
-                None => return Taken::Refused(entry),
+        self.arrivals += 1;
+        let ticket = (first, self.arrivals);
+        if self.len < self.capacity {
+            self.back(team, weight, class, ticket, entry);
+            return Taken::Waits(ticket);
+        }
+        match self.evict_for(&team, &class, ticket) {
+            Some(evicted) => {
+                self.back(team, weight, class, ticket, entry);
+                Taken::Instead(ticket, evicted)
             }
+            None => Taken::Refused(entry),
         }
-        self.back(team, weight, class, ticket, entry);
-        match gone {
-            Some(g) => Taken::Instead(ticket, g),
-            None => Taken::Waits(ticket),
+    }
+
+    /// Evicts the last entry of the longest lane. If this is the lane of a new entry with `ticket`, and that would be
+    /// its last entry, nothing is evicted.
+    fn evict_for(&mut self, team: &K, class: &C, ticket: Ticket) -> Option<T> {
+        let (longest_team, longest_class) = self.longest_lane()?;
+        let lane = self.lane(&longest_team, &longest_class)?;
+        let last = *lane.waiting.keys().next_back()?;
+        let is_own_lane = longest_team == *team && longest_class == *class;
+        if is_own_lane && last <= ticket {
+            return None;
         }
+        self.remove(&longest_team, &longest_class, last)
     }
 
-    /// Puts an entry in its place, also one whose turn came to nothing.
+    /// Queues an entry under a ticket that it already has, such as one that was popped and not served.
     pub fn back(&mut self, team: K, weight: f64, class: C, ticket: Ticket, entry: T) {
-        let weight = weight.max(1e-6);
-        let now = self.now;
-        let t = self.teams.entry(team.clone()).or_insert_with(|| Team {
-            lanes: BTreeMap::new(),
-            turns: BTreeSet::new(),
-            sizes: BTreeSet::new(),
-            now: 0,
-            turn: 0,
-            weight,
-            len: 0,
-        });
-        self.sizes.remove(&(load(t.len, t.weight), team.clone()));
-        if t.len == 0 {
-            // Whoever was away has no turns saved up.
-            t.turn = t.turn.max(now);
-            self.turns.insert((t.turn, team.clone()));
-        }
-        t.weight = weight;
-        t.len += 1;
-        self.sizes.insert((load(t.len, t.weight), team));
-        let lane = t.lanes.entry(class.clone()).or_insert_with(|| Lane {
-            waiting: BTreeMap::new(),
-            turn: 0,
-        });
-        t.sizes.remove(&(lane.waiting.len(), class.clone()));
-        if lane.waiting.is_empty() {
-            lane.turn = lane.turn.max(t.now);
-            t.turns.insert((lane.turn, class.clone()));
+        let weight = weight.max(MIN_WEIGHT);
+        let lanes = self
+            .teams
+            .entry(team.clone())
+            .or_insert_with(|| Team::new(weight));
+        if lanes.len == 0 {
+            self.turns.join(&mut lanes.turn, team.clone());
+        } else {
+            self.loads.remove(&(lanes.load(), team.clone()));
         }
-        lane.waiting.insert(ticket, entry);
-        t.sizes.insert((lane.waiting.len(), class));
+        lanes.weight = weight;
+        lanes.insert(class, ticket, entry);
+        self.loads.insert((lanes.load(), team));
         self.len += 1;
     }
 
-    /// The lane that holds most, of the team that holds most for its weight.
-    fn fullest(&self) -> Option<(K, C)> {
-        let (_, team) = self.sizes.last()?;
+    /// Returns the longest lane of the team with the highest load.
+    fn longest_lane(&self) -> Option<(K, C)> {
+        let (_, team) = self.loads.last()?;
         let (_, class) = self.teams.get(team)?.sizes.last()?;
         Some((team.clone(), class.clone()))
     }
 
-    fn last(&self, team: &K, class: &C) -> Option<Ticket> {
-        let lane = self.teams.get(team)?.lanes.get(class)?;
-        lane.waiting.keys().next_back().copied()
-    }
-
-    /// Takes an entry out.
+    /// Removes an entry.
     pub fn remove(&mut self, team: &K, class: &C, ticket: Ticket) -> Option<T> {
-        let t = self.teams.get_mut(team)?;
-        let lane = t.lanes.get_mut(class)?;
-        let entry = lane.waiting.remove(&ticket)?;
-        let left = lane.waiting.len();
-        t.sizes.remove(&(left + 1, class.clone()));
-        if left > 0 {
-            t.sizes.insert((left, class.clone()));
-        } else {
-            t.turns.remove(&(lane.turn, class.clone()));
-            if lane.turn <= t.now {
-                t.lanes.remove(class);
-            }
-        }
-        self.sizes.remove(&(load(t.len, t.weight), team.clone()));
-        t.len -= 1;
+        let lanes = self.teams.get_mut(team)?;
+        let load_before = lanes.load();
+        let entry = lanes.remove(class, ticket)?;
         self.len -= 1;
-        if t.len > 0 {
-            self.sizes.insert((load(t.len, t.weight), team.clone()));
-        } else {
-            self.turns.remove(&(t.turn, team.clone()));
-            if t.turn <= self.now {
-                self.teams.remove(team);
-            }
+        self.loads.remove(&(load_before, team.clone()));
+        if lanes.len > 0 {
+            self.loads.insert((lanes.load(), team.clone()));
+            return Some(entry);
+        }
+        self.turns.leave(lanes.turn, team);
+        if !self.turns.is_ahead(lanes.turn) {
+            self.teams.remove(team);
         }
         Some(entry)
     }
 
-    /// Whose turn it is.
+    /// Removes the entry whose turn it is, and returns it with its team, class and ticket.
     pub fn pop(&mut self) -> Option<(K, C, Ticket, T)> {
-        let (turn, team) = self.turns.first().cloned()?;
-        let t = self.teams.get_mut(&team)?;
-        let (lane_turn, class) = t.turns.first().cloned()?;
-        let lane = t.lanes.get_mut(&class)?;
+        let team = self.turns.first()?.clone();
+        let lanes = self.teams.get_mut(&team)?;
+        let class = lanes.turns.first()?.clone();
+        let lane = lanes.lanes.get_mut(&class)?;
         let ticket = *lane.waiting.keys().next()?;
-        // The next turn of both comes later by what this one took.
-        self.turns.remove(&(turn, team.clone()));
-        self.now = self.now.max(turn);
-        t.turn = turn + (TURN / t.weight) as u64;
-        self.turns.insert((t.turn, team.clone()));
-        t.turns.remove(&(lane_turn, class.clone()));
-        t.now = t.now.max(lane_turn);
-        lane.turn = lane_turn + TURN as u64;
-        t.turns.insert((lane.turn, class.clone()));
+        let cost = TURN / lanes.weight;
+        self.turns.serve(&mut lanes.turn, cost as u64, &team);
+        lanes.turns.serve(&mut lane.turn, TURN as u64, &class);
         let entry = self.remove(&team, &class, ticket)?;
-        self.tidy();
+        self.remove_empty();
         Some((team, class, ticket, entry))
     }
 
-    /// Forgets a few teams and lanes with nothing waiting whose turns have passed.
-    fn tidy(&mut self) {
-        let now = self.now;
-        if self.teams.len() > 2 * self.turns.len() + 16 {
-            self.teams.retain(|_, t| t.len > 0 || t.turn > now);
-        }
-        for t in self.teams.values_mut() {
-            if t.lanes.len() > 2 * t.turns.len() + 16 {
-                let now = t.now;
-                t.lanes.retain(|_, l| !l.waiting.is_empty() || l.turn > now);
-            }
+    /// Removes empty teams and lanes whose turns have passed, if there are many.
+    fn remove_empty(&mut self) {
+        if self.teams.len() > 2 * self.turns.len() + EMPTY_KEPT {
+            let turns = &self.turns;
+            self.teams
+                .retain(|_, team| team.len > 0 || turns.is_ahead(team.turn));
         }
+        self.teams.values_mut().for_each(Team::remove_empty_lanes);
     }
 }
 
--- a/crates/admission-control/src/lanes/tests.rs
+++ b/crates/admission-control/src/lanes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of the fair queue.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
@@ -95,6 +95,6 @@
             assert!(lanes <= 40 * 18 + 16 && q.teams.len() <= 2 * 40 + 16);
         }
         while q.pop().is_some() {}
-        assert!(q.is_empty() && q.turns.is_empty() && q.sizes.is_empty());
+        assert!(q.is_empty() && q.turns.len() == 0 && q.loads.is_empty());
     }
 }
--- /dev/null
+++ b/crates/admission-control/src/lanes/turns.rs
@@ -0,0 +1,55 @@
+//! The order of turns in fair scheduling, by virtual time.
+
+use std::collections::BTreeSet;
+
+/// Keys in the order of their next turns. The caller stores the turn of each key.
+///
+/// Each turn moves a key's next one back by what the turn cost. A key that joins gets no turn before the virtual time,
+/// which is the latest turn that was served, so that it cannot save up turns while it is away.
+#[derive(Debug)]
+pub(super) struct TurnOrder<K> {
+    waiting: BTreeSet<(u64, K)>,
+    virtual_time: u64,
+}
+
+impl<K: Ord + Clone> TurnOrder<K> {
+    pub(super) fn new() -> TurnOrder<K> {
+        TurnOrder {
+            waiting: BTreeSet::new(),
+            virtual_time: 0,
+        }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.waiting.len()
+    }
+
+    /// Returns the key whose turn is next.
+    pub(super) fn first(&self) -> Option<&K> {
+        self.waiting.first().map(|(_, key)| key)
+    }
+
+    /// Returns whether this turn is later than the virtual time, so that a key that leaves has to keep it.
+    pub(super) fn is_ahead(&self, turn: u64) -> bool {
+        turn > self.virtual_time
+    }
+
+    /// Adds a key.
+    pub(super) fn join(&mut self, turn: &mut u64, key: K) {
+        *turn = (*turn).max(self.virtual_time);
+        self.waiting.insert((*turn, key));
+    }
+
+    /// Removes a key.
+    pub(super) fn leave(&mut self, turn: u64, key: &K) {
+        self.waiting.remove(&(turn, key.clone()));
+    }
+
+    /// Serves a key whose turn it is, and moves its next turn back.
+    pub(super) fn serve(&mut self, turn: &mut u64, cost: u64, key: &K) {
+        self.leave(*turn, key);
+        self.virtual_time = self.virtual_time.max(*turn);
+        *turn += cost;
+        self.waiting.insert((*turn, key.clone()));
+    }
+}
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,17 +1,18 @@
-//! Who gets in when more is asked than can be taken.
+//! Admission control: who is served when more is requested than can be taken.
 //!
-//! Pure: no clock, no I/O, no randomness of its own. Times are whole microseconds on the caller's steady
-//! clock.
+//! The crate is pure: it has no clock, no I/O and no randomness of its own.
 //!
-//! - [`fair`]: how much of something scarce each of several gets (max-min, weighted).
-//! - [`lanes`]: a bounded queue in which no lane starves another.
-//! - [`refusal`]: when those who are refused had better come back, and who has waited longest.
-//! - [`parts`]: parts of a whole that several hold at once and that never add up to more.
+//! - [`fair`]: weighted max-min fair shares of a scarce amount.
+//! - [`lanes`]: a bounded queue with fair scheduling, in which no team or class starves another.
+//! - [`refusal`]: when refused clients should retry, and which of them tried first.
+//! - [`parts`]: shares of a budget that several holders use at once and that never exceed the total.
+
+#![deny(missing_docs)]
 
 pub mod fair;
 pub mod lanes;
 pub mod parts;
 pub mod refusal;
 
-/// A point on the caller's steady clock, or a span, in whole microseconds.
+/// A point on a clock of the caller, or a duration, in whole microseconds.
 pub type Micros = u64;
--- a/crates/admission-control/src/parts.rs
+++ b/crates/admission-control/src/parts.rs
@@ -1,164 +1,218 @@
-//! Parts of a whole that several hold at once, and that never add up to more than the whole.
+//! Shares of a budget that several holders use at once and that never exceed the total.
 //!
-//! Who gives them writes a [`Grant`] on record, each one on condition that the one before is still the
-//! newest and that the giver still leads. A holder uses its part of the newest grant that it has seen,
-//! until the grant ends. It may see a grant late or never, so it may still use its part of an older one:
-//! each grant therefore carries, for every holder, what older grants may still allow. Only what nobody
-//! may still be using is given to others.
+//! The leader, here called the grantor, records a [`Grant`]. Each grant is written on condition that the one before
+//! is still the newest on record and that the grantor still leads. A holder uses its share of the newest grant that it
+//! has seen until that grant expires. It may see a grant late or never, and may then still use its share of an earlier
+//! one. Each grant therefore also carries, per holder, which shares of earlier grants may still be in use, and only
+//! what nobody can be using is given to others.
 //!
-//! Grants end by the time of day, which all agree on within a bound: a holder stops that bound early, a
-//! giver waits that bound longer. A delayed message can then shorten a part and never lengthen it. A new
-//! giver needs nothing but the newest grant; a holder that restarts, too.
+//! Grants expire by the time of day, on which all clocks agree within a bound: a holder stops that bound early, and a
+//! grantor waits that bound longer. So a delayed message can shorten the use of a share but never extend it. A new
+//! grantor needs only the newest grant, and so does a holder that restarts.
 
 use crate::Micros;
 use crate::fair::{Asked, shares};
 use std::collections::BTreeMap;
 
-/// An amount in thousandths: what is agreed on must be the same for everybody, to the last digit.
+/// An amount in thousandths. It is an integer, so that all controllers compute exactly the same amounts.
 pub type Milli = u64;
 
-/// What a holder may have from some grant.
+/// A holder's share of one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Part {
-    /// How much.
+    /// Amount that the holder may use.
     pub amount: Milli,
-    /// Until this time of day.
+    /// Time of day at which the share expires.
     pub until: Micros,
     /// Number of the grant.
     pub epoch: u64,
 }
 
-/// What is on record.
+/// The shares of all holders, as they are on record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// Number; each one is higher than the one before.
+    /// Number of the grant, which is higher than that of the one before.
     pub epoch: u64,
-    /// The parts of this grant.
+    /// Shares of this grant, by holder.
     pub parts: BTreeMap<String, Part>,
-    /// What older grants may still allow beyond that, largest first.
+    /// Shares of earlier grants that a holder may still use and that allow more, or for longer, than this grant does.
+    /// By holder, the largest first.
     pub owed: BTreeMap<String, Vec<Part>>,
 }
 
-/// How parts are given.
+/// Parameters of granting.
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
-    /// All that there is to give.
+    /// The total, which the shares in use never exceed.
     pub whole: Milli,
-    /// How long a grant lasts.
+    /// Time until a grant expires.
     pub life: Micros,
-    /// How far two clocks' time of day may be apart, and timers be late.
+    /// Bound on the difference between the time of day of two clocks, plus the delay of timers.
     pub apart: Micros,
 }
 
-/// What a holder asks for.
+/// A holder's request for a share.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Want {
-    /// Who.
+    /// Name of the holder.
     pub holder: String,
-    /// How much.
+    /// Requested amount.
     pub amount: Milli,
-    /// What it counts.
+    /// Weight of the holder, above 0.
     pub weight: f64,
-    /// Number of the newest grant that it has told of: it uses no older one any more.
+    /// Number of the newest grant that the holder has acknowledged: it uses no earlier one any more.
     pub seen: u64,
 }
 
+/// Upper bounds on what holders may be using, by holder.
+struct InUse(BTreeMap<String, Vec<Part>>);
+
+impl InUse {
+    /// Returns the most that a holder may be using.
+    fn bound(&self, holder: &str) -> Milli {
+        largest(self.0.get(holder).into_iter().flatten())
+    }
+
+    /// Returns the most that all holders together may be using.
+    fn total(&self) -> Milli {
+        self.0.values().map(|parts| largest(parts.iter())).sum()
+    }
+
+    /// Returns the shares that a new grant has to carry on: those that allow more than the holder's new share, or
+    /// expire later.
+    fn owed_beside(mut self, new_parts: &BTreeMap<String, Part>) -> BTreeMap<String, Vec<Part>> {
+        self.0.retain(|holder, parts| {
+            if let Some(new) = new_parts.get(holder) {
+                parts.retain(|part| part.amount > new.amount || part.until > new.until);
+            }
+            !parts.is_empty()
+        });
+        self.0
+    }
+}
+
 impl Grant {
-    /// What a holder may use at this time of day by its own clock.
+    /// Returns what a holder may use at this time of day by its own clock.
     pub fn part(&self, holder: &str, wall: Micros, rules: &Rules) -> Milli {
         let part = self.parts.get(holder);
-        let open = part.filter(|p| wall + rules.apart < p.until);
-        open.map_or(0, |p| p.amount)
+        let usable = part.filter(|part| wall + rules.apart < part.until);
+        usable.map_or(0, |part| part.amount)
     }
 
-    /// What all holders together may be using at this time of day by the giver's clock, whichever grants
-    /// they have seen. `seen`: the newest that each has told of. The rest of the whole is the giver's.
+    /// Returns the most that all holders together may be using at this time of day by the grantor's clock, whichever
+    /// grants they have seen. The grantor may use the rest of the total. `seen` returns the number of the newest grant
+    /// that a holder has acknowledged.
     pub fn lent(&self, wall: Micros, rules: &Rules, seen: impl Fn(&str) -> u64) -> Milli {
-        let bound = |h: &String| largest(self.open(h, seen(h), wall, rules));
+        let bound = |holder: &String| largest(self.usable_parts(holder, seen(holder), wall, rules));
         self.holders().map(bound).sum()
     }
 
-    /// The next grant, given at this time of day. Whoever may still be using more than they get keeps
-    /// the others waiting for the rest. What the giver could use itself, `own`, counts like what others
-    /// want; it is not granted, since what is not lent is the giver's.
+    /// Returns the next grant, made at this time of day.
+    ///
+    /// The total is divided by weighted max-min fairness among the requests of the holders and `own`, the grantor's
+    /// demand. The grantor's share is not granted, since it uses whatever is not lent. If some holders may still be
+    /// using more than their new shares, the others get only what is free until that has expired.
     pub fn next(&self, wall: Micros, own: Asked, wants: &[Want], rules: &Rules) -> Grant {
-        let asked = wants.iter().map(|w| Asked {
-            amount: w.amount as f64,
-            weight: w.weight,
-        });
-        let asked: Vec<Asked> = asked.chain([own]).collect();
-        let fair = shares(rules.whole as f64, &asked);
-        let fair: Vec<Milli> = fair.into_iter().map(|f| f as Milli).collect();
-        let mut owed: BTreeMap<String, Vec<Part>> = BTreeMap::new();
-        for h in self.holders() {
-            let want = wants.iter().find(|w| w.holder == *h);
-            let seen = want.map_or(0, |w| w.seen);
-            let mut open: Vec<Part> = self.open(h, seen, wall, rules).copied().collect();
-            open.sort_by(|a, b| b.cmp(a));
-            owed.insert(h.clone(), open);
-        }
-        let bound = |h: &String| largest(owed.get(h).into_iter().flatten());
-        let used: Milli = owed.keys().map(bound).sum();
-        let free = rules.whole.saturating_sub(used);
-        // What anybody is to have beyond what it may be using already comes out of what is free.
-        let more: Vec<Milli> = (wants.iter().zip(&fair))
-            .map(|(w, f)| f.saturating_sub(bound(&w.holder)))
-            .collect();
-        let all: Milli = more.iter().sum();
+        let epoch = self.epoch + 1;
         let until = wall + rules.life;
-        let mut parts = BTreeMap::new();
-        for ((w, fair), more) in wants.iter().zip(&fair).zip(&more) {
-            let held = (*fair).min(bound(&w.holder));
-            let extra = if all <= free {
-                *more
-            } else {
-                (*more as u128 * free as u128 / all as u128) as Milli
-            };
-            let amount = held + extra;
-            let part = Part {
-                amount,
-                until,
-                epoch: self.epoch + 1,
-            };
-            parts.insert(w.holder.clone(), part);
-        }
-        // An older part that allows no more than the new one, and ends no later, need not be told.
-        owed.retain(|h, list| {
-            if let Some(new) = parts.get(h) {
-                list.retain(|p: &Part| p.amount > new.amount || p.until > new.until);
-            }
-            !list.is_empty()
-        });
-        Grant {
-            epoch: self.epoch + 1,
-            parts,
-            owed,
+        let in_use = self.in_use(wall, wants, rules);
+        let amounts = granted_amounts(&in_use, own, wants, rules);
+        let parts: BTreeMap<String, Part> = wants
+            .iter()
+            .zip(amounts)
+            .map(|(want, amount)| {
+                let part = Part {
+                    amount,
+                    until,
+                    epoch,
+                };
+                (want.holder.clone(), part)
+            })
+            .collect();
+        let owed = in_use.owed_beside(&parts);
+        Grant { epoch, parts, owed }
+    }
+
+    /// Returns the shares that holders may still be using.
+    fn in_use(&self, wall: Micros, wants: &[Want], rules: &Rules) -> InUse {
+        let mut in_use = BTreeMap::new();
+        for holder in self.holders() {
+            let want = wants.iter().find(|want| want.holder == *holder);
+            let seen = want.map_or(0, |want| want.seen);
+            let parts = self.usable_parts(holder, seen, wall, rules);
+            let mut parts: Vec<Part> = parts.copied().collect();
+            parts.sort_by(|first, second| second.cmp(first));
+            in_use.insert(holder.clone(), parts);
         }
+        InUse(in_use)
     }
 
-    /// Whoever has a part of any grant that counts.
+    /// Returns the holders with a share of this grant or of an earlier one that counts.
     fn holders(&self) -> impl Iterator<Item = &String> {
-        let only_owed = self.owed.keys().filter(|h| !self.parts.contains_key(*h));
+        let only_owed = self
+            .owed
+            .keys()
+            .filter(|holder| !self.parts.contains_key(*holder));
         self.parts.keys().chain(only_owed)
     }
 
-    /// Parts of all grants so far that a holder may still be using.
-    fn open(
+    /// Returns the shares, of this grant and earlier ones, that a holder may still be using.
+    fn usable_parts(
         &self,
         holder: &str,
         seen: u64,
         wall: Micros,
         rules: &Rules,
     ) -> impl Iterator<Item = &Part> {
-        let all = self.parts.get(holder).into_iter();
-        let all = all.chain(self.owed.get(holder).into_iter().flatten());
+        let current = self.parts.get(holder).into_iter();
+        let earlier = self.owed.get(holder).into_iter().flatten();
         let apart = rules.apart;
-        all.filter(move |p| wall < p.until + apart && p.epoch >= seen)
+        current
+            .chain(earlier)
+            .filter(move |part| wall < part.until + apart && part.epoch >= seen)
+    }
+}
+
+/// Returns the amounts to grant, in the order of the requests.
+fn granted_amounts(in_use: &InUse, own: Asked, wants: &[Want], rules: &Rules) -> Vec<Milli> {
+    let fair_amounts = fair_amounts(own, wants, rules);
+    let free = rules.whole.saturating_sub(in_use.total());
+    // What a holder gets beyond its bound comes out of what is free.
+    let increases: Vec<Milli> = wants
+        .iter()
+        .zip(&fair_amounts)
+        .map(|(want, fair)| fair.saturating_sub(in_use.bound(&want.holder)))
+        .collect();
+    let total_increase: Milli = increases.iter().sum();
+    let mut amounts = Vec::with_capacity(wants.len());
+    for ((want, fair), increase) in wants.iter().zip(fair_amounts).zip(increases) {
+        let kept = fair.min(in_use.bound(&want.holder));
+        amounts.push(kept + scaled_increase(increase, total_increase, free));
+    }
+    amounts
+}
+
+/// Divides the total among the holders and the grantor; returns the holders' amounts, followed by the grantor's.
+fn fair_amounts(own: Asked, wants: &[Want], rules: &Rules) -> Vec<Milli> {
+    let demands = wants.iter().map(|want| Asked {
+        amount: want.amount as f64,
+        weight: want.weight,
+    });
+    let demands: Vec<Asked> = demands.chain([own]).collect();
+    let shares = shares(rules.whole as f64, &demands);
+    shares.into_iter().map(|share| share as Milli).collect()
+}
+
+/// Scales an increase down, if all of them together exceed what is free.
+fn scaled_increase(increase: Milli, total_increase: Milli, free: Milli) -> Milli {
+    if total_increase <= free {
+        return increase;
     }
+    (u128::from(increase) * u128::from(free) / u128::from(total_increase)) as Milli
 }
 
-fn largest<'p>(parts: impl Iterator<Item = &'p Part>) -> Milli {
-    parts.map(|p| p.amount).max().unwrap_or(0)
+fn largest<'parts>(parts: impl Iterator<Item = &'parts Part>) -> Milli {
+    parts.map(|part| part.amount).max().unwrap_or(0)
 }
 
 #[cfg(test)]
--- a/crates/admission-control/src/parts/tests.rs
+++ b/crates/admission-control/src/parts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of budget shares.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/admission-control/src/refusal.rs
+++ b/crates/admission-control/src/refusal.rs
@@ -1,75 +1,122 @@
-//! When those who are refused had better come back, and who of those who come back has waited longest.
+//! When refused clients should retry, and which of them tried first.
 
 use crate::Micros;
 use foldhash::fast::FixedState;
 use std::hash::BuildHasher;
 
 const SECOND: Micros = 1_000_000;
-/// Users try for 60 s in all (PROTOCOL, "POST /submissions"): what is older is another try.
-const TRIED: Micros = 70 * SECOND;
-/// Whoever waits longer between two tries has few of them left.
-const LONGEST: f64 = 12.0;
-/// Tries that share a place of the table.
-const WAYS: usize = 4;
+/// Clients retry a submission for 60 s in total; a later one is a new submission.
+const RETRY_PERIOD: Micros = 70 * SECOND;
+/// Longest wait between two tries, in seconds. With a longer one a client would have few tries left.
+const MAX_WAIT_S: f64 = 12.0;
+/// Smallest rate, in entries a second, that is used in a division.
+const MIN_RATE: f64 = 1e-3;
+/// Entries in one bucket of the table.
+const BUCKET_ENTRIES: usize = 4;
 
-/// First attempts of those who were refused, as far as there is room: a table of fixed size, in which a
-/// million refused ids cost no more than ten.
+/// The first try of a refused id.
+#[derive(Debug, Clone, Copy)]
+struct Refusal {
+    /// Part of the id's hash; 0: the entry is free.
+    fingerprint: u32,
+    first_try: Micros,
+}
+
+impl Refusal {
+    const FREE: Refusal = Refusal {
+        fingerprint: 0,
+        first_try: 0,
+    };
+
+    fn is_free(&self, now: Micros) -> bool {
+        self.fingerprint == 0 || now >= self.first_try + RETRY_PERIOD
+    }
+}
+
+/// Where an id belongs in the table.
+struct Place {
+    bucket: usize,
+    fingerprint: u32,
+}
+
+/// First tries of refused ids, as far as there is room: a table of fixed size, whose cost does not depend on the
+/// number of refused ids.
 #[derive(Debug)]
 pub struct Refusals {
-    places: Vec<[(u32, Micros); WAYS]>,
+    buckets: Vec<[Refusal; BUCKET_ENTRIES]>,
     hasher: FixedState,
 }
 
 impl Refusals {
-    /// Remembers at least this many in most cases.
+    /// Creates a table with room for at least `entries` ids, if their hashes are spread evenly.
     pub fn new(entries: usize) -> Refusals {
-        let places = (entries / WAYS).next_power_of_two().max(1);
+        let buckets = (entries / BUCKET_ENTRIES).next_power_of_two().max(1);
         Refusals {
-            places: vec![[(0, 0); WAYS]; places],
+            buckets: vec![[Refusal::FREE; BUCKET_ENTRIES]; buckets],
             hasher: FixedState::default(),
         }
     }
 
-    fn place(&self, id: &str) -> (usize, u32) {
-        let h = self.hasher.hash_one(id);
-        let place = h as usize & (self.places.len() - 1);
-        (place, ((h >> 32) as u32).max(1))
+    fn place(&self, id: &str) -> Place {
+        let hash = self.hasher.hash_one(id);
+        Place {
+            bucket: hash as usize & (self.buckets.len() - 1),
+            fingerprint: ((hash >> 32) as u32).max(1),
+        }
     }
 
-    /// When the id was tried first: now, unless it has been refused before.
+    /// Returns when the id was tried first: `now`, unless it was refused before.
     pub fn first(&self, id: &str, now: Micros) -> Micros {
-        let (place, print) = self.place(id);
-        let found = self.places[place].iter().find(|(p, _)| *p == print);
-        let first = found.map(|(_, first)| *first);
-        first.filter(|t| now < t + TRIED).unwrap_or(now)
+        let place = self.place(id);
+        let mut entries = self.buckets[place.bucket].iter();
+        let found = entries.find(|entry| entry.fingerprint == place.fingerprint);
+        match found {
+            Some(entry) if now < entry.first_try + RETRY_PERIOD => entry.first_try,
+            _ => now,
+        }
     }
 
-    /// The id is refused; `first`: its first try.
+    /// Records that the id, first tried at `first`, is refused.
     pub fn refuse(&mut self, id: &str, first: Micros, now: Micros) {
-        let (place, print) = self.place(id);
-        let ways = &mut self.places[place];
-        let stale = |t: &(u32, Micros)| t.0 == 0 || now >= t.1 + TRIED;
-        let at = ways.iter().position(|t| t.0 == print);
-        // Of those that are worth remembering the youngest goes: it has waited least.
-        let youngest = (0..WAYS).max_by_key(|i| ways[*i].1).unwrap_or(0);
-        let at = at.or_else(|| ways.iter().position(stale));
-        match at {
-            Some(at) => ways[at] = (print, first),
-            None if ways[youngest].1 > first => ways[youngest] = (print, first),
-            None => {}
+        let place = self.place(id);
+        let entries = &mut self.buckets[place.bucket];
+        let refusal = Refusal {
+            fingerprint: place.fingerprint,
+            first_try: first,
+        };
+        let same = entries
+            .iter()
+            .position(|entry| entry.fingerprint == place.fingerprint);
+        if let Some(index) = same.or_else(|| entries.iter().position(|entry| entry.is_free(now))) {
+            entries[index] = refusal;
+            return;
+        }
+        // The bucket is full of ids that still count. The one that has waited least gives way.
+        let youngest = entries.iter_mut().max_by_key(|entry| entry.first_try);
+        if let Some(youngest) = youngest
+            && youngest.first_try > first
+        {
+            *youngest = refusal;
         }
     }
 
-    /// Seconds after which the refused had better come back. `ahead`: how many wait before them, in
-    /// their own lane; `rate`: how many of those are taken a second. Different users come back at
-    /// different times, and the same user each time at another.
+    /// Returns after how many seconds a refused client should retry. `ahead` is the number of entries before it in its
+    /// lane, `rate` how many of them are served a second.
+    ///
+    /// The wait varies by half in either direction, by id and by time, so that clients do not return all at once.
     pub fn retry_after(&self, id: &str, ahead: usize, rate: f64, now: Micros) -> u32 {
-        let wait = (ahead as f64 / rate.max(1e-3)).clamp(1.0, LONGEST);
-        let h = self.hasher.hash_one((id, now / SECOND));
-        let spread = 0.5 + (h >> 11) as f64 / (1u64 << 53) as f64;
+        let wait = (ahead as f64 / rate.max(MIN_RATE)).clamp(1.0, MAX_WAIT_S);
+        let hash = self.hasher.hash_one((id, now / SECOND));
+        let spread = 0.5 + unit_interval(hash);
         (wait * spread).round().max(1.0) as u32
     }
 }
 
+/// Maps a hash to a number from 0 up to, but not including, 1.
+fn unit_interval(hash: u64) -> f64 {
+    const MANTISSA_BITS: u32 = 53;
+    (hash >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/admission-control/src/refusal/tests.rs
+++ b/crates/admission-control/src/refusal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of the table of refusals.
 
 use super::*;
 
@@ -16,14 +16,14 @@
 #[test]
 fn a_million_refused_cost_no_memory_and_the_oldest_are_remembered() {
     let mut r = Refusals::new(4_096);
-    let before = r.places.len();
+    let before = r.buckets.len();
     for n in 0..300 {
         r.refuse(&format!("req-{n}"), SECOND, SECOND);
     }
     for n in 0..1_000_000u64 {
         r.refuse(&format!("req-{}", 1_000 + n), 2 * SECOND, 3 * SECOND);
     }
-    assert_eq!(r.places.len(), before);
+    assert_eq!(r.buckets.len(), before);
     let known = |n: &u32| r.first(&format!("req-{n}"), 9 * SECOND) == SECOND;
     assert!((0..300).filter(known).count() > 290);
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,70 +1,73 @@
-//! Looks at every state that a small model can reach, breadth first, so that the first broken one comes
-//! with a shortest story of how it came about.
+//! An exhaustive model checker for small models.
 //!
-//! A model is made of the real pure machines, a few messages that may be late, lost or repeated, and
-//! clocks that tick. It says what can happen next and what must hold. Nothing here knows what is modelled.
+//! It visits every reachable state breadth first, so a violation comes with a shortest path to it. A model consists of
+//! the real, pure state machines, of messages that may be late, lost or repeated, and of clocks that tick. It defines
+//! which steps are possible in a state and which property must hold; the checker knows nothing of what is modelled.
 //!
-//! States are kept whole, so models have to be small; states that differ only in the names of equal
-//! parties should be folded into one by [`Model::fold`].
+//! All states are kept in memory, so models have to be small. States that differ only in the names of
+//! interchangeable parties should be mapped to one of them by [`Model::fold`].
+
+#![deny(missing_docs)]
 
 use foldhash::{HashMap, HashMapExt};
 use std::collections::VecDeque;
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// Something to be looked at.
+/// A model to check.
 pub trait Model {
-    /// All there is at one moment.
+    /// The state of the whole model at one moment.
     type State: Clone + Eq + Hash;
-    /// Something that happens.
+    /// A transition from one state to another.
     type Step: Clone + Debug;
 
-    /// Where it begins.
+    /// Returns the initial states.
     fn start(&self) -> Vec<Self::State>;
-    /// What may happen next, and what comes of it.
+    /// Returns the steps that are possible in a state, each with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
-    /// What must hold and does not.
+    /// Describes the property that a state violates, if any.
     fn broken(&self, state: &Self::State) -> Option<String>;
-    /// The one of several equal states that stands for all of them.
+    /// Returns the representative of all states that are equivalent to this one.
     fn fold(&self, state: Self::State) -> Self::State {
         state
     }
 }
 
-/// What came of it.
+/// Result of a check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Seen<S> {
-    /// All states that can be reached were looked at.
+    /// All reachable states were visited, and none violates a property.
     All {
-        /// How many.
+        /// Number of states.
         states: usize,
-        /// Steps to the one that is furthest away.
+        /// Number of steps to the state that is furthest from the initial ones.
         depth: usize,
     },
-    /// There are more than were to be looked at; none of these was broken.
+    /// The limit was reached; no visited state violates a property.
     TooMany {
-        /// How many were looked at.
+        /// Number of visited states.
         states: usize,
     },
-    /// One is broken.
+    /// A state violates a property.
     Broken {
-        /// What does not hold.
+        /// The property, as described by the model.
         what: String,
-        /// A shortest way there.
+        /// A shortest path to the state.
         story: Vec<S>,
-        /// How many were looked at.
+        /// Number of visited states.
         states: usize,
     },
 }
 
 impl<S: Debug> Seen<S> {
-    /// The way to the broken state, a line a step.
+    /// Formats the result for people; the path to a violation has one line per step.
     pub fn story(&self) -> String {
         match self {
             Seen::Broken { what, story, .. } => {
                 let steps = story.iter().enumerate();
-                let mut lines: Vec<String> =
-                    steps.map(|(n, s)| format!("{}. {s:?}", n + 1)).collect();
+                let mut lines: Vec<String> = steps
+                    .map(|(index, step)| format!("{}. {step:?}", index + 1))
+                    .collect();
                 lines.push(what.clone());
                 lines.join("\n")
             }
@@ -74,62 +77,107 @@
     }
 }
 
-struct Found<M: Model> {
-    /// State from which it was reached, and how.
-    from: Option<(usize, M::Step)>,
+/// How a state was reached first.
+struct Origin<S> {
+    /// Index of the state before.
+    previous: usize,
+    step: S,
+}
+
+/// A visited state; its index is the order of visits.
+struct Visit<S> {
+    /// `None` for an initial state.
+    origin: Option<Origin<S>>,
+    /// Number of steps from an initial state.
     depth: usize,
 }
 
-/// A state, and from which other it was reached by which step.
-type Reached<M> = (<M as Model>::State, Option<(usize, <M as Model>::Step)>);
+/// The progress of a check.
+struct Explorer<'model, M: Model> {
+    model: &'model M,
+    max_states: usize,
+    known: HashMap<M::State, usize>,
+    visits: Vec<Visit<M::Step>>,
+    /// States whose steps were not followed yet, with their indices.
+    frontier: VecDeque<(usize, M::State)>,
+}
 
-/// Looks at up to `most` states.
-pub fn explore<M: Model>(model: &M, most: usize) -> Seen<M::Step> {
-    let mut number: HashMap<M::State, usize> = HashMap::new();
-    let mut found: Vec<Found<M>> = Vec::new();
-    let mut open: VecDeque<(usize, M::State)> = VecDeque::new();
-    let mut first: Vec<Reached<M>> = model.start().into_iter().map(|s| (s, None)).collect();
-    loop {
-        for (state, from) in first.drain(..) {
-            let state = model.fold(state);
-            if number.contains_key(&state) {
-                continue;
-            }
-            let depth = from.as_ref().map_or(0, |(n, _)| found[*n].depth + 1);
-            found.push(Found { from, depth });
-            let n = found.len() - 1;
-            if let Some(what) = model.broken(&state) {
-                return Seen::Broken {
-                    what,
-                    story: story(&found, n),
-                    states: found.len(),
-                };
-            }
-            if found.len() >= most {
-                return Seen::TooMany { states: most };
+impl<M: Model> Explorer<'_, M> {
+    /// Visits a state unless it is known; returns a result if the check ends here.
+    fn visit(&mut self, state: M::State, origin: Option<Origin<M::Step>>) -> Option<Seen<M::Step>> {
+        let state = self.model.fold(state);
+        if self.known.contains_key(&state) {
+            return None;
+        }
+        let depth = origin
+            .as_ref()
+            .map_or(0, |origin| self.visits[origin.previous].depth + 1);
+        let index = self.visits.len();
+        self.visits.push(Visit { origin, depth });
+        if let Some(what) = self.model.broken(&state) {
+            return Some(Seen::Broken {
+                what,
+                story: self.path_to(index),
+                states: self.visits.len(),
+            });
+        }
+        if self.visits.len() >= self.max_states {
+            return Some(Seen::TooMany {
+                states: self.max_states,
+            });
+        }
+        self.known.insert(state.clone(), index);
+        self.frontier.push_back((index, state));
+        None
+    }
+
+    /// Visits all states that one step leads to.
+    fn follow_steps(&mut self, previous: usize, state: &M::State) -> Option<Seen<M::Step>> {
+        for (step, next) in self.model.steps(state) {
+            let origin = Origin { previous, step };
+            let result = self.visit(next, Some(origin));
+            if result.is_some() {
+                return result;
             }
-            number.insert(state.clone(), n);
-            open.push_back((n, state));
         }
-        let Some((n, state)) = open.pop_front() else {
-            return Seen::All {
-                states: found.len(),
-                depth: found.last().map_or(0, |f| f.depth),
-            };
-        };
-        let next = model.steps(&state).into_iter();
-        first.extend(next.map(|(step, s)| (s, Some((n, step)))));
+        None
+    }
+
+    fn path_to(&self, index: usize) -> Vec<M::Step> {
+        let mut steps = Vec::new();
+        let mut visit = &self.visits[index];
+        while let Some(origin) = &visit.origin {
+            steps.push(origin.step.clone());
+            visit = &self.visits[origin.previous];
+        }
+        steps.reverse();
+        steps
     }
 }
 
-fn story<M: Model>(found: &[Found<M>], mut n: usize) -> Vec<M::Step> {
-    let mut steps = Vec::new();
-    while let Some((from, step)) = &found[n].from {
-        steps.push(step.clone());
-        n = *from;
+/// Checks a model, visiting at most `max_states` states.
+pub fn explore<M: Model>(model: &M, max_states: usize) -> Seen<M::Step> {
+    let mut explorer = Explorer {
+        model,
+        max_states,
+        known: HashMap::new(),
+        visits: Vec::new(),
+        frontier: VecDeque::new(),
+    };
+    for state in model.start() {
+        if let Some(result) = explorer.visit(state, None) {
+            return result;
+        }
+    }
+    while let Some((index, state)) = explorer.frontier.pop_front() {
+        if let Some(result) = explorer.follow_steps(index, &state) {
+            return result;
+        }
+    }
+    Seen::All {
+        states: explorer.visits.len(),
+        depth: explorer.visits.last().map_or(0, |visit| visit.depth),
     }
-    steps.reverse();
-    steps
 }
 
 #[cfg(test)]
--- a/crates/model-checker/src/tests.rs
+++ b/crates/model-checker/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of the model checker on a puzzle of two buckets.
 
 use super::*;
 
--- a/src/protocol/client_api.rs
+++ b/src/protocol/client_api.rs
@@ -9,10 +9,10 @@
     pub id: String,
     /// `pending`, `running`, `done` or `cancelled`.
     pub status: String,
-    /// Number of tasks that are done; absent when the job was only accepted.
+    /// Number of tasks that are done, if it is known.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u64>,
-    /// Number of running tasks; absent when the job was only accepted.
+    /// Number of running tasks, if it is known.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u64>,
 }
