--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,21 @@
-//! walnuttrestle, a cluster scheduler: one program for every controller of a deployment.
+//! walnuttrestle, a cluster scheduler. All controllers of a deployment run the same program, and one of them leads.
 //!
-//! Modules from the edge inwards: [`transport`] owns sockets, [`protocol`] defines messages, stored records and
-//! settings, [`state`] caches what the key-value store and the agents have told, [`scheduling`] decides one pass,
-//! [`agents`], [`cloud`], [`records`], [`api`] and [`leadership`] act on it, and [`controller`] dispatches messages.
+//! The modules, from the network inwards:
+//!
+//! - [`transport`] owns all sockets and runs on its own thread.
+//! - [`protocol`] defines messages, stored records and settings, and validates them.
+//! - [`messages`] links requests that a controller makes to what it does with their results.
+//! - [`controller`] dispatches each event to one of the components below.
+//! - [`state`] caches the records of the key-value store and the state of agents.
+//! - [`leadership`] elects the leader, exchanges heartbeats with peers and delegates lease renewals.
+//! - [`api`] serves clients.
+//! - [`agents`] answers heartbeats of agents and sends them commands.
+//! - [`records`] writes job records and batches of placements.
+//! - [`scheduling`] decides which tasks start where.
+//! - [`cloud`] rents machines and returns them.
+//! - [`policy`] holds the parameters that a deployment may tune.
+
+#![deny(missing_docs)]
 
 pub mod agents;
 pub mod api;
