--- /dev/null
+++ b/tests/wire_compatibility/agent_api.rs
@@ -0,0 +1,152 @@
+//! Heartbeats of agents, the responses to them, and direct commands.
+
+use crate::fixtures::{Fixtures, list, map};
+use walnuttrestle::protocol::agent_api::{
+    AgentCommands, AgentHeartbeat, AgentHeartbeatResponse, Command, ExitReason, Misdirected,
+    TaskPhase, TaskStatus,
+};
+use walnuttrestle::protocol::codec::encode;
+use walnuttrestle::transport::http::put_request;
+
+fn task_status(phase: TaskPhase) -> TaskStatus {
+    TaskStatus {
+        task: "req-17/3".into(),
+        attempt: 2,
+        phase,
+        why: None,
+        saved: None,
+    }
+}
+
+fn heartbeat(tasks: Vec<TaskStatus>) -> AgentHeartbeat {
+    AgentHeartbeat {
+        machine: "n-000017".into(),
+        address: "10.1.4.17:9000".into(),
+        kind: "big".into(),
+        zone: "a".into(),
+        spot: true,
+        agent_epoch: 4_000_000_000,
+        seq: 300,
+        term: 7,
+        notice_s: None,
+        tasks,
+    }
+}
+
+fn commands() -> Vec<Command> {
+    let task = || "req-17/3".to_string();
+    vec![
+        Command::Start {
+            task: task(),
+            attempt: 2,
+        },
+        Command::Stop {
+            task: task(),
+            attempt: 300,
+            grace_s: 12.5,
+        },
+        Command::Forget {
+            task: task(),
+            attempt: 1,
+        },
+    ]
+}
+
+#[test]
+fn agent_messages_keep_their_bytes() {
+    let mut fixtures = Fixtures::open("agent_api.hex");
+    heartbeats(&mut fixtures);
+    let response = AgentHeartbeatResponse {
+        term: 7,
+        commands: commands(),
+    };
+    fixtures.both_ways("report_answer", &response);
+    let empty = AgentHeartbeatResponse {
+        term: 7,
+        commands: Vec::new(),
+    };
+    fixtures.both_ways("report_answer_empty", &empty);
+    let direct_commands = AgentCommands {
+        term: 7,
+        agent_epoch: 4_000_000_000,
+        commands: commands(),
+    };
+    fixtures.both_ways("orders", &direct_commands);
+    fixtures.both_ways("misdirected", &Misdirected::default());
+    let elsewhere = Misdirected {
+        leader: Some("kernel-1".into()),
+    };
+    fixtures.both_ways("misdirected_to_leader", &elsewhere);
+    let mut request = Vec::new();
+    let body = encode(&direct_commands);
+    put_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
+    fixtures.written("http_request", &request);
+    fixtures.finish();
+}
+
+fn heartbeats(fixtures: &mut Fixtures) {
+    let phases = [
+        TaskPhase::Fetching,
+        TaskPhase::Waiting,
+        TaskPhase::Running,
+        TaskPhase::Saving,
+        TaskPhase::Exited,
+    ];
+    let phases = heartbeat(phases.map(task_status).to_vec());
+    fixtures.both_ways("report_of_each_phase", &phases);
+    let causes = [
+        ExitReason::Done,
+        ExitReason::Stopped,
+        ExitReason::Peers,
+        ExitReason::Alone,
+        ExitReason::Error,
+        ExitReason::NoRoom,
+        ExitReason::Busy,
+        ExitReason::Unknown,
+    ];
+    let causes = causes.map(|why| TaskStatus {
+        why: Some(why),
+        saved: Some(why == ExitReason::Stopped),
+        ..task_status(TaskPhase::Exited)
+    });
+    let causes = AgentHeartbeat {
+        notice_s: Some(30.5),
+        ..heartbeat(causes.to_vec())
+    };
+    fixtures.both_ways("report_of_each_cause", &causes);
+    agent_heartbeat(fixtures);
+}
+
+/// A heartbeat as an agent writes it: without optional fields, and with a task that names them.
+fn agent_heartbeat(fixtures: &mut Fixtures) {
+    let running = map([
+        ("sheet", "req-17/3".into()),
+        ("try", 2.into()),
+        ("status", "running".into()),
+    ]);
+    let stopped = map([
+        ("sheet", "req-17/3".into()),
+        ("try", 2.into()),
+        ("status", "ended".into()),
+        ("cause", "mates_gone".into()),
+        ("stored", true.into()),
+    ]);
+    let body = map([
+        ("kernel", "n-000017".into()),
+        ("endpoint", "10.1.4.17:9000".into()),
+        ("press", "big".into()),
+        ("yard", "a".into()),
+        ("loaners", true.into()),
+        ("shift", 4_000_000_000u64.into()),
+        ("tally", 300.into()),
+        ("baton", 7.into()),
+        ("sheets", list([running, stopped])),
+    ]);
+    let stopped = TaskStatus {
+        why: Some(ExitReason::Peers),
+        saved: Some(true),
+        ..task_status(TaskPhase::Exited)
+    };
+    let value = heartbeat(vec![task_status(TaskPhase::Running), stopped]);
+    fixtures.read_as("report_of_a_worker", &body, &value);
+}
--- /dev/null
+++ b/tests/wire_compatibility/cloud_api.rs
@@ -0,0 +1,90 @@
+//! Requests to the cloud and its responses.
+
+use crate::fixtures::{Fixtures, list, map, strings};
+use crate::samples::machine_types;
+use walnuttrestle::protocol::cloud_api::{
+    ListedMachine, MachineNames, MachinePage, MachineState, RentRequest,
+};
+
+fn listed(state: MachineState) -> ListedMachine {
+    ListedMachine {
+        id: "n-000017".into(),
+        address: None,
+        kind: "big".into(),
+        zone: "a".into(),
+        spot: false,
+        state,
+        age_s: 0.0,
+    }
+}
+
+#[test]
+fn cloud_messages_keep_their_bytes() {
+    let mut fixtures = Fixtures::open("cloud_api.hex");
+    let rent = RentRequest {
+        request: "kernel-1-7-12".into(),
+        kind: "big".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 50,
+    };
+    fixtures.both_ways("rent", &rent);
+    let names = MachineNames {
+        machines: strings(["n-000017", "n-000018"]),
+    };
+    fixtures.both_ways("machine_names", &names);
+    let page = MachinePage {
+        machines: vec![
+            listed(MachineState::Booting),
+            ListedMachine {
+                address: Some("10.1.4.17:9000".into()),
+                spot: true,
+                age_s: 61.5,
+                ..listed(MachineState::Running)
+            },
+            listed(MachineState::Failed),
+        ],
+        more: true,
+    };
+    fixtures.both_ways("machine_page", &page);
+    fixtures.both_ways("machine_types", &machine_types());
+    cloud_responses(&mut fixtures);
+    fixtures.finish();
+}
+
+/// Responses as the cloud writes them, with and without optional fields.
+fn cloud_responses(fixtures: &mut Fixtures) {
+    let big = map([
+        ("name", "big".into()),
+        ("cpus", 64.into()),
+        ("cards", 8.into()),
+        ("memory_gb", 256.into()),
+        ("local_gb", 20.into()),
+        ("fetch_gb_per_s", 0.4.into()),
+        ("price", 9.75.into()),
+        ("low_price", 3.5.into()),
+        ("startup_s", 45.into()),
+        ("yards", list(["a".into(), "b".into()])),
+    ]);
+    let small = map([
+        ("name", "small".into()),
+        ("cpus", 4.into()),
+        ("cards", 0.into()),
+        ("memory_gb", 8.into()),
+    ]);
+    let types = map([("presses", list([big, small]))]);
+    fixtures.read_as("types_of_the_cloud", &types, &machine_types());
+    let machine = map([
+        ("id", "n-000017".into()),
+        ("press", "big".into()),
+        ("yard", "a".into()),
+        ("loaners", false.into()),
+        ("status", "booting".into()),
+    ]);
+    let page = map([("kernels", list([machine])), ("more", false.into())]);
+    let value = MachinePage {
+        machines: vec![listed(MachineState::Booting)],
+        more: false,
+    };
+    fixtures.read_as("page_of_the_cloud", &page, &value);
+}
--- /dev/null
+++ b/tests/wire_compatibility/fixtures.rs
@@ -0,0 +1,147 @@
+//! Fixture files, and generic values in which other processes write their messages.
+
+use rmpv::Value;
+use serde::{Serialize, de::DeserializeOwned};
+use std::collections::BTreeMap;
+use std::fmt::{Debug, Write};
+use std::path::PathBuf;
+use walnuttrestle::protocol::codec::{decode, encode, from_value, to_value};
+
+/// The cases of one fixture file.
+pub(crate) struct Fixtures {
+    path: PathBuf,
+    /// The file is rewritten with what the code writes now.
+    updating: bool,
+    /// Bytes of each case in the file.
+    stored: BTreeMap<String, Vec<u8>>,
+    /// Bytes of each case that the test has used.
+    pub(crate) used: BTreeMap<String, Vec<u8>>,
+}
+
+impl Fixtures {
+    /// Opens a file below `tests/data`.
+    pub(crate) fn open(file: &str) -> Fixtures {
+        let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+        let path = path.join("tests/data").join(file);
+        let updating = std::env::var("UPDATE_FIXTURES").is_ok_and(|v| v == "1");
+        let stored = match updating {
+            true => BTreeMap::new(),
+            false => read_cases(&path),
+        };
+        Fixtures {
+            path,
+            updating,
+            stored,
+            used: BTreeMap::new(),
+        }
+    }
+
+    /// Returns the stored bytes of a case; while the files are updated, those that the code writes now.
+    pub(crate) fn case(&mut self, name: &str, written_now: Vec<u8>) -> Vec<u8> {
+        let bytes = match self.stored.get(name) {
+            Some(bytes) => bytes.clone(),
+            None if self.updating => written_now,
+            None => panic!("no case {name} in {}", self.path.display()),
+        };
+        let before = self.used.insert(name.to_string(), bytes.clone());
+        assert!(before.is_none(), "case {name} is used twice");
+        bytes
+    }
+
+    /// Asserts that the code writes these bytes; returns them.
+    pub(crate) fn written(&mut self, name: &str, bytes: &[u8]) -> Vec<u8> {
+        let stored = self.case(name, bytes.to_vec());
+        assert_eq!(hex(bytes), hex(&stored), "{name}: other bytes");
+        stored
+    }
+
+    /// Asserts that the code encodes this value as the stored bytes, and decodes them to this value.
+    pub(crate) fn both_ways<T>(&mut self, name: &str, value: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        let stored = self.written(name, &encode(value));
+        let decoded: T = decode(&stored).expect(name);
+        assert_eq!(&decoded, value, "{name}: another value");
+        let again = encode(&decoded);
+        assert_eq!(hex(&again), hex(&stored), "{name}: other bytes again");
+    }
+
+    /// Asserts the same for a value in the key-value store, which passes through a generic value.
+    pub(crate) fn record<T>(&mut self, name: &str, value: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        self.both_ways(name, value);
+        let generic = to_value(value);
+        let stored = &self.used[name];
+        assert_eq!(hex(&bytes_of(&generic)), hex(stored), "{name}: as a value");
+        let decoded: T = from_value(&generic).expect(name);
+        assert_eq!(&decoded, value, "{name}: from a value");
+    }
+
+    /// Asserts that the code decodes a body of another process to this value.
+    pub(crate) fn read_as<T>(&mut self, name: &str, body: &Value, value: &T)
+    where
+        T: DeserializeOwned + PartialEq + Debug,
+    {
+        let stored = self.case(name, bytes_of(body));
+        assert_eq!(hex(&bytes_of(body)), hex(&stored), "{name}: the test");
+        let decoded: T = decode(&stored).expect(name);
+        assert_eq!(&decoded, value, "{name}: another value");
+    }
+
+    /// Asserts that every case of the file was used.
+    pub(crate) fn finish(self) {
+        if self.updating {
+            let mut text = String::new();
+            for (name, bytes) in &self.used {
+                writeln!(text, "{name} {}", hex(bytes)).unwrap();
+            }
+            std::fs::write(&self.path, text).unwrap();
+            panic!("{} is written, nothing is compared", self.path.display());
+        }
+        let stored: Vec<&String> = self.stored.keys().collect();
+        let used: Vec<&String> = self.used.keys().collect();
+        assert_eq!(used, stored, "cases that no test uses");
+    }
+}
+
+fn read_cases(path: &PathBuf) -> BTreeMap<String, Vec<u8>> {
+    let text = std::fs::read_to_string(path).unwrap();
+    let mut cases = BTreeMap::new();
+    for line in text.lines() {
+        let (name, digits) = line.split_once(' ').expect(line);
+        let before = cases.insert(name.to_string(), bytes_of_hex(digits));
+        assert!(before.is_none(), "case {name} is stored twice");
+    }
+    cases
+}
+
+pub(crate) fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of_hex(digits: &str) -> Vec<u8> {
+    assert!(digits.len().is_multiple_of(2), "half a byte in {digits}");
+    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect(digits);
+    (0..digits.len()).step_by(2).map(byte).collect()
+}
+
+pub(crate) fn bytes_of(value: &Value) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    rmpv::encode::write_value(&mut bytes, value).unwrap();
+    bytes
+}
+
+pub(crate) fn map<const N: usize>(fields: [(&str, Value); N]) -> Value {
+    Value::Map(fields.map(|(name, value)| (name.into(), value)).to_vec())
+}
+
+pub(crate) fn list<const N: usize>(values: [Value; N]) -> Value {
+    Value::Array(values.to_vec())
+}
+
+pub(crate) fn strings<const N: usize>(values: [&str; N]) -> Vec<String> {
+    values.map(String::from).to_vec()
+}
--- /dev/null
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -0,0 +1,110 @@
+//! Heartbeats between controllers, in each format.
+
+use crate::fixtures::{Fixtures, hex, strings};
+use walnuttrestle::protocol::format;
+use walnuttrestle::protocol::peer_messages::{
+    CancellationCursor, CancellationNews, HeartbeatExtension, LogPosition, PeerHeartbeat,
+    RecordSummary,
+};
+use walnuttrestle::protocol::records::LeaderRecord;
+
+/// Returns a heartbeat with all fields of the format.
+fn heartbeat(number: u32) -> PeerHeartbeat {
+    let since = |first: u32| number >= first;
+    PeerHeartbeat {
+        node: "kernel-1".into(),
+        leading: Some(7),
+        leader_silent_ms: Some(300),
+        newest: Some(412),
+        served: true,
+        format: number,
+        asks: if since(format::PARTS) { 30_000 } else { 0 },
+        epoch: if since(format::PARTS) { 4 } else { 0 },
+        more: since(format::RIGHTS).then_some(HeartbeatExtension {
+            run: 77,
+            right: Some(7),
+            used_ago: Some(1_500_000),
+            quiet: true,
+        }),
+        record_summary: since(format::RIGHTS).then(|| RecordSummary {
+            lead: LeaderRecord {
+                node: "kernel-0".into(),
+                incarnation: 3,
+                term: 7,
+            },
+            revision: 411,
+            cancelled: strings(["req-000009", "req-10"]),
+            known: vec![("kernel-2".into(), 12)],
+        }),
+        knows: since(format::CANCELLATIONS).then_some(CancellationCursor {
+            complete: 400,
+            heard: LogPosition { run: 78, next: 3 },
+        }),
+        news: since(format::CANCELLATIONS).then(|| CancellationNews {
+            lead: 12,
+            from: 3,
+            next: 5,
+            more: true,
+            jobs: vec![("req-1".into(), 408), ("req-2".into(), 409)],
+            known: vec![("kernel-2".into(), 700_000)],
+        }),
+    }
+}
+
+/// Returns a heartbeat without any optional field.
+fn bare_heartbeat(number: u32) -> PeerHeartbeat {
+    PeerHeartbeat {
+        leading: None,
+        leader_silent_ms: None,
+        newest: None,
+        served: false,
+        record_summary: None,
+        knows: None,
+        news: None,
+        more: (number >= format::RIGHTS).then(HeartbeatExtension::default),
+        ..heartbeat(number)
+    }
+}
+
+/// Returns what the present code appends to the bytes of an older format.
+fn appended_bytes(number: u32) -> &'static [u8] {
+    match number {
+        // The format, no requested budget share, and no grant seen.
+        format::FIRST => &[1, 0, 0],
+        format::PIPELINES | format::BUNDLES => &[0, 0],
+        // Neither `knows` nor `news`.
+        format::RIGHTS => &[0, 0],
+        _ => &[],
+    }
+}
+
+fn heartbeat_case(fixtures: &mut Fixtures, name: &str, heartbeat: &PeerHeartbeat) {
+    let encoded = heartbeat.encode();
+    let appended = appended_bytes(heartbeat.format);
+    let of_its_format = encoded.strip_suffix(appended).expect(name);
+    let stored = fixtures.written(name, of_its_format);
+    let decoded = PeerHeartbeat::decode(&stored).expect(name);
+    assert_eq!(&decoded, heartbeat, "{name}: another value");
+    let again = [stored.as_slice(), appended].concat();
+    assert_eq!(hex(&decoded.encode()), hex(&again), "{name}: other bytes");
+}
+
+#[test]
+fn heartbeats_of_each_format_keep_their_bytes() {
+    let mut fixtures = Fixtures::open("heartbeats.hex");
+    assert_eq!(format::NEWEST, 6, "a new format needs cases here");
+    for number in format::FIRST..=format::NEWEST {
+        let name = format!("format_{number}");
+        heartbeat_case(&mut fixtures, &name, &heartbeat(number));
+        let name = format!("format_{number}_bare");
+        heartbeat_case(&mut fixtures, &name, &bare_heartbeat(number));
+    }
+    let newer = PeerHeartbeat {
+        format: format::NEWEST + 1,
+        ..heartbeat(format::NEWEST)
+    };
+    let with_unknown_end = [newer.encode(), b"later".to_vec()].concat();
+    let stored = fixtures.case("format_7_with_unknown_end", with_unknown_end);
+    assert_eq!(PeerHeartbeat::decode(&stored), Ok(newer));
+    fixtures.finish();
+}
