--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -1,15 +1,17 @@
-//! What controllers tell one another, as bytes: of every format, cut short, too long, or made up.
+//! Encoding and decoding of heartbeats between controllers: of other formats, truncated, too long, or corrupted.
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
+use walnuttrestle::protocol::job::valid_id;
 use walnuttrestle::protocol::peer_messages::{
     CancellationCursor, CancellationNews, HeartbeatExtension, InvalidPeerHeartbeat, LogPosition,
     MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
 use walnuttrestle::protocol::records::LeaderRecord;
 
-fn beat(jobs: usize) -> PeerHeartbeat {
-    let job = |n: usize| (format!("req-{n:06}"), 400 + n as u64);
+/// Returns a heartbeat of the newest format with this number of cancellations.
+fn heartbeat(jobs: usize) -> PeerHeartbeat {
+    let job = |number: usize| (format!("req-{number:06}"), 400 + number as u64);
     PeerHeartbeat {
         node: "kernel-1".into(),
         leading: Some(7),
@@ -51,26 +53,26 @@
 }
 
 #[test]
-fn what_is_sent_is_what_is_heard() {
+fn a_heartbeat_survives_encoding_and_decoding() {
     for jobs in [0, 1, MOST_CANCELLATIONS] {
-        let sent = beat(jobs);
+        let sent = heartbeat(jobs);
         assert_eq!(PeerHeartbeat::decode(&sent.encode()), Ok(sent));
     }
 }
 
-/// A sender of format 5 ends before the cancellations; nothing is read into its message.
+/// A heartbeat of format 5 ends before the cancellations.
 #[test]
-fn a_heartbeat_of_the_format_before_has_no_cancellations() {
-    let ours = beat(3);
-    let known = postcard::to_stdvec(&ours).unwrap();
-    let known = postcard::to_extend(&(format::RIGHTS, 30_000u64, 4u64), known).unwrap();
-    let sent = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), known).unwrap();
-    let heard = PeerHeartbeat::decode(&sent).unwrap();
-    assert_eq!((heard.format, heard.more), (format::RIGHTS, ours.more));
-    assert_eq!((heard.knows, heard.news), (None, None));
-    // What a version of that format reads of ours is the same to the byte.
-    let all = ours.encode();
-    let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&all).unwrap();
+fn a_heartbeat_of_the_previous_format_has_no_cancellations() {
+    let ours = heartbeat(3);
+    let bytes = postcard::to_stdvec(&ours).unwrap();
+    let bytes = postcard::to_extend(&(format::RIGHTS, 30_000u64, 4u64), bytes).unwrap();
+    let bytes = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), bytes).unwrap();
+    let decoded = PeerHeartbeat::decode(&bytes).unwrap();
+    assert_eq!((decoded.format, decoded.more), (format::RIGHTS, ours.more));
+    assert_eq!((decoded.knows, decoded.news), (None, None));
+    // A version of that format finds its fields in ours at the same place.
+    let encoded = ours.encode();
+    let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
     let (more, record_summary): (HeartbeatExtension, Option<RecordSummary>) =
         postcard::from_bytes(rest).unwrap();
@@ -81,10 +83,10 @@
 }
 
 #[test]
-fn a_newer_format_is_read_as_far_as_it_is_known() {
+fn of_a_newer_format_the_known_fields_are_decoded() {
     let sent = PeerHeartbeat {
         format: format::NEWEST + 1,
-        ..beat(2)
+        ..heartbeat(2)
     };
     let mut bytes = sent.encode();
     bytes.extend([1, 2, 3]);
@@ -92,56 +94,63 @@
 }
 
 #[test]
-fn what_cannot_be_is_refused_as_a_whole() {
-    let bad = |change: fn(&mut CancellationNews)| {
-        let mut b = beat(2);
-        b.news.iter_mut().for_each(change);
-        PeerHeartbeat::decode(&b.encode())
+fn a_heartbeat_with_one_invalid_field_is_rejected_as_a_whole() {
+    let decode_changed = |change: fn(&mut CancellationNews)| {
+        let mut heartbeat = heartbeat(2);
+        heartbeat.news.iter_mut().for_each(change);
+        PeerHeartbeat::decode(&heartbeat.encode())
     };
-    let impossible = Err(InvalidPeerHeartbeat::Cancellations);
-    assert_eq!(bad(|n| n.jobs[1].0 = "req-".into()), impossible);
-    assert_eq!(bad(|n| n.jobs[0].0 = "../req-1".into()), impossible);
-    assert_eq!(bad(|n| n.next = 2), impossible);
+    let invalid = Err(InvalidPeerHeartbeat::Cancellations);
     assert_eq!(
-        bad(|n| n.known = vec![("kernel-9".into(), 1); 65]),
-        impossible
+        decode_changed(|news| news.jobs[1].0 = "req-".into()),
+        invalid
     );
     assert_eq!(
-        PeerHeartbeat::decode(&beat(MOST_CANCELLATIONS + 1).encode()),
-        impossible
+        decode_changed(|news| news.jobs[0].0 = "../req-1".into()),
+        invalid
     );
-    let none = PeerHeartbeat {
+    assert_eq!(decode_changed(|news| news.next = 2), invalid);
+    assert_eq!(
+        decode_changed(|news| news.known = vec![("kernel-9".into(), 1); 65]),
+        invalid
+    );
+    assert_eq!(
+        PeerHeartbeat::decode(&heartbeat(MOST_CANCELLATIONS + 1).encode()),
+        invalid
+    );
+    let no_format = PeerHeartbeat {
         format: 0,
-        ..beat(1)
+        ..heartbeat(1)
     };
     assert_eq!(
-        PeerHeartbeat::decode(&none.encode()),
+        PeerHeartbeat::decode(&no_format.encode()),
         Err(InvalidPeerHeartbeat::NoFormat)
     );
-    let mut long = beat(1).encode();
-    long.push(0);
+    let mut too_long = heartbeat(1).encode();
+    too_long.push(0);
     assert_eq!(
-        PeerHeartbeat::decode(&long),
+        PeerHeartbeat::decode(&too_long),
         Err(InvalidPeerHeartbeat::TooLong(1))
     );
 }
 
-/// The first version's message ends where ours names its format. Any other cut is noticed; at that one, what is left
-/// is true, and vouches for no more than the first version's does.
+/// A heartbeat of the first version ends where ours states its format. Truncation at any other place is detected; at
+/// that one, the rest is a valid heartbeat of the first version, which vouches for no more than those do.
 #[test]
-fn a_message_that_is_cut_short_is_dropped() {
-    let sent = beat(3);
+fn a_truncated_heartbeat_is_rejected() {
+    let sent = heartbeat(3);
     let bytes = sent.encode();
-    let first = postcard::to_stdvec(&sent).unwrap().len();
-    for n in 0..bytes.len() {
-        let heard = PeerHeartbeat::decode(&bytes[..n]);
-        assert_eq!(heard.is_ok(), n == first, "cut at {n}: {heard:?}");
+    let first_version = postcard::to_stdvec(&sent).unwrap().len();
+    for length in 0..bytes.len() {
+        let decoded = PeerHeartbeat::decode(&bytes[..length]);
+        let is_valid = length == first_version;
+        assert_eq!(decoded.is_ok(), is_valid, "cut at {length}: {decoded:?}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        // No file of its own, and the same cases each time.
+        // The same cases in each run, and no file of failures.
         failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         cases: 2_000,
@@ -149,23 +158,25 @@
     })]
 
     #[test]
-    fn no_bytes_whatsoever_do_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        if let Ok(h) = PeerHeartbeat::decode(&bytes)
-            && let Some(news) = h.news
+    fn random_bytes_never_decode_to_too_many_cancellations(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
+            && let Some(news) = heartbeat.news
         {
             prop_assert!(news.jobs.len() <= MOST_CANCELLATIONS);
         }
     }
 
     #[test]
-    fn one_wrong_byte_makes_nothing_that_cannot_be(at in 0usize..200, to in any::<u8>()) {
-        let mut bytes = beat(4).encode();
-        let at = at % bytes.len();
-        bytes[at] = to;
+    fn a_corrupted_byte_never_decodes_to_invalid_cancellations(
+        position in 0usize..200,
+        replacement in any::<u8>(),
+    ) {
+        let mut bytes = heartbeat(4).encode();
+        let position = position % bytes.len();
+        bytes[position] = replacement;
         if let Ok(PeerHeartbeat { news: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
             prop_assert!(news.from <= news.next);
-            let fine = |id: &String| walnuttrestle::protocol::job::valid_id(id);
-            prop_assert!(news.jobs.iter().all(|(id, _)| fine(id)));
+            prop_assert!(news.jobs.iter().all(|(id, _)| valid_id(id)));
         }
     }
 }
--- a/tests/wire_compatibility/fixtures.rs
+++ b/tests/wire_compatibility/fixtures.rs
@@ -23,7 +23,7 @@
     pub(crate) fn open(file: &str) -> Fixtures {
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
         let path = path.join("tests/data").join(file);
-        let updating = std::env::var("UPDATE_FIXTURES").is_ok_and(|v| v == "1");
+        let updating = std::env::var("UPDATE_FIXTURES").is_ok_and(|value| value == "1");
         let stored = match updating {
             true => BTreeMap::new(),
             false => read_cases(&path),
