--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -1,7 +1,7 @@
-//! Every state of a small model of the parts: holders that see grants late or never; a giver that uses
-//! what it has not lent, and is relieved by another; clocks that are apart. Times are kept as seen from now, so the model
-//! goes on for ever in finitely many states. Each line that the argument rests on is also taken out, and
-//! must then be missed.
+//! Exhaustive check of a small model of budget shares: holders that see grants late or never, a grantor that uses what
+//! it has not lent and is replaced by another, and clocks that differ. Times are relative to the present, so a model that
+//! runs forever has finitely many states. Each mechanism that the safety argument needs is also removed, and a violation
+//! must then be found.
 
 use admission_control::fair::Asked;
 use admission_control::parts::{Grant, Part, Rules, Want};
@@ -9,86 +9,89 @@
 use std::collections::BTreeMap;
 
 const HOLDERS: [&str; 3] = ["a", "b", "c"];
-/// The true time, always.
+/// The true time, which stays the same because all times are relative to it.
 const NOW: u64 = 10;
 
-/// Which line is left out.
+/// Which mechanism is removed.
 #[derive(Clone, Copy, PartialEq)]
 enum Without {
     Nothing,
-    /// What older grants still allow is forgotten with the next one.
-    Owed,
-    /// A holder takes its clock for everybody's.
-    Apart,
-    /// A relieved giver's write is carried out all the same.
-    Fence,
-    /// A grant is taken for seen as soon as it is on record.
-    Told,
+    /// A grant does not carry what earlier ones still allow.
+    EarlierShares,
+    /// Holders assume that their clock is exact.
+    ClockBound,
+    /// The write of a replaced grantor is not rejected.
+    Fencing,
+    /// A grant counts as acknowledged as soon as it is on record.
+    Acknowledgement,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// Something was given in this tick already: it is as often as it gets.
-    given: bool,
+    /// A grant was already made in this tick; there is at most one per tick.
+    granted: bool,
     newest: Grant,
+    /// The newest grant that each holder has seen.
     seen: [Grant; 3],
-    /// The newest grant that each has told of.
-    told: [u64; 3],
-    /// Which of two controllers leads.
-    lead: usize,
-    /// What the other one last saw on record, and may write upon.
-    behind: Grant,
+    /// The epoch of the newest grant that each holder has acknowledged.
+    acknowledged: [u64; 3],
+    /// Whether the first grantor was replaced by the second.
+    replaced: bool,
+    /// The grant that the replaced grantor last saw on record.
+    stale: Grant,
 }
 
 #[derive(Debug, Clone)]
 #[allow(dead_code)]
 enum Step {
     Tick,
-    Give([u64; 3]),
-    /// The relieved giver writes upon what it last saw.
-    Late([u64; 3]),
+    Grant([u64; 3]),
+    /// The replaced grantor makes a grant from what it last saw.
+    StaleGrant([u64; 3]),
     See(usize),
-    Tell(usize),
-    Relieve,
+    Acknowledge(usize),
+    ReplaceGrantor,
 }
 
-struct Parts {
+struct BudgetShares {
     without: Without,
-    /// How far each holder's clock is from the true time, and the givers'.
-    off: [i64; 4],
-    /// How many holders there are.
+    /// Error of each holder's clock, and of the grantors' clock.
+    clock_offsets: [i64; 4],
+    /// Number of holders.
     holders: usize,
-    /// Whether they tell which grant they have seen.
-    tell: bool,
+    /// Whether holders acknowledge grants.
+    acknowledge: bool,
     rules: Rules,
 }
 
-impl Parts {
-    fn wall(&self, i: usize) -> u64 {
-        (NOW as i64 + self.off[i]) as u64
+impl BudgetShares {
+    fn wall(&self, clock: usize) -> u64 {
+        (NOW as i64 + self.clock_offsets[clock]) as u64
     }
 
-    fn next(&self, on: &Grant, told: &[u64; 3], wants: [u64; 3]) -> Grant {
-        let all = HOLDERS.iter().zip(wants).zip(told).take(self.holders);
-        let wants = all.map(|((h, amount), told)| Want {
-            holder: h.to_string(),
-            amount,
-            weight: 1.0,
-            seen: match self.without {
-                // It counts as soon as it is written.
-                Without::Told => on.epoch,
-                _ => *told,
-            },
-        });
+    /// Returns the grant that follows `previous`.
+    fn next_grant(&self, previous: &Grant, acknowledged: &[u64; 3], wants: [u64; 3]) -> Grant {
+        let holders = HOLDERS.iter().zip(wants).zip(acknowledged);
+        let wants = holders
+            .take(self.holders)
+            .map(|((holder, amount), epoch)| Want {
+                holder: holder.to_string(),
+                amount,
+                weight: 1.0,
+                seen: match self.without {
+                    Without::Acknowledgement => previous.epoch,
+                    _ => *epoch,
+                },
+            });
         let wants: Vec<Want> = wants.collect();
         let own = Asked {
             amount: 1.0,
             weight: 1.0,
         };
-        let mut next = on.next(self.wall(3), own, &wants, &self.rules);
-        if self.without == Without::Owed {
+        let mut next = previous.next(self.wall(3), own, &wants, &self.rules);
+        if self.without == Without::EarlierShares {
             next = Grant::default().next(self.wall(3), own, &wants, &self.rules);
-            next.epoch = on.epoch + 1;
+            next.epoch = previous.epoch + 1;
         }
         next
     }
@@ -96,132 +99,142 @@
 
 const WANTS: [[u64; 3]; 2] = [[4, 0, 0], [0, 4, 4]];
 
-/// A tick has passed: all times are a tick nearer, and what has ended for every clock says nothing.
-fn nearer(g: &mut Grant) {
-    let past = |p: &mut Part| {
-        p.until -= 1;
-        p.until + 3 > NOW
+/// Lets a tick pass: all times move a tick nearer, and shares that have expired by every clock are dropped.
+fn let_tick_pass(grant: &mut Grant) {
+    let keep_after_tick = |part: &mut Part| {
+        part.until -= 1;
+        part.until + 3 > NOW
     };
-    g.parts.retain(|_, p| past(p));
-    g.owed.retain(|_, l| {
-        l.retain_mut(past);
-        !l.is_empty()
+    grant.parts.retain(|_, part| keep_after_tick(part));
+    grant.owed.retain(|_, parts| {
+        parts.retain_mut(keep_after_tick);
+        !parts.is_empty()
     });
 }
 
-impl Model for Parts {
+impl Model for BudgetShares {
     type State = State;
     type Step = Step;
 
     fn start(&self) -> Vec<State> {
         vec![State {
-            given: false,
+            granted: false,
             newest: Grant::default(),
             seen: Default::default(),
-            told: [0; 3],
-            lead: 0,
-            behind: Grant::default(),
+            acknowledged: [0; 3],
+            replaced: false,
+            stale: Grant::default(),
         }]
     }
 
-    fn steps(&self, s: &State) -> Vec<(Step, State)> {
-        let mut all = Vec::new();
-        let mut later = s.clone();
-        later.given = false;
-        nearer(&mut later.newest);
-        nearer(&mut later.behind);
-        later.seen.iter_mut().for_each(nearer);
-        all.push((Step::Tick, later));
-        let given = |newest: Grant| State {
+    fn steps(&self, state: &State) -> Vec<(Step, State)> {
+        let mut steps = Vec::new();
+        let mut later = state.clone();
+        later.granted = false;
+        let_tick_pass(&mut later.newest);
+        let_tick_pass(&mut later.stale);
+        later.seen.iter_mut().for_each(let_tick_pass);
+        steps.push((Step::Tick, later));
+        let with_grant = |newest: Grant| State {
             newest,
-            given: true,
-            ..s.clone()
+            granted: true,
+            ..state.clone()
         };
-        for wants in WANTS.into_iter().filter(|_| !s.given) {
-            let next = self.next(&s.newest, &s.told, wants);
-            all.push((Step::Give(wants), given(next)));
-            if self.without == Without::Fence && s.lead == 1 {
-                let next = self.next(&s.behind, &s.told, wants);
-                all.push((Step::Late(wants), given(next)));
+        for wants in WANTS.into_iter().filter(|_| !state.granted) {
+            let next = self.next_grant(&state.newest, &state.acknowledged, wants);
+            steps.push((Step::Grant(wants), with_grant(next)));
+            if self.without == Without::Fencing && state.replaced {
+                let next = self.next_grant(&state.stale, &state.acknowledged, wants);
+                steps.push((Step::StaleGrant(wants), with_grant(next)));
             }
         }
-        for i in 0..self.holders {
-            if s.seen[i] != s.newest {
-                let mut next = s.clone();
-                next.seen[i] = s.newest.clone();
-                all.push((Step::See(i), next));
+        for holder in 0..self.holders {
+            if state.seen[holder] != state.newest {
+                let mut next = state.clone();
+                next.seen[holder] = state.newest.clone();
+                steps.push((Step::See(holder), next));
             }
-            if self.tell && s.seen[i].epoch > s.told[i] {
-                let mut next = s.clone();
-                next.told[i] = s.seen[i].epoch;
-                all.push((Step::Tell(i), next));
+            if self.acknowledge && state.seen[holder].epoch > state.acknowledged[holder] {
+                let mut next = state.clone();
+                next.acknowledged[holder] = state.seen[holder].epoch;
+                steps.push((Step::Acknowledge(holder), next));
             }
         }
-        if s.lead == 0 {
-            let mut next = s.clone();
-            next.lead = 1;
-            next.behind = match self.without {
-                Without::Fence => s.newest.clone(),
+        if !state.replaced {
+            let mut next = state.clone();
+            next.replaced = true;
+            next.stale = match self.without {
+                Without::Fencing => state.newest.clone(),
                 _ => Grant::default(),
             };
-            all.push((Step::Relieve, next));
+            steps.push((Step::ReplaceGrantor, next));
         }
-        all
+        steps
     }
 
-    fn broken(&self, s: &State) -> Option<String> {
+    fn broken(&self, state: &State) -> Option<String> {
         let rules = match self.without {
-            Without::Apart => Rules {
+            Without::ClockBound => Rules {
                 apart: 0,
                 ..self.rules
             },
             _ => self.rules,
         };
-        let used = |i: usize| s.seen[i].part(HOLDERS[i], self.wall(i), &rules);
-        let all: BTreeMap<&str, u64> = (0..self.holders).map(|i| (HOLDERS[i], used(i))).collect();
-        // What is not lent the giver uses itself.
-        let told = |h: &str| {
-            let i = HOLDERS.iter().position(|x| *x == h).unwrap_or(0);
+        let used_by = |holder: usize| {
+            let name = HOLDERS[holder];
+            let used = state.seen[holder].part(name, self.wall(holder), &rules);
+            (name, used)
+        };
+        let used: BTreeMap<&str, u64> = (0..self.holders).map(used_by).collect();
+        // The grantor uses what is not lent.
+        let acknowledged = |name: &str| {
+            let holder = HOLDERS
+                .iter()
+                .position(|holder| *holder == name)
+                .unwrap_or(0);
             match self.without {
-                Without::Told => s.newest.epoch,
-                _ => s.told[i],
+                Without::Acknowledgement => state.newest.epoch,
+                _ => state.acknowledged[holder],
             }
         };
-        let lent = s.newest.lent(self.wall(3), &self.rules, told);
+        let lent = state.newest.lent(self.wall(3), &self.rules, acknowledged);
         let own = self.rules.whole.saturating_sub(lent);
-        let sum = own + all.values().sum::<u64>();
-        (sum > self.rules.whole).then(|| format!("in use: {all:?}, and {own} by the giver"))
+        let sum = own + used.values().sum::<u64>();
+        (sum > self.rules.whole).then(|| format!("in use: {used:?}, and {own} by the grantor"))
     }
 
-    /// Epochs are only names: what counts is their order.
-    fn fold(&self, mut s: State) -> State {
-        fn each(s: &mut State, mut f: impl FnMut(&mut u64)) {
-            let grants = [&mut s.newest, &mut s.behind];
-            for g in grants.into_iter().chain(&mut s.seen) {
-                f(&mut g.epoch);
-                g.parts.values_mut().for_each(|p| f(&mut p.epoch));
-                g.owed.values_mut().flatten().for_each(|p| f(&mut p.epoch));
+    /// Renumbers the epochs: only their order matters.
+    fn fold(&self, mut state: State) -> State {
+        fn for_each_epoch(state: &mut State, mut change: impl FnMut(&mut u64)) {
+            let grants = [&mut state.newest, &mut state.stale];
+            for grant in grants.into_iter().chain(&mut state.seen) {
+                change(&mut grant.epoch);
+                let parts = grant.parts.values_mut();
+                for part in parts.chain(grant.owed.values_mut().flatten()) {
+                    change(&mut part.epoch);
+                }
             }
-            s.told.iter_mut().for_each(f);
+            state.acknowledged.iter_mut().for_each(change);
         }
-        let mut all = vec![0];
-        each(&mut s, |e| all.push(*e));
-        all.sort_unstable();
-        all.dedup();
-        each(&mut s, |e| {
-            *e = all.iter().position(|a| a == e).unwrap_or(0) as u64;
+        let mut epochs = vec![0];
+        for_each_epoch(&mut state, |epoch| epochs.push(*epoch));
+        epochs.sort_unstable();
+        epochs.dedup();
+        for_each_epoch(&mut state, |epoch| {
+            let index = epochs.iter().position(|known| known == epoch);
+            *epoch = index.unwrap_or(0) as u64;
         });
-        s
+        state
     }
 }
 
-/// A model of so many holders.
-fn parts(holders: usize, tell: bool, life: u64, apart: u64) -> Parts {
-    Parts {
+/// Returns a model with exact clocks and all mechanisms.
+fn model(holders: usize, acknowledge: bool, life: u64, apart: u64) -> BudgetShares {
+    BudgetShares {
         without: Without::Nothing,
-        off: [0; 4],
+        clock_offsets: [0; 4],
         holders,
-        tell,
+        acknowledge,
         rules: Rules {
             whole: 4,
             life,
@@ -230,39 +243,39 @@
     }
 }
 
-fn look(without: Without, off: [i64; 4], model: Parts) -> Seen<Step> {
-    let model = Parts {
+fn check(without: Without, clock_offsets: [i64; 4], model: BudgetShares) -> Seen<Step> {
+    let model = BudgetShares {
         without,
-        off,
+        clock_offsets,
         ..model
     };
     explore(&model, 400_000)
 }
 
 #[test]
-fn no_state_has_more_in_use_than_there_is() {
-    // Clocks are up to a tick from the true time, either way.
-    let all = [
-        ([-1, 1, 0, 1], parts(3, false, 3, 1)),
-        ([-1, 1, 0, 1], parts(2, true, 2, 1)),
+fn shares_in_use_never_exceed_the_total() {
+    // Clocks differ from the true time by up to a tick in either direction.
+    let models = [
+        ([-1, 1, 0, 1], model(3, false, 3, 1)),
+        ([-1, 1, 0, 1], model(2, true, 2, 1)),
     ];
-    for (off, model) in all {
-        let seen = look(Without::Nothing, off, model);
-        assert!(matches!(seen, Seen::All { .. }), "{}", seen.story());
-        println!("{off:?}: {}", seen.story());
+    for (clock_offsets, model) in models {
+        let result = check(Without::Nothing, clock_offsets, model);
+        assert!(matches!(result, Seen::All { .. }), "{}", result.story());
+        println!("{clock_offsets:?}: {}", result.story());
     }
 }
 
 #[test]
-fn each_line_that_is_taken_out_is_missed() {
-    for (without, off, model) in [
-        (Without::Owed, [0, 0, 0, 0], parts(3, false, 3, 1)),
-        (Without::Apart, [-1, 0, 0, 1], parts(3, false, 3, 1)),
-        (Without::Fence, [0, 0, 0, 0], parts(3, false, 3, 1)),
-        (Without::Told, [0, 0, 0, 0], parts(2, true, 3, 0)),
+fn each_mechanism_is_needed() {
+    for (without, clock_offsets, model) in [
+        (Without::EarlierShares, [0, 0, 0, 0], model(3, false, 3, 1)),
+        (Without::ClockBound, [-1, 0, 0, 1], model(3, false, 3, 1)),
+        (Without::Fencing, [0, 0, 0, 0], model(3, false, 3, 1)),
+        (Without::Acknowledgement, [0, 0, 0, 0], model(2, true, 3, 0)),
     ] {
-        let seen = look(without, off, model);
-        assert!(matches!(seen, Seen::Broken { .. }), "{}", seen.story());
-        println!("{}", seen.story());
+        let result = check(without, clock_offsets, model);
+        assert!(matches!(result, Seen::Broken { .. }), "{}", result.story());
+        println!("{}", result.story());
     }
 }
--- a/crates/model-checker/src/tests.rs
+++ b/crates/model-checker/src/tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Two buckets of three and five litres, filled, emptied and poured into one another.
+/// Two buckets of three and five litres, which are filled, emptied and poured into each other.
 struct Buckets {
-    never: u32,
+    /// The large bucket must never hold this many litres.
+    forbidden: u32,
 }
 
 impl Model for Buckets {
@@ -15,46 +16,46 @@
         vec![(0, 0)]
     }
 
-    fn steps(&self, &(a, b): &(u32, u32)) -> Vec<(&'static str, (u32, u32))> {
-        let ab = a.min(5 - b);
-        let ba = b.min(3 - a);
+    fn steps(&self, &(small, large): &(u32, u32)) -> Vec<(&'static str, (u32, u32))> {
+        let into_large = small.min(5 - large);
+        let into_small = large.min(3 - small);
         vec![
-            ("fill three", (3, b)),
-            ("fill five", (a, 5)),
-            ("empty three", (0, b)),
-            ("empty five", (a, 0)),
-            ("three into five", (a - ab, b + ab)),
-            ("five into three", (a + ba, b - ba)),
+            ("fill three", (3, large)),
+            ("fill five", (small, 5)),
+            ("empty three", (0, large)),
+            ("empty five", (small, 0)),
+            ("three into five", (small - into_large, large + into_large)),
+            ("five into three", (small + into_small, large - into_small)),
         ]
     }
 
-    fn broken(&self, &(_, b): &(u32, u32)) -> Option<String> {
-        (b == self.never).then(|| format!("{b} litres"))
+    fn broken(&self, &(_, large): &(u32, u32)) -> Option<String> {
+        (large == self.forbidden).then(|| format!("{large} litres"))
     }
 }
 
 #[test]
-fn the_story_of_a_broken_state_is_a_shortest_one() {
-    let seen = explore(&Buckets { never: 4 }, 1_000);
-    let Seen::Broken { story, .. } = &seen else {
-        panic!("{}", seen.story());
+fn the_path_to_a_violation_is_a_shortest_one() {
+    let result = explore(&Buckets { forbidden: 4 }, 1_000);
+    let Seen::Broken { story, .. } = &result else {
+        panic!("{}", result.story());
     };
     assert_eq!(story.len(), 6);
-    assert!(seen.story().ends_with("4 litres"), "{}", seen.story());
+    assert!(result.story().ends_with("4 litres"), "{}", result.story());
 }
 
 #[test]
-fn all_states_are_looked_at_once_or_it_is_said_that_they_were_not() {
-    let all = explore(&Buckets { never: 9 }, 1_000);
+fn every_state_is_visited_once_unless_the_limit_is_reached() {
+    let result = explore(&Buckets { forbidden: 9 }, 1_000);
     assert_eq!(
-        all,
+        result,
         Seen::All {
             states: 16,
             depth: 7
         }
     );
     assert_eq!(
-        explore(&Buckets { never: 9 }, 10),
+        explore(&Buckets { forbidden: 9 }, 10),
         Seen::TooMany { states: 10 }
     );
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -16,7 +16,7 @@
 const STATUS_BAD_REQUEST: u16 = 400;
 const STATUS_CONTENT_TOO_LARGE: u16 = 413;
 const STATUS_HEADERS_TOO_LARGE: u16 = 431;
-/// Stands for "no status" in a request, and in [`Parsed::Bad`] for a response.
+/// Stands for "no status" in a request, and in [`Parsed::Invalid`] for a response.
 const NO_STATUS: u16 = 0;
 
 /// A complete message.
@@ -31,7 +31,7 @@
     /// Body, without its framing.
     pub body: Vec<u8>,
     /// Whether the sender keeps the connection open after this exchange.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Result of parsing the front of a buffer.
@@ -40,9 +40,9 @@
     /// The message is not complete yet; the buffer is unchanged.
     Partial,
     /// A complete message, which was removed from the buffer.
-    Whole(Message),
+    Complete(Message),
     /// The message is invalid: answer a request with this status (0 for a response) and close the connection.
-    Bad(u16),
+    Invalid(u16),
 }
 
 /// What the headers say about the body and the connection.
@@ -81,17 +81,17 @@
     let head_length = match request.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
-            return Parsed::Bad(STATUS_HEADERS_TOO_LARGE);
+            return Parsed::Invalid(STATUS_HEADERS_TOO_LARGE);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(STATUS_BAD_REQUEST),
+        Err(_) => return Parsed::Invalid(STATUS_BAD_REQUEST),
     };
     let Some(framing) = Framing::parse(request.headers) else {
-        return Parsed::Bad(STATUS_BAD_REQUEST);
+        return Parsed::Invalid(STATUS_BAD_REQUEST);
     };
     let content_length = framing.content_length.unwrap_or(0);
     if content_length > MAX_BODY {
-        return Parsed::Bad(STATUS_CONTENT_TOO_LARGE);
+        return Parsed::Invalid(STATUS_CONTENT_TOO_LARGE);
     }
     let received = &buffer[head_length..];
     let body = if framing.is_chunked {
@@ -101,8 +101,8 @@
     };
     let (body, body_length) = match body {
         Body::Partial => return Parsed::Partial,
-        Body::TooLong => return Parsed::Bad(STATUS_CONTENT_TOO_LARGE),
-        Body::Invalid => return Parsed::Bad(STATUS_BAD_REQUEST),
+        Body::TooLong => return Parsed::Invalid(STATUS_CONTENT_TOO_LARGE),
+        Body::Invalid => return Parsed::Invalid(STATUS_BAD_REQUEST),
         Body::Complete { bytes, length } => (bytes, length),
     };
     let is_http_1_1 = request.version == Some(1);
@@ -111,10 +111,10 @@
         path: request.path.unwrap_or("").to_string(),
         status: NO_STATUS,
         body,
-        keep: framing.keep_alive && is_http_1_1,
+        keep_alive: framing.keep_alive && is_http_1_1,
     };
     buffer.drain(..head_length + body_length);
-    Parsed::Whole(message)
+    Parsed::Complete(message)
 }
 
 /// Parses a response at the front of `buffer` and removes it; `ended`: the other side has closed the connection.
@@ -124,14 +124,14 @@
     let head_length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(NO_STATUS),
+        Err(_) => return Parsed::Invalid(NO_STATUS),
     };
     let Some(framing) = Framing::parse(response.headers) else {
-        return Parsed::Bad(NO_STATUS);
+        return Parsed::Invalid(NO_STATUS);
     };
     let status = response.code.unwrap_or(NO_STATUS);
     let received = &buffer[head_length..];
-    let mut keep = framing.keep_alive;
+    let mut keep_alive = framing.keep_alive;
     let body = if framing.is_chunked {
         Body::chunked(received, usize::MAX)
     } else if let Some(length) = framing.content_length {
@@ -140,23 +140,23 @@
         Body::sized(received, 0)
     } else if ended {
         // A body without a length extends to the end of the connection.
-        keep = false;
+        keep_alive = false;
         Body::sized(received, received.len())
     } else {
         Body::Partial
     };
     let (body, body_length) = match body {
         Body::Partial => return Parsed::Partial,
-        Body::Invalid | Body::TooLong => return Parsed::Bad(NO_STATUS),
+        Body::Invalid | Body::TooLong => return Parsed::Invalid(NO_STATUS),
         Body::Complete { bytes, length } => (bytes, length),
     };
     buffer.drain(..head_length + body_length);
-    Parsed::Whole(Message {
+    Parsed::Complete(Message {
         method: String::new(),
         path: String::new(),
         status,
         body,
-        keep,
+        keep_alive,
     })
 }
 
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -3,46 +3,52 @@
 use super::*;
 
 #[test]
-fn requests_arrive_in_pieces_and_one_after_the_other() {
-    let mut all = Vec::new();
-    put_request(&mut all, "POST", "/a", "h", b"xyz");
-    put_request(&mut all, "GET", "/b?c=1", "h", b"");
-    let mut buf = Vec::new();
-    let mut got = Vec::new();
-    for byte in all {
-        buf.push(byte);
-        if let Parsed::Whole(m) = take_request(&mut buf) {
-            got.push((m.method, m.path, m.body));
+fn requests_are_parsed_from_single_bytes_one_after_the_other() {
+    let mut sent = Vec::new();
+    put_request(&mut sent, "POST", "/a", "h", b"xyz");
+    put_request(&mut sent, "GET", "/b?c=1", "h", b"");
+    let mut buffer = Vec::new();
+    let mut received = Vec::new();
+    for byte in sent {
+        buffer.push(byte);
+        if let Parsed::Complete(request) = take_request(&mut buffer) {
+            received.push((request.method, request.path, request.body));
         }
     }
-    let want = vec![
+    let expected = vec![
         ("POST".to_string(), "/a".to_string(), b"xyz".to_vec()),
         ("GET".to_string(), "/b?c=1".to_string(), vec![]),
     ];
-    assert_eq!(got, want);
+    assert_eq!(received, expected);
 }
 
 #[test]
-fn too_long_a_body_is_refused_before_it_is_read() {
-    let mut buf = b"POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n".to_vec();
-    assert_eq!(take_request(&mut buf), Parsed::Bad(413));
+fn a_body_that_is_too_long_is_rejected_by_its_announced_length() {
+    let mut buffer = b"POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n".to_vec();
+    assert_eq!(take_request(&mut buffer), Parsed::Invalid(413));
 }
 
 #[test]
-fn responses_come_chunked_counted_or_until_the_end() {
-    let mut b =
+fn a_response_body_is_chunked_or_ends_with_the_connection() {
+    let mut buffer =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec();
-    let Parsed::Whole(m) = take_response(&mut b, false) else {
-        panic!("not whole")
+    let Parsed::Complete(response) = take_response(&mut buffer, false) else {
+        panic!("not complete")
     };
-    assert_eq!((m.status, m.body.as_slice()), (200, b"abc".as_slice()));
-    assert!(b.is_empty());
-    let mut b = b"HTTP/1.1 503 No\r\n\r\nsorry".to_vec();
-    assert_eq!(take_response(&mut b, false), Parsed::Partial);
-    let Parsed::Whole(m) = take_response(&mut b, true) else {
-        panic!("not whole")
+    assert_eq!(
+        (response.status, response.body.as_slice()),
+        (200, b"abc".as_slice())
+    );
+    assert!(buffer.is_empty());
+    let mut buffer = b"HTTP/1.1 503 No\r\n\r\nsorry".to_vec();
+    assert_eq!(take_response(&mut buffer, false), Parsed::Partial);
+    let Parsed::Complete(response) = take_response(&mut buffer, true) else {
+        panic!("not complete")
     };
-    assert_eq!((m.body.as_slice(), m.keep), (b"sorry".as_slice(), false));
+    assert_eq!(
+        (response.body.as_slice(), response.keep_alive),
+        (b"sorry".as_slice(), false)
+    );
 }
 
 #[test]
--- a/src/transport/net/calls.rs
+++ b/src/transport/net/calls.rs
@@ -82,7 +82,7 @@
             return;
         };
         match http::take_response(&mut connection.input, ended) {
-            Parsed::Whole(response) => {
+            Parsed::Complete(response) => {
                 client.call = None;
                 self.on_response(token, id, response, ended);
             }
@@ -101,7 +101,7 @@
             return;
         };
         let is_clean = connection.input.is_empty() && connection.output.is_empty();
-        if !response.keep || ended || !is_clean {
+        if !response.keep_alive || ended || !is_clean {
             self.close(token, Outcome::Lost);
             return;
         }
--- a/src/transport/net/listeners.rs
+++ b/src/transport/net/listeners.rs
@@ -129,9 +129,9 @@
                     let deadline = connection.deadline.min(now + REQUEST_TIMEOUT);
                     self.connections.set_deadline(token, deadline);
                 }
-                Parsed::Whole(request) => {
+                Parsed::Complete(request) => {
                     server.busy = true;
-                    server.close_after_response = !request.keep;
+                    server.close_after_response = !request.keep_alive;
                     self.events.push(NetworkEvent::Request {
                         conn: server.id,
                         internal: server.internal,
@@ -140,7 +140,7 @@
                         body: request.body,
                     });
                 }
-                Parsed::Bad(status) => {
+                Parsed::Invalid(status) => {
                     server.close_after_response = true;
                     http::put_response(&mut connection.output, status, b"", None, true);
                     self.flush(token);
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -169,7 +169,7 @@
     fn response(&mut self) -> (u16, Vec<u8>) {
         let mut chunk = [0u8; 4096];
         loop {
-            if let Parsed::Whole(message) = http::take_response(&mut self.buffer, false) {
+            if let Parsed::Complete(message) = http::take_response(&mut self.buffer, false) {
                 return (message.status, message.body);
             }
             let count = self.stream.read(&mut chunk).unwrap();
