--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,6 @@
-//! Sockets: one thread owns them all and trades messages with the actors.
+//! Transport: the network thread, which owns all sockets, and the messages that it exchanges with the controller.
 //!
-//! The thread serves HTTP and makes calls with deadlines; it knows nothing of what the
-//! messages mean.
+//! The thread serves HTTP and makes calls with a time limit. It knows nothing of the contents of the messages.
 
 pub mod http;
 pub mod net;
@@ -9,30 +8,30 @@
 use crate::protocol::Micros;
 use std::net::SocketAddr;
 
-/// What the network thread is told to do.
+/// A command of the controller to the network thread.
 #[derive(Debug)]
 pub enum NetworkCommand {
-    /// Answer a request.
+    /// Send the response to a request.
     Respond {
-        /// Which request.
+        /// Id of the connection, as in [`NetworkEvent::Request`].
         conn: u64,
-        /// Status.
+        /// Status code.
         status: u16,
         /// Body.
         body: Vec<u8>,
-        /// Seconds for `Retry-After`.
+        /// Value of the `Retry-After` header, in seconds.
         retry_after: Option<u32>,
     },
     /// Make a call.
     Call(Call),
 }
 
-/// A call to another process.
+/// A call to another process: a request whose response is awaited.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Ours, comes back with the outcome.
+    /// Id of the call, which comes back in [`NetworkEvent::Answer`].
     pub id: u64,
-    /// Where to.
+    /// Address of the process.
     pub addr: SocketAddr,
     /// Method.
     pub method: &'static str,
@@ -40,47 +39,47 @@
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// How long it may take in all.
+    /// Time limit for the whole call.
     pub timeout: Micros,
 }
 
-/// What the network thread tells.
+/// An event that the network thread reports to the controller.
 #[derive(Debug)]
 pub enum NetworkEvent {
-    /// A request came in.
+    /// A request has arrived.
     Request {
-        /// Names the request in the answer.
+        /// Id of the connection. A connection has one request at a time, so the id also identifies the request.
         conn: u64,
-        /// It came to the peers' address.
+        /// Whether it arrived at the address for other controllers.
         internal: bool,
         /// Method.
         method: String,
-        /// Path.
+        /// Path and query.
         path: String,
         /// Body.
         body: Vec<u8>,
     },
-    /// A call is over.
+    /// A call has ended.
     Answer {
-        /// The call's number.
+        /// Id of the call.
         id: u64,
-        /// How it went.
+        /// Result of the call.
         outcome: Outcome,
     },
 }
 
-/// How a call went.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// An answer came.
+    /// A response has arrived.
     Reply {
-        /// Status.
+        /// Status code.
         status: u16,
         /// Body.
         body: Vec<u8>,
     },
-    /// Nothing was ever sent: the connection did not come about.
+    /// Nothing was sent, because no connection was established.
     NotSent,
-    /// Sent, wholly or in part, and no answer came: it may yet be carried out.
+    /// The request was sent, at least in part, and no response has arrived: it may still be executed later.
     Lost,
 }
