--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -126,7 +126,7 @@
             let machine = machine_name((number * TASKS_PER_JOB + task) % machines);
             rec.first
                 .entries
-                .push(TaskEntry(task as u32, 1, machine, 1, 1, false));
+                .push(TaskEntry::new(task as u32, 1, machine, 1, 1, false));
         }
         (format!("req-{number:06}"), rec)
     };
@@ -324,7 +324,8 @@
             let id = format!("full-{machine:06}-{slot}");
             let mut rec = record(spec(JobKind::Service, machine), Micros(900_000));
             rec.spec.tasks = 1;
-            rec.first.set(TaskEntry(0, 1, name.clone(), 1, 1, false));
+            rec.first
+                .set(TaskEntry::new(0, 1, name.clone(), 1, 1, false));
             controller.cache.put_job(&id, rec, 3);
             agent.tasks.push(ReportedTask {
                 job: id,
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -39,7 +39,7 @@
             self.cancellations_known_to_revision()
                 .map(|complete| CancellationCursor {
                     complete,
-                    heard: (cursor.run, cursor.next),
+                    heard: cursor.into(),
                 });
         let link = &mut self.peers.links[peer];
         link.in_flight = true;
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -44,11 +44,11 @@
             });
         }
         let received = self.peers.record_summary.as_ref()?;
-        let (node, run, term) = &received.summary.lead;
+        let leader = &received.summary.lead;
         Some(LeaderIdentity {
-            node,
-            run: *run,
-            term: *term,
+            node: &leader.node,
+            run: leader.incarnation,
+            term: leader.term,
             known_since: Some(received.leader_known_since),
         })
     }
--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -31,7 +31,7 @@
             .filter(|(_, job)| job.rec.stage == JobStage::Cancelled)
             .map(|(id, _)| id);
         Some(RecordSummary {
-            lead: (leader.node.clone(), leader.incarnation, leader.term),
+            lead: leader.clone(),
             revision: self.cache.revision,
             cancelled: recorded.chain(reported).cloned().collect(),
             known,
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -122,7 +122,7 @@
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
         }
-        let entry = TaskEntry(
+        let entry = TaskEntry::new(
             start.task,
             attempt,
             start.machine,
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -33,7 +33,7 @@
     for task in 0..tasks {
         let machine = ["", "n-1", "n-2"][rng.random_range(0..3)];
         if rng.random_bool(0.2) {
-            entries.push(TaskEntry(task, 1, machine.into(), 1, 1, false));
+            entries.push(TaskEntry::new(task, 1, machine.into(), 1, 1, false));
         }
     }
     let is_cancelled = rng.random_bool(0.1);
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -249,7 +249,7 @@
                 let attempt = self.rng.random_range(1..3);
                 let agent_epoch = self.rng.random_range(1..3);
                 let backfilled = self.chance(0.4);
-                chunk.set(TaskEntry(
+                chunk.set(TaskEntry::new(
                     task,
                     attempt,
                     machine,
@@ -417,7 +417,7 @@
         self.leader.started += 1;
         let order = self.leader.order_of.entry(start.job.clone()).or_default();
         order.insert(start.task, self.leader.started);
-        let entry = TaskEntry(
+        let entry = TaskEntry::new(
             start.task,
             5,
             start.machine,
