--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,7 +1,7 @@
 //! Acceptances: submissions that wait in their lanes, are written, and are answered.
 
 use crate::api::client_api::state_of;
-use crate::controller::Controller;
+use crate::controller::{Controller, RecordKind};
 use crate::messages::PendingRequest;
 use crate::messages::StoreRequestPurpose;
 use crate::protocol::Clock;
@@ -360,12 +360,16 @@
             if accepts + edits == 0 {
                 return next;
             }
-            self.turn = match (accepts, edits) {
-                (0, _) => true,
-                (_, 0) => false,
-                _ => !self.turn,
+            self.last_record_kind = match (accepts, edits, self.last_record_kind) {
+                (0, _, _) => RecordKind::JobUpdates,
+                (_, 0, _) => RecordKind::Acceptances,
+                (_, _, RecordKind::JobUpdates) => RecordKind::Acceptances,
+                (_, _, RecordKind::Acceptances) => RecordKind::JobUpdates,
+            };
+            let wanted = match self.last_record_kind {
+                RecordKind::JobUpdates => edits,
+                RecordKind::Acceptances => accepts,
             };
-            let wanted = if self.turn { edits } else { accepts };
             // Half a transaction is worth sending; less only if there is no more.
             let least = wanted.min(most / 2).max(1);
             let room = self.store.room_for(now, wanted.min(most));
@@ -376,12 +380,11 @@
                 // Something is queued already: `pump` says when it can go.
                 return next;
             }
-            if self.turn {
-                self.write_edits(clock, room);
-            } else {
-                self.write_accepts(room);
+            match self.last_record_kind {
+                RecordKind::JobUpdates => self.write_edits(clock, room),
+                RecordKind::Acceptances => self.write_accepts(room),
             }
-            self.store.pump(now, &mut self.last_call_id, &mut self.out);
+            self.send_store_requests(now);
         }
     }
 }
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -1,7 +1,8 @@
 //! Users: submissions, polls and cancellations, on any controller.
 
 use crate::api::acceptance::Accepting;
-use crate::controller::Controller;
+use crate::controller::routing::HttpRequest;
+use crate::controller::{Controller, default_retry_after};
 use crate::messages::PendingCall;
 use crate::messages::PendingRequest;
 use crate::messages::StoreRequestPurpose;
@@ -19,7 +20,7 @@
 use crate::scheduling::placement;
 use crate::state::record_cache::{Job, JobLookup};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
-use crate::transport::{NetworkCommand, Outcome};
+use crate::transport::Outcome;
 use admission_control::lanes::Lanes;
 use admission_control::refusal::Refusals;
 use std::collections::{BTreeMap, BTreeSet};
@@ -176,14 +177,13 @@
 impl Controller {
     /// Hands a user's request on to a peer if the state service serves that one and not us;
     /// tells whether it did. What memory can answer for good is answered here.
-    pub fn forward_to_peer(
-        &mut self,
-        clock: Clock,
-        conn: u64,
-        method: &str,
-        path: &str,
-        body: &[u8],
-    ) -> bool {
+    pub fn forward_to_peer(&mut self, clock: Clock, request: HttpRequest<'_>) -> bool {
+        let HttpRequest {
+            conn,
+            method,
+            path,
+            body,
+        } = request;
         let Some(rest) = path.strip_prefix("/submissions") else {
             return false;
         };
@@ -215,12 +215,9 @@
     /// The peer has answered, or not.
     pub fn on_forwarded_response(&mut self, conn: u64, outcome: Outcome) {
         match outcome {
-            Outcome::Reply { status, body } => self.out.push(NetworkCommand::Respond {
-                conn,
-                status,
-                body,
-                retry_after: (status == 503).then_some(1),
-            }),
+            Outcome::Reply { status, body } => {
+                self.respond_encoded(conn, status, body, default_retry_after(status));
+            }
             _ => self.refuse(conn, 503, "the state service does not answer"),
         }
     }
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -1,73 +1,142 @@
-//! Read barriers: what waits until the copy is at least as new as the moment of the question.
+//! Read barriers: requests that wait until the cache is at least as new as the moment at which they came.
+//!
+//! A barrier is a read of all changes since the revision of the cache. Requests that arrive while one is in flight wait
+//! for the next, and share it.
 
 use crate::controller::Controller;
-use crate::messages::PendingRequest;
-use crate::messages::StoreRequestPurpose;
-use crate::protocol::Clock;
-use crate::protocol::Micros;
-use crate::state::store_client::{RequestPriority, StoreRequest};
+use crate::messages::{PendingRequest, StoreRequestPurpose};
+use crate::protocol::{Clock, Micros};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
-/// Barriers of users' questions are as many of our requests' time apart: the rest of the budget is for what users wait for
-/// longer.
-const BARRIER_SHARE: f64 = 3.0;
+/// Barriers that only clients wait for are sent at least this many request intervals apart (one over our request rate):
+/// the rest of the budget is for requests that clients wait for longer.
+const BARRIER_REQUEST_INTERVALS: f64 = 3.0;
+/// Bounds of the interval between such barriers, in seconds.
+const BARRIER_INTERVAL_MIN_S: f64 = 0.03;
+const BARRIER_INTERVAL_MAX_S: f64 = 0.3;
+
+/// The barrier in flight, and the requests that wait for it or for the next one.
+#[derive(Default)]
+pub(crate) struct ReadBarrier {
+    in_flight: bool,
+    /// Requests that the barrier in flight covers.
+    covered: Vec<PendingRequest>,
+    /// Requests that came since, and wait for the next barrier.
+    waiting: Vec<PendingRequest>,
+    /// When a barrier was last attempted.
+    last_attempt: Micros,
+}
+
+impl ReadBarrier {
+    /// A barrier has been sent, and its response is outstanding.
+    pub(crate) fn in_flight(&self) -> bool {
+        self.in_flight
+    }
+}
+
+/// Whether a request must not wait until the next barrier for clients is due.
+fn is_urgent(request: &PendingRequest) -> bool {
+    matches!(
+        request,
+        PendingRequest::ConfirmLeadership | PendingRequest::SettleJobWrites(_)
+    )
+}
 
 impl Controller {
-    /// The copy holds all changes up to a moment not before `sent`.
+    /// Notes that the cache holds all changes up to a moment not before `sent`.
     pub(crate) fn on_confirmed_read(&mut self, sent: Micros) {
         self.confirmed_read_at = self.confirmed_read_at.max(sent);
         self.peers.heard.read(sent.0);
-        let lead = self.cache.lead.as_ref().map(|(_, v)| *v);
-        if let Some(l) = self.leader.as_mut().filter(|l| lead == Some(l.version)) {
-            l.last_confirmed_read = l.last_confirmed_read.max(sent);
+        let record_version = self.cache.lead.as_ref().map(|(_, version)| *version);
+        if let Some(leader) = &mut self.leader
+            && record_version == Some(leader.version)
+        {
+            leader.last_confirmed_read = leader.last_confirmed_read.max(sent);
         }
         self.prove_renewals(sent);
     }
 
-    /// Asks for a read barrier; the waiter goes on once the copy is at least as new as now.
-    pub fn request_read_barrier(&mut self, clock: Clock, w: PendingRequest) {
-        self.barrier_waiting.push(w);
+    /// Resumes `request` once the cache is at least as new as now.
+    pub fn request_read_barrier(&mut self, clock: Clock, request: PendingRequest) {
+        self.read_barrier.waiting.push(request);
+        self.send_read_barrier(clock);
+    }
+
+    /// Sends the next barrier if requests wait for it; returns when to look again.
+    pub(crate) fn drive_read_barrier(&mut self, clock: Clock) -> Micros {
+        if self.read_barrier.in_flight || self.read_barrier.waiting.is_empty() {
+            return Micros::FAR;
+        }
         self.send_read_barrier(clock);
+        if self.read_barrier.in_flight {
+            return Micros::FAR;
+        }
+        self.read_barrier.last_attempt + self.barrier_interval()
     }
 
-    /// How far apart barriers are that only users want.
-    pub(crate) fn barrier_gap(&self) -> Micros {
-        Micros::secs((BARRIER_SHARE / self.store.request_rate()).clamp(0.03, 0.3))
+    /// Least time between barriers that only clients wait for.
+    fn barrier_interval(&self) -> Micros {
+        let interval_s = BARRIER_REQUEST_INTERVALS / self.store.request_rate();
+        Micros::secs(interval_s.clamp(BARRIER_INTERVAL_MIN_S, BARRIER_INTERVAL_MAX_S))
     }
 
-    pub(crate) fn send_read_barrier(&mut self, clock: Clock) {
-        if self.barrier_sent_at.is_some() || self.barrier_waiting.is_empty() {
+    fn send_read_barrier(&mut self, clock: Clock) {
+        if self.read_barrier.in_flight || self.read_barrier.waiting.is_empty() {
             return;
         }
-        // Users' questions can share a barrier; they must not use up the budget that the leader's work and acceptances
+        // Clients can share a barrier; theirs must not use up the budget that acceptances and the work of the leader
         // need.
-        let ours = |w: &PendingRequest| {
-            matches!(
-                w,
-                PendingRequest::ConfirmLeadership | PendingRequest::SettleJobWrites(_)
-            )
-        };
-        if clock.now < self.barrier_at + self.barrier_gap()
-            && !self.barrier_waiting.iter().any(ours)
-        {
+        let urgent = self.read_barrier.waiting.iter().any(is_urgent);
+        if clock.now < self.read_barrier.last_attempt + self.barrier_interval() && !urgent {
             return;
         }
-        self.barrier_at = clock.now;
+        self.read_barrier.last_attempt = clock.now;
+        let waiting = std::mem::take(&mut self.read_barrier.waiting);
         if !self.cache.synced {
-            for w in std::mem::take(&mut self.barrier_waiting) {
-                self.fail_without_barrier(w);
-            }
+            self.fail_all_without_barrier(waiting);
             return;
         }
-        self.barrier_sent_at = Some(clock.now);
-        self.barrier_in_flight = std::mem::take(&mut self.barrier_waiting);
-        let ask = StoreRequest::Watch {
+        self.read_barrier.in_flight = true;
+        self.read_barrier.covered = waiting;
+        let request = StoreRequest::Watch {
             after: self.cache.revision,
             block_ms: 0,
         };
         self.store.ask(
             RequestPriority::Urgent,
             StoreRequestPurpose::ReadBarrier,
-            ask,
+            request,
         );
     }
+
+    /// Handles the response to a barrier that was sent at `sent`.
+    pub(crate) fn on_read_barrier_response(
+        &mut self,
+        clock: Clock,
+        sent: Micros,
+        reply: StoreResponse,
+    ) {
+        self.read_barrier.in_flight = false;
+        if let StoreResponse::Events(changes) = reply {
+            self.cache.apply(changes);
+            self.on_confirmed_read(sent);
+            self.on_cache_updated(clock);
+            for request in std::mem::take(&mut self.read_barrier.covered) {
+                self.resume_request(clock, request);
+            }
+        } else {
+            if reply == StoreResponse::TooOld {
+                self.reload_records(clock);
+            }
+            let covered = std::mem::take(&mut self.read_barrier.covered);
+            self.fail_all_without_barrier(covered);
+        }
+        self.send_read_barrier(clock);
+    }
+
+    fn fail_all_without_barrier(&mut self, requests: Vec<PendingRequest>) {
+        for request in requests {
+            self.fail_without_barrier(request);
+        }
+    }
 }
--- /dev/null
+++ b/src/controller/routing.rs
@@ -0,0 +1,170 @@
+//! Request routing: which component handles a request, by listener, method and path.
+
+use crate::controller::Controller;
+use crate::protocol::Clock;
+use crate::protocol::agent_api::{AgentHeartbeat, Misdirected};
+use crate::protocol::peer_messages::{FORWARD_PREFIX, PeerHeartbeat};
+use crate::state::agent::parse_agent_heartbeat;
+
+/// Health check of the load balancer.
+const HEALTH_PATH: &str = "/healthz";
+/// Heartbeats of agents; on the internal listener, heartbeats that a peer relays to the leader.
+const AGENT_HEARTBEAT_PATH: &str = "/hello";
+/// Heartbeats of peers, on the internal listener.
+const PEER_HEARTBEAT_PATH: &str = "/heartbeat";
+/// Submission of jobs.
+const SUBMISSIONS_PATH: &str = "/submissions";
+/// Prefix of the path of one job.
+const JOB_PREFIX: &str = "/submissions/";
+/// Suffix of the path that cancels a job.
+const CANCEL_SUFFIX: &str = "/cancel";
+
+/// An HTTP request from a client, an agent or a peer.
+#[derive(Debug, Clone, Copy)]
+pub struct HttpRequest<'a> {
+    /// Connection that the response goes to.
+    pub conn: u64,
+    /// Method, in upper case.
+    pub method: &'a str,
+    /// Path with its query.
+    pub path: &'a str,
+    /// Body; empty if there is none.
+    pub body: &'a [u8],
+}
+
+/// Where a request on the public listener goes.
+enum Route<'a> {
+    Health,
+    AgentHeartbeat,
+    Submit,
+    JobStatus(&'a str),
+    CancelJob(&'a str),
+    MethodNotAllowed,
+    NotFound,
+}
+
+/// Routes a request on the public listener; `path` has no query.
+fn route<'a>(method: &str, path: &'a str) -> Route<'a> {
+    let job_path = path.strip_prefix(JOB_PREFIX);
+    match (method, path, job_path) {
+        ("GET", HEALTH_PATH, _) => Route::Health,
+        ("POST", AGENT_HEARTBEAT_PATH, _) => Route::AgentHeartbeat,
+        ("POST", SUBMISSIONS_PATH, _) => Route::Submit,
+        ("GET", _, Some(id)) if !id.contains('/') => Route::JobStatus(id),
+        ("POST", _, Some(rest)) if rest.ends_with(CANCEL_SUFFIX) => {
+            Route::CancelJob(rest.trim_end_matches(CANCEL_SUFFIX))
+        }
+        (_, HEALTH_PATH | AGENT_HEARTBEAT_PATH | SUBMISSIONS_PATH, _) => Route::MethodNotAllowed,
+        (_, _, Some(rest)) if !rest.contains('/') || rest.ends_with(CANCEL_SUFFIX) => {
+            Route::MethodNotAllowed
+        }
+        _ => Route::NotFound,
+    }
+}
+
+impl Controller {
+    /// Handles a request on the public listener, or forwards it to a peer that reaches the store.
+    pub(super) fn on_public_request(&mut self, clock: Clock, request: HttpRequest<'_>) {
+        if !self.forward_to_peer(clock, request) {
+            self.on_client_request(clock, request);
+        }
+    }
+
+    /// Handles a request on the internal listener: only peers can reach it.
+    pub(super) fn on_internal_request(&mut self, clock: Clock, request: HttpRequest<'_>) {
+        match request.path {
+            PEER_HEARTBEAT_PATH => self.on_peer_heartbeat(clock, request.conn, request.body),
+            AGENT_HEARTBEAT_PATH => {
+                self.on_relayed_agent_heartbeat(clock, request.conn, request.body)
+            }
+            _ => match request.path.strip_prefix(FORWARD_PREFIX) {
+                Some(path) => self.on_client_request(clock, HttpRequest { path, ..request }),
+                None => self.refuse(request.conn, 404, "no such path"),
+            },
+        }
+    }
+
+    fn on_client_request(&mut self, clock: Clock, request: HttpRequest<'_>) {
+        let conn = request.conn;
+        let path = request.path.split('?').next().unwrap_or("");
+        match route(request.method, path) {
+            Route::Health => self.on_health_check(conn),
+            Route::AgentHeartbeat => self.on_agent_heartbeat(clock, conn, request.body),
+            Route::Submit => self.on_submit(clock, conn, request.body),
+            Route::JobStatus(id) => self.on_poll(clock, conn, id.to_string(), true),
+            Route::CancelJob(id) => self.on_cancel(clock, conn, id.to_string(), true),
+            Route::MethodNotAllowed => self.refuse(conn, 405, "method not allowed"),
+            Route::NotFound => self.refuse(conn, 404, "no such path"),
+        }
+    }
+
+    fn on_health_check(&mut self, conn: u64) {
+        if !self.cache.synced {
+            self.refuse(conn, 503, "still reading the records");
+        } else if self.connectivity.sends_users_away() {
+            let error = "neither the state service nor a sibling answers";
+            self.refuse(conn, 503, error);
+        } else {
+            self.respond(conn, 200, &());
+        }
+    }
+
+    fn on_peer_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
+        match PeerHeartbeat::decode(body) {
+            Ok(heartbeat) => {
+                let response = self.respond_to_heartbeat(clock, heartbeat).encode();
+                self.respond_encoded(conn, 200, response, None);
+            }
+            Err(error) => {
+                log::warn!("peer heartbeat dropped error=\"{error}\"");
+                self.refuse(conn, 400, "not a heartbeat");
+            }
+        }
+    }
+
+    /// Handles an agent heartbeat that a peer relayed because it took us for the leader.
+    fn on_relayed_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
+        match (parse_agent_heartbeat(body), &self.leader) {
+            (Some(report), Some(leader)) if report.term <= leader.term => {
+                self.leader_heartbeat(clock, conn, report, true);
+            }
+            _ => self.refuse(conn, 503, "not leading"),
+        }
+    }
+
+    fn on_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
+        let Some(report) = parse_agent_heartbeat(body) else {
+            self.refuse(conn, 400, "not a report");
+            return;
+        };
+        if report.zone != self.settings.zone {
+            self.connectivity.elsewhere(clock.now);
+        }
+        if self.leader.is_none() {
+            self.follower_heartbeat(clock, conn, report);
+            return;
+        }
+        if self.connectivity.sends_on(&report.machine, clock.now) {
+            log::info!(
+                "agent heartbeat redirected machine={} reason=isolated",
+                report.machine
+            );
+            self.respond(conn, 421, &Misdirected::default());
+            return;
+        }
+        if self.leader_deposed_by(&report) {
+            self.highest_term_seen = self.highest_term_seen.max(report.term);
+            self.step_down("an agent has seen a higher term");
+            self.respond(conn, 421, &Misdirected::default());
+            return;
+        }
+        self.leader_heartbeat(clock, conn, report, false);
+    }
+
+    /// Whether the heartbeat shows that another controller has led after us.
+    fn leader_deposed_by(&self, report: &AgentHeartbeat) -> bool {
+        self.leader
+            .as_ref()
+            .is_some_and(|leader| report.term > leader.term)
+    }
+}
--- /dev/null
+++ b/src/controller/timers.rs
@@ -0,0 +1,122 @@
+//! Timers: what falls due as time passes, and when the controller has to be called next.
+
+use crate::controller::Controller;
+use crate::messages::PendingRequest;
+use crate::protocol::{Clock, Micros};
+
+/// The controller is called at least this often.
+const MAX_CALL_INTERVAL: Micros = Micros::millis(1000);
+/// A follower that has had no response from the store for this long sends it a probe. Its watch stays open through an
+/// outage, so without clients it would not notice one, and would pledge nothing.
+const STORE_PROBE_AFTER: Micros = Micros::millis(2000);
+/// Probes are at least this far apart.
+const STORE_PROBE_INTERVAL: Micros = Micros::millis(1000);
+/// A leader, and a follower that renews leases, confirm their state with the store at least this often.
+const CONFIRMATION_INTERVAL: Micros = Micros::millis(1000);
+/// Part of the cancellation deadline that is not counted on when agents are renewed from a state of some age, in
+/// seconds: a constant for delays on the way, and a share of the deadline for clocks that drift apart.
+const STALENESS_MARGIN_S: f64 = 2.0;
+const STALENESS_MARGIN_SHARE: f64 = 0.002;
+
+/// Responsiveness of the key-value store, as a follower probes it.
+pub(super) struct StoreProbe {
+    /// When the store last responded.
+    pub(super) heard_at: Micros,
+    /// When the last probe was sent.
+    sent_at: Micros,
+}
+
+impl StoreProbe {
+    /// As if the store had responded at `now`.
+    pub(super) fn new(now: Micros) -> StoreProbe {
+        StoreProbe {
+            heard_at: now,
+            sent_at: now,
+        }
+    }
+
+    /// When the next probe is due.
+    fn due(&self) -> Micros {
+        (self.heard_at + STORE_PROBE_AFTER).max(self.sent_at + STORE_PROBE_INTERVAL)
+    }
+}
+
+impl Controller {
+    /// Does all that is due; returns when to call again at the latest. The order is fixed, so that runs can be replayed.
+    pub(super) fn run_timers(&mut self, clock: Clock) -> Micros {
+        let mut next = clock.now + MAX_CALL_INTERVAL;
+        next = next.min(self.drive_listing(clock.now));
+        next = next.min(self.drive_watch(clock.now));
+        next = next.min(self.drive_read_barrier(clock));
+        self.apply_budget_share(clock);
+        next = next.min(self.grant_budget_shares(clock));
+        next = next.min(self.negotiate_format(clock));
+        next = next.min(self.send_peer_heartbeats(clock));
+        next = next.min(self.consider_candidacy(clock));
+        next = next.min(self.drive_acceptances(clock));
+        next = next.min(self.run_follower_timers(clock));
+        next.min(self.run_leader_timers(clock))
+    }
+
+    fn run_follower_timers(&mut self, clock: Clock) -> Micros {
+        if self.leader.is_some() {
+            return Micros::FAR;
+        }
+        let mut next = self.drive_renewals(clock);
+        if self.cache.synced {
+            next = next.min(self.probe_store(clock));
+        }
+        if self.renewals.active() {
+            let last_confirmed_read = self.renewals.last_confirmed_read();
+            next = next.min(self.confirm_state(clock, last_confirmed_read));
+        }
+        next
+    }
+
+    fn run_leader_timers(&mut self, clock: Clock) -> Micros {
+        let Some(leader) = &self.leader else {
+            return Micros::FAR;
+        };
+        let last_confirmed_read = leader.last_confirmed_read;
+        let mut next = self.drive_leader_lease(clock.now);
+        next = next.min(self.confirm_state(clock, last_confirmed_read));
+        next = next.min(self.drive_leader(clock));
+        next.min(self.consider_transfer(clock))
+    }
+
+    /// Probes the store if it has been silent; returns when to look again.
+    fn probe_store(&mut self, clock: Clock) -> Micros {
+        let due = self.store_probe.due();
+        if due <= clock.now {
+            self.store_probe.sent_at = clock.now;
+            self.request_confirmation(clock);
+        }
+        due.max(clock.now + STORE_PROBE_INTERVAL)
+    }
+
+    /// Confirms the cache if the last confirmed read is too old; returns when to look again.
+    fn confirm_state(&mut self, clock: Clock, last_confirmed_read: Micros) -> Micros {
+        let due = last_confirmed_read + CONFIRMATION_INTERVAL;
+        if due > clock.now {
+            return due;
+        }
+        self.request_confirmation(clock);
+        Micros::FAR
+    }
+
+    /// Requests a read barrier that nothing waits for, unless one is in flight.
+    fn request_confirmation(&mut self, clock: Clock) {
+        if !self.read_barrier.in_flight() {
+            self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
+        }
+    }
+
+    /// How long after the start of the last confirmed read agent heartbeats may still be answered: tasks that were
+    /// cancelled since then have to be gone by the cancellation deadline, and a renewed agent keeps its tasks for one
+    /// lease duration.
+    pub fn staleness_bound(&self) -> Micros {
+        let agents = &self.settings.params.agents;
+        let margin_s = STALENESS_MARGIN_S + STALENESS_MARGIN_SHARE * agents.cancel_s;
+        Micros::secs(agents.cancel_s - agents.lease_s - margin_s)
+    }
+}
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -94,7 +94,7 @@
             && !self.next_controller_in_other_zone(&lead.node)
             && self.next_controller_in_other_zone(&s.node)
             && first
-            && clock.now.since(self.leader_record_seen.1) >= CALM
+            && clock.now.since(self.leader_record_seen.since) >= CALM
             && self.store_available()
             && s.peers
                 .iter()
@@ -216,7 +216,7 @@
             ],
             changes: vec![
                 Change::put(LEAD, &rec, None),
-                Change::put(LIVE, &self.settings.node, self.leader_lease),
+                Change::put(LIVE, &self.settings.node, self.leader_lease.id),
             ],
         };
         self.store.ask(
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -363,8 +363,8 @@
     pub(crate) fn known_leader(&self) -> Option<KnownLeader> {
         let (node, run, term, since) = match (&self.cache.lead, &self.peers.record_summary) {
             (Some((l, version)), _) if self.cache.synced => {
-                let since = Some(self.leader_record_seen.1)
-                    .filter(|_| self.leader_record_seen.0 == *version);
+                let since = Some(self.leader_record_seen.since)
+                    .filter(|_| self.leader_record_seen.version == *version);
                 (&l.node, l.incarnation, l.term, since)
             }
             (_, Some((g, since))) if !self.cache.synced => {
