--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -550,7 +550,7 @@
         let pace = self
             .policy
             .pass_interval(self.settings.params.limits.core_share)
-            .times(self.request_scheduler.stretch(now));
+            .times(self.request_scheduler.pass_interval_factor(now));
         let mut next = Micros::FAR;
         let pledged = Micros(self.peers.quiet.until());
         if let Some(l) = &mut self.leader {
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,105 +1,108 @@
-//! Acceptances: submissions that wait in their lanes, are written, and are answered.
+//! Acceptance of jobs: a submission waits in the queue of its team and class until its record is written, and is
+//! answered afterwards.
 
-use crate::api::client_api::state_of;
-use crate::controller::{Controller, RecordKind};
-use crate::messages::PendingRequest;
-use crate::messages::StoreRequestPurpose;
-use crate::protocol::Clock;
-use crate::protocol::key_value_api::Change;
-use crate::protocol::key_value_api::Transaction;
-use crate::protocol::key_value_api::VersionCondition;
+use crate::api::client_api::job_status;
+use crate::controller::Controller;
+use crate::messages::{PendingRequest, StoreRequestPurpose};
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
 use crate::protocol::records::{JobRecord, JobStage, TaskChunk, job_key};
 use crate::protocol::settings::Team;
-use crate::protocol::{JobSpec, Micros, Settings};
+use crate::protocol::{Clock, JobSpec, Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::lanes::{Taken, Ticket};
 
-/// A submission is given up after this long; its user waits 5 s.
-const SUBMIT_PATIENCE: Micros = Micros::millis(4000);
-/// Submissions are queued up to what the store takes in this many seconds.
-const QUEUE_S: f64 = 2.5;
-/// After a lost answer the same transaction is tried again this much later.
-const AGAIN: Micros = Micros::millis(150);
-/// Transactions of acceptance in flight at once.
-const BATCHES: usize = 2;
+/// A submission that is not written within this time is refused; its client waits 5 s.
+const SUBMISSION_TIMEOUT: Micros = Micros::millis(4000);
+/// The queue holds what the store can take in this many seconds.
+const QUEUE_LENGTH_S: f64 = 2.5;
+/// After a lost response the same record is written again this much later.
+const RETRY_DELAY: Micros = Micros::millis(150);
+/// Transactions of acceptances in flight at most.
+const MAX_TRANSACTIONS_IN_FLIGHT: usize = 2;
+/// Error text of a submission that the queue has no room for.
+const QUEUE_FULL: &str = "too many submissions at once";
 
-/// Where an acceptance stands.
+/// Progress of an acceptance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Stand {
-    /// Waits in its lane.
-    Waits(Ticket),
-    /// Is being written.
-    Flying(Ticket),
-    /// Its transaction got no answer, or came too early: waits for another try.
-    Rests(Ticket, Micros),
+enum AcceptanceStage {
+    /// Waits in its queue.
+    Queued(Ticket),
+    /// Its transaction is in flight.
+    InFlight(Ticket),
+    /// Its transaction was not carried out, or its response was lost; it is queued again at this time.
+    RetryAt(Ticket, Micros),
 }
 
-pub(crate) struct Accepting {
-    /// Who asked before the record was sent: once it is written, they are told what it says.
+/// A submitted job whose record is not known to be written yet.
+pub(crate) struct PendingAcceptance {
+    /// Connections that asked before the record was sent. They get the state as of the write.
     conns: Vec<u64>,
-    /// Who asked while it was on its way. It may have been carried out before that, and its answer be late: the job
-    /// may be over by the time of the question, and whoever asked has to be told what holds then.
-    joined: Vec<u64>,
-    rec: JobRecord,
-    since: Micros,
-    /// When its user tried first, as far as we know.
-    first: Micros,
-    stand: Stand,
-    tried: bool,
-    /// The state service has rejected it together with others: they may have been too many.
-    alone: bool,
+    /// Connections that asked while the record was in flight. The store may have written it before they asked, with a
+    /// late response, and the job may be over by then: they have to get the state as of their own request or later.
+    conns_while_in_flight: Vec<u64>,
+    record: JobRecord,
+    submitted_at: Micros,
+    /// When the client submitted the job first, as far as we know.
+    first_attempt: Micros,
+    stage: AcceptanceStage,
+    /// The response to an earlier write was lost: the record may be there.
+    maybe_written: bool,
+    /// The store rejected it in a transaction with others, which may have been too large.
+    write_alone: bool,
 }
 
-impl Accepting {
-    /// Takes all who wait for it.
-    fn everybody(&mut self) -> Vec<u64> {
-        let mut all = std::mem::take(&mut self.conns);
-        all.append(&mut self.joined);
-        all
+impl PendingAcceptance {
+    /// Takes the connections of all requests that wait for it.
+    fn take_conns(&mut self) -> Vec<u64> {
+        let mut conns = std::mem::take(&mut self.conns);
+        conns.append(&mut self.conns_while_in_flight);
+        conns
     }
 }
 
-/// What a team counts where it has to share: more, the more of the room it is guaranteed.
-fn weight_of(s: &Settings, team: &str) -> f64 {
-    let part = |of: fn(&Team) -> f64| {
-        let all: f64 = s.params.teams.iter().map(of).sum();
-        let own = s.team(team).map_or(0.0, of);
-        if all > 0.0 { own / all } else { 0.0 }
+/// A team's weight in the queue: from 1 to 2, by the larger of its shares of the guaranteed CPUs and GPUs.
+fn team_weight(settings: &Settings, name: &str) -> f64 {
+    let share = |guarantee: fn(&Team) -> f64| {
+        let total: f64 = settings.params.teams.iter().map(guarantee).sum();
+        let own = settings.team(name).map_or(0.0, guarantee);
+        if total > 0.0 { own / total } else { 0.0 }
     };
-    1.0 + part(|t| t.cpus).max(part(|t| t.gpus))
+    1.0 + share(|team| team.cpus).max(share(|team| team.gpus))
 }
 
 impl Controller {
-    pub(crate) fn accept(&mut self, clock: Clock, conn: u64, id: String, spec: JobSpec) {
-        if let Some(a) = self.client_api.accepting.get_mut(&id) {
-            match a.stand {
-                Stand::Flying(_) => a.joined.push(conn),
-                Stand::Waits(_) | Stand::Rests(..) => a.conns.push(conn),
+    /// Queues a job for acceptance, or refuses it if the queue has no room. A repeated submission joins the first.
+    pub(crate) fn accept_job(&mut self, clock: Clock, conn: u64, id: String, spec: JobSpec) {
+        if let Some(acceptance) = self.client_api.acceptances.get_mut(&id) {
+            match acceptance.stage {
+                AcceptanceStage::InFlight(_) => acceptance.conns_while_in_flight.push(conn),
+                AcceptanceStage::Queued(_) | AcceptanceStage::RetryAt(..) => {
+                    acceptance.conns.push(conn);
+                }
             }
             return;
         }
-        // More than can be written while its user waits is refused at once: whoever came last in the
-        // lane that holds most, so that no class is refused on account of another.
-        let most = (self.store.write_rate() * QUEUE_S) as usize + 1;
-        let f = &mut self.client_api;
-        let busy = f.accepting.len() - f.lanes.len();
-        f.lanes.limit(most.saturating_sub(busy).max(1));
-        let first = Micros(f.refusals.first(&id, clock.now.0));
-        let weight = weight_of(&self.settings, &spec.team);
+        self.limit_acceptance_queue();
+        let api = &mut self.client_api;
+        let first_attempt = Micros(api.refusals.first(&id, clock.now.0));
+        let weight = team_weight(&self.settings, &spec.team);
         let (team, class) = (spec.team.clone(), spec.class.clone());
-        let ticket = match f.lanes.push(team, weight, class, first.0, id.clone()) {
-            Taken::Waits(t) => t,
-            Taken::Instead(t, other) => {
-                self.give_up(clock, &other);
-                t
+        let ticket = match api
+            .queue
+            .push(team, weight, class, first_attempt.0, id.clone())
+        {
+            Taken::Waits(ticket) => ticket,
+            Taken::Instead(ticket, displaced) => {
+                self.refuse_acceptance(clock, &displaced);
+                ticket
             }
             Taken::Refused(_) => {
-                let after = self.come_again(clock, &id, first, &spec);
-                self.refuse_until(conn, "too many submissions at once", after);
+                let retry_after = self.record_refusal(clock, &id, first_attempt, &spec);
+                self.refuse_until(conn, QUEUE_FULL, retry_after);
                 return;
             }
         };
-        let rec = JobRecord {
+        let record = JobRecord {
             spec,
             at: clock.wall,
             stage: JobStage::Active,
@@ -107,284 +110,277 @@
             first: TaskChunk::default(),
             cleaned: false,
         };
-        let a = Accepting {
+        let acceptance = PendingAcceptance {
             conns: vec![conn],
-            joined: Vec::new(),
-            rec,
-            since: clock.now,
-            first,
-            stand: Stand::Waits(ticket),
-            tried: false,
-            alone: false,
+            conns_while_in_flight: Vec::new(),
+            record,
+            submitted_at: clock.now,
+            first_attempt,
+            stage: AcceptanceStage::Queued(ticket),
+            maybe_written: false,
+            write_alone: false,
         };
-        self.client_api.accepting.insert(id, a);
-        self.client_api.look_at = Micros::ZERO;
+        self.client_api.acceptances.insert(id, acceptance);
+        self.client_api.next_expiry_check = Micros::ZERO;
     }
 
-    /// Seconds after which a refused submission had better come again; its first try is remembered.
-    pub(crate) fn come_again(
+    /// Limits the queue to what can be written while clients wait. Beyond that the newest submission of the longest
+    /// queue is refused at once, so that no class is refused on account of another.
+    fn limit_acceptance_queue(&mut self) {
+        let capacity = (self.store.write_rate() * QUEUE_LENGTH_S) as usize + 1;
+        let api = &mut self.client_api;
+        let outside_queue = api.acceptances.len() - api.queue.len();
+        api.queue
+            .limit(capacity.saturating_sub(outside_queue).max(1));
+    }
+
+    /// Remembers the first attempt of a submission that is refused; returns its `Retry-After` in seconds.
+    fn record_refusal(
         &mut self,
         clock: Clock,
         id: &str,
-        first: Micros,
+        first_attempt: Micros,
         spec: &JobSpec,
     ) -> u32 {
-        let f = &mut self.client_api;
-        f.count_refusal(clock.now);
-        f.refusals.refuse(id, first.0, clock.now.0);
-        let ahead = f.lanes.waiting(&spec.team, &spec.class);
-        let rate = self.store.write_rate() / f.lanes.busy().max(1) as f64;
-        f.refusals.retry_after(id, ahead, rate, clock.now.0)
+        let api = &mut self.client_api;
+        api.refusal_rate.count(clock.now);
+        api.refusals.refuse(id, first_attempt.0, clock.now.0);
+        let queued_before = api.queue.waiting(&spec.team, &spec.class);
+        let rate = self.store.write_rate() / api.queue.busy().max(1) as f64;
+        api.refusals
+            .retry_after(id, queued_before, rate, clock.now.0)
     }
 
-    /// Refuses an acceptance that is not being written.
-    pub(crate) fn give_up(&mut self, clock: Clock, id: &str) {
-        let Some(mut a) = self.forget_accepting(id) else {
+    /// Refuses an acceptance that is not in flight.
+    fn refuse_acceptance(&mut self, clock: Clock, id: &str) {
+        let Some(mut acceptance) = self.remove_acceptance(id) else {
             return;
         };
-        let after = self.come_again(clock, id, a.first, &a.rec.spec);
-        for conn in a.everybody() {
-            self.refuse_until(conn, "too many submissions at once", after);
+        let retry_after =
+            self.record_refusal(clock, id, acceptance.first_attempt, &acceptance.record.spec);
+        for conn in acceptance.take_conns() {
+            self.refuse_until(conn, QUEUE_FULL, retry_after);
         }
     }
 
-    /// How many acceptances wait to be written.
-    pub fn accepts_due(&mut self, now: Micros) -> usize {
-        let settings = &self.settings;
-        let f = &mut self.client_api;
-        while let Some((at, id)) = f.resting.pop_first() {
-            if at > now {
-                f.resting.insert((at, id));
-                break;
-            }
-            if let Some(a) = f.accepting.get_mut(&id)
-                && let Stand::Rests(ticket, _) = a.stand
-            {
-                a.stand = Stand::Waits(ticket);
-                let s = &a.rec.spec;
-                let weight = weight_of(settings, &s.team);
-                f.lanes
-                    .back(s.team.clone(), weight, s.class.clone(), ticket, id);
-            }
-        }
-        if f.batches >= BATCHES {
+    /// How many acceptances can be written now.
+    pub(crate) fn acceptances_due(&mut self, now: Micros) -> usize {
+        self.requeue_due_retries(now);
+        if self.client_api.transactions_in_flight >= MAX_TRANSACTIONS_IN_FLIGHT {
             return 0;
         }
-        f.lanes.len()
+        self.client_api.queue.len()
+    }
+
+    fn requeue_due_retries(&mut self, now: Micros) {
+        let api = &mut self.client_api;
+        while let Some((retry_at, id)) = api.retries.pop_first() {
+            if retry_at > now {
+                api.retries.insert((retry_at, id));
+                return;
+            }
+            let Some(acceptance) = api.acceptances.get_mut(&id) else {
+                continue;
+            };
+            let AcceptanceStage::RetryAt(ticket, _) = acceptance.stage else {
+                continue;
+            };
+            acceptance.stage = AcceptanceStage::Queued(ticket);
+            let spec = &acceptance.record.spec;
+            let weight = team_weight(&self.settings, &spec.team);
+            api.queue
+                .back(spec.team.clone(), weight, spec.class.clone(), ticket, id);
+        }
     }
 
-    /// Writes acceptances, each lane in its turn, at most `most` in a transaction.
-    pub fn write_accepts(&mut self, most: usize) {
+    /// Writes at most `limit` acceptances in one transaction, by turns of the queues.
+    pub(crate) fn write_acceptances(&mut self, limit: usize) {
+        let api = &mut self.client_api;
         let mut ids = Vec::new();
         let mut changes = Vec::new();
         let mut conds = Vec::new();
-        while ids.len() < most
-            && let Some((team, class, ticket, id)) = self.client_api.lanes.pop()
+        while ids.len() < limit
+            && let Some((team, class, ticket, id)) = api.queue.pop()
         {
-            let Some(a) = self.client_api.accepting.get_mut(&id) else {
+            let Some(acceptance) = api.acceptances.get_mut(&id) else {
                 continue;
             };
-            if a.alone && !ids.is_empty() {
-                let weight = weight_of(&self.settings, &team);
-                self.client_api.lanes.back(team, weight, class, ticket, id);
+            if acceptance.write_alone && !ids.is_empty() {
+                let weight = team_weight(&self.settings, &team);
+                api.queue.back(team, weight, class, ticket, id);
                 break;
             }
-            a.stand = Stand::Flying(ticket);
+            acceptance.stage = AcceptanceStage::InFlight(ticket);
             let key = job_key(&id);
-            changes.push(Change::put(&key, &a.rec, None));
+            changes.push(Change::put(&key, &acceptance.record, None));
             conds.push(VersionCondition::new(&key, 0));
             ids.push(id);
-            if a.alone {
+            if acceptance.write_alone {
                 break;
             }
         }
         if ids.is_empty() {
             return;
         }
-        self.client_api.batches += 1;
-        let txn = Transaction { conds, changes };
+        api.transactions_in_flight += 1;
         self.store.ask(
             RequestPriority::Normal,
             StoreRequestPurpose::AcceptJobs(ids),
-            StoreRequest::Transaction(txn),
+            StoreRequest::Transaction(Transaction { conds, changes }),
         );
     }
 
-    /// An acceptance came back.
-    pub fn on_acceptance_result(&mut self, clock: Clock, ids: Vec<String>, reply: StoreResponse) {
-        self.client_api.batches -= 1;
-        self.client_api.look_at = Micros::ZERO;
+    /// Handles the result of a transaction that accepts these jobs.
+    pub(crate) fn on_acceptance_result(
+        &mut self,
+        clock: Clock,
+        ids: Vec<String>,
+        reply: StoreResponse,
+    ) {
+        self.client_api.transactions_in_flight -= 1;
+        self.client_api.next_expiry_check = Micros::ZERO;
         let alone = ids.len() == 1;
         for id in ids {
-            let key = job_key(&id);
-            let Some(a) = self.client_api.accepting.get_mut(&id) else {
-                continue;
-            };
-            match &reply {
-                StoreResponse::Committed(rev) => {
-                    let (rec, conns) = (a.rec.clone(), std::mem::take(&mut a.conns));
-                    let joined = std::mem::take(&mut a.joined);
-                    let took = clock.now.since(a.since);
-                    self.forget_accepting(&id);
-                    log::debug!(
-                        "{id} accepted: {} of {}, {took} after it came",
-                        rec.spec.tasks,
-                        rec.spec.class
-                    );
-                    self.cache.put_job(&id, rec, *rev);
-                    if let Some(l) = &mut self.leader {
-                        l.dirty = true;
-                    }
-                    for conn in joined {
-                        let (id, status) = (id.clone(), 201);
-                        self.request_read_barrier(
-                            clock,
-                            PendingRequest::Resubmit { conn, id, status },
-                        );
-                    }
-                    // It may be over already: a job that it needs may be cancelled.
-                    let Some(known) = self.cache.job(&id) else {
-                        continue;
-                    };
-                    let (_, state) = state_of(&id, &known);
-                    for conn in conns {
-                        self.tell(clock, conn, 201, &state);
-                    }
-                }
-                StoreResponse::Conflict(failed) if failed.contains(&key) => {
-                    // Known already; or our own earlier try was carried out after all.
-                    let status = if a.tried { 201 } else { 200 };
-                    let conns = a.everybody();
-                    self.forget_accepting(&id);
-                    for conn in conns {
-                        let id = id.clone();
-                        self.request_read_barrier(
-                            clock,
-                            PendingRequest::Resubmit { conn, id, status },
-                        );
-                    }
-                }
-                StoreResponse::Conflict(_) => self.rest(&id, clock.now),
-                StoreResponse::Rejected if alone => {
-                    let conns = a.everybody();
-                    self.forget_accepting(&id);
-                    for conn in conns {
-                        self.refuse(conn, 503, "the state service does not take the record");
-                    }
-                }
-                StoreResponse::Rejected => {
-                    a.alone = true;
-                    self.rest(&id, clock.now);
-                }
-                StoreResponse::Lost | StoreResponse::TooFast
-                    if clock.now < a.since + SUBMIT_PATIENCE =>
-                {
-                    a.tried |= reply == StoreResponse::Lost;
-                    self.rest(&id, clock.now + AGAIN);
-                }
-                _ => {
-                    let conns = a.everybody();
-                    self.forget_accepting(&id);
-                    for conn in conns {
-                        self.refuse(conn, 503, "the state service does not answer");
-                    }
-                }
-            }
+            self.on_job_acceptance_result(clock, &id, alone, &reply);
         }
     }
 
-    /// An acceptance was not written; it is tried again from then on.
-    pub(crate) fn rest(&mut self, id: &str, again: Micros) {
-        let f = &mut self.client_api;
-        if let Some(a) = f.accepting.get_mut(id)
-            && let Stand::Flying(ticket) = a.stand
-        {
-            a.stand = Stand::Rests(ticket, again);
-            // The next try is sent after they have asked.
-            let joined = std::mem::take(&mut a.joined);
-            a.conns.extend(joined);
-            f.resting.insert((again, id.to_string()));
+    /// Handles the result for one of the jobs; `alone`: the transaction held no other.
+    fn on_job_acceptance_result(
+        &mut self,
+        clock: Clock,
+        id: &str,
+        alone: bool,
+        reply: &StoreResponse,
+    ) {
+        let Some(acceptance) = self.client_api.acceptances.get_mut(id) else {
+            return;
+        };
+        let expired = clock.now >= acceptance.submitted_at + SUBMISSION_TIMEOUT;
+        match reply {
+            StoreResponse::Committed(revision) => self.on_job_accepted(clock, id, *revision),
+            StoreResponse::Conflict(failed) if failed.contains(&job_key(id)) => {
+                self.on_job_exists(clock, id);
+            }
+            StoreResponse::Conflict(_) => self.retry_acceptance(id, clock.now),
+            StoreResponse::Rejected if alone => {
+                self.fail_acceptance(id, "the state service does not take the record");
+            }
+            StoreResponse::Rejected => {
+                acceptance.write_alone = true;
+                self.retry_acceptance(id, clock.now);
+            }
+            StoreResponse::Lost | StoreResponse::TooFast if !expired => {
+                acceptance.maybe_written |= *reply == StoreResponse::Lost;
+                self.retry_acceptance(id, clock.now + RETRY_DELAY);
+            }
+            _ => self.fail_acceptance(id, "the state service does not answer"),
         }
     }
 
-    pub(crate) fn forget_accepting(&mut self, id: &str) -> Option<Accepting> {
-        let f = &mut self.client_api;
-        let a = f.accepting.remove(id)?;
-        match a.stand {
-            Stand::Waits(ticket) => {
-                let s = &a.rec.spec;
-                f.lanes.remove(&s.team, &s.class, ticket);
-            }
-            Stand::Rests(_, at) => _ = f.resting.remove(&(at, id.to_string())),
-            Stand::Flying(_) => {}
+    fn on_job_accepted(&mut self, clock: Clock, id: &str, revision: u64) {
+        let Some(acceptance) = self.remove_acceptance(id) else {
+            return;
+        };
+        log::debug!(
+            "job accepted job={id} tasks={} class={} latency={}",
+            acceptance.record.spec.tasks,
+            acceptance.record.spec.class,
+            clock.now.since(acceptance.submitted_at)
+        );
+        self.cache.put_job(id, acceptance.record, revision);
+        if let Some(leader) = &mut self.leader {
+            leader.dirty = true;
+        }
+        self.resume_as_resubmissions(clock, id, acceptance.conns_while_in_flight, 201);
+        // The job may be over already: a job that it needs may have been cancelled.
+        let Some(known) = self.cache.job(id) else {
+            return;
+        };
+        let state = job_status(id, &known).state;
+        for conn in acceptance.conns {
+            self.respond_with_state(clock, conn, 201, &state);
         }
-        Some(a)
     }
 
-    /// Refuses what has waited for its turn in vain; returns when to look again.
-    pub fn drive_acceptances(&mut self, clock: Clock) -> Micros {
-        if clock.now < self.client_api.look_at {
-            return self.client_api.look_at;
+    /// The job has a record: it was known before, or our own earlier write was carried out after all.
+    fn on_job_exists(&mut self, clock: Clock, id: &str) {
+        let Some(mut acceptance) = self.remove_acceptance(id) else {
+            return;
+        };
+        let status = if acceptance.maybe_written { 201 } else { 200 };
+        self.resume_as_resubmissions(clock, id, acceptance.take_conns(), status);
+    }
+
+    /// Answers these connections with `status` and the job's state after a read barrier.
+    fn resume_as_resubmissions(&mut self, clock: Clock, id: &str, conns: Vec<u64>, status: u16) {
+        for conn in conns {
+            let id = id.to_string();
+            self.request_read_barrier(clock, PendingRequest::Resubmit { conn, id, status });
         }
-        let mut late = Vec::new();
-        let mut next = Micros::FAR;
-        for (id, a) in &self.client_api.accepting {
-            match a.stand {
-                Stand::Flying(_) => {}
-                _ if a.since + SUBMIT_PATIENCE <= clock.now => late.push(id.clone()),
-                Stand::Rests(_, at) if at > clock.now => next = next.min(at),
-                _ => next = next.min(a.since + SUBMIT_PATIENCE),
-            }
+    }
+
+    fn fail_acceptance(&mut self, id: &str, error: &str) {
+        let Some(mut acceptance) = self.remove_acceptance(id) else {
+            return;
+        };
+        for conn in acceptance.take_conns() {
+            self.refuse(conn, 503, error);
         }
-        for id in late {
-            self.give_up(clock, &id);
+    }
+
+    /// Queues an acceptance that was not written again at `retry_at`.
+    fn retry_acceptance(&mut self, id: &str, retry_at: Micros) {
+        let api = &mut self.client_api;
+        if let Some(acceptance) = api.acceptances.get_mut(id)
+            && let AcceptanceStage::InFlight(ticket) = acceptance.stage
+        {
+            acceptance.stage = AcceptanceStage::RetryAt(ticket, retry_at);
+            // The next write is sent after all of these have asked.
+            let conns = std::mem::take(&mut acceptance.conns_while_in_flight);
+            acceptance.conns.extend(conns);
+            api.retries.insert((retry_at, id.to_string()));
         }
-        self.client_api.look_at = next;
-        next
     }
 
-    /// Hands acceptances and job records to the store in turn, as far as it can take them at
-    /// once; what must wait goes on gathering. Returns when to look again.
-    pub(crate) fn write_due_records(&mut self, clock: Clock) -> Micros {
-        let now = clock.now;
-        let most = self.settings.params.state.least_txn_ops();
-        loop {
-            // Under a flood hundreds of changes wait, and news comes hundreds of times a second: what is
-            // due is only looked for when the store can take something.
-            let at = self.store.room_at(now, 1);
-            if at > now {
-                return at;
-            }
-            let accepts = self.accepts_due(now);
-            let (edits, next) = self.edits_due(now);
-            if accepts + edits == 0 {
-                return next;
-            }
-            self.last_record_kind = match (accepts, edits, self.last_record_kind) {
-                (0, _, _) => RecordKind::JobUpdates,
-                (_, 0, _) => RecordKind::Acceptances,
-                (_, _, RecordKind::JobUpdates) => RecordKind::Acceptances,
-                (_, _, RecordKind::Acceptances) => RecordKind::JobUpdates,
-            };
-            let wanted = match self.last_record_kind {
-                RecordKind::JobUpdates => edits,
-                RecordKind::Acceptances => accepts,
-            };
-            // Half a transaction is worth sending; less only if there is no more.
-            let least = wanted.min(most / 2).max(1);
-            let room = self.store.room_for(now, wanted.min(most));
-            if room < least && self.store.room_at(now, least) > now {
-                return self.store.room_at(now, least).min(next);
+    fn remove_acceptance(&mut self, id: &str) -> Option<PendingAcceptance> {
+        let api = &mut self.client_api;
+        let acceptance = api.acceptances.remove(id)?;
+        match acceptance.stage {
+            AcceptanceStage::Queued(ticket) => {
+                let spec = &acceptance.record.spec;
+                api.queue.remove(&spec.team, &spec.class, ticket);
             }
-            if room == 0 {
-                // Something is queued already: `pump` says when it can go.
-                return next;
+            AcceptanceStage::RetryAt(_, retry_at) => {
+                api.retries.remove(&(retry_at, id.to_string()));
             }
-            match self.last_record_kind {
-                RecordKind::JobUpdates => self.write_edits(clock, room),
-                RecordKind::Acceptances => self.write_accepts(room),
+            AcceptanceStage::InFlight(_) => {}
+        }
+        Some(acceptance)
+    }
+
+    /// Refuses acceptances that have waited too long; returns when to look again.
+    pub(crate) fn expire_acceptances(&mut self, clock: Clock) -> Micros {
+        if clock.now < self.client_api.next_expiry_check {
+            return self.client_api.next_expiry_check;
+        }
+        let mut expired = Vec::new();
+        let mut next = Micros::FAR;
+        for (id, acceptance) in &self.client_api.acceptances {
+            let expiry = acceptance.submitted_at + SUBMISSION_TIMEOUT;
+            match acceptance.stage {
+                AcceptanceStage::InFlight(_) => {}
+                _ if expiry <= clock.now => expired.push(id.clone()),
+                AcceptanceStage::RetryAt(_, retry_at) if retry_at > clock.now => {
+                    next = next.min(retry_at);
+                }
+                _ => next = next.min(expiry),
             }
-            self.send_store_requests(now);
         }
+        for id in expired {
+            self.refuse_acceptance(clock, &id);
+        }
+        self.client_api.next_expiry_check = next;
+        next
     }
 }
--- /dev/null
+++ b/src/api/cancellation.rs
@@ -0,0 +1,108 @@
+//! Cancellation of jobs.
+
+use crate::api::client_api::{CacheFreshness, job_status};
+use crate::controller::Controller;
+use crate::messages::{PendingRequest, StoreRequestPurpose};
+use crate::protocol::Clock;
+use crate::protocol::job::valid_id;
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
+use crate::protocol::records::{BUNDLED, JobRecord, JobStage, job_key};
+use crate::state::record_cache::{Job, JobLookup};
+use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
+
+impl Controller {
+    /// Handles `POST /submissions/{id}/cancel`.
+    pub(crate) fn on_cancel(
+        &mut self,
+        clock: Clock,
+        conn: u64,
+        id: String,
+        freshness: CacheFreshness,
+    ) {
+        if self.refuse_if_unreadable(conn, &id) {
+            return;
+        }
+        match self.cache.job(&id) {
+            Some(JobLookup::Live(job)) if job.active() => {
+                let transaction = self.cancellation(clock, &id, job);
+                self.request_cancellation(conn, id, transaction);
+            }
+            Some(known) => {
+                let state = job_status(&id, &known).state;
+                self.respond_with_state(clock, conn, 200, &state);
+            }
+            None if freshness == CacheFreshness::Unconfirmed && valid_id(&id) => {
+                self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
+            }
+            None => self.refuse(conn, 404, "no such job"),
+        }
+    }
+
+    /// The transaction that cancels a job.
+    fn cancellation(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
+        let record = JobRecord {
+            stage: JobStage::Cancelled,
+            end: clock.wall,
+            ..job.rec.clone()
+        };
+        let key = job_key(id);
+        let version = job.version;
+        // The entries written here must include what placement batches hold at this moment, or the job would look as
+        // if none of its tasks were anywhere.
+        let bundled = VersionCondition::new(BUNDLED, self.cache.bundles.head());
+        Transaction {
+            conds: vec![VersionCondition::new(&key, version), bundled],
+            changes: vec![Change::put(&key, &record, None)],
+        }
+    }
+
+    /// Sends a cancellation, unless one of this job is in flight; `conn` is answered with its result.
+    fn request_cancellation(&mut self, conn: u64, id: String, transaction: Transaction) {
+        let conns = self.client_api.cancellations.entry(id.clone()).or_default();
+        conns.push(conn);
+        if conns.len() > 1 {
+            return;
+        }
+        self.store.ask(
+            RequestPriority::Urgent,
+            StoreRequestPurpose::CancelJob(id),
+            StoreRequest::Transaction(transaction),
+        );
+    }
+
+    /// Handles the result of a cancellation.
+    pub(crate) fn on_cancellation_result(
+        &mut self,
+        clock: Clock,
+        id: String,
+        request: StoreRequest,
+        reply: StoreResponse,
+    ) {
+        let conns = self
+            .client_api
+            .cancellations
+            .remove(&id)
+            .unwrap_or_default();
+        match reply {
+            StoreResponse::Committed(_) => {
+                self.apply_if_committed(&request, &reply);
+                self.on_changed_jobs();
+                for conn in conns {
+                    self.on_cancel(clock, conn, id.clone(), CacheFreshness::Confirmed);
+                }
+            }
+            StoreResponse::Conflict(_) | StoreResponse::Lost => {
+                // Another controller has changed the job, or our own transaction was carried out: the records show it.
+                for conn in conns {
+                    let id = id.clone();
+                    self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
+                }
+            }
+            _ => {
+                for conn in conns {
+                    self.refuse(conn, 503, "the state service does not answer");
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/api/forwarding.rs
@@ -0,0 +1,63 @@
+//! Forwarding of client requests to a peer, while the key-value store serves the peer and not us.
+
+use crate::controller::routing::{HttpRequest, SUBMISSIONS_PATH};
+use crate::controller::{Controller, default_retry_after};
+use crate::messages::PendingCall;
+use crate::protocol::format::PIPELINES;
+use crate::protocol::job::parse;
+use crate::protocol::peer_messages::FORWARD_PREFIX;
+use crate::protocol::{Clock, Micros};
+use crate::state::record_cache::JobLookup;
+use crate::transport::Outcome;
+
+/// How long a peer may take over a status request; its client waits 2 s.
+const STATUS_TIMEOUT: Micros = Micros::millis(1500);
+/// How long a peer may take over a submission or a cancellation; its client waits 5 s.
+const CHANGE_TIMEOUT: Micros = Micros::millis(4500);
+
+impl Controller {
+    /// Forwards a client request to a peer that reaches the store if we do not, and returns whether it did. What the
+    /// cache can answer for good is not forwarded.
+    pub(crate) fn forward_to_peer(&mut self, clock: Clock, request: HttpRequest<'_>) -> bool {
+        let Some(job_path) = request.path.strip_prefix(SUBMISSIONS_PATH) else {
+            return false;
+        };
+        let id = job_path.trim_start_matches('/');
+        if let Some(JobLookup::Over(_)) = self.cache.job(id) {
+            return false;
+        }
+        let submits = request.method == "POST" && job_path.is_empty();
+        if submits && self.needs_pipeline_support(request.body) {
+            return false;
+        }
+        let (method, timeout) = match request.method {
+            "GET" => ("GET", STATUS_TIMEOUT),
+            "POST" => ("POST", CHANGE_TIMEOUT),
+            _ => return false,
+        };
+        let Some(addr) = self.peer_with_store(clock) else {
+            return false;
+        };
+        let path = format!("{FORWARD_PREFIX}{}", request.path);
+        let pending = PendingCall::ForwardedRequest(request.conn);
+        let body = request.body.to_vec();
+        self.call(pending, addr, method, &path, body, timeout);
+        true
+    }
+
+    /// Whether a submission waits for other jobs and not all peers know of this: a peer of the first version would
+    /// accept it without the jobs that it needs.
+    fn needs_pipeline_support(&self, body: &[u8]) -> bool {
+        !self.all_peers_read(PIPELINES) && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
+    }
+
+    /// Passes the response of the peer on to the client.
+    pub(crate) fn on_forwarded_response(&mut self, conn: u64, outcome: Outcome) {
+        match outcome {
+            Outcome::Reply { status, body } => {
+                self.respond_encoded(conn, status, body, default_retry_after(status));
+            }
+            _ => self.refuse(conn, 503, "the state service does not answer"),
+        }
+    }
+}
--- /dev/null
+++ b/src/api/refusal_rate.rs
@@ -0,0 +1,47 @@
+//! The rate at which submissions are refused, for the distribution of the write budget among controllers.
+
+use crate::protocol::Micros;
+
+/// Microseconds of the window that refusals are counted in.
+const WINDOW_US: u64 = 1_000_000;
+
+/// Refusals in the present second and in the one before.
+#[derive(Debug, Default)]
+pub(super) struct RefusalRate {
+    /// Number of the present second since the start of the clock.
+    second: u64,
+    /// Refusals in the present second.
+    present: u32,
+    /// Refusals in the second before.
+    previous: u32,
+}
+
+impl RefusalRate {
+    /// Counts a refusal.
+    pub(super) fn count(&mut self, now: Micros) {
+        let second = now.0 / WINDOW_US;
+        if second == self.second {
+            self.present += 1;
+            return;
+        }
+        self.previous = if second == self.second + 1 {
+            self.present
+        } else {
+            0
+        };
+        self.second = second;
+        self.present = 1;
+    }
+
+    /// Refusals in the last full second, or in the present one if these are more already.
+    pub(super) fn last_second(&self, now: Micros) -> f64 {
+        let second = now.0 / WINDOW_US;
+        if second == self.second {
+            return self.previous.max(self.present) as f64;
+        }
+        if second == self.second + 1 {
+            return self.present as f64;
+        }
+        0.0
+    }
+}
--- a/src/api/request_scheduler.rs
+++ b/src/api/request_scheduler.rs
@@ -1,149 +1,204 @@
-//! Whose turn it is when more arrives than the processor can handle.
+//! Load shedding: the order in which events are handled when more arrive than the processor can handle.
 //!
-//! What keeps the service alive goes first: answers (leadership and records hang on them), peers,
-//! agents' reports, health checks. Cancellations, submissions and polls of users come after it, in that
-//! order and each in the order of arrival, some at a time, so that timers fall due in between. A request
-//! whose user has given up is not worth its work any more: it is refused, which costs next to nothing.
+//! Events that keep the service alive are handled first: responses (leadership and records depend on them), requests of
+//! peers, agent heartbeats, health checks. Cancellations, submissions and status requests of clients follow in that
+//! order, each in the order of arrival, and a limited number at a time, so that timers run in between. A request whose
+//! client has given up is refused, which costs next to nothing.
 //!
-//! Nothing grows here without bound: a connection has one request on its way, and connections are
-//! limited by the transport.
+//! The queues are bounded: a connection has one request in progress, and the transport limits connections.
 
+use crate::controller::routing::{CANCEL_SUFFIX, SUBMISSIONS_PATH};
 use crate::protocol::Micros;
+use crate::protocol::peer_messages::FORWARD_PREFIX;
 use crate::transport::NetworkEvent;
 use std::collections::VecDeque;
 
-/// Requests of users handled in one step, at most.
-const A_STEP: usize = 64;
-/// A poll's user waits 2 s (PROTOCOL, "GET /submissions/{id}"), a submission's or cancellation's 5 s;
-/// something is left for the way back.
-const POLL_PATIENCE: Micros = Micros::millis(1_600);
-const PATIENCE: Micros = Micros::millis(4_000);
+/// Client requests handled in one step, at most.
+const MAX_REQUESTS_PER_STEP: usize = 64;
+/// Status requests that a step has room for in any case: a flood of submissions must not keep all clients from learning
+/// the states of their jobs.
+const MIN_STATUS_REQUESTS_PER_STEP: usize = MAX_REQUESTS_PER_STEP / 4;
+/// A status request is refused after this long; its client waits 2 s (PROTOCOL, "GET /submissions/{id}").
+const STATUS_TIMEOUT: Micros = Micros::millis(1_600);
+/// A submission or cancellation is refused after this long; its client waits 5 s.
+const CHANGE_TIMEOUT: Micros = Micros::millis(4_000);
+/// From these waits for the processor on, scheduling passes are spaced out, by these factors.
+const MODERATE_DELAY: Micros = Micros::millis(1_000);
+const MODERATE_DELAY_FACTOR: f64 = 2.0;
+const LONG_DELAY: Micros = Micros::millis(2_500);
+const LONG_DELAY_FACTOR: f64 = 4.0;
 
-/// Sorts of what arrives, most urgent first.
+/// Classes of events, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestClass {
-    /// Never waits.
+    /// Keeps the service alive, and never waits.
     Vital,
     Cancel,
     Submit,
-    Poll,
+    Status,
 }
 
-fn sort(e: &NetworkEvent) -> RequestClass {
+fn classify(event: &NetworkEvent) -> RequestClass {
     let NetworkEvent::Request {
         internal,
         method,
         path,
         ..
-    } = e
+    } = event
     else {
         return RequestClass::Vital;
     };
-    // A peer hands users' requests on under a path of its own.
-    let Some(rest) = path.split_once("/submissions").map(|(_, rest)| rest) else {
+    // The path of a forwarded request has a prefix.
+    let Some((_, job_path)) = path.split_once(SUBMISSIONS_PATH) else {
         return RequestClass::Vital;
     };
-    match (method.as_str(), rest) {
-        _ if *internal && !path.starts_with(crate::protocol::peer_messages::FORWARD_PREFIX) => {
-            RequestClass::Vital
-        }
-        ("GET", _) => RequestClass::Poll,
-        (_, r) if r.ends_with("/cancel") => RequestClass::Cancel,
+    if *internal && !path.starts_with(FORWARD_PREFIX) {
+        return RequestClass::Vital;
+    }
+    match method.as_str() {
+        "GET" => RequestClass::Status,
+        _ if job_path.ends_with(CANCEL_SUFFIX) => RequestClass::Cancel,
         _ => RequestClass::Submit,
     }
 }
 
-/// What is to be done with an event now.
+/// What to do with an event now.
 #[derive(Debug)]
 pub enum ScheduledRequest {
     /// Handle it.
     Handle(NetworkEvent),
-    /// Its user has waited for too long: refuse it on this connection.
+    /// Refuse the request on this connection: its client has given up.
     Refuse(u64),
 }
 
-/// Users' requests that wait for their turn, with their arrival.
-#[derive(Debug, Default)]
+/// A client request that waits for the processor.
+#[derive(Debug)]
+struct QueuedRequest {
+    arrived: Micros,
+    event: NetworkEvent,
+}
+
+/// Requests of one class, in the order of arrival.
+#[derive(Debug)]
+struct RequestQueue {
+    requests: VecDeque<QueuedRequest>,
+    /// A request that has waited for this long is refused.
+    timeout: Micros,
+}
+
+impl RequestQueue {
+    fn new(timeout: Micros) -> RequestQueue {
+        RequestQueue {
+            requests: VecDeque::new(),
+            timeout,
+        }
+    }
+
+    fn push(&mut self, arrived: Micros, event: NetworkEvent) {
+        self.requests.push_back(QueuedRequest { arrived, event });
+    }
+
+    /// Schedules requests until `limit` of them are to be handled; those that have timed out do not count. Returns how
+    /// much of the limit is left.
+    fn schedule(
+        &mut self,
+        now: Micros,
+        limit: usize,
+        scheduled: &mut Vec<ScheduledRequest>,
+    ) -> usize {
+        let mut remaining = limit;
+        while remaining > 0
+            && let Some(QueuedRequest { arrived, event }) = self.requests.pop_front()
+        {
+            match event {
+                NetworkEvent::Request { conn, .. } if now >= arrived + self.timeout => {
+                    scheduled.push(ScheduledRequest::Refuse(conn));
+                }
+                event => {
+                    remaining -= 1;
+                    scheduled.push(ScheduledRequest::Handle(event));
+                }
+            }
+        }
+        remaining
+    }
+}
+
+/// Client requests that wait for the processor.
+#[derive(Debug)]
 pub struct RequestScheduler {
-    cancels: VecDeque<(Micros, NetworkEvent)>,
-    submits: VecDeque<(Micros, NetworkEvent)>,
-    polls: VecDeque<(Micros, NetworkEvent)>,
+    cancellations: RequestQueue,
+    submissions: RequestQueue,
+    status_requests: RequestQueue,
+}
+
+impl Default for RequestScheduler {
+    fn default() -> RequestScheduler {
+        RequestScheduler {
+            cancellations: RequestQueue::new(CHANGE_TIMEOUT),
+            submissions: RequestQueue::new(CHANGE_TIMEOUT),
+            status_requests: RequestQueue::new(STATUS_TIMEOUT),
+        }
+    }
 }
 
 impl RequestScheduler {
-    /// Takes what has arrived; gives what is to be handled in this step, in order.
+    /// Takes the events that have arrived; returns what to do in this step, in order.
     pub fn step(&mut self, now: Micros, events: Vec<NetworkEvent>) -> Vec<ScheduledRequest> {
-        let mut turns = Vec::with_capacity(events.len().min(2 * A_STEP));
-        for e in events {
-            match sort(&e) {
-                RequestClass::Vital => turns.push(ScheduledRequest::Handle(e)),
-                RequestClass::Cancel => self.cancels.push_back((now, e)),
-                RequestClass::Submit => self.submits.push_back((now, e)),
-                RequestClass::Poll => self.polls.push_back((now, e)),
+        let capacity = events.len().min(2 * MAX_REQUESTS_PER_STEP);
+        let mut scheduled = Vec::with_capacity(capacity);
+        for event in events {
+            match classify(&event) {
+                RequestClass::Vital => scheduled.push(ScheduledRequest::Handle(event)),
+                RequestClass::Cancel => self.cancellations.push(now, event),
+                RequestClass::Submit => self.submissions.push(now, event),
+                RequestClass::Status => self.status_requests.push(now, event),
             }
         }
-        // A flood of submissions must not keep everybody from learning how their jobs are.
-        let polls = self.polls.len().min(A_STEP / 4);
-        let mut left = A_STEP - polls;
-        left = take(&mut self.cancels, now, PATIENCE, left, &mut turns);
-        left = take(&mut self.submits, now, PATIENCE, left, &mut turns);
-        take(
-            &mut self.polls,
-            now,
-            POLL_PATIENCE,
-            left + polls,
-            &mut turns,
-        );
-        turns
+        let waiting_status_requests = self.status_requests.requests.len();
+        let reserved = waiting_status_requests.min(MIN_STATUS_REQUESTS_PER_STEP);
+        let mut limit = MAX_REQUESTS_PER_STEP - reserved;
+        limit = self.cancellations.schedule(now, limit, &mut scheduled);
+        limit = self.submissions.schedule(now, limit, &mut scheduled);
+        self.status_requests
+            .schedule(now, limit + reserved, &mut scheduled);
+        scheduled
     }
 
-    /// Passes come this many times as far apart while users wait for the processor.
-    pub fn stretch(&self, now: Micros) -> f64 {
-        match self.age(now).0 {
-            0..1_000_000 => 1.0,
-            1_000_000..2_500_000 => 2.0,
-            _ => 4.0,
+    /// The factor by which scheduling passes are spaced out while clients wait for the processor.
+    pub fn pass_interval_factor(&self, now: Micros) -> f64 {
+        let delay = self.longest_delay(now);
+        if delay < MODERATE_DELAY {
+            1.0
+        } else if delay < LONG_DELAY {
+            MODERATE_DELAY_FACTOR
+        } else {
+            LONG_DELAY_FACTOR
         }
     }
 
-    /// Something waits.
+    /// Whether any request waits.
     pub fn waiting(&self) -> bool {
-        self.oldest().is_some()
-    }
-
-    /// How long the request that came first has waited.
-    pub fn age(&self, now: Micros) -> Micros {
-        self.oldest().map_or(Micros::ZERO, |t| now.since(t))
+        self.oldest_arrival().is_some()
     }
 
-    fn oldest(&self) -> Option<Micros> {
-        let queues = [&self.cancels, &self.submits, &self.polls];
-        queues.iter().filter_map(|q| Some(q.front()?.0)).min()
+    /// How long the request that arrived first has waited.
+    pub fn longest_delay(&self, now: Micros) -> Micros {
+        self.oldest_arrival()
+            .map_or(Micros::ZERO, |arrived| now.since(arrived))
     }
-}
 
-/// Takes at most `left` requests that are worth their work; returns how many more might be.
-fn take(
-    queue: &mut VecDeque<(Micros, NetworkEvent)>,
-    now: Micros,
-    patience: Micros,
-    mut left: usize,
-    turns: &mut Vec<ScheduledRequest>,
-) -> usize {
-    while left > 0
-        && let Some((came, e)) = queue.pop_front()
-    {
-        match e {
-            NetworkEvent::Request { conn, .. } if now >= came + patience => {
-                turns.push(ScheduledRequest::Refuse(conn));
-            }
-            e => {
-                left -= 1;
-                turns.push(ScheduledRequest::Handle(e));
-            }
-        }
+    fn oldest_arrival(&self) -> Option<Micros> {
+        let queues = [
+            &self.cancellations,
+            &self.submissions,
+            &self.status_requests,
+        ];
+        queues
+            .iter()
+            .filter_map(|queue| Some(queue.requests.front()?.arrived))
+            .min()
     }
-    left
 }
 
 #[cfg(test)]
--- a/src/api/request_scheduler/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of load shedding.
 
 use super::*;
 use crate::transport::Outcome;
@@ -13,22 +13,22 @@
     }
 }
 
-fn conns(turns: &[ScheduledRequest]) -> Vec<i64> {
-    let conn = |t: &ScheduledRequest| match t {
+fn conns(scheduled: &[ScheduledRequest]) -> Vec<i64> {
+    let conn = |request: &ScheduledRequest| match request {
         ScheduledRequest::Handle(NetworkEvent::Request { conn, .. }) => *conn as i64,
         ScheduledRequest::Handle(NetworkEvent::Answer { .. }) => 0,
         ScheduledRequest::Refuse(conn) => -(*conn as i64),
     };
-    turns.iter().map(conn).collect()
+    scheduled.iter().map(conn).collect()
 }
 
-/// A thousand polls are in the way of an answer from the store, a report and a cancellation.
+/// A thousand status requests arrive before a response of the store, an agent heartbeat and a cancellation.
 #[test]
-fn what_keeps_the_service_alive_does_not_wait_behind_a_flood_of_polls() {
-    let mut t = RequestScheduler::default();
-    let at = |ms: u64| Micros::millis(10_000 + ms);
+fn vital_events_do_not_wait_behind_a_flood_of_status_requests() {
+    let mut scheduler = RequestScheduler::default();
+    let at = |offset_ms: u64| Micros::millis(10_000 + offset_ms);
     let mut flood: Vec<NetworkEvent> = (0..1_000)
-        .map(|n| request(100 + n, "GET", "/submissions/req-1"))
+        .map(|index| request(100 + index, "GET", "/submissions/req-1"))
         .collect();
     flood.extend([
         request(1, "POST", "/submissions"),
@@ -41,25 +41,31 @@
             outcome: Outcome::Lost,
         },
     ]);
-    let first = conns(&t.step(at(0), flood));
+    let first = conns(&scheduler.step(at(0), flood));
     assert_eq!(first[..6], [3, 4, 0, 2, 1, 5]);
-    assert_eq!(first.len(), 3 + A_STEP);
-    assert_eq!(t.age(at(300)), Micros::millis(300));
-    // What comes later and is vital goes ahead of all that wait.
-    let second = conns(&t.step(at(300), vec![request(8, "POST", "/hello")]));
-    assert_eq!((second[0], second[1]), (8, 100 + (A_STEP as i64 - 3)));
-    // Users who have given up are refused all at once; none of their polls is worth its work.
-    let third = conns(&t.step(at(1_700), Vec::new()));
-    assert!(third.len() > 800 && third.iter().all(|c| *c < 0));
-    assert!(!t.waiting());
+    assert_eq!(first.len(), 3 + MAX_REQUESTS_PER_STEP);
+    assert_eq!(scheduler.longest_delay(at(300)), Micros::millis(300));
+    // A vital event that arrives later is handled before all that wait.
+    let second = conns(&scheduler.step(at(300), vec![request(8, "POST", "/hello")]));
+    assert_eq!(
+        (second[0], second[1]),
+        (8, 100 + (MAX_REQUESTS_PER_STEP as i64 - 3))
+    );
+    // Status requests whose clients have given up are all refused in one step; none of them is handled.
+    let third = conns(&scheduler.step(at(1_700), Vec::new()));
+    assert!(third.len() > 800 && third.iter().all(|conn| *conn < 0));
+    assert!(!scheduler.waiting());
 }
 
 #[test]
-fn a_flood_of_submissions_leaves_polls_a_part() {
-    let mut t = RequestScheduler::default();
-    let flood = (0..500).map(|n| request(1_000 + n, "POST", "/submissions"));
-    let polls = (0..40).map(|n| request(1 + n, "GET", "/submissions/req-1"));
-    let first = conns(&t.step(Micros::millis(1), flood.chain(polls).collect()));
-    assert_eq!(first.len(), A_STEP);
-    assert_eq!(first.iter().filter(|c| **c < 1_000).count(), A_STEP / 4);
+fn a_flood_of_submissions_leaves_room_for_status_requests() {
+    let mut scheduler = RequestScheduler::default();
+    let flood = (0..500).map(|index| request(1_000 + index, "POST", "/submissions"));
+    let status_requests = (0..40).map(|index| request(1 + index, "GET", "/submissions/req-1"));
+    let first = conns(&scheduler.step(Micros::millis(1), flood.chain(status_requests).collect()));
+    assert_eq!(first.len(), MAX_REQUESTS_PER_STEP);
+    assert_eq!(
+        first.iter().filter(|conn| **conn < 1_000).count(),
+        MIN_STATUS_REQUESTS_PER_STEP
+    );
 }
--- /dev/null
+++ b/src/api/submission.rs
@@ -0,0 +1,194 @@
+//! Submission of jobs: validation, and the decision to accept, refuse, or confirm the cache first.
+
+use crate::api::client_api::{CacheFreshness, job_status};
+use crate::controller::Controller;
+use crate::messages::PendingRequest;
+use crate::protocol::cloud_api::MachineType;
+use crate::protocol::codec::json_len;
+use crate::protocol::format::PIPELINES;
+use crate::protocol::job::parse;
+use crate::protocol::records::CHUNK;
+use crate::protocol::{Clock, JobKind, JobSpec, Settings};
+use crate::scheduling::placement;
+use crate::state::record_cache::JobLookup;
+
+/// Size of a task's entry in a record, as JSON, with numbers of the length they reach in operation.
+const TASK_ENTRY_BYTES: usize = 27;
+/// Size of a record besides the job description and the task entries, as JSON.
+const RECORD_OVERHEAD_BYTES: usize = 100;
+/// Part of the tasks in the first chunk of an array for which its record must have room: enough to make progress.
+const ARRAY_CHUNK_DIVISOR: u32 = 4;
+/// Tolerance of the comparison with a quota, for sums of fractions.
+const QUOTA_TOLERANCE: f64 = 1e-6;
+
+/// Space that a job's record needs besides the description: for all tasks of the first chunk if they have to be placed
+/// together, else for a part of them.
+fn task_entries_bytes(spec: &JobSpec) -> usize {
+    let max_entries = match spec.kind {
+        JobKind::Array => CHUNK / ARRAY_CHUNK_DIVISOR,
+        JobKind::Gang | JobKind::Service => CHUNK,
+    };
+    RECORD_OVERHEAD_BYTES + spec.tasks.min(max_entries) as usize * TASK_ENTRY_BYTES
+}
+
+/// Whether a task of the job fits an empty machine of this type, and the job allows the type.
+fn fits_machine_type(machine_type: &MachineType, spec: &JobSpec) -> bool {
+    let zone_allowed = spec
+        .zone
+        .as_ref()
+        .is_none_or(|zone| machine_type.zones.is_empty() || machine_type.zones.contains(zone));
+    let type_allowed = spec
+        .types
+        .as_ref()
+        .is_none_or(|names| names.contains(&machine_type.name));
+    let capacity = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
+    zone_allowed && type_allowed && placement::slots(&capacity, &placement::need(spec)) > 0
+}
+
+/// Why a job can never run; `None` if it can.
+pub fn reject_reason(
+    settings: &Settings,
+    types: &[MachineType],
+    spec: &JobSpec,
+) -> Option<&'static str> {
+    let Some(team) = settings.team(&spec.team) else {
+        return Some("unknown team");
+    };
+    if !types
+        .iter()
+        .any(|machine_type| fits_machine_type(machine_type, spec))
+    {
+        return Some("a task fits no allowed machine type");
+    }
+    // Tasks of an array can run one after another.
+    let concurrent_tasks = match spec.kind {
+        JobKind::Array => 1.0,
+        JobKind::Gang | JobKind::Service => spec.tasks as f64,
+    };
+    let exceeds = |quota: f64, per_task: f64| {
+        quota > 0.0 && per_task * concurrent_tasks > quota + QUOTA_TOLERANCE
+    };
+    if exceeds(team.cpus_max, spec.cpus) || exceeds(team.gpus_max, spec.gpus) {
+        return Some("the job needs more than its team's limit");
+    }
+    None
+}
+
+/// What becomes of a submission of a job that the cache does not hold.
+enum Verdict {
+    /// Write its record.
+    Accept,
+    /// Decide again after a read barrier: another controller may know more than our cache.
+    Confirm,
+    /// Refuse it with this status and error text.
+    Refuse(u16, &'static str),
+}
+
+impl Controller {
+    /// Handles `POST /submissions`.
+    pub(crate) fn on_submit(&mut self, clock: Clock, conn: u64, body: &[u8]) {
+        match parse(body) {
+            Ok((id, spec)) => {
+                self.decide_submission(clock, conn, id, spec, CacheFreshness::Unconfirmed);
+            }
+            Err(error) => {
+                log::debug!("submission refused reason=malformed error=\"{error}\"");
+                self.refuse(conn, 400, &error.to_string());
+            }
+        }
+    }
+
+    /// Decides on a well-formed submission.
+    pub(super) fn decide_submission(
+        &mut self,
+        clock: Clock,
+        conn: u64,
+        id: String,
+        spec: JobSpec,
+        freshness: CacheFreshness,
+    ) {
+        if self.refuse_if_unreadable(conn, &id) {
+            return;
+        }
+        if let Some(known) = self.cache.job(&id) {
+            let known = job_status(&id, &known);
+            if known.over || freshness == CacheFreshness::Confirmed {
+                self.respond_with_state(clock, conn, 200, &known.state);
+                return;
+            }
+            let status = 200;
+            self.request_read_barrier(clock, PendingRequest::Resubmit { conn, id, status });
+            return;
+        }
+        match self.submission_verdict(&spec, freshness) {
+            Verdict::Accept => self.accept_job(clock, conn, id, spec),
+            Verdict::Confirm => {
+                let spec = Box::new(spec);
+                self.request_read_barrier(clock, PendingRequest::Submit { conn, id, spec });
+            }
+            Verdict::Refuse(status, error) => self.refuse(conn, status, error),
+        }
+    }
+
+    fn submission_verdict(&self, spec: &JobSpec, freshness: CacheFreshness) -> Verdict {
+        if !self.cache.synced {
+            return Verdict::Refuse(503, "still reading the records");
+        }
+        let Some(types) = &self.cache.types else {
+            return Verdict::Refuse(503, "machine types are not known yet");
+        };
+        let unconfirmed = freshness == CacheFreshness::Unconfirmed;
+        let reject = reject_reason(&self.settings, types, spec);
+        match reject {
+            // Another controller may have accepted it under other machine types.
+            Some(_) if unconfirmed => return Verdict::Confirm,
+            Some(error) => return Verdict::Refuse(422, error),
+            None => {}
+        }
+        let too_large = self.record_too_large(spec);
+        if too_large && !unconfirmed {
+            let error = "the job fits into no record: its description or awaits is too long, \
+                         or the gang is too wide";
+            return Verdict::Refuse(400, error);
+        }
+        if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
+            // A controller of the first version drops fields that it does not know from a record.
+            let error = "jobs can wait for jobs once all controllers run this version";
+            return Verdict::Refuse(503, error);
+        }
+        match self.needs_known(spec) {
+            Err(error) => Verdict::Refuse(422, error),
+            Ok(true) if !too_large => Verdict::Accept,
+            Ok(_) if unconfirmed => Verdict::Confirm,
+            Ok(_) => Verdict::Refuse(422, "awaits names a job that was never accepted"),
+        }
+    }
+
+    /// Whether a job's record would not fit into a value of the store, or a gang's placements into a transaction. The
+    /// first version accepted longer ones: whether the job is one of them is looked up before it is refused.
+    fn record_too_large(&self, spec: &JobSpec) -> bool {
+        let limits = &self.settings.params.state;
+        let gang_too_wide = spec.kind == JobKind::Gang
+            && spec.tasks.div_ceil(CHUNK) as usize > limits.least_txn_ops();
+        gang_too_wide || json_len(spec) + task_entries_bytes(spec) > limits.least_value_bytes()
+    }
+
+    /// Whether the cache holds all jobs that a submission needs; an error if one of them is a service.
+    fn needs_known(&self, spec: &JobSpec) -> Result<bool, &'static str> {
+        let mut all_known = true;
+        for need in &spec.needs {
+            let is_service = match self.cache.job(need) {
+                None => {
+                    all_known = false;
+                    false
+                }
+                Some(JobLookup::Over(job)) => job.service,
+                Some(JobLookup::Live(job)) => job.rec.spec.kind == JobKind::Service,
+            };
+            if is_service {
+                return Err("awaits names a service, which is never done");
+            }
+        }
+        Ok(all_known)
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -7,6 +7,7 @@
 mod leadership_steps;
 mod outgoing;
 mod record_sync;
+mod record_writes;
 pub mod routing;
 pub mod runtime;
 mod store_responses;
@@ -21,6 +22,7 @@
 use crate::controller::leader_lease::LeaderLease;
 use crate::controller::leadership_steps::LeaderRecordSeen;
 use crate::controller::record_sync::RecordSync;
+use crate::controller::record_writes::RecordKind;
 use crate::controller::routing::HttpRequest;
 use crate::controller::timers::StoreProbe;
 use crate::leadership::budget_shares::BudgetShares;
@@ -78,7 +80,7 @@
     /// Requests that wait for a confirmed read.
     pub(crate) read_barrier: ReadBarrier,
     /// Which kind of record was written last, so that both kinds get their share.
-    pub(crate) last_record_kind: RecordKind,
+    last_record_kind: RecordKind,
     /// State exchanged with peers.
     pub(crate) peers: Peers,
     /// Start of the last read that is known to have returned all changes.
@@ -103,15 +105,6 @@
     pub(crate) format_rollout_logged: bool,
 }
 
-/// Kinds of records that take turns in the write budget.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RecordKind {
-    /// New jobs.
-    Acceptances,
-    /// Changes of jobs, written by the leader.
-    JobUpdates,
-}
-
 impl Controller {
     /// A controller that has just started.
     pub fn new(settings: Settings, policy: Policy, seed: u64, clock: Clock) -> Controller {
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -1,5 +1,6 @@
 //! Request routing: which component handles a request, by listener, method and path.
 
+use crate::api::client_api::CacheFreshness;
 use crate::controller::Controller;
 use crate::protocol::Clock;
 use crate::protocol::agent_api::{AgentHeartbeat, Misdirected};
@@ -13,11 +14,11 @@
 /// Heartbeats of peers, on the internal listener.
 const PEER_HEARTBEAT_PATH: &str = "/heartbeat";
 /// Submission of jobs.
-const SUBMISSIONS_PATH: &str = "/submissions";
+pub(crate) const SUBMISSIONS_PATH: &str = "/submissions";
 /// Prefix of the path of one job.
 const JOB_PREFIX: &str = "/submissions/";
 /// Suffix of the path that cancels a job.
-const CANCEL_SUFFIX: &str = "/cancel";
+pub(crate) const CANCEL_SUFFIX: &str = "/cancel";
 
 /// An HTTP request from a client, an agent or a peer.
 #[derive(Debug, Clone, Copy)]
@@ -91,8 +92,12 @@
             Route::Health => self.on_health_check(conn),
             Route::AgentHeartbeat => self.on_agent_heartbeat(clock, conn, request.body),
             Route::Submit => self.on_submit(clock, conn, request.body),
-            Route::JobStatus(id) => self.on_poll(clock, conn, id.to_string(), true),
-            Route::CancelJob(id) => self.on_cancel(clock, conn, id.to_string(), true),
+            Route::JobStatus(id) => {
+                self.on_status_request(clock, conn, id.to_string(), CacheFreshness::Unconfirmed);
+            }
+            Route::CancelJob(id) => {
+                self.on_cancel(clock, conn, id.to_string(), CacheFreshness::Unconfirmed);
+            }
             Route::MethodNotAllowed => self.refuse(conn, 405, "method not allowed"),
             Route::NotFound => self.refuse(conn, 404, "no such path"),
         }
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -1,17 +1,17 @@
-//! The thin controller::runtime: threads, clocks and sockets around the actors.
+//! The runtime around a controller: clocks, threads and sockets.
 
 use crate::controller::Controller;
 use crate::policy::Policy;
-use crate::protocol::Clock;
-use crate::protocol::{Micros, Settings};
-use crate::transport::net::{Listeners, Net};
-use crossbeam_channel::TryRecvError;
+use crate::protocol::{Clock, Micros, Settings};
+use crate::transport::NetworkEvent;
+use crate::transport::net::{Handle, Listeners, Net};
+use crossbeam_channel::{Receiver, TryRecvError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Without news the actors are not called more often than this.
-const LEAST_SLEEP: Micros = Micros::millis(1);
+/// Without events the controller is called at most this often.
+const MIN_TIMER_INTERVAL: Micros = Micros::millis(1);
 
-/// Why the service could not start or go on.
+/// Why the service could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// An address cannot be bound.
@@ -25,57 +25,80 @@
     NetEnded,
 }
 
-fn clock(started: Instant) -> Clock {
-    let wall = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or(Duration::ZERO);
-    Clock {
-        // Never zero, so that "never" can be told from the first moment.
-        now: Micros(started.elapsed().as_micros() as u64 + 1),
-        wall: Micros(wall.as_micros() as u64),
-    }
+/// Both ends of the connection to the network thread.
+struct Network {
+    commands: Handle,
+    events: Receiver<Vec<NetworkEvent>>,
 }
 
-/// Runs a controller until it is killed.
+/// Runs a controller; returns only on an error.
 pub fn run(settings: Settings, policy: Policy) -> Result<(), RuntimeError> {
     let started = Instant::now();
-    let listeners = Listeners::bind(settings.serve_on, settings.internal_addr)
-        .map_err(|e| RuntimeError::Listen(settings.serve_on, settings.internal_addr, e))?;
-    let (events_tx, events) = crossbeam_channel::unbounded();
-    let sockets = settings.params.limits.sockets;
-    let taker = std::thread::current();
-    let (net, handle) =
-        Net::new(listeners, events_tx, taker, sockets, started).map_err(RuntimeError::Net)?;
-    std::thread::Builder::new()
-        .name("network".into())
-        .spawn(move || net.run())
-        .map_err(RuntimeError::Net)?;
+    let network = start_network(&settings, started)?;
     log::info!(
-        "{} in {} serves on {}",
+        "controller started node={} zone={} address={}",
         settings.node,
         settings.zone,
         settings.serve_on
     );
-    let mut node = Controller::new(settings, policy, rand::random(), clock(started));
-    let mut batch = Vec::new();
+    let mut controller = Controller::new(settings, policy, rand::random(), read_clock(started));
+    let mut events = Vec::new();
     loop {
-        let now = clock(started);
-        let (out, next) = node.handle(now, std::mem::take(&mut batch));
-        let next = next.max(now.now + LEAST_SLEEP);
-        handle.send(out);
-        loop {
-            match events.try_recv() {
-                Ok(more) => batch.extend(more),
-                Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetEnded),
-                Err(TryRecvError::Empty) if !batch.is_empty() => break,
-                Err(TryRecvError::Empty) => {
-                    let now = clock(started).now;
-                    if next <= now {
-                        break;
-                    }
-                    std::thread::park_timeout(Duration::from_micros(next.since(now).0));
+        let clock = read_clock(started);
+        let (commands, next) = controller.handle(clock, events);
+        network.commands.send(commands);
+        let deadline = next.max(clock.now + MIN_TIMER_INTERVAL);
+        events = wait_for_events(&network.events, started, deadline)?;
+    }
+}
+
+/// Binds the listeners and starts the network thread, which wakes the calling thread up on events.
+fn start_network(settings: &Settings, started: Instant) -> Result<Network, RuntimeError> {
+    let (public, internal) = (settings.serve_on, settings.internal_addr);
+    let listeners = Listeners::bind(public, internal)
+        .map_err(|error| RuntimeError::Listen(public, internal, error))?;
+    let (event_sender, events) = crossbeam_channel::unbounded();
+    let controller_thread = std::thread::current();
+    let sockets = settings.params.limits.sockets;
+    let (net, commands) = Net::new(listeners, event_sender, controller_thread, sockets, started)
+        .map_err(RuntimeError::Net)?;
+    std::thread::Builder::new()
+        .name("network".into())
+        .spawn(move || net.run())
+        .map_err(RuntimeError::Net)?;
+    Ok(Network { commands, events })
+}
+
+/// Takes all events that have arrived; waits for one until `deadline` at the latest.
+fn wait_for_events(
+    receiver: &Receiver<Vec<NetworkEvent>>,
+    started: Instant,
+    deadline: Micros,
+) -> Result<Vec<NetworkEvent>, RuntimeError> {
+    let mut events = Vec::new();
+    loop {
+        match receiver.try_recv() {
+            Ok(batch) => events.extend(batch),
+            Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetEnded),
+            Err(TryRecvError::Empty) if !events.is_empty() => return Ok(events),
+            Err(TryRecvError::Empty) => {
+                let now = read_clock(started).now;
+                if deadline <= now {
+                    return Ok(events);
                 }
+                std::thread::park_timeout(Duration::from_micros(deadline.since(now).0));
             }
         }
     }
 }
+
+fn read_clock(started: Instant) -> Clock {
+    let wall = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or(Duration::ZERO);
+    Clock {
+        // Never zero: zero stands for "never".
+        now: Micros(started.elapsed().as_micros() as u64 + 1),
+        wall: Micros(wall.as_micros() as u64),
+    }
+}
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -53,7 +53,7 @@
         next = next.min(self.negotiate_format(clock));
         next = next.min(self.send_peer_heartbeats(clock));
         next = next.min(self.consider_candidacy(clock));
-        next = next.min(self.drive_acceptances(clock));
+        next = next.min(self.expire_acceptances(clock));
         next = next.min(self.run_follower_timers(clock));
         next.min(self.run_leader_timers(clock))
     }
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -181,7 +181,7 @@
     /// What we could use beyond what is ours in any case, a second.
     fn ask(&mut self, clock: Clock) -> Milli {
         let (edits, _) = self.edits_due(clock.now);
-        let waits = (self.client_api.waiting() + edits) as f64 / CLEAR_S;
+        let waits = (self.client_api.queued_acceptances() + edits) as f64 / CLEAR_S;
         let wanted = (waits + self.client_api.refused_lately(clock.now)) * 1000.0;
         let own = match self.leader {
             Some(_) => fixed(&self.settings, true) - rules(&self.settings).whole,
