--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,11 @@
 //! Command line of walnuttrestle.
 
 use clap::Parser;
+use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use walnuttrestle::controller::runtime;
-use walnuttrestle::policy::Policy;
+use walnuttrestle::policy::{Policy, PolicyError};
 use walnuttrestle::protocol::Settings;
 
 /// A controller of the walnuttrestle cluster scheduler.
@@ -22,31 +23,24 @@
     check: bool,
 }
 
-/// Exit code for settings that are missing or invalid (clap's own for wrong arguments, too).
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for settings or a policy that are missing or invalid; clap uses the same for wrong arguments.
+const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let env = env_logger::Env::default().filter_or("LOG_LEVEL", "info");
-    env_logger::Builder::from_env(env)
-        .format(|f, r| {
-            use std::io::Write;
-            writeln!(f, "{:5} {}", r.level().as_str().to_lowercase(), r.args())
-        })
-        .target(env_logger::Target::Stderr)
-        .init();
+    start_logging();
     let settings = match Settings::load(&args.config) {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("walnuttrestle: settings: {e}");
-            return ExitCode::from(BAD_SETTINGS);
+        Ok(settings) => settings,
+        Err(error) => {
+            eprintln!("walnuttrestle: settings: {error}");
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
-    let policy = match args.policy.as_deref().map(Policy::load).transpose() {
-        Ok(p) => p.unwrap_or_default(),
-        Err(e) => {
-            eprintln!("walnuttrestle: policy: {e}");
-            return ExitCode::from(BAD_SETTINGS);
+    let policy = match load_policy(&args) {
+        Ok(policy) => policy,
+        Err(error) => {
+            eprintln!("walnuttrestle: policy: {error}");
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -55,9 +49,29 @@
     }
     match runtime::run(settings, policy) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("walnuttrestle: {e}");
+        Err(error) => {
+            eprintln!("walnuttrestle: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Logs to the standard error, at the level that `LOG_LEVEL` names.
+fn start_logging() {
+    let env = env_logger::Env::default().filter_or("LOG_LEVEL", "info");
+    env_logger::Builder::from_env(env)
+        .format(|output, record| {
+            let level = record.level().as_str().to_lowercase();
+            writeln!(output, "{level:5} {}", record.args())
+        })
+        .target(env_logger::Target::Stderr)
+        .init();
+}
+
+/// The policy of the script, or the default without one.
+fn load_policy(args: &Args) -> Result<Policy, PolicyError> {
+    match &args.policy {
+        Some(path) => Policy::load(path),
+        None => Ok(Policy::default()),
+    }
+}
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,17 +1,17 @@
-//! Tests.
+//! Tests of policy scripts.
 
 use super::*;
 
 #[test]
-fn scripts_set_what_they_name_and_nothing_else() {
-    let p = Policy::parse("p.lua", "local m = 30 return { idle_return_s = m * 3 }").unwrap();
-    assert_eq!(p.idle_return_s, 90.0);
-    assert_eq!(p.keep_idle, Policy::default().keep_idle);
+fn a_script_sets_the_fields_it_names_and_no_others() {
+    let policy = Policy::parse("p.lua", "local m = 30 return { idle_return_s = m * 3 }").unwrap();
+    assert_eq!(policy.idle_return_s, 90.0);
+    assert_eq!(policy.keep_idle, Policy::default().keep_idle);
 }
 
 #[test]
-fn faulty_scripts_are_refused_with_the_reason() {
-    for (text, word) in [
+fn an_invalid_script_is_refused_with_the_reason() {
+    for (text, reason) in [
         ("return { idle_return_s = -1 }", "idle_return_s"),
         ("return { colour = 1 }", "colour"),
         ("return { keep_idle = 'x' }", "keep_idle"),
@@ -25,7 +25,7 @@
             "p.lua",
         ),
     ] {
-        let e = Policy::parse("p.lua", text).unwrap_err().to_string();
-        assert!(e.contains(word), "{text}: {e}");
+        let error = Policy::parse("p.lua", text).unwrap_err().to_string();
+        assert!(error.contains(reason), "{text}: {error}");
     }
 }
