--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -41,6 +41,7 @@
     /// late response, and the job may be over by then: they have to get the state as of their own request or later.
     conns_while_in_flight: Vec<u64>,
     record: JobRecord,
+    /// When this controller queued it.
     submitted_at: Micros,
     /// When the client submitted the job first, as far as we know.
     first_attempt: Micros,
@@ -60,6 +61,18 @@
     }
 }
 
+/// The record of a job that is accepted now, with no task placed.
+fn new_job_record(clock: Clock, spec: JobSpec) -> JobRecord {
+    JobRecord {
+        spec,
+        at: clock.wall,
+        stage: JobStage::Active,
+        end: Micros::ZERO,
+        first: TaskChunk::default(),
+        cleaned: false,
+    }
+}
+
 /// A team's weight in the queue: from 1 to 2, by the larger of its shares of the guaranteed CPUs and GPUs.
 fn team_weight(settings: &Settings, name: &str) -> f64 {
     let share = |guarantee: fn(&Team) -> f64| {
@@ -102,18 +115,10 @@
                 return;
             }
         };
-        let record = JobRecord {
-            spec,
-            at: clock.wall,
-            stage: JobStage::Active,
-            end: Micros::ZERO,
-            first: TaskChunk::default(),
-            cleaned: false,
-        };
         let acceptance = PendingAcceptance {
             conns: vec![conn],
             conns_while_in_flight: Vec::new(),
-            record,
+            record: new_job_record(clock, spec),
             submitted_at: clock.now,
             first_attempt,
             stage: AcceptanceStage::Queued(ticket),
--- a/src/api/request_scheduler.rs
+++ b/src/api/request_scheduler.rs
@@ -22,10 +22,14 @@
 const STATUS_TIMEOUT: Micros = Micros::millis(1_600);
 /// A submission or cancellation is refused after this long; its client waits 5 s.
 const CHANGE_TIMEOUT: Micros = Micros::millis(4_000);
-/// From these waits for the processor on, scheduling passes are spaced out, by these factors.
+/// Once a client request has waited this long for the processor, the interval between scheduling passes is
+/// widened.
 const MODERATE_DELAY: Micros = Micros::millis(1_000);
+/// Factor of the interval between passes from `MODERATE_DELAY` on.
 const MODERATE_DELAY_FACTOR: f64 = 2.0;
+/// Once a client request has waited this long, the interval between passes is widened further.
 const LONG_DELAY: Micros = Micros::millis(2_500);
+/// Factor of the interval between passes from `LONG_DELAY` on.
 const LONG_DELAY_FACTOR: f64 = 4.0;
 
 /// Classes of events, most urgent first.
@@ -33,8 +37,11 @@
 enum RequestClass {
     /// Keeps the service alive, and never waits.
     Vital,
+    /// Cancels a job.
     Cancel,
+    /// Submits a job.
     Submit,
+    /// Asks for the state of a job.
     Status,
 }
 
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -16,7 +16,7 @@
 const TASK_ENTRY_BYTES: usize = 27;
 /// Size of a record besides the job description and the task entries, as JSON.
 const RECORD_OVERHEAD_BYTES: usize = 100;
-/// Part of the tasks in the first chunk of an array for which its record must have room: enough to make progress.
+/// The record of an array must have room for one in this many tasks of its first chunk, so that the array makes progress.
 const ARRAY_CHUNK_DIVISOR: u32 = 4;
 /// Tolerance of the comparison with a quota, for sums of fractions.
 const QUOTA_TOLERANCE: f64 = 1e-6;
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -13,9 +13,9 @@
 const STORE_PROBE_INTERVAL: Micros = Micros::millis(1000);
 /// A leader, and a follower that renews leases, confirm their state with the store at least this often.
 const CONFIRMATION_INTERVAL: Micros = Micros::millis(1000);
-/// Part of the cancellation deadline that is not counted on when agents are renewed from a state of some age, in
-/// seconds: a constant for delays on the way, and a share of the deadline for clocks that drift apart.
+/// Safety margin of the staleness bound, in seconds.
 const STALENESS_MARGIN_S: f64 = 2.0;
+/// Safety margin of the staleness bound, as a share of the cancellation deadline.
 const STALENESS_MARGIN_SHARE: f64 = 0.002;
 
 /// Responsiveness of the key-value store, as a follower probes it.
