--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -37,7 +37,7 @@
         let pass_interval = self
             .policy
             .pass_interval(self.settings.params.limits.core_share)
-            .times(self.request_scheduler.stretch(now));
+            .times(self.request_scheduler.pass_interval_factor(now));
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -257,7 +257,7 @@
     /// The rate of writes that this controller could use beyond what it has without a grant.
     fn wanted_writes(&mut self, clock: Clock) -> Milli {
         let (edits, _) = self.edits_due(clock.now);
-        let queued = (self.client_api.waiting() + edits) as f64 / QUEUE_CLEARING_TIME_S;
+        let queued = (self.client_api.queued_acceptances() + edits) as f64 / QUEUE_CLEARING_TIME_S;
         let wanted = (queued + self.client_api.refused_lately(clock.now)) * MILLI;
         let lendable = grant_rules(&self.settings).whole;
         let own = match self.leader {
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -110,7 +110,7 @@
             && !lease_outlasts_two_failures(&self.settings)
             && !self.next_controller_in_other_zone(&leader.node)
             && self.is_preferred_leader()
-            && clock.now.since(self.leader_record_seen.1) >= MIN_STABLE_LEADERSHIP
+            && clock.now.since(self.leader_record_seen.since) >= MIN_STABLE_LEADERSHIP
             && self.store_available()
             && self.all_peers_healthy(clock)
     }
@@ -264,7 +264,7 @@
             ],
             changes: vec![
                 Change::put(LEAD, &record, None),
-                Change::put(LIVE, &self.settings.node, self.leader_lease),
+                Change::put(LIVE, &self.settings.node, self.leader_lease.id),
             ],
         };
         self.store.ask(
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -35,12 +35,12 @@
     fn leader_identity(&self) -> Option<LeaderIdentity<'_>> {
         if self.cache.synced {
             let (record, version) = self.cache.lead.as_ref()?;
-            let (seen_version, seen_at) = self.leader_record_seen;
+            let seen = &self.leader_record_seen;
             return Some(LeaderIdentity {
                 node: &record.node,
                 run: record.incarnation,
                 term: record.term,
-                known_since: (seen_version == *version).then_some(seen_at),
+                known_since: (seen.version == *version).then_some(seen.since),
             });
         }
         let received = self.peers.record_summary.as_ref()?;
