--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -259,7 +259,7 @@
             let shows = w
                 .answered
                 .is_some_and(|t| t >= l.since && now < t + TERM_SHOWS);
-            let deaf = !w.hearing.hears();
+            let deaf = !w.reachability.receives();
             // One that seems to hear nothing is asked as well: its answer shows that it does.
             let push = w.agent_epoch > 0 && (deaf || w.term != l.term && !shows);
             if d.commands.is_empty() && !push {
@@ -362,7 +362,7 @@
         };
         match (status, report) {
             (200, Some(r)) => {
-                w.hearing.answered(clock.now);
+                w.reachability.on_commands_answered(clock.now);
                 if agent_epoch == w.agent_epoch {
                     for key in starts {
                         if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
@@ -374,7 +374,7 @@
                 self.apply_heartbeat(clock, &r);
             }
             (409, Some(r)) => {
-                w.hearing.answered(clock.now);
+                w.reachability.on_commands_answered(clock.now);
                 if agent_epoch == w.agent_epoch {
                     for key in starts {
                         not_executed(w, &key);
@@ -392,8 +392,8 @@
                 }
             }
             _ => {
-                w.hearing.unanswered(clock.now);
-                let deaf = w.hearing.suspected_since();
+                w.reachability.on_commands_unanswered(clock.now);
+                let deaf = w.reachability.suspected_since();
                 let long = deaf.is_some_and(|t| clock.now.since(t) > DEAF_FOR_LONG);
                 w.order_again = clock.now + if long { DEAF_AGAIN } else { ORDER_AGAIN };
                 if agent_epoch == w.agent_epoch {
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -275,8 +275,8 @@
 
     /// The same, if something about it has changed.
     pub fn see_renewals(&mut self, cache: &RecordCache) {
-        if self.renewals_seen != cache.renewals_changed {
-            self.renewals_seen = cache.renewals_changed;
+        if self.renewals_seen != cache.renewals_generation {
+            self.renewals_seen = cache.renewals_generation;
             self.note_renewals(cache);
         }
     }
@@ -346,10 +346,10 @@
         if let Some(w) = self.leader.as_mut().and_then(|l| l.agents.get_mut(&name)) {
             w.settle_answers(report.agent_epoch, report.seq);
             if !relayed {
-                w.hearing.reported(clock.now);
+                w.reachability.on_direct_heartbeat(clock.now);
             }
             if clock.now.since(w.began) > lease.times(OUTLIVED) {
-                w.hearing.showed(clock.now);
+                w.reachability.on_confirmation(clock.now);
             }
         }
         if !self.store_available() && self.may_start_cancelled(&name) {
@@ -446,7 +446,9 @@
             );
             let (id, task, phase, why) = (t.job.clone(), t.task, t.phase, t.why);
             if matches!(phase, TaskPhase::Running | TaskPhase::Waiting) {
-                self.cache.images.used(name, &spec.image, spec.image_gb);
+                self.cache
+                    .image_caches
+                    .used(name, &spec.image, spec.image_gb);
             }
             let attempt = (id.clone(), task, t.attempt);
             if phase == TaskPhase::Running && !w.errors.is_empty() {
@@ -467,12 +469,12 @@
                         || job.is_none_or(|j| j.rec.spec.image != spec.image)
                 });
                 if alone {
-                    self.cache.images.given_up(name, &spec.image);
+                    self.cache.image_caches.given_up(name, &spec.image);
                 }
             }
             let proves = w.ran_since.remove(&attempt);
             if why == Some(ExitReason::Done) && job.active() && !job.is_done(task) {
-                let edit = l.edits.want(&id, clock.now);
+                let edit = l.edits.pending_write_mut(&id, clock.now);
                 if spec.kind == JobKind::Gang {
                     // They complete together: if one is done, all are.
                     edit.done.extend(0..spec.tasks);
@@ -575,7 +577,7 @@
             }
         }
         self.revoke(clock);
-        next = next.min(self.fold(clock));
+        next = next.min(self.merge_placement_batches(clock));
         next = next.min(self.drive_inventory(clock));
         next = next.min(self.send_commands(clock));
         next
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -356,7 +356,8 @@
                 return at;
             }
             let accepts = self.accepts_due(now);
-            let (edits, next) = self.edits_due(now);
+            let due = self.due_job_writes(now);
+            let (edits, next) = (due.count, due.next_at);
             if accepts + edits == 0 {
                 return next;
             }
@@ -377,7 +378,7 @@
                 return next;
             }
             if self.turn {
-                self.write_edits(clock, room);
+                self.write_job_records(clock, room);
             } else {
                 self.write_accepts(room);
             }
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -141,7 +141,7 @@
 
 pub(crate) fn state_of(id: &str, known: &JobLookup<'_>) -> (bool, JobState) {
     match known {
-        JobLookup::Over(f) => {
+        JobLookup::Finished(f) => {
             let done = (f.stage == JobStage::Done).then_some(f.tasks as u64);
             let state = JobState {
                 id: id.to_string(),
@@ -187,7 +187,7 @@
         let Some(rest) = path.strip_prefix("/submissions") else {
             return false;
         };
-        if let Some(JobLookup::Over(_)) = self.cache.job(rest.trim_start_matches('/')) {
+        if let Some(JobLookup::Finished(_)) = self.cache.job(rest.trim_start_matches('/')) {
             return false;
         }
         if method == "POST"
@@ -228,7 +228,7 @@
     /// Tells a user the state of a job. That one is cancelled is not told while a peer goes by our pledge to
     /// tell nothing new: it may be renewing the lease of an agent that runs the job.
     pub(crate) fn tell(&mut self, clock: Clock, conn: u64, status: u16, state: &JobState) {
-        let newest = self.cache.newest;
+        let newest = self.cache.last_cancellation_or_claim;
         if state.status == word(JobStage::Cancelled)
             && !self.peers.quiet.may_tell(newest, clock.now.0)
         {
@@ -341,7 +341,7 @@
                     all = false;
                     false
                 }
-                Some(JobLookup::Over(f)) => f.service,
+                Some(JobLookup::Finished(f)) => f.service,
                 Some(JobLookup::Live(j)) => j.rec.spec.kind == JobKind::Service,
             };
             if service {
@@ -394,7 +394,8 @@
                 if waiting.len() == 1 {
                     // The entries written here must hold what bundles say at this moment, or the
                     // job would look as if nothing of it were anywhere.
-                    let bundled = VersionCondition::new(BUNDLED, self.cache.bundles.head());
+                    let bundled =
+                        VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
                     let txn = Transaction {
                         conds: vec![VersionCondition::new(&key, version), bundled],
                         changes: vec![Change::put(&key, &rec, None)],
@@ -475,7 +476,7 @@
             PendingRequest::Submit { conn, id, spec } => self.on_job(clock, conn, id, *spec, false),
             PendingRequest::Cancel { conn, id } => self.on_cancel(clock, conn, id, false),
             PendingRequest::ConfirmLeadership => {}
-            PendingRequest::SettleJobWrites(n) => self.settle_edits(n),
+            PendingRequest::SettleJobWrites(n) => self.settle_job_write(n),
         }
     }
 
@@ -489,7 +490,7 @@
                 self.refuse(conn, 503, "the state service does not answer");
             }
             PendingRequest::ConfirmLeadership => {}
-            PendingRequest::SettleJobWrites(n) => self.unsettled_edits(n),
+            PendingRequest::SettleJobWrites(n) => self.retry_job_write(n),
         }
     }
 }
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -224,7 +224,7 @@
     let mut plan = ScalingPlan {
         leave: give_up(sight, &silent_zones, lacking),
         // Nothing is rented before it is on record what was there without us.
-        ready: f.listed_once && cache.base.is_some(),
+        ready: f.listed_once && cache.initial_machines.is_some(),
         ..ScalingPlan::default()
     };
     if !plan.ready || !lacking || !sight.learnt {
@@ -342,7 +342,7 @@
             None => heard.entry(&w.zone).or_default(),
         };
         c.0 += 1;
-        c.1 += usize::from(now.since(w.heard) > quiet || !w.hearing.hears());
+        c.1 += usize::from(now.since(w.heard) > quiet || !w.reachability.receives());
     }
     heard
         .into_iter()
@@ -373,7 +373,7 @@
     let mut leave: Vec<(String, &'static str)> = Vec::new();
     let learning = Micros::secs(settings.params.agents.cancel_s * 1.2);
     // An operator who keeps machines up before there is work holds spare room worth its price.
-    let patience = if cache.base.unwrap_or(0) > 0 {
+    let patience = if cache.initial_machines.unwrap_or(0) > 0 {
         Micros::secs(policy.idle_return_kept_s)
     } else {
         Micros::secs(policy.idle_return_s)
@@ -407,7 +407,7 @@
         } else {
             Micros::millis(5_000)
         };
-        if let Some(t) = w.hearing.suspected_since() {
+        if let Some(t) = w.reachability.suspected_since() {
             // It may hear again: cuts that let only one direction through end, too.
             let long = now.since(t) > wait + patience_deaf && now.since(l.since) > patience_deaf;
             if long {
@@ -442,7 +442,9 @@
     let cancel_s = settings.params.agents.cancel_s;
     let late = Micros::secs((cancel_s - 8.0).max(cancel_s * 0.6));
     // Such jobs still have places on record, so they are among those that have.
-    let ending = cache.ending().filter_map(|id| cache.jobs.get_key_value(id));
+    let ending = cache
+        .ended_with_tasks()
+        .filter_map(|id| cache.jobs.get_key_value(id));
     for (id, job) in ending {
         if job.rec.stage != JobStage::Cancelled || clock.wall < job.rec.end + late {
             continue;
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -190,7 +190,7 @@
         }
         let mut next = Micros::FAR;
         if !f.wanted.is_empty() {
-            next = next.min(pace.when(now, 1.0, false));
+            next = next.min(pace.ready_at(now, 1.0, false));
         }
         if !f.listing {
             next = next.min(f.list_at);
@@ -340,7 +340,7 @@
         };
         self.store.ask(
             RequestPriority::Urgent,
-            StoreRequestPurpose::RecordMachineTypes,
+            StoreRequestPurpose::BackgroundWrite,
             StoreRequest::Transaction(txn),
         );
     }
@@ -361,7 +361,7 @@
             f.list_at = now + LIST_EVERY;
             f.listed_once = true;
         }
-        if !page.more && self.cache.base.is_none() {
+        if !page.more && self.cache.initial_machines.is_none() {
             // Written once and for all: nothing is rented before the first list has been read.
             let n = (f.machines.len().max(page.machines.len())) as u64;
             let txn = Transaction {
@@ -373,7 +373,7 @@
             };
             self.store.ask(
                 RequestPriority::Normal,
-                StoreRequestPurpose::RecordMachineTypes,
+                StoreRequestPurpose::BackgroundWrite,
                 StoreRequest::Transaction(txn),
             );
         }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -49,7 +49,7 @@
                 self.watch_open = false;
                 match reply {
                     StoreResponse::Events(a) => {
-                        self.cache.apply(a);
+                        self.cache.apply_watch_response(a);
                         self.on_confirmed_read(sent);
                         let gap = (FOLLOW_SHARE / self.store.request_rate()).clamp(0.04, 0.4);
                         self.watch_due = Some(clock.now.max(sent + Micros::secs(gap)));
@@ -60,7 +60,7 @@
                 }
             }
             (StoreRequestPurpose::ReadBarrier, StoreResponse::Events(a)) => {
-                self.cache.apply(a);
+                self.cache.apply_watch_response(a);
                 self.barrier_sent_at = None;
                 self.on_confirmed_read(sent);
                 self.on_cache_updated(clock);
@@ -179,12 +179,12 @@
             (StoreRequestPurpose::WriteJobs(n), reply) => {
                 self.on_job_writes_result(clock, n, ask, reply)
             }
-            (StoreRequestPurpose::RecordMachineTypes, StoreResponse::Committed(rev)) => {
+            (StoreRequestPurpose::BackgroundWrite, StoreResponse::Committed(rev)) => {
                 if let StoreRequest::Transaction(t) = ask {
                     self.apply_own_commit(&t, rev);
                 }
             }
-            (StoreRequestPurpose::RecordMachineTypes, _) => {}
+            (StoreRequestPurpose::BackgroundWrite, _) => {}
             (StoreRequestPurpose::BudgetShares, reply) => self.on_budget_shares(clock, ask, reply),
             (StoreRequestPurpose::TransferLeadership, StoreResponse::Committed(rev)) => {
                 if let StoreRequest::Transaction(t) = ask {
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -157,7 +157,7 @@
         let led = lead.is_none_or(|(l, _)| l.node != self.settings.node && heard(&l.node));
         let leading = self.leader.is_some();
         let share = Share::of(peers.len(), n, leading, led);
-        let more = self.cache.parts.as_ref().map_or(0.0, |(grant, _)| {
+        let more = self.cache.budget_shares.as_ref().map_or(0.0, |(grant, _)| {
             let (s, wall) = (&self.settings, clock.wall.0);
             if leading {
                 // What we had as a follower is ours again, with all that is not lent.
@@ -180,7 +180,7 @@
 
     /// What we could use beyond what is ours in any case, a second.
     fn ask(&mut self, clock: Clock) -> Milli {
-        let (edits, _) = self.edits_due(clock.now);
+        let edits = self.due_job_writes(clock.now).count;
         let waits = (self.client_api.waiting() + edits) as f64 / CLEAR_S;
         let wanted = (waits + self.client_api.refused_lately(clock.now)) * 1000.0;
         let own = match self.leader {
@@ -237,7 +237,7 @@
         let blank = Grant::default();
         let (grant, version) = self
             .cache
-            .parts
+            .budget_shares
             .as_ref()
             .map_or((&blank, 0), |(g, v)| (g, *v));
         let next = grant.next(clock.wall.0, own, &wants, &rules);
--- a/src/leadership/delegated_renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -114,7 +114,9 @@
             .cache
             .lead
             .as_ref()
-            .filter(|(l, _)| l.node != self.settings.node && self.cache.live.is_some())
+            .filter(|(l, _)| {
+                l.node != self.settings.node && self.cache.leader_lease_version.is_some()
+            })
             .map(|(l, v)| (l.node.clone(), l.term, *v));
         let Some((leader, term, version)) = lead else {
             self.respond(conn, 421, &Misdirected::default());
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -55,7 +55,7 @@
         match &self.cache.lead {
             Some((l, _)) => {
                 self.previous_run_leads()
-                    || self.cache.live.is_none()
+                    || self.cache.leader_lease_version.is_none()
                     || self.leader_process_restarted()
                     || self.leader_suspected(clock, &l.node)
             }
@@ -89,7 +89,7 @@
             .iter()
             .all(|x| x.node > s.node || !self.next_controller_in_other_zone(&x.node));
         lead.node != s.node
-            && self.cache.live.is_some()
+            && self.cache.leader_lease_version.is_some()
             && !room_for_two_vain(s)
             && !self.next_controller_in_other_zone(&lead.node)
             && self.next_controller_in_other_zone(&s.node)
@@ -212,7 +212,7 @@
         let txn = Transaction {
             conds: vec![
                 VersionCondition::new(LEAD, version),
-                VersionCondition::new(LIVE, self.cache.live.unwrap_or(0)),
+                VersionCondition::new(LIVE, self.cache.leader_lease_version.unwrap_or(0)),
             ],
             changes: vec![
                 Change::put(LEAD, &rec, None),
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -154,11 +154,18 @@
                 .leader_heard
                 .as_ref()
                 .map(|(_, t)| clock.now.since(*t).0 / 1000),
-            newest: self.cache.synced.then_some(self.cache.newest),
+            newest: self
+                .cache
+                .synced
+                .then_some(self.cache.last_cancellation_or_claim),
             served: self.store_available(),
             format: format::NEWEST,
             asks: self.budget.asks(),
-            epoch: self.cache.parts.as_ref().map_or(0, |(g, _)| g.epoch),
+            epoch: self
+                .cache
+                .budget_shares
+                .as_ref()
+                .map_or(0, |(g, _)| g.epoch),
             more: Some(HeartbeatExtension {
                 run: self.incarnation,
                 right: None,
@@ -330,7 +337,9 @@
             return beat;
         };
         if more.quiet {
-            self.peers.quiet.pledge(i, self.cache.newest, clock.now.0);
+            self.peers
+                .quiet
+                .pledge(i, self.cache.last_cancellation_or_claim, clock.now.0);
         }
         if let (Some(l), false, Some(term)) = (&mut self.leader, served, beat.leading) {
             more.right = Some(term);
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -32,8 +32,8 @@
     RaiseTerm,
     /// The leader's job records.
     WriteJobs(u64),
-    /// Machine types.
-    RecordMachineTypes,
+    /// A write that nothing waits for: machine types, the initial number of machines, deletions of placement batches.
+    BackgroundWrite,
     /// Parts of the budget of changes.
     BudgetShares,
     /// Giving the lead away.
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -1,182 +1,241 @@
-//! Places of many jobs in one record.
+//! Placement batches: places of many jobs in one record.
 //!
-//! A job's record is one change of the store, and the store takes some dozens a second. When hundreds
-//! of jobs lose tasks at once, writing each job's record would keep most of them waiting for longer
-//! than starting their tasks takes. So the leader writes their places as a bundle, one change for as
-//! many jobs as a transaction may have conditions, and brings them into the jobs' own records later,
-//! with what the budget leaves. `docs/safety.md` argues why that is safe.
+//! A job's record is one change of the store, and the store takes a few dozen a second. When hundreds of jobs lose tasks
+//! at once, writing each job's record would keep most of them waiting for longer than starting their tasks takes. So the
+//! leader writes their places as a batch, one change for as many jobs as a transaction may have conditions, and merges
+//! them into the jobs' own records later, with what the write budget leaves. `docs/safety.md` argues why that is safe.
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
 use crate::messages::StoreRequestPurpose;
-use crate::protocol::Clock;
 use crate::protocol::codec::json_len;
 use crate::protocol::format::BUNDLES;
-use crate::protocol::key_value_api::VersionCondition;
-use crate::protocol::key_value_api::{Change, Transaction};
+use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
 use crate::protocol::records::{BUNDLED, LEAD, PlacementBatch, TaskEntry, bundle_key, job_key};
-use crate::protocol::{JobKind, Micros};
-use crate::records::record_writer::{Limits, PendingWrite, edited};
+use crate::protocol::{Clock, JobKind, Micros};
+use crate::records::pending_write::PendingWrite;
+use crate::records::record_update::{RecordUpdate, WriteLimits};
+use crate::records::record_writer::RecordWriter;
 use crate::state::record_cache::{Job, RecordCache};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 
-/// Places are bundled once those of so many jobs wait that writing them one by one would take this
-/// long.
-const WORTH_S: f64 = 0.5;
-/// The same in jobs, at least: fewer are not worth the second change that a bundle costs.
-const WORTH_JOBS: usize = 6;
-/// What bundles hold is brought into the jobs' records at this pace.
-const FOLD_EVERY: Micros = Micros::millis(1_000);
-/// Part of our budget of changes that goes into that while nothing else waits.
-const FOLD_SHARE: f64 = 0.25;
+/// A batch is written once writing the waiting jobs one by one would take this many seconds.
+const WORTHWHILE_BACKLOG_S: f64 = 0.5;
+/// A batch has at least this many jobs: fewer are not worth the second change that it costs.
+const MIN_JOBS: usize = 6;
+/// Interval at which places are merged into the jobs' own records.
+const MERGE_INTERVAL: Micros = Micros::millis(1_000);
+/// Jobs merged at a time, as a share of our write budget for a second, while no other write waits.
+const MERGE_SHARE: f64 = 0.25;
 /// A transaction may have this many times as many conditions as changes (PROTOCOL, "POST /multi").
-const CONDITIONS: usize = 4;
+const CONDITIONS_PER_CHANGE: usize = 4;
+/// Between two elements of a JSON list.
+const SEPARATOR_BYTES: usize = 1;
 
-impl Controller {
-    /// Writes the places of many jobs in one value if so many wait; tells whether it did. `ready`:
-    /// jobs whose changes are due, most urgent first.
-    pub(crate) fn write_bundle(&mut self, clock: Clock, ready: &[String], limits: Limits) -> bool {
-        let worth = (self.store.write_rate() * WORTH_S) as usize;
-        if !self.all_peers_read(BUNDLES) {
-            return false;
-        }
-        let Some(l) = &mut self.leader else {
-            return false;
-        };
-        // One at a time: each goes by the one before.
-        let flying = l.edits.bundles_flying();
-        if l.edits.unbundled || limits.ops < 2 || !flying.is_empty() {
-            return false;
-        }
-        let wait = ready.iter().filter(|id| l.edits.wants_places(id)).count();
-        if wait < worth.max(WORTH_JOBS) {
-            return false;
-        }
-        let n = self.cache.bundles.free(&flying);
-        let key = bundle_key(n);
-        // A number comes again once its bundle is spent: one whose answer was lost must not be carried out after it.
-        let newest = VersionCondition::new(BUNDLED, self.cache.bundles.head());
-        let mut conds = vec![
-            VersionCondition::new(LEAD, l.version),
-            VersionCondition::new(&key, 0),
-            newest,
-        ];
-        let mut bundle = PlacementBatch::default();
-        let mut bytes = json_len(&bundle);
-        let mut jobs = Vec::new();
-        for id in ready {
-            let (Some(edit), Some(job)) = (l.edits.wanted_of(id), self.cache.jobs.get(id)) else {
+/// A job's part of a batch.
+#[derive(Debug)]
+struct BatchedJob {
+    id: String,
+    /// Places that the batch does not take.
+    rest: Vec<TaskEntry>,
+}
+
+/// A batch being assembled. The places of `jobs[i]` are `batch.places[i]`.
+#[derive(Debug, Default)]
+struct BatchDraft {
+    jobs: Vec<BatchedJob>,
+    batch: PlacementBatch,
+    /// Conditions on the versions of the jobs' records.
+    conditions: Vec<VersionCondition>,
+}
+
+impl BatchDraft {
+    /// Gathers the pending places of jobs, with at most `max_conditions` conditions.
+    fn gather(
+        due_jobs: &[String],
+        writer: &RecordWriter,
+        cache: &RecordCache,
+        clock: Clock,
+        limits: WriteLimits,
+        max_conditions: usize,
+    ) -> BatchDraft {
+        let mut draft = BatchDraft::default();
+        let mut bytes = json_len(&draft.batch);
+        for id in due_jobs {
+            let (Some(pending), Some(job)) = (writer.pending_write(id), cache.jobs.get(id)) else {
                 continue;
             };
-            // The members of a gang end together: whatever ends is written first.
-            let gang = job.rec.spec.kind == JobKind::Gang;
-            if edit.places.is_empty() || (gang && !edit.done.is_empty()) {
+            // The members of a gang end together: their completions are written first.
+            let gang_ends = job.rec.spec.kind == JobKind::Gang && !pending.done.is_empty();
+            if pending.places.is_empty() || gang_ends {
                 continue;
             }
-            let only = PendingWrite::of_places(edit.places.clone());
-            let w = edited(id, job, &only, false, clock, limits);
-            if w.places.is_empty() {
+            let only_places = PendingWrite::of_places(pending.places.clone());
+            let update = RecordUpdate::new(id, job, &only_places, false, clock, limits);
+            if update.places.is_empty() {
                 continue;
             }
-            let row: (String, Vec<TaskEntry>) = (id.clone(), w.places);
-            let more = json_len(&row) + 1;
-            if bytes + more > limits.bytes {
-                if jobs.is_empty() {
+            let places: (String, Vec<TaskEntry>) = (id.clone(), update.places);
+            let added_bytes = json_len(&places) + SEPARATOR_BYTES;
+            if bytes + added_bytes > limits.max_value_bytes {
+                if draft.jobs.is_empty() {
                     continue;
                 }
                 break;
             }
-            bytes += more;
-            // Its version shows that nobody has cancelled the job meanwhile.
-            conds.push(VersionCondition::new(&job_key(id), job.version));
-            bundle.places.push(row);
-            jobs.push((id.clone(), w.rest.places));
-            if conds.len() >= limits.ops * CONDITIONS {
+            bytes += added_bytes;
+            draft.add(id, job, places, update.rest.places);
+            if draft.conditions.len() >= max_conditions {
                 break;
             }
         }
-        if jobs.len() < WORTH_JOBS {
+        draft
+    }
+
+    fn add(&mut self, id: &str, job: &Job, places: (String, Vec<TaskEntry>), rest: Vec<TaskEntry>) {
+        // The version of the job's record shows that nobody has cancelled the job meanwhile.
+        let unchanged = VersionCondition::new(&job_key(id), job.version);
+        self.conditions.push(unchanged);
+        self.batch.places.push(places);
+        self.jobs.push(BatchedJob {
+            id: id.to_string(),
+            rest,
+        });
+    }
+}
+
+impl Controller {
+    /// Writes the places of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs whose
+    /// writes are due, most urgent first.
+    pub(crate) fn write_placement_batch(
+        &mut self,
+        clock: Clock,
+        due_jobs: &[String],
+        limits: WriteLimits,
+    ) -> bool {
+        if !self.batch_is_worthwhile(due_jobs, limits) {
+            return false;
+        }
+        let Some(leader) = &mut self.leader else {
+            return false;
+        };
+        let in_flight = leader.edits.batches_in_flight();
+        let number = self.cache.placement_batches.free_number(&in_flight);
+        let key = bundle_key(number);
+        // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried out
+        // after that, so the newest batch is a condition, too.
+        let newest = VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
+        let mut conditions = vec![
+            VersionCondition::new(LEAD, leader.version),
+            VersionCondition::new(&key, 0),
+            newest,
+        ];
+        let max_conditions = limits.max_changes * CONDITIONS_PER_CHANGE;
+        let for_jobs = max_conditions.saturating_sub(conditions.len());
+        let edits = &mut leader.edits;
+        let draft = BatchDraft::gather(due_jobs, edits, &self.cache, clock, limits, for_jobs);
+        if draft.jobs.len() < MIN_JOBS {
             return false;
         }
-        let tasks: usize = bundle.places.iter().map(|(_, p)| p.len()).sum();
-        log::info!("bundle {n}: {tasks} places of {} jobs", jobs.len());
-        let txn = Transaction {
-            conds,
+        let tasks: usize = draft.batch.places.iter().map(|(_, p)| p.len()).sum();
+        let jobs = draft.jobs.len();
+        log::info!("placement batch written batch={number} tasks={tasks} jobs={jobs}");
+        conditions.extend(draft.conditions);
+        let transaction = Transaction {
+            conds: conditions,
             changes: vec![
-                Change::put(&key, &bundle, None),
-                Change::put(BUNDLED, &n, None),
+                Change::put(&key, &draft.batch, None),
+                Change::put(BUNDLED, &number, None),
             ],
         };
-        for ((id, rest), (_, places)) in jobs.iter().zip(bundle.places) {
-            l.edits.fly_places(id, rest.clone(), places);
+        let mut ids = Vec::new();
+        for (job, (_, places)) in draft.jobs.into_iter().zip(draft.batch.places) {
+            edits.mark_places_in_flight(&job.id, job.rest, places);
+            ids.push(job.id);
         }
-        let batch = l
-            .edits
-            .begin(jobs.into_iter().map(|(id, _)| id).collect(), txn.clone());
-        self.store.ask(
-            RequestPriority::Normal,
-            StoreRequestPurpose::WriteJobs(batch),
-            StoreRequest::Transaction(txn),
-        );
+        let write_id = edits.begin_write(ids, transaction.clone());
+        self.send_job_write(RequestPriority::Normal, write_id, transaction);
         true
     }
 
-    /// Brings what bundles hold into the jobs' own records, a little at a time, and deletes bundles
-    /// that hold nothing any more; returns when to look again.
-    pub(crate) fn fold(&mut self, clock: Clock) -> Micros {
-        if self.cache.bundles.is_empty() {
+    /// Whether enough jobs wait for a batch, and one may be written now.
+    fn batch_is_worthwhile(&self, due_jobs: &[String], limits: WriteLimits) -> bool {
+        let Some(leader) = &self.leader else {
+            return false;
+        };
+        if !self.all_peers_read(BUNDLES) || leader.edits.batch_rejected || limits.max_changes < 2 {
+            return false;
+        }
+        // One batch at a time: each has the one before it as a condition.
+        if !leader.edits.batches_in_flight().is_empty() {
+            return false;
+        }
+        let backlog = (self.store.write_rate() * WORTHWHILE_BACKLOG_S) as usize;
+        let waiting = due_jobs.iter();
+        let waiting = waiting.filter(|id| leader.edits.has_pending_places(id));
+        waiting.count() >= backlog.max(MIN_JOBS)
+    }
+
+    /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes batches that are superseded;
+    /// returns when to call it again.
+    pub(crate) fn merge_placement_batches(&mut self, clock: Clock) -> Micros {
+        if self.cache.placement_batches.is_empty() {
             return Micros::FAR;
         }
         match &self.leader {
             None => return Micros::FAR,
-            Some(l) if clock.now < l.fold_at => return l.fold_at,
+            Some(leader) if clock.now < leader.fold_at => return leader.fold_at,
             Some(_) => {}
         }
-        // A controller that has gone back does not see them: then they are brought in at once.
-        let hurry = !self.all_peers_read(BUNDLES);
-        let each = (self.store.write_rate() * FOLD_SHARE).max(1.0) as usize;
-        let Some(l) = &mut self.leader else {
+        // A controller that has been downgraded does not see batches: then everything is merged at once.
+        let merge_all = !self.all_peers_read(BUNDLES);
+        let share = (self.store.write_rate() * MERGE_SHARE).max(1.0) as usize;
+        let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        l.fold_at = clock.now + FOLD_EVERY;
-        if !(hurry || l.edits.idle()) {
-            return l.fold_at;
+        leader.fold_at = clock.now + MERGE_INTERVAL;
+        if !merge_all && !leader.edits.idle() {
+            return leader.fold_at;
         }
-        let mut left = if hurry { usize::MAX } else { each };
-        for (n, version) in self.cache.bundles.numbers() {
-            if self.cache.is_spent(n) {
-                let key = bundle_key(n);
-                log::debug!("bundle {n} is spent");
-                let txn = Transaction {
-                    conds: vec![
-                        VersionCondition::new(LEAD, l.version),
-                        VersionCondition::new(&key, version),
-                    ],
-                    changes: vec![Change::Delete { key }],
-                };
+        let mut remaining_jobs = if merge_all { usize::MAX } else { share };
+        for (number, version) in self.cache.placement_batches.numbers() {
+            if self.cache.is_batch_superseded(number) {
+                log::debug!("placement batch superseded batch={number}");
                 self.store.ask(
                     RequestPriority::Background,
-                    StoreRequestPurpose::RecordMachineTypes,
-                    StoreRequest::Transaction(txn),
+                    StoreRequestPurpose::BackgroundWrite,
+                    StoreRequest::Transaction(deletion(number, version, leader.version)),
                 );
                 continue;
             }
-            for (id, _) in self.cache.bundles.places(n) {
-                let counts = |j: &Job| !j.bundled.is_empty();
-                if left > 0 && self.cache.jobs.get(id).is_some_and(counts) {
-                    l.edits.want(id, clock.now).fold = true;
-                    left -= 1;
+            for (id, _) in self.cache.placement_batches.places(number) {
+                let job = self.cache.jobs.get(id);
+                if remaining_jobs > 0 && job.is_some_and(|j| !j.batched_places.is_empty()) {
+                    leader.edits.pending_write_mut(id, clock.now).merge_batched = true;
+                    remaining_jobs -= 1;
                 }
             }
         }
-        l.fold_at
+        leader.fold_at
+    }
+}
+
+/// The transaction that deletes a batch with this version.
+fn deletion(number: u32, version: u64, leader_version: u64) -> Transaction {
+    let key = bundle_key(number);
+    Transaction {
+        conds: vec![
+            VersionCondition::new(LEAD, leader_version),
+            VersionCondition::new(&key, version),
+        ],
+        changes: vec![Change::Delete { key }],
     }
 }
 
 impl LeaderState {
-    /// The copy holds all that earlier leaders wrote. The records of jobs alone do not show whether
-    /// it does: a bundle changes none of them.
+    /// Whether the cache contains everything that earlier leaders wrote. The versions of job records alone do not show
+    /// that, because a placement batch changes none of them.
     pub fn caught_up(&self, cache: &RecordCache) -> bool {
-        cache.revision >= self.entered && !cache.is_blind()
+        cache.revision >= self.entered && !cache.has_unreadable_batch()
     }
 }
--- /dev/null
+++ b/src/records/record_update.rs
@@ -0,0 +1,240 @@
+//! The changes of a transaction that bring pending changes into one job's records.
+
+use crate::api::client_api::put_job;
+use crate::protocol::codec::json_len;
+use crate::protocol::key_value_api::{Change, VersionCondition};
+use crate::protocol::records::{CHUNK, JobRecord, JobStage, TaskChunk, TaskEntry, chunk_key};
+use crate::protocol::{Clock, JobKind};
+use crate::records::pending_write::PendingWrite;
+use crate::state::record_cache::Job;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What the store accepts.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct WriteLimits {
+    /// Changes in a transaction.
+    pub max_changes: usize,
+    /// Bytes of a value.
+    pub max_value_bytes: usize,
+}
+
+/// The part of a pending write that one transaction can take.
+pub(crate) struct RecordUpdate {
+    /// Conditions on the versions of what is changed; the first is on the job's own record.
+    pub conditions: Vec<VersionCondition>,
+    /// Changes of the job's record and chunks.
+    pub changes: Vec<Change>,
+    /// The places among them.
+    pub places: Vec<TaskEntry>,
+    /// What stays pending.
+    pub rest: PendingWrite,
+}
+
+impl RecordUpdate {
+    /// Applies a pending write to a job's records. `in_batches`: whether placement batches name the job.
+    pub fn new(
+        id: &str,
+        job: &Job,
+        pending: &PendingWrite,
+        in_batches: bool,
+        clock: Clock,
+        limits: WriteLimits,
+    ) -> RecordUpdate {
+        let mut draft = Draft::new(job, pending, limits);
+        if pending.clean {
+            draft.drop_entries(in_batches);
+        }
+        if pending.merge_batched {
+            draft.open_batched_chunks();
+        }
+        if job.active() {
+            draft.record_completions(&pending.done);
+            draft.record_places(pending);
+            draft.end_job_if_complete(clock);
+        }
+        draft.into_update(id, pending.merge_batched)
+    }
+}
+
+/// A job's records with a part of the pending changes applied.
+struct Draft<'a> {
+    job: &'a Job,
+    record: JobRecord,
+    /// Further chunks that are written.
+    chunks: BTreeMap<u32, TaskChunk>,
+    /// Numbers of the chunks with places that only placement batches hold.
+    batched_chunks: BTreeSet<u32>,
+    max_chunks: usize,
+    max_value_bytes: usize,
+    places: Vec<TaskEntry>,
+    rest: PendingWrite,
+}
+
+impl<'a> Draft<'a> {
+    fn new(job: &'a Job, pending: &PendingWrite, limits: WriteLimits) -> Draft<'a> {
+        let batched = job.batched_places.iter();
+        Draft {
+            job,
+            record: job.rec.clone(),
+            chunks: BTreeMap::new(),
+            batched_chunks: batched.map(|place| place.task() / CHUNK).collect(),
+            // One change is reserved for the job's own record.
+            max_chunks: limits.max_changes.saturating_sub(1).max(1),
+            max_value_bytes: limits.max_value_bytes,
+            places: Vec::new(),
+            rest: PendingWrite::empty_since(pending.pending_since),
+        }
+    }
+
+    /// Members of a gang are placed together, or some would start without the others.
+    fn is_indivisible(&self) -> bool {
+        self.job.rec.spec.kind == JobKind::Gang
+    }
+
+    /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
+    fn drop_entries(&mut self, in_batches: bool) {
+        self.record.first.entries.clear();
+        self.record.cleaned |= in_batches;
+        for (number, stored) in &self.job.chunks {
+            if !stored.chunk.entries.is_empty() && self.chunks.len() < self.max_chunks {
+                let emptied = TaskChunk {
+                    entries: Vec::new(),
+                    done: stored.chunk.done,
+                };
+                self.chunks.insert(*number, emptied);
+            }
+        }
+    }
+
+    /// Includes the chunks with places that only placement batches hold.
+    fn open_batched_chunks(&mut self) {
+        for number in self.batched_chunks.iter().filter(|n| **n > 0) {
+            if self.chunks.len() >= self.max_chunks {
+                self.rest.merge_batched = true;
+                return;
+            }
+            if let Some(stored) = self.job.chunks.get(number) {
+                let chunk = self.chunks.entry(*number);
+                chunk.or_insert_with(|| stored.chunk.clone());
+            }
+        }
+    }
+
+    /// Includes the chunk of a task; returns false if the transaction cannot take another one.
+    fn open_chunk(&mut self, task: u32) -> bool {
+        let number = task / CHUNK;
+        if number == 0 || self.chunks.contains_key(&number) {
+            return true;
+        }
+        if self.chunks.len() >= self.max_chunks && !self.is_indivisible() {
+            return false;
+        }
+        let recorded = self.job.chunk_of(number * CHUNK).cloned();
+        self.chunks.insert(number, recorded.unwrap_or_default());
+        true
+    }
+
+    /// The chunk of a task, which must have been opened.
+    fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
+        match self.chunks.get_mut(&(task / CHUNK)) {
+            Some(chunk) => chunk,
+            None => &mut self.record.first,
+        }
+    }
+
+    fn record_completions(&mut self, done: &BTreeSet<u32>) {
+        for task in done {
+            if self.open_chunk(*task) {
+                self.chunk_mut(*task).finish(*task);
+            } else {
+                self.rest.done.insert(*task);
+            }
+        }
+    }
+
+    fn record_places(&mut self, pending: &PendingWrite) {
+        for place in &pending.places {
+            if pending.done.contains(&place.task()) {
+                continue;
+            }
+            if !self.open_chunk(place.task()) {
+                self.rest.places.push(place.clone());
+                continue;
+            }
+            if self.record_place(place) {
+                self.places.push(place.clone());
+            }
+        }
+    }
+
+    /// Records a place, unless its value would become too long. Such a place is dropped: the next scheduling pass
+    /// chooses one again, perhaps after other tasks of the chunk have ended.
+    fn record_place(&mut self, place: &TaskEntry) -> bool {
+        let task = place.task();
+        let chunk = self.chunk_mut(task);
+        let previous = chunk.entry(task).cloned();
+        chunk.set(place.clone());
+        if self.value_bytes(task) <= self.max_value_bytes || self.is_indivisible() {
+            return true;
+        }
+        let chunk = self.chunk_mut(task);
+        match previous {
+            Some(previous) => chunk.set(previous),
+            None => chunk.entries.retain(|e| e.task() != task),
+        }
+        false
+    }
+
+    /// Bytes of the value that holds a task.
+    fn value_bytes(&self, task: u32) -> usize {
+        match self.chunks.get(&(task / CHUNK)) {
+            Some(chunk) => json_len(chunk),
+            None => json_len(&self.record),
+        }
+    }
+
+    fn end_job_if_complete(&mut self, clock: Clock) {
+        let spec = &self.record.spec;
+        if self.done_count() >= spec.tasks && spec.kind != JobKind::Service {
+            self.record.stage = JobStage::Done;
+            self.record.end = clock.wall;
+        }
+    }
+
+    fn done_count(&self) -> u32 {
+        let recorded = self.job.chunks.iter();
+        let untouched = recorded.filter(|(number, _)| !self.chunks.contains_key(number));
+        let untouched: u32 = untouched.map(|(_, s)| s.chunk.done.count_ones()).sum();
+        let written: u32 = self.chunks.values().map(|c| c.done.count_ones()).sum();
+        self.record.first.done.count_ones() + untouched + written
+    }
+
+    /// `merge_batched`: places that only placement batches hold have to be written, although the cached record has
+    /// them already.
+    fn into_update(self, id: &str, merge_batched: bool) -> RecordUpdate {
+        let must_write = |number: &u32| merge_batched && self.batched_chunks.contains(number);
+        // The version of the job's own record is a condition in any case: it shows that nobody has cancelled the job.
+        let (condition, change) = put_job(id, self.job, &self.record);
+        let mut conditions = vec![condition];
+        let mut changes = Vec::new();
+        if self.record != self.job.rec || must_write(&0) {
+            changes.push(change);
+        }
+        for (number, chunk) in self.chunks {
+            let recorded = self.job.chunks.get(&number);
+            if recorded.is_some_and(|s| s.chunk == chunk) && !must_write(&number) {
+                continue;
+            }
+            let key = chunk_key(id, number);
+            let version = recorded.map_or(0, |s| s.version);
+            conditions.push(VersionCondition::new(&key, version));
+            changes.push(Change::put(&key, &chunk, None));
+        }
+        RecordUpdate {
+            conditions,
+            changes,
+            places: self.places,
+            rest: self.rest,
+        }
+    }
+}
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -1,572 +1,422 @@
-//! The job records that the leader writes: wanted changes, gathered per job, and the transactions
-//! that carry them.
+//! Writes of job records by the leader: pending changes, gathered per job, and the transactions that carry them.
 //!
-//! A change is fixed only when the store can take it at once. Until then further news of the same
-//! job join it, so that a burst costs a write per job and not one per task.
+//! A transaction is built only when the store can take it at once. Until then further changes of the same job join the
+//! pending one, so that a burst costs one write per job and not one per task.
 
-use crate::api::client_api::put_job;
 use crate::controller::Controller;
-use crate::messages::PendingRequest;
-use crate::messages::StoreRequestPurpose;
-use crate::protocol::Clock;
-use crate::protocol::codec::json_len;
+use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{
-    BUNDLED, CHUNK, JobRecord, JobStage, LEAD, TaskChunk, TaskEntry, bundle_number, chunk_key,
-    job_key,
-};
-use crate::protocol::{JobKind, Micros};
-use crate::state::record_cache::Job;
+use crate::protocol::records::{BUNDLED, LEAD, TaskEntry, bundle_number, job_key};
+use crate::protocol::{Clock, Micros};
+pub use crate::records::pending_write::PendingWrite;
+use crate::records::record_update::{RecordUpdate, WriteLimits};
+use crate::state::record_cache::{Job, RecordCache};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes wanted of a job's record.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct PendingWrite {
-    /// Tasks that are done.
-    pub done: BTreeSet<u32>,
-    /// New attempts.
-    pub places: Vec<TaskEntry>,
-    /// The job is over and nothing of it is anywhere: drop its entries.
-    pub clean: bool,
-    /// What only bundles hold is to be written into the job's own record.
-    pub fold: bool,
-    /// When the first of these changes was wanted.
-    since: Micros,
-}
+/// Transactions in flight at once.
+const MAX_WRITES_IN_FLIGHT: usize = 3;
+/// The limit of changes per transaction is never lowered below this.
+const LEAST_MAX_CHANGES: usize = 2;
 
-/// A transaction of job records on its way.
+/// A transaction of job records in flight.
 #[derive(Debug, Clone)]
-struct Batch {
+struct WriteInFlight {
     jobs: Vec<String>,
-    txn: Transaction,
+    transaction: Transaction,
 }
 
-/// Wanted and flying changes.
-#[derive(Debug, Default)]
-pub struct RecordWriter {
-    wanted: BTreeMap<String, PendingWrite>,
-    batches: BTreeMap<u64, Batch>,
-    /// Jobs in batches, with the places on their way. A job is in one batch at a time.
-    flying: BTreeMap<String, Vec<TaskEntry>>,
-    next_batch: u64,
-    /// Something has changed since it was last counted what is due, or something was.
-    stirred: bool,
-    /// Else nothing is before this.
-    due_at: Micros,
-    /// The state service has rejected larger transactions than this.
-    most: Option<usize>,
-    /// It has rejected a bundle.
-    pub unbundled: bool,
+/// The jobs whose writes are due.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct DueWrites {
+    /// How many are due.
+    pub count: usize,
+    /// When the next one will be.
+    pub next_at: Micros,
 }
 
-/// Some tasks of a job that are done wait this long for others; the agent keeps the result. A
-/// completed job does not wait, since its user may ask 3 s later.
-const MERGE_DONES: Micros = Micros::millis(4_000);
-/// Nobody waits for the entries of a job that is over.
-const CLEAN_LATER: Micros = Micros::millis(4_000);
-/// What bundles hold is on record already.
-const FOLD_LATER: Micros = Micros::millis(30_000);
-/// Replicas and gangs are waited for by the second, arrays by the minute.
-const ARRAYS_LATER: Micros = Micros::millis(500);
-/// Transactions in flight at once.
-const BATCHES: usize = 3;
-
-impl PendingWrite {
-    /// Nothing but these places.
-    pub fn of_places(places: Vec<TaskEntry>) -> PendingWrite {
-        PendingWrite {
-            places,
-            ..PendingWrite::default()
-        }
-    }
+impl DueWrites {
+    const NONE: DueWrites = DueWrites {
+        count: 0,
+        next_at: Micros::FAR,
+    };
+}
 
-    fn is_empty(&self) -> bool {
-        self.done.is_empty() && self.places.is_empty() && !self.clean && !self.fold
-    }
+/// Pending changes of job records and the transactions in flight.
+#[derive(Debug, Default)]
+pub struct RecordWriter {
+    /// Pending changes, by job.
+    pending: BTreeMap<String, PendingWrite>,
+    writes_in_flight: BTreeMap<u64, WriteInFlight>,
+    /// Jobs in transactions in flight, with the places that these carry. A job is in one transaction at a time.
+    places_in_flight: BTreeMap<String, Vec<TaskEntry>>,
+    last_write_id: u64,
+    /// Whether due writes have to be counted again: something has changed since, or some were due.
+    recount_due: bool,
+    /// Otherwise no write is due before this.
+    next_due_at: Micros,
+    /// The store has rejected larger transactions than this.
+    max_changes: Option<usize>,
+    /// Whether the store has rejected a placement batch.
+    pub batch_rejected: bool,
 }
 
 impl RecordWriter {
-    /// The change wanted of a job, to be added to.
-    pub fn want(&mut self, id: &str, now: Micros) -> &mut PendingWrite {
-        self.stirred = true;
-        if !self.wanted.contains_key(id) {
-            let edit = PendingWrite {
-                since: now,
-                ..PendingWrite::default()
-            };
-            self.wanted.insert(id.to_string(), edit);
-        }
-        self.wanted.entry(id.to_string()).or_default()
+    /// The pending write of a job, to be added to.
+    pub fn pending_write_mut(&mut self, id: &str, now: Micros) -> &mut PendingWrite {
+        self.recount_due = true;
+        self.pending
+            .entry(id.to_string())
+            .or_insert_with(|| PendingWrite::empty_since(now))
+    }
+
+    /// The pending write of a job.
+    pub fn pending_write(&self, id: &str) -> Option<&PendingWrite> {
+        self.pending.get(id)
     }
 
-    /// The job's record is in a transaction that has not come back.
+    /// Whether the job's record is in a transaction in flight.
     pub fn in_flight(&self, id: &str) -> bool {
-        self.flying.contains_key(id)
+        self.places_in_flight.contains_key(id)
     }
 
-    /// Jobs of which changes are wanted or on their way; some may come twice.
+    /// Jobs with pending changes or changes in flight; some appear twice.
     pub fn jobs(&self) -> impl Iterator<Item = &str> {
-        let all = self.wanted.keys().chain(self.flying.keys());
-        all.map(String::as_str)
+        let jobs = self.pending.keys().chain(self.places_in_flight.keys());
+        jobs.map(String::as_str)
     }
 
-    /// Places of a job that are not on record yet: they take room from the moment they are chosen.
+    /// Places of a job that are not on record yet: they take capacity from the moment they are chosen.
     pub fn places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
-        let flying = self.flying.get(id).into_iter().flatten();
-        flying.chain(self.wanted.get(id).into_iter().flat_map(|e| &e.places))
+        let in_flight = self.places_in_flight.get(id).into_iter().flatten();
+        let pending = self.pending.get(id).into_iter();
+        in_flight.chain(pending.flat_map(|write| &write.places))
     }
 
-    /// Whether a task's place is chosen and not on record yet: it is not started meanwhile, since
-    /// the attempt on record may just be replaced.
+    /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the attempt
+    /// on record may be about to be replaced.
     pub fn placing(&self, id: &str, task: u32) -> bool {
-        self.places(id).any(|e| e.task() == task)
+        self.places(id).any(|place| place.task() == task)
     }
 
-    /// Whether a task's end is about to be recorded.
+    /// Whether a task's completion is about to be recorded.
     pub fn finishing(&self, id: &str, task: u32) -> bool {
-        self.wanted.get(id).is_some_and(|e| e.done.contains(&task))
-    }
-
-    /// When a change may be written, and how it is ranked among those that may: who waits for it
-    /// decides. Waiting makes every change more urgent, so none waits for ever.
-    fn due(edit: &PendingWrite, job: &Job) -> (Micros, Micros) {
-        let spec = &job.rec.spec;
-        let complete = job.done_count() + edit.done.len() as u64 >= spec.tasks as u64;
-        let at = edit.since;
-        if !edit.places.is_empty() {
-            let later = if spec.kind == JobKind::Array {
-                ARRAYS_LATER
-            } else {
-                Micros::ZERO
-            };
-            (at, at + later)
-        } else if complete && !edit.done.is_empty() {
-            (at, at)
-        } else if !edit.done.is_empty() {
-            (at + MERGE_DONES, at + MERGE_DONES.times(2.0))
-        } else if edit.clean {
-            (at + CLEAN_LATER, at + CLEAN_LATER.times(3.0))
-        } else {
-            (at, at + FOLD_LATER)
-        }
+        let pending = self.pending.get(id);
+        pending.is_some_and(|write| write.done.contains(&task))
     }
 
-    /// Nothing waits to be written.
+    /// Whether no change is pending.
     pub fn idle(&self) -> bool {
-        self.wanted.is_empty()
+        self.pending.is_empty()
     }
 
-    /// What is wanted of a job.
-    pub fn wanted_of(&self, id: &str) -> Option<&PendingWrite> {
-        self.wanted.get(id)
+    /// Whether places of a job are pending.
+    pub fn has_pending_places(&self, id: &str) -> bool {
+        let pending = self.pending.get(id);
+        pending.is_some_and(|write| !write.places.is_empty())
     }
 
-    /// Whether places of a job wait to be written.
-    pub fn wants_places(&self, id: &str) -> bool {
-        self.wanted.get(id).is_some_and(|e| !e.places.is_empty())
-    }
-
-    /// Numbers of the bundles on their way.
-    pub fn bundles_flying(&self) -> BTreeSet<u32> {
-        let changes = self.batches.values().flat_map(|b| &b.txn.changes);
-        let number = |c: &Change| match c {
+    /// Numbers of the placement batches in flight.
+    pub fn batches_in_flight(&self) -> BTreeSet<u32> {
+        let writes = self.writes_in_flight.values();
+        let changes = writes.flat_map(|write| &write.transaction.changes);
+        let batch_number = |change: &Change| match change {
             Change::Put { put, .. } => bundle_number(put),
             Change::Delete { .. } => None,
         };
-        changes.filter_map(number).collect()
+        changes.filter_map(batch_number).collect()
     }
 
-    /// These places of a job are on their way; `rest` stays wanted, with whatever else is.
-    pub fn fly_places(&mut self, id: &str, rest: Vec<TaskEntry>, places: Vec<TaskEntry>) {
-        if let Some(e) = self.wanted.get_mut(id) {
-            e.places = rest;
-            if e.is_empty() {
-                self.wanted.remove(id);
+    /// Marks places of a job as in flight. `rest` stays pending, with the job's other changes.
+    pub fn mark_places_in_flight(
+        &mut self,
+        id: &str,
+        rest: Vec<TaskEntry>,
+        places: Vec<TaskEntry>,
+    ) {
+        if let Some(pending) = self.pending.get_mut(id) {
+            pending.places = rest;
+            if pending.is_empty() {
+                self.pending.remove(id);
             }
         }
-        self.flying.insert(id.to_string(), places);
+        self.places_in_flight.insert(id.to_string(), places);
     }
 
-    /// A transaction that brings changes of these jobs is on its way.
-    pub fn begin(&mut self, jobs: Vec<String>, txn: Transaction) -> u64 {
-        self.next_batch += 1;
-        self.batches.insert(self.next_batch, Batch { jobs, txn });
-        self.next_batch
+    /// Notes a transaction in flight that changes these jobs; returns the number of the write.
+    pub fn begin_write(&mut self, jobs: Vec<String>, transaction: Transaction) -> u64 {
+        self.last_write_id += 1;
+        let write = WriteInFlight { jobs, transaction };
+        self.writes_in_flight.insert(self.last_write_id, write);
+        self.last_write_id
     }
 
-    /// Forgets a transaction: what it brought is in the copy now, or is all found out again.
-    fn end(&mut self, n: u64) -> bool {
-        let Some(b) = self.batches.remove(&n) else {
+    /// Forgets a transaction in flight; returns whether it was known. Its changes are in the cache now, or will be derived
+    /// again from what the agents report and the next scheduling pass decides.
+    fn end_write(&mut self, write_id: u64) -> bool {
+        let Some(write) = self.writes_in_flight.remove(&write_id) else {
             return false;
         };
-        for id in b.jobs {
-            self.flying.remove(&id);
+        for id in write.jobs {
+            self.places_in_flight.remove(&id);
         }
-        self.stirred = true;
+        self.recount_due = true;
         true
     }
-}
 
-impl Controller {
-    /// How many changes of job records are due, and when the next one will be.
-    pub fn edits_due(&mut self, now: Micros) -> (usize, Micros) {
-        let Some(l) = &mut self.leader else {
-            return (0, Micros::FAR);
-        };
-        if l.edits.batches.len() >= BATCHES || !l.caught_up(&self.cache) {
-            return (0, Micros::FAR);
+    /// Counts the writes that are due. Pending changes of jobs that the cache does not have are dropped.
+    fn count_due(&mut self, jobs: &BTreeMap<String, Job>, now: Micros) -> DueWrites {
+        if self.writes_in_flight.len() >= MAX_WRITES_IN_FLIGHT {
+            return DueWrites::NONE;
         }
-        if !l.edits.stirred && now < l.edits.due_at {
-            return (0, l.edits.due_at);
+        if !self.recount_due && now < self.next_due_at {
+            return DueWrites {
+                count: 0,
+                next_at: self.next_due_at,
+            };
         }
-        let jobs = &self.cache.jobs;
-        l.edits.wanted.retain(|id, _| jobs.contains_key(id));
-        let mut due = 0;
-        let mut next = Micros::FAR;
-        for (id, e) in &l.edits.wanted {
-            if l.edits.flying.contains_key(id) {
+        self.pending.retain(|id, _| jobs.contains_key(id));
+        let mut due = DueWrites::NONE;
+        for (id, pending) in &self.pending {
+            let Some(job) = jobs.get(id).filter(|_| !self.in_flight(id)) else {
                 continue;
-            }
-            if let Some(job) = jobs.get(id) {
-                let (at, _) = RecordWriter::due(e, job);
-                if at <= now {
-                    due += 1;
-                } else {
-                    next = next.min(at);
-                }
+            };
+            let due_at = pending.schedule(job).due_at;
+            if due_at <= now {
+                due.count += 1;
+            } else {
+                due.next_at = due.next_at.min(due_at);
             }
         }
-        l.edits.stirred = due > 0;
-        l.edits.due_at = next;
-        (due, next)
+        self.recount_due = due.count > 0;
+        self.next_due_at = due.next_at;
+        due
     }
 
-    /// Writes the changes that have been due longest, several jobs a transaction, at most `most`
-    /// changes unless a single job needs more.
-    pub fn write_edits(&mut self, clock: Clock, most: usize) {
-        let state = &self.settings.params.state;
-        let Some(l) = &mut self.leader else { return };
-        let rejected = l.edits.most.unwrap_or(usize::MAX);
-        let most = most.min(rejected);
-        let limits = Limits {
-            ops: state.least_txn_ops().min(rejected),
-            bytes: state.least_value_bytes(),
-        };
-        let mut ready: Vec<(Micros, String)> = Vec::new();
-        for (id, e) in &l.edits.wanted {
-            if !l.edits.flying.contains_key(id)
-                && let Some(job) = self.cache.jobs.get(id)
-            {
-                let (at, rank) = RecordWriter::due(e, job);
-                if at <= clock.now {
-                    ready.push((rank, id.clone()));
-                }
+    /// Jobs whose writes are due, earliest deadline first.
+    fn due_jobs(&self, jobs: &BTreeMap<String, Job>, now: Micros) -> Vec<String> {
+        let mut due: Vec<(Micros, &String)> = Vec::new();
+        for (id, pending) in &self.pending {
+            let Some(job) = jobs.get(id).filter(|_| !self.in_flight(id)) else {
+                continue;
+            };
+            let schedule = pending.schedule(job);
+            if schedule.due_at <= now {
+                due.push((schedule.deadline, id));
             }
         }
-        ready.sort_unstable();
-        let ready: Vec<String> = ready.into_iter().map(|(_, id)| id).collect();
-        if most >= 2 && self.write_bundle(clock, &ready, limits) {
-            return;
-        }
-        let Some(l) = &mut self.leader else { return };
-        let mut conds = vec![VersionCondition::new(LEAD, l.version)];
+        due.sort_unstable();
+        due.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
+    /// Builds a transaction from the writes of these jobs, with at most `max_changes` changes unless the first job needs
+    /// more, and marks them as in flight. `None` if there is nothing to change.
+    fn take_transaction(
+        &mut self,
+        leader_version: u64,
+        due_jobs: Vec<String>,
+        cache: &RecordCache,
+        clock: Clock,
+        max_changes: usize,
+        limits: WriteLimits,
+    ) -> Option<(u64, Transaction)> {
+        let mut conditions = vec![VersionCondition::new(LEAD, leader_version)];
         let mut changes = Vec::new();
         let mut jobs = Vec::new();
-        for id in ready {
-            let (Some(edit), Some(job)) = (l.edits.wanted.get(&id), self.cache.jobs.get(&id))
-            else {
+        for id in due_jobs {
+            let (Some(pending), Some(job)) = (self.pending.get(&id), cache.jobs.get(&id)) else {
                 continue;
             };
-            let named = self.cache.bundles.name(&id);
-            let w = edited(&id, job, edit, named, clock, limits);
-            if !changes.is_empty() && changes.len() + w.changes.len() > most {
+            let in_batches = cache.placement_batches.has_job(&id);
+            let update = RecordUpdate::new(&id, job, pending, in_batches, clock, limits);
+            if !changes.is_empty() && changes.len() + update.changes.len() > max_changes {
                 break;
             }
-            if w.rest.is_empty() {
-                l.edits.wanted.remove(&id);
+            if update.rest.is_empty() {
+                self.pending.remove(&id);
             } else {
-                l.edits.wanted.insert(id.clone(), w.rest);
+                self.pending.insert(id.clone(), update.rest);
             }
-            if w.changes.is_empty() {
+            if update.changes.is_empty() {
                 continue;
             }
-            conds.extend(w.conds);
-            changes.extend(w.changes);
-            l.edits.flying.insert(id.clone(), w.places);
+            conditions.extend(update.conditions);
+            changes.extend(update.changes);
+            self.places_in_flight.insert(id.clone(), update.places);
             jobs.push(id);
-            if changes.len() >= most {
+            if changes.len() >= max_changes {
                 break;
             }
         }
         if changes.is_empty() {
+            return None;
+        }
+        let transaction = Transaction {
+            conds: conditions,
+            changes,
+        };
+        let write_id = self.begin_write(jobs, transaction.clone());
+        Some((write_id, transaction))
+    }
+
+    /// The store has rejected a transaction: makes later ones smaller. What was rejected decides, not what else is in
+    /// flight.
+    fn on_rejected(&mut self, transaction: &Transaction) {
+        let mut conditions = transaction.conds.iter();
+        if conditions.any(|c| bundle_number(&c.key).is_some()) {
+            self.batch_rejected = true;
+        } else {
+            let halved = transaction.changes.len() / 2;
+            self.max_changes = Some(halved.max(LEAST_MAX_CHANGES));
+        }
+    }
+}
+
+impl WriteInFlight {
+    /// Whether the store may still carry out the transaction: its conditions hold according to the cache.
+    fn may_be_carried_out(&self, leader_version: u64, cache: &RecordCache) -> bool {
+        leader_version == self.transaction.conds[0].version
+            && self.batch_is_unwritten(cache)
+            && self.jobs.iter().all(|id| self.job_is_unchanged(id, cache))
+    }
+
+    /// A placement batch changes no record of a job: only its own record shows whether it was written.
+    fn batch_is_unwritten(&self, cache: &RecordCache) -> bool {
+        let batches = &cache.placement_batches;
+        self.transaction.conds.iter().all(|condition| {
+            let number = bundle_number(&condition.key);
+            number.is_none_or(|n| batches.version(n) == condition.version)
+                && (condition.key != BUNDLED || batches.head() == condition.version)
+        })
+    }
+
+    fn job_is_unchanged(&self, id: &str, cache: &RecordCache) -> bool {
+        let Some(job) = cache.jobs.get(id) else {
+            return false;
+        };
+        let key = job_key(id);
+        let condition = self.transaction.conds.iter().find(|c| c.key == key);
+        condition.is_none_or(|c| c.version == job.version)
+    }
+}
+
+impl Controller {
+    /// Counts the writes of job records that are due.
+    pub fn due_job_writes(&mut self, now: Micros) -> DueWrites {
+        match &mut self.leader {
+            Some(leader) if leader.caught_up(&self.cache) => {
+                leader.edits.count_due(&self.cache.jobs, now)
+            }
+            _ => DueWrites::NONE,
+        }
+    }
+
+    /// Writes the job records that are due, several jobs per transaction, with at most `max_changes` changes unless a
+    /// single job needs more.
+    pub fn write_job_records(&mut self, clock: Clock, max_changes: usize) {
+        let Some(leader) = &self.leader else { return };
+        let params = &self.settings.params.state;
+        let accepted = leader.edits.max_changes.unwrap_or(usize::MAX);
+        let max_changes = max_changes.min(accepted);
+        let limits = WriteLimits {
+            max_changes: params.least_txn_ops().min(accepted),
+            max_value_bytes: params.least_value_bytes(),
+        };
+        let due_jobs = leader.edits.due_jobs(&self.cache.jobs, clock.now);
+        // A batch takes two changes.
+        if max_changes >= 2 && self.write_placement_batch(clock, &due_jobs, limits) {
             return;
         }
-        let txn = Transaction { conds, changes };
-        let n = l.edits.begin(jobs, txn.clone());
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let version = leader.version;
+        let edits = &mut leader.edits;
+        let taken =
+            edits.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
+        if let Some((write_id, transaction)) = taken {
+            self.send_job_write(RequestPriority::Normal, write_id, transaction);
+        }
+    }
+
+    /// Sends a transaction of job records to the store.
+    pub(super) fn send_job_write(
+        &mut self,
+        priority: RequestPriority,
+        write_id: u64,
+        transaction: Transaction,
+    ) {
         self.store.ask(
-            RequestPriority::Normal,
-            StoreRequestPurpose::WriteJobs(n),
-            StoreRequest::Transaction(txn),
+            priority,
+            StoreRequestPurpose::WriteJobs(write_id),
+            StoreRequest::Transaction(transaction),
         );
     }
 
-    /// Job records came back.
+    /// The store has responded to a transaction of job records, or has not.
     pub fn on_job_writes_result(
         &mut self,
         clock: Clock,
-        n: u64,
-        ask: StoreRequest,
-        reply: StoreResponse,
+        write_id: u64,
+        request: StoreRequest,
+        response: StoreResponse,
     ) {
-        if self
-            .leader
-            .as_ref()
-            .is_none_or(|l| !l.edits.batches.contains_key(&n))
-        {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if !leader.edits.writes_in_flight.contains_key(&write_id) {
             return;
         }
-        match reply {
-            StoreResponse::Committed(rev) => {
-                if let StoreRequest::Transaction(t) = &ask {
-                    self.apply_own_commit(t, rev);
-                }
-                self.end_batch(n);
+        let StoreRequest::Transaction(transaction) = &request else {
+            return;
+        };
+        match response {
+            StoreResponse::Committed(revision) => {
+                self.apply_own_commit(transaction, revision);
+                self.end_job_write(write_id);
                 self.on_changed_jobs();
                 self.send_commands(clock);
             }
             StoreResponse::Rejected => {
-                if let (Some(l), StoreRequest::Transaction(t)) = (&mut self.leader, &ask) {
-                    // What was rejected decides, not what else is on its way.
-                    if t.conds.iter().any(|c| bundle_number(&c.key).is_some()) {
-                        l.edits.unbundled = true;
-                    } else {
-                        l.edits.most = Some((t.changes.len() / 2).max(2));
-                    }
-                }
-                self.end_batch(n);
+                leader.edits.on_rejected(transaction);
+                self.end_job_write(write_id);
             }
-            StoreResponse::Refused | StoreResponse::TooFast => {
-                // Certainly not written; it is all found out again.
-                self.end_batch(n);
-            }
-            _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(n)),
+            // Certainly not carried out: the changes will be derived again.
+            StoreResponse::Refused | StoreResponse::TooFast => self.end_job_write(write_id),
+            _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(write_id)),
         }
     }
 
-    fn end_batch(&mut self, n: u64) {
-        if let Some(l) = &mut self.leader
-            && l.edits.end(n)
+    fn end_job_write(&mut self, write_id: u64) {
+        if let Some(leader) = &mut self.leader
+            && leader.edits.end_write(write_id)
         {
-            l.dirty = true;
+            leader.dirty = true;
         }
     }
 
-    /// The copy has caught up after a failed or lost transaction. If what it changes still
-    /// stands at the old versions, it may yet be carried out: it is sent again as it was.
-    pub fn settle_edits(&mut self, n: u64) {
-        let Some(l) = &mut self.leader else { return };
-        let Some(batch) = l.edits.batches.get(&n) else {
+    /// The cache has caught up after a failed or unanswered transaction. If all conditions of the transaction still hold, it
+    /// may yet be carried out, so it is sent again unchanged.
+    pub fn settle_job_write(&mut self, write_id: u64) {
+        let Some(leader) = &self.leader else { return };
+        let Some(write) = leader.edits.writes_in_flight.get(&write_id) else {
             return;
         };
-        // A bundle changes no record of a job: only its own shows whether it was written.
-        let bundles = &self.cache.bundles;
-        let unwritten = batch.txn.conds.iter().all(|c| {
-            bundle_number(&c.key).is_none_or(|n| bundles.version(n) == c.version)
-                && (c.key != BUNDLED || bundles.head() == c.version)
-        });
-        let holds = l.version == batch.txn.conds[0].version
-            && unwritten
-            && batch.jobs.iter().all(|id| {
-                let key = job_key(id);
-                let wanted = batch.txn.conds.iter().find(|c| c.key == key);
-                match (wanted, self.cache.jobs.get(id)) {
-                    (Some(c), Some(j)) => c.version == j.version,
-                    (None, Some(_)) => true,
-                    _ => false,
-                }
-            });
-        if holds {
-            let txn = batch.txn.clone();
-            self.store.ask(
-                RequestPriority::Normal,
-                StoreRequestPurpose::WriteJobs(n),
-                StoreRequest::Transaction(txn),
-            );
+        if write.may_be_carried_out(leader.version, &self.cache) {
+            let transaction = write.transaction.clone();
+            self.send_job_write(RequestPriority::Normal, write_id, transaction);
         } else {
-            self.end_batch(n);
+            self.end_job_write(write_id);
         }
     }
 
-    /// The copy cannot catch up either; ask again later.
-    pub fn unsettled_edits(&mut self, n: u64) {
-        if let Some(l) = &self.leader
-            && let Some(b) = l.edits.batches.get(&n)
+    /// The cache could not catch up either after a failed or unanswered transaction: sends it again with low priority.
+    pub fn retry_job_write(&mut self, write_id: u64) {
+        if let Some(leader) = &self.leader
+            && let Some(write) = leader.edits.writes_in_flight.get(&write_id)
         {
-            let txn = b.txn.clone();
-            self.store.ask(
-                RequestPriority::Background,
-                StoreRequestPurpose::WriteJobs(n),
-                StoreRequest::Transaction(txn),
-            );
-        }
-    }
-}
-
-/// What a transaction and a value may hold.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct Limits {
-    pub ops: usize,
-    pub bytes: usize,
-}
-
-/// What is written of an edit now, and what stays wanted.
-pub(crate) struct Written {
-    conds: Vec<VersionCondition>,
-    changes: Vec<Change>,
-    pub places: Vec<TaskEntry>,
-    pub rest: PendingWrite,
-}
-
-/// A job's record with an edit applied, as far as one transaction can take it. `named`: bundles name
-/// the job.
-pub(crate) fn edited(
-    id: &str,
-    job: &Job,
-    edit: &PendingWrite,
-    named: bool,
-    clock: Clock,
-    limits: Limits,
-) -> Written {
-    let mut rec: JobRecord = job.rec.clone();
-    let mut chunks: BTreeMap<u32, TaskChunk> = BTreeMap::new();
-    let mut rest = PendingWrite {
-        since: edit.since,
-        ..PendingWrite::default()
-    };
-    let mut places = Vec::new();
-    // One change is kept for the job's own record.
-    let most = limits.ops.saturating_sub(1).max(1);
-    if edit.clean {
-        // The job is over: what is left in further chunks no longer matters to anybody.
-        rec.first.entries.clear();
-        rec.cleaned |= named;
-        for (n, (c, _)) in &job.chunks {
-            if !c.entries.is_empty() && chunks.len() < most {
-                let c = TaskChunk {
-                    entries: Vec::new(),
-                    done: c.done,
-                };
-                chunks.insert(*n, c);
-            }
-        }
-    }
-    let in_bundles: BTreeSet<u32> = job.bundled.iter().map(|e| e.task() / CHUNK).collect();
-    if edit.fold {
-        for n in in_bundles.iter().filter(|n| **n > 0) {
-            if chunks.len() >= most {
-                rest.fold = true;
-                break;
-            }
-            if let Some((c, _)) = job.chunks.get(n) {
-                chunks.entry(*n).or_insert_with(|| c.clone());
-            }
+            let transaction = write.transaction.clone();
+            self.send_job_write(RequestPriority::Background, write_id, transaction);
         }
     }
-    if job.active() {
-        // A gang is placed as a whole, or its members would start without the others.
-        let whole = job.rec.spec.kind == JobKind::Gang;
-        let open = |n: u32, chunks: &mut BTreeMap<u32, TaskChunk>| {
-            if n == 0 || chunks.contains_key(&n) {
-                return true;
-            }
-            if chunks.len() >= most && !whole {
-                return false;
-            }
-            let old = job.chunk_of(n * CHUNK).cloned();
-            chunks.insert(n, old.unwrap_or_default());
-            true
-        };
-        for task in &edit.done {
-            if !open(task / CHUNK, &mut chunks) {
-                rest.done.insert(*task);
-                continue;
-            }
-            chunk(&mut rec, &mut chunks, *task).finish(*task);
-        }
-        for e in &edit.places {
-            if edit.done.contains(&e.task()) {
-                continue;
-            }
-            if !open(e.task() / CHUNK, &mut chunks) {
-                rest.places.push(e.clone());
-                continue;
-            }
-            let n = e.task() / CHUNK;
-            let at = chunk(&mut rec, &mut chunks, e.task());
-            let old = at.entry(e.task()).cloned();
-            at.set(e.clone());
-            // What makes a value too long is not placed: the next pass finds it again, when others
-            // of its chunk have ended perhaps.
-            let len = match chunks.get(&n) {
-                Some(c) => json_len(c),
-                None => json_len(&rec),
-            };
-            if len > limits.bytes && !whole {
-                let at = chunk(&mut rec, &mut chunks, e.task());
-                match old {
-                    Some(o) => at.set(o),
-                    None => at.entries.retain(|x| x.task() != e.task()),
-                }
-                continue;
-            }
-            places.push(e.clone());
-        }
-        let done = rec.first.done.count_ones()
-            + job
-                .chunks
-                .iter()
-                .filter(|(n, _)| !chunks.contains_key(n))
-                .map(|(_, (c, _))| c.done.count_ones())
-                .sum::<u32>()
-            + chunks.values().map(|c| c.done.count_ones()).sum::<u32>();
-        if done >= rec.spec.tasks && rec.spec.kind != JobKind::Service {
-            rec.stage = JobStage::Done;
-            rec.end = clock.wall;
-        }
-    }
-    // The record's own version is a condition in any case: it shows that nobody cancelled.
-    let (c, p) = put_job(id, job, &rec);
-    let mut conds = vec![c];
-    let mut changes = Vec::new();
-    if rec != job.rec || (edit.fold && in_bundles.contains(&0)) {
-        changes.push(p);
-    }
-    for (n, c) in chunks {
-        let held = job.chunks.get(&n);
-        if held.is_some_and(|(h, _)| *h == c) && !(edit.fold && in_bundles.contains(&n)) {
-            continue;
-        }
-        let key = chunk_key(id, n);
-        conds.push(VersionCondition::new(&key, held.map_or(0, |(_, v)| *v)));
-        changes.push(Change::put(&key, &c, None));
-    }
-    Written {
-        conds,
-        changes,
-        places,
-        rest,
-    }
-}
-
-/// The chunk of a task among those that are being written.
-fn chunk<'a>(
-    rec: &'a mut JobRecord,
-    chunks: &'a mut BTreeMap<u32, TaskChunk>,
-    task: u32,
-) -> &'a mut TaskChunk {
-    match chunks.get_mut(&(task / CHUNK)) {
-        Some(c) => c,
-        None => &mut rec.first,
-    }
 }
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -77,7 +77,7 @@
         cache: &RecordCache,
         names: &mut NameTable,
     ) -> Arc<Vec<u32>> {
-        let version = cache.images.version(machine);
+        let version = cache.image_caches.version(machine);
         if let Some(k) = self.0.get(machine)
             && (k.version, k.cache_gb) == (version, cache_gb)
         {
@@ -86,7 +86,7 @@
         if self.0.len() > MOST_KNOWN {
             self.0.clear();
         }
-        let images = cache.images.of(machine, cache_gb);
+        let images = cache.image_caches.of(machine, cache_gb);
         let list = Arc::new(images.map(|i| names.id(i)).collect::<Vec<u32>>());
         let known = KnownImages {
             version,
@@ -160,7 +160,7 @@
         let open = w.term == l.term
             && w.answered.is_some_and(|t| now < t + fresh)
             && w.notice.is_none()
-            && w.hearing.hears()
+            && w.reachability.receives()
             && !l.fleet.leaving(name)
             && !l.sick(w, policy)
             && !l.suspect(w, now);
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -237,7 +237,7 @@
         let row = QueuedJob {
             id: id.into(),
             at: job.rec.at,
-            released: job.released,
+            released: job.released_at,
             estimate: Estimate(spec.estimate_s),
             need: need(spec),
             form,
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -34,9 +34,9 @@
         },
         version: 1,
         chunks: BTreeMap::new(),
-        unmet: usize::from(rng.random_bool(0.1)),
-        released: Micros::ZERO,
-        bundled: Vec::new(),
+        unmet_dependencies: usize::from(rng.random_bool(0.1)),
+        released_at: Micros::ZERO,
+        batched_places: Vec::new(),
     }
 }
 
@@ -93,9 +93,9 @@
         },
         version: 1,
         chunks: BTreeMap::new(),
-        unmet: 0,
-        released: Micros::ZERO,
-        bundled: Vec::new(),
+        unmet_dependencies: 0,
+        released_at: Micros::ZERO,
+        batched_places: Vec::new(),
     };
     let jobs = BTreeMap::from([
         ("a".to_string(), job(1, 8, 0b111)),
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -370,11 +370,11 @@
         }
         record(l, &self.cache, starts, now);
         for id in found.cleans {
-            l.edits.want(&id, now).clean = true;
+            l.edits.pending_write_mut(&id, now).clean = true;
         }
         for (id, task) in found.dones {
             if let Some(job) = self.cache.jobs.get(&id) {
-                let edit = l.edits.want(&id, now);
+                let edit = l.edits.pending_write_mut(&id, now);
                 match job.rec.spec.kind {
                     JobKind::Gang => edit.done.extend(0..job.rec.spec.tasks),
                     _ => _ = edit.done.insert(task),
@@ -436,6 +436,6 @@
             l.term,
             s.backfilled,
         );
-        l.edits.want(&s.job, now).places.push(entry);
+        l.edits.pending_write_mut(&s.job, now).places.push(entry);
     }
 }
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -15,13 +15,15 @@
     /// Of all jobs in the copy.
     pub fn new(cache: &'a RecordCache) -> InheritedPriorities<'a> {
         let mut lifted: HashMap<&str, Priority> = HashMap::new();
-        if !cache.any_wait() {
+        if !cache.has_waiting_jobs() {
             return InheritedPriorities(lifted);
         }
         // A priority goes up the graph as long as it lifts somebody; there are four of them, so this
         // ends however the jobs are connected.
-        let mut rising: Vec<(&Job, Priority)> =
-            cache.waiting().map(|j| (j, j.rec.spec.priority)).collect();
+        let mut rising: Vec<(&Job, Priority)> = cache
+            .waiting_jobs()
+            .map(|j| (j, j.rec.spec.priority))
+            .collect();
         while let Some((job, priority)) = rising.pop() {
             for need in &job.rec.spec.needs {
                 let Some((id, needed)) = cache.jobs.get_key_value(need) else {
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -107,7 +107,7 @@
     /// When we last heard from it.
     pub heard: Micros,
     /// Whether it hears us.
-    pub hearing: AgentReachability,
+    pub reachability: AgentReachability,
     /// When we last answered a report, which renews its lease.
     pub answered: Option<Micros>,
     /// Sessions up to this one are proven over.
@@ -167,7 +167,7 @@
         if r.agent_epoch > self.agent_epoch {
             // A new session has none of the old tasks, and no command for the old one counts.
             if self.agent_epoch > 0 {
-                self.hearing.began(now);
+                self.reachability.on_new_epoch(now);
             }
             self.began = now;
             self.starts.clear();
@@ -178,7 +178,7 @@
         if r.term > self.term {
             self.term = r.term;
             self.termed = now;
-            self.hearing.showed(now);
+            self.reachability.on_confirmation(now);
         }
         if self.shown_address != r.address {
             self.shown_address.clone_from(&r.address);
@@ -247,7 +247,7 @@
             notice: None,
             tasks: Vec::new(),
             heard: Micros::ZERO,
-            hearing: AgentReachability::default(),
+            reachability: AgentReachability::default(),
             answered: None,
             over: None,
             starts: BTreeMap::new(),
--- a/src/state/agent_reachability.rs
+++ b/src/state/agent_reachability.rs
@@ -1,83 +1,84 @@
-//! Whether an agent hears us. Its reports prove what they say, and nothing about the other direction: a
-//! machine may be heard for minutes while no answer and no command reaches it.
+//! Whether an agent receives what we send it. Its heartbeats show only that it can send: an agent may be heard for
+//! minutes while no response and no command reaches it.
 //!
-//! Signs that it hears: it shows our term; it has answered a direct command; or it has kept a session for longer
-//! than a lease lasts without answers. Signs that it does not: a new session, since a lease has run out although
-//! we were answering; or a direct command without an answer while its own reports go on coming to us. Reports
-//! that peers hand on say nothing about the way between it and us.
+//! It receives if it reports our term, has answered a direct command, or has kept its epoch for longer than a lease lasts
+//! without renewal. It does not receive if it starts a new epoch, since its lease has expired although we were
+//! answering; or if a direct command stays unanswered while its own heartbeats go on arriving here. Heartbeats that peers
+//! relay say nothing about the path between the agent and us.
 
 use crate::protocol::Micros;
 
-/// What is known of it.
+/// What is known about the path from us to an agent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AgentReachability {
-    /// It has shown in its present session that it hears.
-    shown: bool,
-    /// Since when direct commands have gone without an answer; none: the last was answered.
-    lost: Option<Micros>,
-    /// When a report last came to us directly.
-    direct: Micros,
-    /// Since when it has been suspected of hearing nothing.
-    suspected: Option<Micros>,
+    /// Whether the agent has shown in its present epoch that it receives.
+    confirmed: bool,
+    /// Since when direct commands have stayed unanswered; `None`: the last was answered.
+    unanswered_since: Option<Micros>,
+    /// When the last heartbeat arrived here directly.
+    last_direct_heartbeat: Micros,
+    /// Since when the agent has been suspected of not receiving.
+    suspected_since: Option<Micros>,
 }
 
 impl Default for AgentReachability {
     fn default() -> AgentReachability {
         AgentReachability {
-            // Whoever is met for the first time has our term to show before anything is started there.
-            shown: true,
-            lost: None,
-            direct: Micros::ZERO,
-            suspected: None,
+            // Nothing is started on a new agent before it has reported our term, which confirms the path.
+            confirmed: true,
+            unanswered_since: None,
+            last_direct_heartbeat: Micros::ZERO,
+            suspected_since: None,
         }
     }
 }
 
 impl AgentReachability {
-    /// Whether new tasks may go there.
-    pub fn hears(&self) -> bool {
-        self.shown && self.lost.is_none_or(|t| self.direct <= t)
+    /// Whether new tasks may be placed on the agent.
+    pub fn receives(&self) -> bool {
+        let still_sends = |since: Micros| self.last_direct_heartbeat > since;
+        self.confirmed && !self.unanswered_since.is_some_and(still_sends)
     }
 
-    /// Since when it seems to hear nothing.
+    /// Since when the agent seems to receive nothing.
     pub fn suspected_since(&self) -> Option<Micros> {
-        self.suspected
+        self.suspected_since
     }
 
-    /// A new session has begun: a lease has run out, or the machine began anew.
-    pub fn began(&mut self, now: Micros) {
-        self.shown = false;
-        self.look(now);
+    /// A new epoch has begun: the agent's lease has expired, or the agent was restarted.
+    pub fn on_new_epoch(&mut self, now: Micros) {
+        self.confirmed = false;
+        self.update_suspicion(now);
     }
 
-    /// It has shown something that it can only have from us or from those who act for us.
-    pub fn showed(&mut self, now: Micros) {
-        self.shown = true;
-        self.look(now);
+    /// The agent has reported something that it can only have from us or from a peer that acts for us.
+    pub fn on_confirmation(&mut self, now: Micros) {
+        self.confirmed = true;
+        self.update_suspicion(now);
     }
 
-    /// It has answered direct commands.
-    pub fn answered(&mut self, now: Micros) {
-        self.lost = None;
-        self.showed(now);
+    /// The agent has answered direct commands.
+    pub fn on_commands_answered(&mut self, now: Micros) {
+        self.unanswered_since = None;
+        self.on_confirmation(now);
     }
 
-    /// Direct commands got no answer.
-    pub fn unanswered(&mut self, now: Micros) {
-        self.lost = self.lost.or(Some(now));
-        self.look(now);
+    /// Direct commands were not answered.
+    pub fn on_commands_unanswered(&mut self, now: Micros) {
+        self.unanswered_since = self.unanswered_since.or(Some(now));
+        self.update_suspicion(now);
     }
 
-    /// A report of its own has come to us directly.
-    pub fn reported(&mut self, now: Micros) {
-        self.direct = now;
-        self.look(now);
+    /// A heartbeat of the agent has arrived here directly.
+    pub fn on_direct_heartbeat(&mut self, now: Micros) {
+        self.last_direct_heartbeat = now;
+        self.update_suspicion(now);
     }
 
-    fn look(&mut self, now: Micros) {
-        self.suspected = match self.hears() {
+    fn update_suspicion(&mut self, now: Micros) {
+        self.suspected_since = match self.receives() {
             true => None,
-            false => self.suspected.or(Some(now)),
+            false => self.suspected_since.or(Some(now)),
         };
     }
 }
--- a/src/state/agent_reachability/tests.rs
+++ b/src/state/agent_reachability/tests.rs
@@ -1,36 +1,39 @@
-//! Tests.
+//! Tests of the reachability of agents.
 
 use super::*;
 
-const fn at(s: u64) -> Micros {
-    Micros::millis(s * 1000)
+const fn at(seconds: u64) -> Micros {
+    Micros::millis(seconds * 1000)
 }
 
 #[test]
-fn reports_alone_do_not_show_that_a_machine_hears() {
-    let mut h = AgentReachability::default();
-    h.reported(at(1));
-    assert!(h.hears());
-    // Its lease has run out under our answers.
-    h.began(at(12));
-    h.reported(at(13));
-    h.reported(at(15));
-    assert_eq!((h.hears(), h.suspected_since()), (false, Some(at(12))));
-    h.answered(at(16));
-    assert_eq!((h.hears(), h.suspected_since()), (true, None));
+fn heartbeats_alone_do_not_prove_that_an_agent_receives() {
+    let mut agent = AgentReachability::default();
+    agent.on_direct_heartbeat(at(1));
+    assert!(agent.receives());
+    // Its lease has expired although we answered its heartbeats.
+    agent.on_new_epoch(at(12));
+    agent.on_direct_heartbeat(at(13));
+    agent.on_direct_heartbeat(at(15));
+    assert_eq!(
+        (agent.receives(), agent.suspected_since()),
+        (false, Some(at(12)))
+    );
+    agent.on_commands_answered(at(16));
+    assert_eq!((agent.receives(), agent.suspected_since()), (true, None));
 }
 
 #[test]
-fn a_silent_machine_is_not_deaf_and_one_that_goes_on_reporting_is() {
-    let mut h = AgentReachability::default();
-    h.reported(at(1));
-    h.unanswered(at(4));
-    // It may be off, or only we may be cut off from it: its reports come by others.
-    assert!(h.hears());
-    h.reported(at(6));
-    assert_eq!(h.suspected_since(), Some(at(6)));
-    h.unanswered(at(9));
-    assert_eq!(h.suspected_since(), Some(at(6)));
-    h.answered(at(10));
-    assert!(h.hears());
+fn unanswered_commands_count_only_against_an_agent_that_goes_on_reporting() {
+    let mut agent = AgentReachability::default();
+    agent.on_direct_heartbeat(at(1));
+    agent.on_commands_unanswered(at(4));
+    // It may be down, or only we may be cut off from it: its heartbeats come through peers.
+    assert!(agent.receives());
+    agent.on_direct_heartbeat(at(6));
+    assert_eq!(agent.suspected_since(), Some(at(6)));
+    agent.on_commands_unanswered(at(9));
+    assert_eq!(agent.suspected_since(), Some(at(6)));
+    agent.on_commands_answered(at(10));
+    assert!(agent.receives());
 }
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -1,74 +1,84 @@
-//! Jobs as the copy holds them.
+//! Jobs as the record cache holds them.
 
 use crate::protocol::Micros;
 use crate::protocol::records::{CHUNK, JobRecord, JobStage, TaskChunk, TaskEntry};
 use std::collections::BTreeMap;
 
-/// A job that is not over, or whose tasks may still be somewhere.
+/// A further chunk of a large job.
+#[derive(Debug, Clone, Default)]
+pub struct StoredChunk {
+    /// The chunk, with placement batches overlaid.
+    pub chunk: TaskChunk,
+    /// Version of its record; 0: the chunk is known from placement batches only.
+    pub version: u64,
+}
+
+/// A job's chunks except the first, by number.
+pub type TaskChunks = BTreeMap<u32, StoredChunk>;
+
+/// A job that has not ended, or whose tasks may still run.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its record. A job that needs a cancelled one is cancelled by that fact: its stage says so here,
-    /// whether or not anybody ever writes it.
+    /// Its record, with placement batches overlaid. A job that depends on a cancelled one is thereby cancelled: the stage
+    /// says so here, whether or not it is ever written.
     pub rec: JobRecord,
     /// The record's version.
     pub version: u64,
-    /// Further chunks of large jobs with their versions.
-    pub chunks: BTreeMap<u32, (TaskChunk, u64)>,
-    /// How many of the jobs that it needs are not recorded as done.
-    pub unmet: usize,
-    /// Time of day from which its aims count: when the last job that it needs was done, or when it
-    /// was accepted. Without meaning while it waits for others.
-    pub released: Micros,
-    /// Places in record and chunks that only bundles hold.
-    pub bundled: Vec<TaskEntry>,
+    /// Further chunks of large jobs.
+    pub chunks: TaskChunks,
+    /// How many dependencies are not recorded as done.
+    pub unmet_dependencies: usize,
+    /// Time of day from which the job's time targets count: when its last dependency was done, or when it was accepted.
+    /// Meaningless while the job waits for dependencies.
+    pub released_at: Micros,
+    /// Places in the record and the chunks that only placement batches hold.
+    pub batched_places: Vec<TaskEntry>,
 }
 
 impl Job {
-    /// Waits for other jobs: nothing of it may start.
+    /// Whether the job waits for dependencies: none of its tasks may start.
     pub fn waits(&self) -> bool {
-        self.unmet > 0
+        self.unmet_dependencies > 0
     }
 
     /// The chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
         match task / CHUNK {
             0 => Some(&self.rec.first),
-            n => self.chunks.get(&n).map(|(c, _)| c),
+            number => self.chunks.get(&number).map(|stored| &stored.chunk),
         }
     }
 
     /// The newest attempt of a task.
     pub fn entry(&self, task: u32) -> Option<&TaskEntry> {
-        self.chunk_of(task).and_then(|c| c.entry(task))
+        self.chunk_of(task).and_then(|chunk| chunk.entry(task))
     }
 
     /// Whether a task is done.
     pub fn is_done(&self, task: u32) -> bool {
-        self.chunk_of(task).is_some_and(|c| c.is_done(task))
+        self.chunk_of(task).is_some_and(|chunk| chunk.is_done(task))
     }
 
-    /// All entries.
+    /// The newest attempts of all tasks that have any.
     pub fn entries(&self) -> impl Iterator<Item = &TaskEntry> {
-        let more = self.chunks.values().flat_map(|(c, _)| c.entries.iter());
-        self.rec.first.entries.iter().chain(more)
+        let further = self.chunks.values().flat_map(|s| s.chunk.entries.iter());
+        self.rec.first.entries.iter().chain(further)
     }
 
-    /// Tasks done.
+    /// The number of tasks that are done.
     pub fn done_count(&self) -> u64 {
-        let more = self
-            .chunks
-            .values()
-            .map(|(c, _)| c.done.count_ones() as u64);
-        self.rec.first.done.count_ones() as u64 + more.sum::<u64>()
+        let further = self.chunks.values();
+        let further: u64 = further.map(|s| s.chunk.done.count_ones() as u64).sum();
+        self.rec.first.done.count_ones() as u64 + further
     }
 
-    /// Not over.
+    /// Whether the job has not ended.
     pub fn active(&self) -> bool {
         self.rec.stage == JobStage::Active
     }
 }
 
-/// A job that is over, with nothing left to clean up.
+/// A job that has ended, with no task left to clean up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FinishedJob {
     /// Done or cancelled.
@@ -79,14 +89,14 @@
     pub version: u64,
     /// Time of day of the end.
     pub end: Micros,
-    /// It was a service.
+    /// Whether it was a service.
     pub service: bool,
 }
 
-/// What is known of a job.
+/// A known job.
 pub enum JobLookup<'a> {
-    /// Not over, or not yet cleaned up.
+    /// Not ended, or not yet cleaned up.
     Live(&'a Job),
-    /// Over.
-    Over(FinishedJob),
+    /// Ended and cleaned up.
+    Finished(FinishedJob),
 }
--- a/src/state/image_caches.rs
+++ b/src/state/image_caches.rs
@@ -1,87 +1,107 @@
-//! Which images machines probably hold.
+//! Estimate of the images that machines have cached.
 //!
-//! Machines cache the images used most recently (PROTOCOL, "POST /submissions"), and nobody tells
-//! which those are. They follow from what was placed there: every controller sees the placements in
-//! the records, so that a new leader knows from its first pass on where an image need not be fetched.
-//! Without it, each takeover would cost a fetch for most of what is started after it. It is a guess
-//! and only ranks machines; nothing is safe or unsafe by it.
+//! Machines cache the most recently used images (PROTOCOL, "POST /submissions") and do not report which. The estimate
+//! follows from the recorded placements, which every controller sees: a new leader knows from its first scheduling pass
+//! on where an image need not be fetched. Otherwise each change of leadership would cost a fetch for most of the tasks
+//! started after it. The estimate only ranks machines; no safety property depends on it.
 
 use std::collections::HashMap;
 
-/// Images remembered of one machine.
-const MOST_IMAGES: usize = 32;
-/// Machines remembered; names never come back, so those used longest ago are forgotten.
-const MOST_MACHINES: usize = 4_000;
+/// Images remembered per machine.
+const MAX_IMAGES_PER_MACHINE: usize = 32;
+/// Machines remembered after a cleanup. Names of machines are never reused, so the least recently used are forgotten.
+const MAX_MACHINES: usize = 4_000;
+/// A cleanup happens once there are this many machines more.
+const MACHINES_BETWEEN_CLEANUPS: usize = MAX_MACHINES / 4;
 
-/// An image and its size in GB.
-type Sized = (String, f64);
+#[derive(Debug)]
+struct CachedImage {
+    name: String,
+    size_gb: f64,
+}
 
+/// The images of one machine.
 #[derive(Debug, Default)]
-struct Cache {
-    /// Used longest ago first.
-    images: Vec<Sized>,
-    used: u64,
+struct MachineCache {
+    /// Least recently used first.
+    images: Vec<CachedImage>,
+    /// Value of `ImageCaches::changes` at the last change.
+    changed_at: u64,
 }
 
 /// The images of all machines.
 #[derive(Debug, Default)]
 pub struct ImageCaches {
-    machines: HashMap<String, Cache>,
-    uses: u64,
+    machines: HashMap<String, MachineCache>,
+    /// Counts the changes of all machines.
+    changes: u64,
 }
 
 impl ImageCaches {
-    /// A task that needs this image is placed or seen on the machine.
-    pub fn used(&mut self, machine: &str, image: &str, gb: f64) {
-        self.uses += 1;
-        let uses = self.uses;
+    /// A task that runs this image was placed or reported on the machine.
+    pub fn used(&mut self, machine: &str, image: &str, size_gb: f64) {
+        self.changes += 1;
+        // `entry` would copy the name of a known machine, too.
         let cache = match self.machines.get_mut(machine) {
-            Some(c) => c,
+            Some(cache) => cache,
             None => self.machines.entry(machine.to_string()).or_default(),
         };
-        cache.used = uses;
-        match cache.images.iter().position(|(i, _)| i == image) {
-            Some(at) => cache.images[at..].rotate_left(1),
-            None => {
-                if cache.images.len() >= MOST_IMAGES {
-                    cache.images.remove(0);
-                }
-                cache.images.push((image.to_string(), gb));
-            }
-        }
-        if self.machines.len() > MOST_MACHINES + MOST_MACHINES / 4 {
-            let mut ages: Vec<u64> = self.machines.values().map(|c| c.used).collect();
-            ages.sort_unstable();
-            let oldest = ages[ages.len() - MOST_MACHINES];
-            self.machines.retain(|_, c| c.used >= oldest);
+        cache.changed_at = self.changes;
+        cache.touch(image, size_gb);
+        if self.machines.len() > MAX_MACHINES + MACHINES_BETWEEN_CLEANUPS {
+            self.forget_oldest_machines();
         }
     }
 
-    /// The machine has given the fetch up: no task there needs the image any more.
+    fn forget_oldest_machines(&mut self) {
+        let mut ages: Vec<u64> = self.machines.values().map(|c| c.changed_at).collect();
+        ages.sort_unstable();
+        let oldest_kept = ages[ages.len() - MAX_MACHINES];
+        self.machines.retain(|_, c| c.changed_at >= oldest_kept);
+    }
+
+    /// The machine has given up fetching the image: no task there needs it any more.
     pub fn given_up(&mut self, machine: &str, image: &str) {
-        if let Some(c) = self.machines.get_mut(machine) {
-            self.uses += 1;
-            c.used = self.uses;
-            c.images.retain(|(i, _)| i != image);
+        if let Some(cache) = self.machines.get_mut(machine) {
+            self.changes += 1;
+            cache.changed_at = self.changes;
+            cache.images.retain(|i| i.name != image);
         }
     }
 
-    /// Changes with every change of what the machine has.
+    /// Changes with every change of the machine's images.
     pub fn version(&self, machine: &str) -> u64 {
-        self.machines.get(machine).map_or(0, |c| c.used)
+        self.machines.get(machine).map_or(0, |c| c.changed_at)
     }
 
-    /// What a machine whose cache holds so many GB probably has, used last first.
+    /// The images that a machine with a cache of this size probably has, most recently used first.
     pub fn of(&self, machine: &str, cache_gb: f64) -> impl Iterator<Item = &str> {
-        let all = self.machines.get(machine).into_iter();
-        let newest_first = all.flat_map(|c| c.images.iter().rev());
+        let cache = self.machines.get(machine).into_iter();
+        let newest_first = cache.flat_map(|c| c.images.iter().rev());
         newest_first
-            .scan(0.0, move |sum, (image, gb)| {
-                *sum += gb;
-                Some((image.as_str(), *sum <= cache_gb))
+            .scan(0.0, move |total_gb, image| {
+                *total_gb += image.size_gb;
+                Some((image.name.as_str(), *total_gb <= cache_gb))
             })
             .take_while(|(_, fits)| *fits)
-            .map(|(image, _)| image)
+            .map(|(name, _)| name)
+    }
+}
+
+impl MachineCache {
+    /// Makes the image the most recently used one.
+    fn touch(&mut self, image: &str, size_gb: f64) {
+        if let Some(index) = self.images.iter().position(|i| i.name == image) {
+            self.images[index..].rotate_left(1);
+            return;
+        }
+        if self.images.len() >= MAX_IMAGES_PER_MACHINE {
+            self.images.remove(0);
+        }
+        self.images.push(CachedImage {
+            name: image.to_string(),
+            size_gb,
+        });
     }
 }
 
--- a/src/state/placement_batches.rs
+++ b/src/state/placement_batches.rs
@@ -1,124 +1,149 @@
-//! Bundles as they are in the store: places of many jobs in one record, laid over what the jobs' own
-//! records say. See `records::PlacementBatch` for which of the two counts.
+//! Cache of the placement batches: records that each hold the places of many jobs and are overlaid on the jobs' own
+//! records. See `records::PlacementBatch` for which of the two counts.
 
 use crate::protocol::records::{CHUNK, PlacementBatch, TaskChunk, TaskEntry};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// All bundles.
+/// A batch and the version of its record.
+#[derive(Debug)]
+struct StoredBatch {
+    batch: PlacementBatch,
+    version: u64,
+}
+
+/// All placement batches, by number.
 #[derive(Debug, Default)]
 pub struct PlacementBatches {
-    all: BTreeMap<u32, (PlacementBatch, u64)>,
-    /// Bundles that name a job.
-    of: HashMap<String, BTreeSet<u32>>,
-    head: u64,
+    batches: BTreeMap<u32, StoredBatch>,
+    /// Numbers of the batches that name a job, by job.
+    batches_by_job: HashMap<String, BTreeSet<u32>>,
+    head_version: u64,
 }
 
 impl PlacementBatches {
-    /// Version of the record that changes with every bundle; 0: none was ever written.
+    /// Version of the record that changes with every batch; 0: no batch was ever written.
     pub fn head(&self) -> u64 {
-        self.head
+        self.head_version
     }
 
-    /// A bundle has been written.
-    pub fn moved(&mut self, version: u64) {
-        self.head = self.head.max(version);
+    /// The record that changes with every batch has been written.
+    pub fn note_head(&mut self, version: u64) {
+        self.head_version = self.head_version.max(version);
     }
 
-    /// No bundle is there.
+    /// Whether there is no batch.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.batches.is_empty()
     }
 
-    /// Version of a bundle, 0: there is none.
-    pub fn version(&self, n: u32) -> u64 {
-        self.all.get(&n).map_or(0, |(_, v)| *v)
+    /// Version of a batch; 0: there is none with this number.
+    pub fn version(&self, number: u32) -> u64 {
+        self.batches.get(&number).map_or(0, |b| b.version)
     }
 
-    /// Numbers of all bundles, with their versions.
+    /// Numbers of all batches, with their versions.
     pub fn numbers(&self) -> impl Iterator<Item = (u32, u64)> {
-        self.all.iter().map(|(n, (_, v))| (*n, *v))
+        let batches = self.batches.iter();
+        batches.map(|(number, stored)| (*number, stored.version))
     }
 
-    /// Jobs that a bundle names, with their places.
-    pub fn places(&self, n: u32) -> &[(String, Vec<TaskEntry>)] {
-        self.all.get(&n).map_or(&[], |(b, _)| &b.places)
+    /// Jobs that a batch names, with their places.
+    pub fn places(&self, number: u32) -> &[(String, Vec<TaskEntry>)] {
+        let stored = self.batches.get(&number);
+        stored.map_or(&[], |b| &b.batch.places)
     }
 
-    /// Whether any bundle names the job.
-    pub fn name(&self, id: &str) -> bool {
-        self.of.contains_key(id)
+    /// Whether any batch names the job.
+    pub fn has_job(&self, id: &str) -> bool {
+        self.batches_by_job.contains_key(id)
     }
 
-    /// All places of a job.
-    fn rows<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
-        let numbers = self.of.get(id).into_iter().flatten();
+    /// The job's places in all batches, in the order of the batches' numbers.
+    fn places_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
+        let numbers = self.batches_by_job.get(id).into_iter().flatten();
         numbers
-            .flat_map(|n| self.places(*n))
+            .flat_map(|number| self.places(*number))
             .filter(move |(job, _)| job == id)
             .flat_map(|(_, places)| places)
     }
 
-    /// Chunks of a job that its places are in.
+    /// Numbers of the job's chunks that have places in batches.
     pub fn chunks(&self, id: &str) -> BTreeSet<u32> {
-        self.rows(id).map(|e| e.task() / CHUNK).collect()
+        self.places_of(id).map(|p| p.task() / CHUNK).collect()
     }
 
-    /// The lowest number that no bundle and none of these has.
-    pub fn free(&self, taken: &BTreeSet<u32>) -> u32 {
-        let used = |n: &u32| self.all.contains_key(n) || taken.contains(n);
-        (0..).find(|n| !used(n)).unwrap_or(u32::MAX)
+    /// The lowest number that neither a batch nor `taken` has.
+    pub fn free_number(&self, taken: &BTreeSet<u32>) -> u32 {
+        let is_used = |n: &u32| self.batches.contains_key(n) || taken.contains(n);
+        (0..).find(|n| !is_used(n)).unwrap_or(u32::MAX)
     }
 
-    /// Keeps a bundle; false if it is no newer than the one held.
-    pub fn put(&mut self, n: u32, bundle: PlacementBatch, version: u64) -> bool {
-        if self.version(n) >= version {
+    /// Puts a batch; returns false if the cache has this version or a newer one.
+    pub fn put(&mut self, number: u32, batch: PlacementBatch, version: u64) -> bool {
+        if self.version(number) >= version {
             return false;
         }
-        self.forget(n);
-        for (id, _) in &bundle.places {
-            self.of.entry(id.clone()).or_default().insert(n);
+        self.remove(number);
+        for (id, _) in &batch.places {
+            let numbers = self.batches_by_job.entry(id.clone()).or_default();
+            numbers.insert(number);
         }
-        self.all.insert(n, (bundle, version));
+        self.batches.insert(number, StoredBatch { batch, version });
         true
     }
 
-    /// A bundle has been deleted at this revision.
-    pub fn delete(&mut self, n: u32, version: u64) {
-        if self.version(n) < version {
-            self.forget(n);
+    /// Removes a batch that has been deleted at this revision, unless the cached one is newer.
+    pub fn delete(&mut self, number: u32, version: u64) {
+        if self.version(number) < version {
+            self.remove(number);
         }
     }
 
-    fn forget(&mut self, n: u32) {
-        for (id, _) in self.all.remove(&n).into_iter().flat_map(|(b, _)| b.places) {
-            if let Some(set) = self.of.get_mut(&id) {
-                set.remove(&n);
-                if set.is_empty() {
-                    self.of.remove(&id);
+    fn remove(&mut self, number: u32) {
+        let Some(stored) = self.batches.remove(&number) else {
+            return;
+        };
+        for (id, _) in stored.batch.places {
+            if let Some(numbers) = self.batches_by_job.get_mut(&id) {
+                numbers.remove(&number);
+                if numbers.is_empty() {
+                    self.batches_by_job.remove(&id);
                 }
             }
         }
     }
 
-    /// Lays a job's places over a chunk as its own record has it, and notes in `counting` which of
-    /// them count.
-    pub fn lay(&self, id: &str, n: u32, chunk: &mut TaskChunk, counting: &mut Vec<TaskEntry>) {
-        counting.retain(|e| e.task() / CHUNK != n);
-        for e in self.rows(id).filter(|e| e.task() / CHUNK == n) {
-            lay_one(chunk, e, counting);
+    /// Overlays the job's places on chunk `number` as its own record has it, and updates `effective`: the places of the
+    /// job that only batches hold.
+    pub fn overlay(
+        &self,
+        id: &str,
+        number: u32,
+        chunk: &mut TaskChunk,
+        effective: &mut Vec<TaskEntry>,
+    ) {
+        effective.retain(|place| place.task() / CHUNK != number);
+        let places = self.places_of(id);
+        for place in places.filter(|p| p.task() / CHUNK == number) {
+            overlay_place(chunk, place, effective);
         }
     }
 }
 
-/// Lays one place over a chunk; tells whether it counts.
-pub fn lay_one(chunk: &mut TaskChunk, e: &TaskEntry, counting: &mut Vec<TaskEntry>) -> bool {
-    let held = chunk.entry(e.task());
-    if chunk.is_done(e.task()) || held.is_some_and(|h| h.attempt() >= e.attempt()) {
+/// Overlays one place on its chunk; returns whether it counts. It does not if its task is done or has a later attempt.
+pub fn overlay_place(
+    chunk: &mut TaskChunk,
+    place: &TaskEntry,
+    effective: &mut Vec<TaskEntry>,
+) -> bool {
+    let task = place.task();
+    let recorded = chunk.entry(task);
+    if chunk.is_done(task) || recorded.is_some_and(|r| r.attempt() >= place.attempt()) {
         return false;
     }
-    chunk.set(e.clone());
-    counting.retain(|c| c.task() != e.task());
-    counting.push(e.clone());
+    chunk.set(place.clone());
+    effective.retain(|other| other.task() != task);
+    effective.push(place.clone());
     true
 }
 
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -1,4 +1,4 @@
-//! Tests.
+//! Tests of the overlay of placement batches.
 
 use super::*;
 
@@ -6,45 +6,45 @@
     TaskEntry(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
-fn bundle(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
+fn batch(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
         places: vec![(job.to_string(), places)],
     }
 }
 
 #[test]
-fn the_later_attempt_counts_and_what_is_done_does_not() {
-    let mut b = PlacementBatches::default();
-    b.put(
+fn the_later_attempt_counts_and_done_tasks_are_left_alone() {
+    let mut batches = PlacementBatches::default();
+    batches.put(
         0,
-        bundle("j", vec![entry(0, 2), entry(1, 2), entry(3, 1)]),
+        batch("j", vec![entry(0, 2), entry(1, 2), entry(3, 1)]),
         5,
     );
-    b.put(1, bundle("j", vec![entry(0, 3), entry(50, 1)]), 6);
+    batches.put(1, batch("j", vec![entry(0, 3), entry(50, 1)]), 6);
     let mut chunk = TaskChunk::default();
     chunk.set(entry(0, 1));
     chunk.set(entry(1, 4));
     chunk.finish(3);
-    let mut counting = Vec::new();
-    b.lay("j", 0, &mut chunk, &mut counting);
+    let mut effective = Vec::new();
+    batches.overlay("j", 0, &mut chunk, &mut effective);
     assert_eq!(chunk.entries, [entry(0, 3), entry(1, 4)]);
-    assert_eq!(counting, [entry(0, 3)]);
-    assert_eq!(b.chunks("j"), BTreeSet::from([0, 1]));
+    assert_eq!(effective, [entry(0, 3)]);
+    assert_eq!(batches.chunks("j"), BTreeSet::from([0, 1]));
     // Once the job's own record holds the place, it no longer counts.
-    b.lay("j", 0, &mut chunk, &mut counting);
-    assert!(counting.is_empty());
+    batches.overlay("j", 0, &mut chunk, &mut effective);
+    assert!(effective.is_empty());
 }
 
 #[test]
-fn older_bundles_change_nothing_and_numbers_are_used_again() {
-    let mut b = PlacementBatches::default();
-    assert!(b.put(0, bundle("j", vec![entry(0, 1)]), 5));
-    assert!(!b.put(0, bundle("k", vec![entry(0, 1)]), 4));
-    assert!(b.name("j") && !b.name("k"));
-    assert_eq!(b.free(&BTreeSet::from([1])), 2);
-    b.delete(0, 4);
-    assert!(b.name("j"));
-    b.delete(0, 6);
-    assert!(b.is_empty() && !b.name("j"));
-    assert_eq!(b.free(&BTreeSet::new()), 0);
+fn older_batches_are_ignored_and_numbers_are_reused() {
+    let mut batches = PlacementBatches::default();
+    assert!(batches.put(0, batch("j", vec![entry(0, 1)]), 5));
+    assert!(!batches.put(0, batch("k", vec![entry(0, 1)]), 4));
+    assert!(batches.has_job("j") && !batches.has_job("k"));
+    assert_eq!(batches.free_number(&BTreeSet::from([1])), 2);
+    batches.delete(0, 4);
+    assert!(batches.has_job("j"));
+    batches.delete(0, 6);
+    assert!(batches.is_empty() && !batches.has_job("j"));
+    assert_eq!(batches.free_number(&BTreeSet::new()), 0);
 }
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -1,108 +1,93 @@
-//! A copy of our records in the state service, fed by listings, watches and own commits.
+//! Cache of the records in the key-value store. Listings, watches and the controller's own commits feed it.
+
+mod job_records;
+mod listing;
 
 use crate::protocol::cloud_api::{MachineType, MachineTypes};
 use crate::protocol::codec::from_value;
-use crate::protocol::key_value_api::{ItemPage, WatchResponse};
+use crate::protocol::format;
+use crate::protocol::key_value_api::WatchResponse;
 use crate::protocol::records::{
-    BASE, BUNDLED, BUNDLES, BudgetSharesRecord, CHUNK, CHUNKS, FORMATS, JOBS, JobRecord, JobStage,
-    LEAD, LIVE, LeaderRecord, PARTS, PlacementBatch, RENEWALS, RenewalsRecord, TYPES, TaskChunk,
-    TaskEntry, bundle_key, bundle_number, renew_key,
+    BUNDLES, BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PlacementBatch, RENEWALS,
+    RenewalsRecord, TaskChunk, renew_key,
 };
-use crate::protocol::{JobKind, Micros, format};
+use crate::state::cached_job::TaskChunks;
 pub use crate::state::cached_job::{FinishedJob, Job, JobLookup};
 use crate::state::image_caches::ImageCaches;
-use crate::state::placement_batches::{PlacementBatches, lay_one};
+use crate::state::placed_tasks::PlacedTasks;
+use crate::state::placement_batches::PlacementBatches;
+use crate::state::record_key::RecordKey;
 use admission_control::parts::Grant;
+use listing::Listing;
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The copy.
+/// The cached records. A `u64` next to a record is its version: the store's revision that wrote it.
 #[derive(Default)]
 pub struct RecordCache {
-    /// Complete up to this revision.
+    /// The cache contains every change up to this revision.
     pub revision: u64,
-    /// The records have been read once.
+    /// Whether all records have been listed once.
     pub synced: bool,
-    /// Who leads, and the version of that record.
+    /// The leader's record.
     pub lead: Option<(LeaderRecord, u64)>,
-    /// Version of the key on the leader's lease.
-    pub live: Option<u64>,
-    /// Machine types.
+    /// Version of the key that is attached to the leader's lease.
+    pub leader_lease_version: Option<u64>,
+    /// The cloud's machine types.
     pub types: Option<Vec<MachineType>>,
-    /// How many machines were up before we rented any, once that has been seen.
-    pub base: Option<u64>,
-    /// Which images machines probably hold, from the places on record.
-    pub images: ImageCaches,
-    /// Places of many jobs in one record each; they are laid over `jobs`.
-    pub bundles: PlacementBatches,
-    /// Parts of the budget of changes, with the record's version.
-    pub parts: Option<(Grant, u64)>,
-    /// Jobs that matter.
+    /// The number of machines that were up before we rented any, once it is on record.
+    pub initial_machines: Option<u64>,
+    /// Images that machines probably have, according to the recorded placements.
+    pub image_caches: ImageCaches,
+    /// Placements of many jobs in one record each. They are overlaid on `jobs`.
+    pub placement_batches: PlacementBatches,
+    /// The controllers' shares of the write budget.
+    pub budget_shares: Option<(Grant, u64)>,
+    /// Jobs that are not finished, or whose tasks may still run.
     pub jobs: BTreeMap<String, Job>,
-    /// What followers renew, by node, with the record's version.
+    /// Lease renewals delegated to followers, by node (`node/n` for further parts).
     pub renewals: BTreeMap<String, (RenewalsRecord, u64)>,
-    over: BTreeMap<String, FinishedJob>,
-    /// Jobs that wait for a job, by the job they wait for, which need not be in the copy yet.
+    /// Revision of the newest cancellation or change of leadership in the cache.
+    pub last_cancellation_or_claim: u64,
+    /// Counts the changes of `renewals`.
+    pub renewals_generation: u64,
+    finished: BTreeMap<String, FinishedJob>,
+    /// Jobs by the job that they depend on, which the cache may not contain yet.
     dependents: BTreeMap<String, Vec<String>>,
-    /// Newest format that each controller reads, with the version of that record.
+    /// Newest format that each node reads.
     formats: BTreeMap<String, (u32, u64)>,
-    orphans: BTreeMap<String, BTreeMap<u32, (TaskChunk, u64)>>,
-    /// Keys met during a rereading, to find those deleted meanwhile.
-    met: Option<(BTreeSet<String>, u64)>,
-    /// Revision of the newest cancellation or change of the lead in the copy.
-    pub newest: u64,
-    /// Jobs newly shown to be cancelled since somebody last took the list, with their records' versions. Not those
-    /// that are so only because of a job that they need: nothing of these ever started.
+    /// Chunks that were read before the record of their job.
+    chunks_without_job: BTreeMap<String, TaskChunks>,
+    /// The listing in progress, if any.
+    listing: Option<Listing>,
+    /// Jobs newly seen as cancelled since `take_cancelled` was last called, with their records' versions. Jobs that
+    /// are cancelled only because of a dependency are not included: none of their tasks was ever started.
     cancelled: Vec<(String, u64)>,
-    /// Counts changes of the renewals.
-    pub renewals_changed: u64,
-    /// Jobs whose records have changed since somebody last took the list.
+    /// Jobs whose records have changed since `take_changed` was last called.
     changed: BTreeSet<String>,
-    /// Live jobs that are over, with tasks that may still be somewhere.
-    ending: BTreeSet<String>,
-    /// Tasks with an attempt on record, by machine.
-    placed: BTreeMap<String, BTreeSet<(String, u32)>>,
-    /// Job records, chunks and bundles that cannot be read, with their versions: of these jobs nothing is said and
-    /// nothing started.
+    /// Ended jobs that stay in `jobs` because tasks of theirs may still run.
+    ended_with_tasks: BTreeSet<String>,
+    placed_tasks: PlacedTasks,
+    /// Keys of job records, chunks and placement batches that cannot be read, with their versions. No question about
+    /// these jobs is answered and none of their tasks is started.
     unreadable: BTreeMap<String, u64>,
 }
 
 impl RecordCache {
-    /// Whether a record of a job cannot be read: whatever else the copy holds of it may be older.
+    /// Whether a record of the job cannot be read: then everything else that the cache has of it may be outdated.
     pub fn is_unreadable(&self, id: &str) -> bool {
-        let of = |key: &String| {
-            let chunk = key.strip_prefix(CHUNKS).and_then(|k| k.split_once('/'));
-            key.strip_prefix(JOBS) == Some(id) || chunk.is_some_and(|(job, _)| job == id)
+        let belongs_to_job = |key: &String| match RecordKey::parse(key) {
+            RecordKey::Job(job) | RecordKey::Chunk { job, .. } => job == id,
+            _ => false,
         };
-        !self.unreadable.is_empty() && self.unreadable.keys().any(of)
+        self.unreadable.keys().any(belongs_to_job)
     }
 
-    /// Whether a bundle cannot be read: it may hold places of any job.
-    pub fn is_blind(&self) -> bool {
+    /// Whether a placement batch cannot be read: it may hold placements of any job.
+    pub fn has_unreadable_batch(&self) -> bool {
         let first = self.unreadable.range(BUNDLES.to_string()..).next();
-        first.is_some_and(|(k, _)| k.starts_with(BUNDLES))
-    }
-
-    /// A value as one of our records; none, with a line in the log, if it cannot be read.
-    fn read<T: DeserializeOwned>(&mut self, key: &str, value: &Value, version: u64) -> Option<T> {
-        let rec = from_value(value);
-        if rec.is_some() {
-            self.readable(key, version);
-        } else {
-            log::error!("the record {key} cannot be read");
-            if [JOBS, CHUNKS, BUNDLES].iter().any(|p| key.starts_with(p)) {
-                self.unreadable.insert(key.to_string(), version);
-            }
-        }
-        rec
-    }
-
-    /// A record is not what it was any more, unless this is older.
-    fn readable(&mut self, key: &str, version: u64) {
-        if self.unreadable.get(key).is_some_and(|v| *v < version) {
-            self.unreadable.remove(key);
-        }
+        first.is_some_and(|(key, _)| key.starts_with(BUNDLES))
     }
 
     /// Whether a job is known to be cancelled.
@@ -116,60 +101,60 @@
     }
 
     fn stage(&self, id: &str) -> Option<JobStage> {
-        Some(match self.job(id)? {
-            JobLookup::Live(j) => j.rec.stage,
-            JobLookup::Over(f) => f.stage,
-        })
+        match self.job(id)? {
+            JobLookup::Live(job) => Some(job.rec.stage),
+            JobLookup::Finished(job) => Some(job.stage),
+        }
     }
 
     /// Looks up a job.
     pub fn job(&self, id: &str) -> Option<JobLookup<'_>> {
-        if let Some(f) = self.over.get(id) {
-            return Some(JobLookup::Over(*f));
+        if let Some(job) = self.finished.get(id) {
+            return Some(JobLookup::Finished(*job));
         }
         self.jobs.get(id).map(JobLookup::Live)
     }
 
-    /// Live jobs that wait for this one directly.
+    /// Active jobs that depend on this one directly.
     pub fn dependents(&self, id: &str) -> impl Iterator<Item = (&str, &Job)> {
-        let names = self.dependents.get(id).into_iter().flatten();
-        names.filter_map(|d| {
-            let job = self.jobs.get(d).filter(|j| j.active())?;
-            Some((d.as_str(), job))
+        let ids = self.dependents.get(id).into_iter().flatten();
+        ids.filter_map(|dependent| {
+            let job = self.jobs.get(dependent).filter(|j| j.active())?;
+            Some((dependent.as_str(), job))
         })
     }
 
-    /// Live jobs that are over, with tasks that may still be somewhere.
-    pub fn ending(&self) -> impl Iterator<Item = &String> {
-        self.ending.iter()
+    /// Ended jobs whose tasks may still run.
+    pub fn ended_with_tasks(&self) -> impl Iterator<Item = &String> {
+        self.ended_with_tasks.iter()
     }
 
-    /// Live jobs that wait for others; one that waits for several comes as often.
-    pub fn waiting(&self) -> impl Iterator<Item = &Job> {
-        let names = self.dependents.values().flatten();
-        let jobs = names.filter_map(|id| self.jobs.get(id));
+    /// Active jobs that wait for dependencies; a job appears once per dependency that it waits for.
+    pub fn waiting_jobs(&self) -> impl Iterator<Item = &Job> {
+        let ids = self.dependents.values().flatten();
+        let jobs = ids.filter_map(|id| self.jobs.get(id));
         jobs.filter(|j| j.active() && j.waits())
     }
 
-    /// Whether any job waits for others.
-    pub fn any_wait(&self) -> bool {
+    /// Whether any job waits for a dependency.
+    pub fn has_waiting_jobs(&self) -> bool {
         !self.dependents.is_empty()
     }
 
-    /// The newest format that a controller reads, with the version of the record that says so (0:
-    /// none, it is of the first version).
+    /// The newest format that a node reads, with the version of the record that says so. A node without a record (version
+    /// 0) reads the first format.
     pub fn format_of(&self, node: &str) -> (u32, u64) {
         *self.formats.get(node).unwrap_or(&(format::FIRST, 0))
     }
 
-    /// The parts of a follower's record of renewals with their versions; part 0 is always there.
+    /// The parts of a follower's renewals; the result always has part 0, be it `None`.
     pub fn renewals_of(&self, node: &str) -> Vec<Option<&(RenewalsRecord, u64)>> {
-        let part = |n: usize| {
-            let key = renew_key(node, n);
+        let part = |number: usize| {
+            let key = renew_key(node, number);
             self.renewals.get(key.trim_start_matches(RENEWALS))
         };
-        let more = (1..).map(part).take_while(Option::is_some);
-        [part(0)].into_iter().chain(more).collect()
+        let further = (1..).map(part).take_while(Option::is_some);
+        [part(0)].into_iter().chain(further).collect()
     }
 
     /// Jobs whose records have changed since the last call.
@@ -177,408 +162,165 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Jobs newly shown to be cancelled since the last call.
+    /// Jobs newly seen as cancelled since the last call, with their records' versions.
     pub fn take_cancelled(&mut self) -> Vec<(String, u64)> {
         std::mem::take(&mut self.cancelled)
     }
 
-    /// Tasks that have an attempt on record on this machine. Kept up with every record, so that
-    /// looking at one machine does not cost a walk over all jobs.
+    /// Tasks that have an attempt on record on this machine, as job id and task number.
     pub fn placed(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
-        self.placed.get(machine).into_iter().flatten()
-    }
-
-    /// Brings the index by machine from a chunk's old entries to its new ones. `image`: of the job,
-    /// if it is known yet.
-    fn relink(
-        &mut self,
-        id: &str,
-        old: &[TaskEntry],
-        new: &[TaskEntry],
-        image: Option<(&str, f64)>,
-    ) {
-        let at = |list: &[TaskEntry], e: &TaskEntry| {
-            list.binary_search_by_key(&e.task(), TaskEntry::task)
-                .is_ok_and(|i| list[i].machine() == e.machine())
-        };
-        for e in old {
-            if let Some(m) = e.machine()
-                && !at(new, e)
-                && let Some(set) = self.placed.get_mut(m)
-            {
-                set.remove(&(id.to_string(), e.task()));
-                if set.is_empty() {
-                    self.placed.remove(m);
-                }
-            }
-        }
-        for e in new {
-            if let Some(m) = e.machine()
-                && !at(old, e)
-            {
-                let set = self.placed.entry(m.to_string()).or_default();
-                set.insert((id.to_string(), e.task()));
-                if let Some((image, gb)) = image {
-                    self.images.used(m, image, gb);
-                }
-            }
-        }
+        self.placed_tasks.on(machine)
     }
 
-    /// Applies a watch's answer.
-    pub fn apply(&mut self, answer: WatchResponse) {
-        for e in answer.events {
-            if e.version <= self.revision {
+    /// Applies the changes that a watch has returned.
+    pub fn apply_watch_response(&mut self, response: WatchResponse) {
+        for event in response.events {
+            if event.version <= self.revision {
                 continue;
             }
-            match (e.put, e.value, e.deleted) {
-                (Some(key), Some(value), _) => self.put(&key, value, e.version),
-                (_, _, Some(key)) => self.delete(&key, e.version),
+            match (event.put, event.value, event.deleted) {
+                (Some(key), Some(value), _) => self.put(&key, value, event.version),
+                (_, _, Some(key)) => self.delete(&key, event.version),
                 _ => {}
             }
         }
-        self.revision = self.revision.max(answer.revision);
+        self.revision = self.revision.max(response.revision);
     }
 
-    /// Applies a page of a listing; true when it was the last. The first page's revision is
-    /// where watching must begin.
-    pub fn apply_page(&mut self, page: ItemPage) -> bool {
-        let (met, _) = self
-            .met
-            .get_or_insert_with(|| (BTreeSet::new(), page.revision));
-        for i in &page.items {
-            met.insert(i.key.clone());
-        }
-        for i in page.items {
-            self.put(&i.key, i.value, i.version);
-        }
-        if page.more {
-            return false;
-        }
-        if let Some((met, revision)) = self.met.take() {
-            let lost: Vec<String> = self
-                .jobs
-                .keys()
-                .map(|id| format!("{JOBS}{id}"))
-                .chain(self.renewals.keys().map(|n| format!("{RENEWALS}{n}")))
-                .chain(self.formats.keys().map(|n| format!("{FORMATS}{n}")))
-                .chain(self.bundles.numbers().map(|(n, _)| bundle_key(n)))
-                .chain([LEAD.to_string(), LIVE.to_string()])
-                .filter(|k| !met.contains(k))
-                .collect();
-            // Keys of ours younger than the listing survive: their version exceeds it.
-            for key in lost {
-                self.delete(&key, revision);
-            }
-            self.revision = self.revision.max(revision);
-            self.synced = true;
-        }
-        true
-    }
-
-    /// Puts one record; older versions than the one held are ignored.
+    /// Puts a record into the cache, unless the cache has a newer version of it.
     pub fn put(&mut self, key: &str, value: Value, version: u64) {
-        if key == LEAD {
-            if self.lead.as_ref().is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<LeaderRecord>(key, &value, version)
-            {
-                self.lead = Some((rec, version));
-                self.newest = self.newest.max(version);
-            }
-        } else if key == LIVE {
-            self.live = self.live.max(Some(version));
-        } else if key == TYPES {
-            if let Some(t) = self.read::<MachineTypes>(key, &value, version) {
-                self.types = Some(t.types);
-            }
-        } else if key == BASE {
-            self.base = self.read::<u64>(key, &value, version);
-        } else if let Some(node) = key.strip_prefix(RENEWALS) {
-            if self.renewals.get(node).is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<RenewalsRecord>(key, &value, version)
-            {
-                self.renewals.insert(node.to_string(), (rec, version));
-                self.renewals_changed += 1;
+        match RecordKey::parse(key) {
+            RecordKey::Leader => self.put_leader(key, &value, version),
+            RecordKey::LeaderLease => {
+                self.leader_lease_version = self.leader_lease_version.max(Some(version));
             }
-        } else if let Some(node) = key.strip_prefix(FORMATS) {
-            if self.format_of(node).1 < version
-                && let Some(n) = self.read::<u32>(key, &value, version)
-            {
-                self.formats.insert(node.to_string(), (n, version));
+            RecordKey::MachineTypes => {
+                if let Some(types) = self.read::<MachineTypes>(key, &value, version) {
+                    self.types = Some(types.types);
+                }
             }
-        } else if key == PARTS {
-            if self.parts.as_ref().is_none_or(|(_, v)| *v < version)
-                && let Some(rec) = self.read::<BudgetSharesRecord>(key, &value, version)
-            {
-                self.parts = Some((rec.grant(), version));
+            RecordKey::InitialMachines => {
+                self.initial_machines = self.read::<u64>(key, &value, version);
             }
-        } else if key == BUNDLED {
-            self.bundles.moved(version);
-        } else if key.starts_with(BUNDLES) {
-            if let (Some(n), Some(b)) = (
-                bundle_number(key),
-                self.read::<PlacementBatch>(key, &value, version),
-            ) {
-                self.put_bundle(n, b, version);
+            RecordKey::Renewals(node) => self.put_renewals(key, node, &value, version),
+            RecordKey::Format(node) => self.put_format(key, node, &value, version),
+            RecordKey::BudgetShares => self.put_budget_shares(key, &value, version),
+            RecordKey::BatchHead => self.placement_batches.note_head(version),
+            RecordKey::Batch(number) => {
+                // The value is read even if the number is malformed: an unreadable batch holds up every job.
+                let batch = self.read::<PlacementBatch>(key, &value, version);
+                if let (Some(number), Some(batch)) = (number, batch) {
+                    self.put_batch(number, batch, version);
+                }
             }
-        } else if let Some(id) = key.strip_prefix(JOBS) {
-            if self.newest(id) >= version {
-                // Our own commit, come back by the watch: not worth reading.
-                return;
+            RecordKey::Job(id) => {
+                // The controller's own commits return by the watch: do not decode them again.
+                if self.job_version(id) < version
+                    && let Some(record) = self.read::<JobRecord>(key, &value, version)
+                {
+                    self.put_job(id, record, version);
+                }
             }
-            if let Some(rec) = self.read::<JobRecord>(key, &value, version) {
-                self.put_job(id, rec, version);
+            RecordKey::Chunk { job, number } => {
+                if let Some(chunk) = self.read::<TaskChunk>(key, &value, version) {
+                    self.put_chunk(job, number, chunk, version);
+                }
             }
-        } else if let Some(rest) = key.strip_prefix(CHUNKS)
-            && let Some((id, n)) = rest.split_once('/')
-            && let Ok(n) = n.parse::<u32>()
-            && let Some(chunk) = self.read::<TaskChunk>(key, &value, version)
-        {
-            self.put_chunk(id, n, chunk, version);
+            RecordKey::Unknown => {}
         }
     }
 
-    /// Version of the job's record that we hold, 0: none.
-    fn newest(&self, id: &str) -> u64 {
-        let live = self.jobs.get(id).map(|j| j.version);
-        live.or_else(|| self.over.get(id).map(|f| f.version))
-            .unwrap_or(0)
-    }
-
-    /// Puts a job's record.
-    pub fn put_job(&mut self, id: &str, rec: JobRecord, version: u64) {
-        // A watch may still bring what came before our own last commit: a job that is over must
-        // not come back to life by it.
-        if self.newest(id) >= version {
-            return;
-        }
-        if rec.stage == JobStage::Cancelled {
-            self.newest = self.newest.max(version);
-            if !self.is_cancelled(id) {
-                self.cancelled.push((id.to_string(), version));
-            }
-        }
-        self.changed.insert(id.to_string());
-        if self.newest(id) == 0 && rec.stage == JobStage::Active {
-            for need in &rec.spec.needs {
-                if self.end_of(need).is_none() {
-                    let waiting = self.dependents.entry(need.clone()).or_default();
-                    waiting.push(id.to_string());
-                }
-            }
-        }
-        let mut rec = rec;
-        let held = self.jobs.remove(id);
-        let known = held.is_some();
-        let (old, mut chunks, mut bundled) = match held {
-            Some(j) => (j.rec.first.entries, j.chunks, j.bundled),
-            None => Default::default(),
-        };
-        if rec.cleaned {
-            bundled.clear();
-        } else {
-            self.bundles.lay(id, 0, &mut rec.first, &mut bundled);
-        }
-        let image = Some((rec.spec.image.as_str(), rec.spec.image_gb));
-        self.relink(id, &old, &rec.first.entries, image);
-        if let Some(o) = self.orphans.remove(id) {
-            chunks.extend(o);
-        }
-        if !known && !rec.cleaned {
-            for n in self.bundles.chunks(id).into_iter().filter(|n| *n > 0) {
-                let (chunk, _) = chunks.entry(n).or_default();
-                let before = chunk.entries.clone();
-                self.bundles.lay(id, n, chunk, &mut bundled);
-                let after = chunk.entries.clone();
-                self.relink(id, &before, &after, image);
-            }
+    fn put_leader(&mut self, key: &str, value: &Value, version: u64) {
+        if is_newer(self.lead.as_ref(), version)
+            && let Some(record) = self.read::<LeaderRecord>(key, value, version)
+        {
+            self.lead = Some((record, version));
+            self.last_cancellation_or_claim = self.last_cancellation_or_claim.max(version);
         }
-        let job = Job {
-            rec,
-            version,
-            chunks,
-            unmet: 0,
-            released: Micros::ZERO,
-            bundled,
-        };
-        self.keep(id, job);
     }
 
-    /// Puts a further chunk of a large job.
-    pub fn put_chunk(&mut self, id: &str, n: u32, mut chunk: TaskChunk, version: u64) {
-        if self.over.contains_key(id) {
-            return;
-        }
-        self.changed.insert(id.to_string());
-        let mut job = self.jobs.remove(id);
-        let held = match &job {
-            Some(j) => Some(&j.chunks),
-            None => self.orphans.get(id),
-        };
-        let held = held.and_then(|c| c.get(&n));
-        if held.is_none_or(|(_, v)| *v < version) {
-            if let Some(j) = job.as_mut().filter(|j| !j.rec.cleaned) {
-                self.bundles.lay(id, n, &mut chunk, &mut j.bundled);
-            }
-            let new = chunk.entries.clone();
-            let chunks = match &mut job {
-                Some(j) => &mut j.chunks,
-                None => self.orphans.entry(id.to_string()).or_default(),
-            };
-            let old = chunks.insert(n, (chunk, version));
-            let old = old.map(|(c, _)| c.entries).unwrap_or_default();
-            let spec = job.as_ref().map(|j| &j.rec.spec);
-            self.relink(id, &old, &new, spec.map(|s| (s.image.as_str(), s.image_gb)));
-        }
-        if let Some(job) = job {
-            self.keep(id, job);
+    fn put_renewals(&mut self, key: &str, node: &str, value: &Value, version: u64) {
+        if is_newer(self.renewals.get(node), version)
+            && let Some(record) = self.read::<RenewalsRecord>(key, value, version)
+        {
+            self.renewals.insert(node.to_string(), (record, version));
+            self.renewals_generation += 1;
         }
     }
 
-    /// Puts a bundle, and lays it over the jobs that it names.
-    fn put_bundle(&mut self, n: u32, bundle: PlacementBatch, version: u64) {
-        if !self.bundles.put(n, bundle.clone(), version) {
-            return;
-        }
-        for (id, places) in bundle.places {
-            let Some(mut job) = self.jobs.remove(&id) else {
-                continue;
-            };
-            if !job.rec.cleaned {
-                let image = Some((job.rec.spec.image.as_str(), job.rec.spec.image_gb));
-                for e in places {
-                    let (chunk, bundled) = match e.task() / CHUNK {
-                        0 => (&mut job.rec.first, &mut job.bundled),
-                        n => (&mut job.chunks.entry(n).or_default().0, &mut job.bundled),
-                    };
-                    let old: Vec<TaskEntry> = chunk.entry(e.task()).cloned().into_iter().collect();
-                    if lay_one(chunk, &e, bundled) {
-                        self.relink(&id, &old, &[e], image);
-                    }
-                }
-                self.changed.insert(id.clone());
-            }
-            self.keep(&id, job);
+    fn put_format(&mut self, key: &str, node: &str, value: &Value, version: u64) {
+        if self.format_of(node).1 < version
+            && let Some(format) = self.read::<u32>(key, value, version)
+        {
+            self.formats.insert(node.to_string(), (format, version));
         }
     }
 
-    /// Whether a bundle holds nothing any more that only it holds.
-    pub fn is_spent(&self, n: u32) -> bool {
-        let counts = |id: &String, e: &TaskEntry| {
-            let job = self.jobs.get(id);
-            job.is_some_and(|j| j.bundled.contains(e))
-        };
-        let places = self.bundles.places(n);
-        !places.iter().any(|(id, p)| p.iter().any(|e| counts(id, e)))
+    fn put_budget_shares(&mut self, key: &str, value: &Value, version: u64) {
+        if is_newer(self.budget_shares.as_ref(), version)
+            && let Some(record) = self.read::<BudgetSharesRecord>(key, value, version)
+        {
+            self.budget_shares = Some((record.grant(), version));
+        }
     }
 
-    /// Keeps a job as what it is now, and tells the jobs that wait for it if it is over, those that
-    /// wait for them, and so on. An end is final, so none of it is ever taken back.
-    fn keep(&mut self, id: &str, mut job: Job) {
-        self.weigh_needs(&mut job);
-        let mut ended: Vec<String> = Vec::new();
-        if self.sort_in(id, job) {
-            ended.push(id.to_string());
-        }
-        while let Some(need) = ended.pop() {
-            for d in self.dependents.remove(&need).into_iter().flatten() {
-                let Some(mut job) = self.jobs.remove(&d) else {
-                    continue;
-                };
-                self.weigh_needs(&mut job);
-                self.changed.insert(d.clone());
-                if self.sort_in(&d, job) {
-                    ended.push(d);
+    /// Removes a record from the cache, unless the cache has a version newer than the deletion's `version`.
+    pub fn delete(&mut self, key: &str, version: u64) {
+        self.clear_unreadable(key, version);
+        match RecordKey::parse(key) {
+            RecordKey::LeaderLease => {
+                self.leader_lease_version = self.leader_lease_version.filter(|v| *v > version);
+            }
+            RecordKey::Leader => self.lead = self.lead.take().filter(|(_, v)| *v > version),
+            RecordKey::Renewals(node) => {
+                if self.renewals.get(node).is_some_and(|(_, v)| *v < version) {
+                    self.renewals.remove(node);
+                    self.renewals_generation += 1;
                 }
             }
-        }
-    }
-
-    /// What follows for a job from the jobs that it needs.
-    fn weigh_needs(&self, job: &mut Job) {
-        job.released = job.rec.at;
-        job.unmet = 0;
-        if !job.active() {
-            return;
-        }
-        for need in &job.rec.spec.needs {
-            match self.end_of(need) {
-                Some((JobStage::Done, end)) => job.released = job.released.max(end),
-                Some((_, end)) => {
-                    // Nothing that needs a job starts before that job is done, and one that is
-                    // cancelled never will be: this job has no task anywhere and never gets one.
-                    job.rec.stage = JobStage::Cancelled;
-                    job.rec.end = end.max(job.rec.at);
-                    return;
+            RecordKey::Batch(Some(number)) => {
+                // A batch is only deleted once it is superseded, so the jobs stay as they are.
+                self.placement_batches.delete(number, version);
+            }
+            RecordKey::Format(node) => {
+                if self.format_of(node).1 < version {
+                    self.formats.remove(node);
                 }
-                None => job.unmet += 1,
             }
+            RecordKey::Job(id) => self.delete_job(id, version),
+            RecordKey::MachineTypes
+            | RecordKey::InitialMachines
+            | RecordKey::BudgetShares
+            | RecordKey::BatchHead
+            | RecordKey::Batch(None)
+            | RecordKey::Chunk { .. }
+            | RecordKey::Unknown => {}
         }
     }
 
-    /// How and when a job has ended.
-    fn end_of(&self, id: &str) -> Option<(JobStage, Micros)> {
-        if let Some(f) = self.over.get(id) {
-            return Some((f.stage, f.end));
-        }
-        let job = self.jobs.get(id).filter(|j| !j.active())?;
-        Some((job.rec.stage, job.rec.end))
-    }
-
-    /// Puts a job among the live ones or those that are over; tells whether it has ended.
-    fn sort_in(&mut self, id: &str, job: Job) -> bool {
-        let ended = !job.active();
-        // A job that is over stays among the live ones while tasks of it may be somewhere.
-        if ended && job.entries().all(|e| e.machine().is_none()) {
-            self.jobs.remove(id);
-            self.ending.remove(id);
-            let f = FinishedJob {
-                stage: job.rec.stage,
-                tasks: job.rec.spec.tasks,
-                version: job.version,
-                end: job.rec.end,
-                service: job.rec.spec.kind == JobKind::Service,
-            };
-            self.over.insert(id.to_string(), f);
+    /// Decodes a record. One that cannot be decoded is logged, and remembered if it describes tasks.
+    fn read<T: DeserializeOwned>(&mut self, key: &str, value: &Value, version: u64) -> Option<T> {
+        let record = from_value(value);
+        if record.is_some() {
+            self.clear_unreadable(key, version);
         } else {
-            self.over.remove(id);
-            if ended {
-                self.ending.insert(id.to_string());
+            log::error!("record unreadable key={key} version={version}");
+            if RecordKey::parse(key).describes_tasks() {
+                self.unreadable.insert(key.to_string(), version);
             }
-            self.jobs.insert(id.to_string(), job);
         }
-        ended
+        record
     }
 
-    /// Deletes one record, unless it is younger.
-    pub fn delete(&mut self, key: &str, version: u64) {
-        self.readable(key, version);
-        if key == LIVE {
-            self.live = self.live.filter(|v| *v > version);
-        } else if key == LEAD {
-            self.lead = self.lead.take().filter(|(_, v)| *v > version);
-        } else if let Some(node) = key.strip_prefix(RENEWALS) {
-            if self.renewals.get(node).is_some_and(|(_, v)| *v < version) {
-                self.renewals.remove(node);
-                self.renewals_changed += 1;
-            }
-        } else if let Some(n) = bundle_number(key) {
-            // Only what no longer counts is ever deleted, so the jobs stay as they are.
-            self.bundles.delete(n, version);
-        } else if let Some(node) = key.strip_prefix(FORMATS) {
-            if self.format_of(node).1 < version {
-                self.formats.remove(node);
-            }
-        } else if let Some(id) = key.strip_prefix(JOBS)
-            && self.jobs.get(id).is_some_and(|j| j.version < version)
-            && let Some(job) = self.jobs.remove(id)
-        {
-            self.ending.remove(id);
-            self.relink(id, &job.rec.first.entries, &[], None);
-            for (c, _) in job.chunks.values() {
-                self.relink(id, &c.entries, &[], None);
-            }
-            self.changed.insert(id.to_string());
+    /// The record has been replaced or deleted at this version: an older unreadable one no longer counts.
+    fn clear_unreadable(&mut self, key: &str, version: u64) {
+        if self.unreadable.get(key).is_some_and(|v| *v < version) {
+            self.unreadable.remove(key);
         }
     }
 }
+
+/// Whether `version` is newer than the cached record, if there is one.
+fn is_newer<T>(cached: Option<&(T, u64)>, version: u64) -> bool {
+    cached.is_none_or(|(_, v)| *v < version)
+}
--- /dev/null
+++ b/src/state/record_cache/listing.rs
@@ -0,0 +1,63 @@
+//! Application of listings: pages of all records, after which deleted records are dropped.
+
+use super::RecordCache;
+use crate::protocol::key_value_api::ItemPage;
+use crate::protocol::records::{FORMATS, JOBS, LEAD, LIVE, RENEWALS, bundle_key};
+use std::collections::BTreeSet;
+
+/// A listing in progress.
+#[derive(Debug)]
+pub(super) struct Listing {
+    /// Keys on the pages so far.
+    keys: BTreeSet<String>,
+    /// Revision of the first page: changes after it have to be watched.
+    revision: u64,
+}
+
+impl RecordCache {
+    /// Applies a page of a listing; returns true if it was the last. Watching must begin at the first page's revision.
+    pub fn apply_page(&mut self, page: ItemPage) -> bool {
+        let listing = self.listing.get_or_insert_with(|| Listing {
+            keys: BTreeSet::new(),
+            revision: page.revision,
+        });
+        let keys = page.items.iter().map(|item| item.key.clone());
+        listing.keys.extend(keys);
+        for item in page.items {
+            self.put(&item.key, item.value, item.version);
+        }
+        if page.more {
+            return false;
+        }
+        if let Some(listing) = self.listing.take() {
+            self.finish_listing(&listing);
+        }
+        true
+    }
+
+    /// Drops the cached records that the listing did not contain. A record that was written after the listing began
+    /// stays, because its version exceeds the listing's revision.
+    fn finish_listing(&mut self, listing: &Listing) {
+        let deleted: Vec<String> = self
+            .deletable_keys()
+            .filter(|key| !listing.keys.contains(key))
+            .collect();
+        for key in deleted {
+            self.delete(&key, listing.revision);
+        }
+        self.revision = self.revision.max(listing.revision);
+        self.synced = true;
+    }
+
+    /// Keys of the cached records that may be deleted from the store.
+    fn deletable_keys(&self) -> impl Iterator<Item = String> {
+        let jobs = self.jobs.keys().map(|id| format!("{JOBS}{id}"));
+        let renewals = self.renewals.keys().map(|node| format!("{RENEWALS}{node}"));
+        let formats = self.formats.keys().map(|node| format!("{FORMATS}{node}"));
+        let batches = self.placement_batches.numbers();
+        jobs.chain(renewals)
+            .chain(formats)
+            .chain(batches.map(|(number, _)| bundle_key(number)))
+            .chain([LEAD.to_string(), LIVE.to_string()])
+    }
+}
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -101,8 +101,8 @@
     pub fn new(addr: SocketAddr, rps: f64, wps: f64, write_burst: f64) -> StoreClient<T> {
         StoreClient {
             addr,
-            requests: TokenBucket::new(rps, rps * 0.5).saved(START_REQUESTS),
-            writes: TokenBucket::new(wps, write_burst).saved(START_WRITES),
+            requests: TokenBucket::new(rps, rps * 0.5).with_initial_tokens(START_REQUESTS),
+            writes: TokenBucket::new(wps, write_burst).with_initial_tokens(START_WRITES),
             queues: [VecDeque::new(), VecDeque::new(), VecDeque::new()],
             flying: BTreeMap::new(),
             failing: 0,
@@ -151,8 +151,8 @@
 
     /// When `n` changes can be sent at once.
     pub fn room_at(&self, now: Micros, n: usize) -> Micros {
-        let r = self.requests.when(now, 1.0, false);
-        r.max(self.writes.when(now, n as f64, false))
+        let r = self.requests.ready_at(now, 1.0, false);
+        r.max(self.writes.ready_at(now, n as f64, false))
     }
 
     /// Sends what the budgets allow.
@@ -175,7 +175,7 @@
                 // Leadership and cancellations do not wait for the budget that others have used up: a
                 // claim would outlive its lease, and nobody would ever lead.
                 let ready = if r == RequestPriority::Urgent as usize {
-                    self.writes.ready_ahead(now, writes)
+                    self.writes.ready_with_overdraft(now, writes)
                 } else {
                     self.writes.ready(now, writes)
                 };
@@ -205,9 +205,9 @@
             .enumerate()
             .filter_map(|(rank, q)| Some((rank == RequestPriority::Urgent as usize, q.front()?)))
             .map(|(first, q)| {
-                let r = self.requests.when(now, 1.0, false);
+                let r = self.requests.ready_at(now, 1.0, false);
                 match write_count(&q.ask) {
-                    w if w > 0.0 => r.max(self.writes.when(now, w, first)),
+                    w if w > 0.0 => r.max(self.writes.ready_at(now, w, first)),
                     _ => r,
                 }
             })
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,87 +1,96 @@
-//! A token bucket.
+//! Token bucket for rate limits.
 
 use crate::protocol::Micros;
 
-/// Hands out permits at a steady rate with a bounded burst.
+/// Absorbs rounding errors in comparisons of token counts.
+const TOLERANCE: f64 = 1e-9;
+/// Added to computed waits, so that the tokens are there when the wait ends.
+const WAIT_MARGIN: Micros = Micros::millis(1);
+
+/// Tokens that accrue at a steady rate up to a bounded burst.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
+    /// Tokens per second.
     rate: f64,
+    /// Most tokens that can accrue; at least 1.
     burst: f64,
-    level: f64,
-    at: Micros,
+    /// Tokens available; negative after a request above the burst.
+    tokens: f64,
+    /// When tokens were last added; zero: never.
+    refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// `rate` permits a second, at most `burst` at once.
+    /// A full bucket: `rate` tokens a second, at most `burst` at once.
     pub fn new(rate: f64, burst: f64) -> TokenBucket {
+        let burst = burst.max(1.0);
         TokenBucket {
             rate,
-            burst: burst.max(1.0),
-            level: burst.max(1.0),
-            at: Micros::ZERO,
+            burst,
+            tokens: burst,
+            refilled_at: Micros::ZERO,
         }
     }
 
-    /// The same with no more than this saved up at the beginning.
-    pub fn saved(mut self, level: f64) -> TokenBucket {
-        self.level = self.level.min(level);
+    /// The same bucket with at most this many tokens available at the beginning.
+    pub fn with_initial_tokens(mut self, tokens: f64) -> TokenBucket {
+        self.tokens = self.tokens.min(tokens);
         self
     }
 
-    /// Changes the rate; saved-up permits beyond the new burst are lost.
+    /// Changes rate and burst; tokens above the new burst are lost.
     pub fn set(&mut self, now: Micros, rate: f64, burst: f64) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.burst = burst.max(1.0);
-        self.level = self.level.min(self.burst);
+        self.tokens = self.tokens.min(self.burst);
     }
 
-    fn fill(&mut self, now: Micros) {
-        // A process begins with what it has saved up, whenever that is.
-        let dt = match self.at {
+    fn refill(&mut self, now: Micros) {
+        // A process begins with its initial tokens, whatever the clock says then.
+        let elapsed_s = match self.refilled_at {
             Micros::ZERO => 0.0,
-            at => now.since(at).as_secs(),
+            refilled_at => now.since(refilled_at).as_secs(),
         };
-        self.at = self.at.max(now);
-        self.level = (self.level + dt * self.rate).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.burst);
     }
 
-    /// Whether `n` permits are there (or all that the burst can ever hold).
-    pub fn ready(&mut self, now: Micros, n: f64) -> bool {
-        self.fill(now);
-        self.level >= n.min(self.burst) - 1e-9
+    /// Whether `count` tokens are available, or a full burst if `count` exceeds it.
+    pub fn ready(&mut self, now: Micros, count: f64) -> bool {
+        self.refill(now);
+        self.tokens >= count.min(self.burst) - TOLERANCE
     }
 
-    /// The same for what cannot wait: it may go ahead by as much as the burst, and whatever comes
-    /// after it makes up for that.
-    pub fn ready_ahead(&mut self, now: Micros, n: f64) -> bool {
-        self.fill(now);
-        self.level + self.burst >= n.min(self.burst) - 1e-9
+    /// The same for urgent requests: they may overdraw the bucket by one burst, and later requests make up for it.
+    pub fn ready_with_overdraft(&mut self, now: Micros, count: f64) -> bool {
+        self.refill(now);
+        self.tokens + self.burst >= count.min(self.burst) - TOLERANCE
     }
 
-    /// Permits a second.
+    /// Tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Permits that are there.
+    /// Tokens available.
     pub fn level(&mut self, now: Micros) -> f64 {
-        self.fill(now);
-        self.level
+        self.refill(now);
+        self.tokens
     }
 
-    /// Takes `n` permits; the level may go below zero for a request above the burst.
-    pub fn take(&mut self, n: f64) {
-        self.level -= n;
+    /// Takes `count` tokens; the level may become negative.
+    pub fn take(&mut self, count: f64) {
+        self.tokens -= count;
     }
 
-    /// When `n` permits will be there; `ahead`: as `ready_ahead` sees it.
-    pub fn when(&self, now: Micros, n: f64, ahead: bool) -> Micros {
-        let lack = n.min(self.burst) - self.level - if ahead { self.burst } else { 0.0 };
-        if lack <= 0.0 {
-            now
-        } else {
-            now + Micros::secs(lack / self.rate) + Micros::millis(1)
+    /// When `count` tokens will be available; with `overdraft` as `ready_with_overdraft` counts.
+    pub fn ready_at(&self, now: Micros, count: f64, overdraft: bool) -> Micros {
+        let credit = if overdraft { self.burst } else { 0.0 };
+        let missing = count.min(self.burst) - self.tokens - credit;
+        if missing <= 0.0 {
+            return now;
         }
+        now + Micros::secs(missing / self.rate) + WAIT_MARGIN
     }
 }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -320,7 +320,7 @@
     w.run(8);
     let epoch = |w: &World| {
         let i = w.leader().expect("a leader");
-        let parts = w.node(i).and_then(|n| n.cache.parts.as_ref());
+        let parts = w.node(i).and_then(|n| n.cache.budget_shares.as_ref());
         parts.map_or(0, |(g, _)| g.epoch)
     };
     assert!(epoch(&w) > 0, "somebody asked for more");
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -77,7 +77,7 @@
     }
     assert_eq!(places(&watched), expected);
     assert_eq!(watched.placed("n-2").count(), 2);
-    assert!(!watched.is_spent(0));
+    assert!(!watched.is_batch_superseded(0));
     // The job's own records hold the places: the bundle is spent, and may go.
     watched.put_job(
         "req-1",
@@ -90,7 +90,7 @@
     };
     watched.put_chunk("req-1", 1, folded, 11);
     assert_eq!(places(&watched), expected);
-    assert!(watched.is_spent(0));
+    assert!(watched.is_batch_superseded(0));
     watched.delete(&bundle_key(0), 12);
     assert_eq!(places(&watched), expected);
 }
@@ -108,8 +108,10 @@
         ..record(JobStage::Cancelled, Vec::new())
     };
     m.put_job("req-1", cleaned, 7);
-    assert!(matches!(m.job("req-1"), Some(JobLookup::Over(f)) if f.stage == JobStage::Cancelled));
-    assert!(m.is_spent(4));
+    assert!(
+        matches!(m.job("req-1"), Some(JobLookup::Finished(f)) if f.stage == JobStage::Cancelled)
+    );
+    assert!(m.is_batch_superseded(4));
 }
 
 /// A cancellation is told once, whatever comes after it: the cleaning, a rereading, or an older record.
@@ -145,7 +147,7 @@
     m.put(&key, active, 8);
     assert!(!m.is_unreadable("req-1"));
     m.put(&bundle_key(4), "spoilt".into(), 9);
-    assert!(m.is_blind());
+    assert!(m.has_unreadable_batch());
     m.delete(&bundle_key(4), 10);
-    assert!(!m.is_blind());
+    assert!(!m.has_unreadable_batch());
 }
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -361,7 +361,11 @@
             order.insert(s.task, self.leader.started);
             let entry = TaskEntry(s.task, 5, s.machine, s.agent_epoch, 1, s.backfilled);
             if self.rng.random_bool(0.5) {
-                self.leader.edits.want(&s.job, now).places.push(entry);
+                self.leader
+                    .edits
+                    .pending_write_mut(&s.job, now)
+                    .places
+                    .push(entry);
             } else if self.rng.random_bool(0.5) {
                 let Some(job) = self.cache.jobs.get(&s.job) else {
                     continue;
@@ -379,12 +383,14 @@
             let places = self
                 .leader
                 .edits
-                .wanted_of(&id)
+                .pending_write(&id)
                 .map(|e: &PendingWrite| e.places.clone());
             if let Some(places) = places.filter(|p| !p.is_empty())
                 && self.rng.random_bool(0.3)
             {
-                self.leader.edits.fly_places(&id, Vec::new(), places);
+                self.leader
+                    .edits
+                    .mark_places_in_flight(&id, Vec::new(), places);
             }
         }
     }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -182,7 +182,7 @@
         let open = w.term == l.term
             && w.answered.is_some_and(|t| now < t + fresh)
             && w.notice.is_none()
-            && w.hearing.hears()
+            && w.reachability.receives()
             && !l.fleet.leaving(name)
             && !l.sick(w, policy)
             && !l.suspect(w, now);
@@ -199,7 +199,7 @@
             leaving: [0.0; 3],
             open,
             images: cache
-                .images
+                .image_caches
                 .of(name, t.cache_gb)
                 .map(|i| names.id(i))
                 .collect::<Vec<u32>>()
@@ -414,9 +414,9 @@
         estimate_s: spec.estimate_s,
         priority,
         guaranteed,
-        overdue: clock.wall.since(job.released) > OVERDUE,
-        aged: clock.wall.since(job.released) > AGED,
-        starved: clock.wall.since(job.released) > STARVED,
+        overdue: clock.wall.since(job.released_at) > OVERDUE,
+        aged: clock.wall.since(job.released_at) > AGED,
+        starved: clock.wall.since(job.released_at) > STARVED,
     })
 }
 
--- a/tests/world/asks.rs
+++ b/tests/world/asks.rs
@@ -91,7 +91,11 @@
             };
             out += &format!(
                 "node {i}: synced {} revision {} lead {:?} live {:?} wake {}\n",
-                n.cache.synced, n.cache.revision, n.cache.lead, n.cache.live, s.wake
+                n.cache.synced,
+                n.cache.revision,
+                n.cache.lead,
+                n.cache.leader_lease_version,
+                s.wake
             );
             if let Some(l) = &n.leader {
                 out += &format!(
