--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -230,7 +230,7 @@
         agent.update(&report, clock.now);
         agent.answered = Some(clock.now);
         if dead(m) {
-            agent.over = Some(1);
+            agent.ended_epoch = Some(1);
         }
         leader.agents.insert(name(m), agent);
     }
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -64,8 +64,8 @@
 /// A direct start that was certainly not carried out; other tries may have been.
 fn not_executed(w: &mut Agent, key: &AttemptKey) {
     if let Some(s) = w.starts.get_mut(key) {
-        s.direct = false;
-        if !s.loose && !s.answered && s.answer_to.is_none() {
+        s.in_flight = false;
+        if !s.unresolved && !s.acknowledged && s.sent_with_response_to.is_none() {
             w.starts.remove(key);
         }
     }
@@ -169,7 +169,7 @@
         let attempt = e.attempt();
         match l.standing(id, e) {
             TaskLiveness::NotStarted | TaskLiveness::Unknown => {
-                let loose = w.has_loose(id, *task, attempt);
+                let loose = w.has_unresolved_start(id, *task, attempt);
                 // What we cannot read may say that it is cancelled.
                 let known = !cache.is_unreadable(id);
                 let wanted = job.active() && known && !cancelled(id) && l.wanted(id, e);
@@ -215,7 +215,7 @@
                         ..DirectStart::default()
                     };
                 }
-                s.answer_to = Some(report.seq);
+                s.sent_with_response_to = Some(report.seq);
             }
         }
         d.commands
@@ -231,7 +231,7 @@
         let Some(l) = &mut self.leader else {
             return Micros::FAR;
         };
-        let ready = |w: &Agent| !w.ordering && w.order_again <= now && !w.is_over();
+        let ready = |w: &Agent| !w.commands_in_flight && w.next_commands_at <= now && !w.is_over();
         let touched = std::mem::take(&mut l.touched);
         let names: Vec<String> = if l.sweep_at <= now {
             l.sweep_at = now + SWEEP_EVERY;
@@ -249,7 +249,7 @@
             let mut d = due(l, &self.cache, heard, &machine, now, false);
             fence |= d.fence;
             // Looked at only where it may be so: counting looks every start up.
-            let full = |w: &Agent| w.tasks.len() > MOST_KEPT && w.kept() > MOST_KEPT;
+            let full = |w: &Agent| w.tasks.len() > MOST_KEPT && w.retained_exits() > MOST_KEPT;
             fence |= now.since(l.since) > FENCE_EVERY && l.agents.get(&machine).is_some_and(full);
             let Some(w) = l.agents.get_mut(&machine) else {
                 continue;
@@ -266,7 +266,7 @@
                 continue;
             }
             let Some(addr) = w.address else { continue };
-            w.ordering = true;
+            w.commands_in_flight = true;
             for key in &d.stops {
                 w.stops.insert(key.clone(), now);
             }
@@ -278,7 +278,7 @@
                         ..DirectStart::default()
                     };
                 }
-                s.direct = true;
+                s.in_flight = true;
             }
             let orders = AgentCommands {
                 term: l.term,
@@ -340,12 +340,12 @@
         let Some(w) = l.agents.get_mut(machine) else {
             return;
         };
-        w.ordering = false;
+        w.commands_in_flight = false;
         l.touched.insert(machine.to_string());
         let (status, body) = match outcome {
             Outcome::Reply { status, body } => (status, body),
             Outcome::NotSent => {
-                w.order_again = clock.now + ORDER_AGAIN;
+                w.next_commands_at = clock.now + ORDER_AGAIN;
                 if agent_epoch == w.agent_epoch {
                     for key in starts {
                         // Never sent, unless an earlier try was.
@@ -366,8 +366,8 @@
                 if agent_epoch == w.agent_epoch {
                     for key in starts {
                         if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
-                            s.answered = true;
-                            s.direct = false;
+                            s.acknowledged = true;
+                            s.in_flight = false;
                         }
                     }
                 }
@@ -380,7 +380,7 @@
                         not_executed(w, &key);
                     }
                 }
-                w.order_again = clock.now + Micros::millis(200);
+                w.next_commands_at = clock.now + Micros::millis(200);
                 let higher = r.term > l.term;
                 self.apply_heartbeat(clock, &r);
                 if higher {
@@ -395,12 +395,12 @@
                 w.reachability.on_commands_unanswered(clock.now);
                 let deaf = w.reachability.suspected_since();
                 let long = deaf.is_some_and(|t| clock.now.since(t) > DEAF_FOR_LONG);
-                w.order_again = clock.now + if long { DEAF_AGAIN } else { ORDER_AGAIN };
+                w.next_commands_at = clock.now + if long { DEAF_AGAIN } else { ORDER_AGAIN };
                 if agent_epoch == w.agent_epoch {
                     for key in starts {
                         if let Some(s) = w.starts.get_mut(&key).filter(|s| s.term == term) {
-                            s.loose = true;
-                            s.direct = false;
+                            s.unresolved = true;
+                            s.in_flight = false;
                         }
                     }
                 }
--- a/src/agents/failure_history.rs
+++ b/src/agents/failure_history.rs
@@ -44,8 +44,8 @@
     /// The errors on a machine for which the machine may be to blame: not those of jobs that fail anywhere.
     fn blamed<'a>(&'a self, w: &'a Agent) -> impl Iterator<Item = Micros> + 'a {
         let own = |job: &String| self.troubles.get(job).is_none_or(|t| !t.jobs_fault());
-        let errors = w.errors.iter().filter(move |(_, job)| own(job));
-        errors.map(|(t, _)| *t)
+        let errors = w.errors.iter().filter(move |e| own(&e.job));
+        errors.map(|e| e.at)
     }
 
     /// Whether a machine fails tasks of several jobs in a row.
@@ -71,7 +71,7 @@
             !t.machines.is_empty() || now < t.again
         });
         for w in self.agents.values_mut() {
-            w.errors.retain(|(at, _)| now < *at + AVOIDED);
+            w.errors.retain(|e| now < e.at + AVOIDED);
         }
     }
 }
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -13,7 +13,7 @@
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{JobKind, Micros, Settings};
 use crate::records::record_writer::RecordWriter;
-use crate::state::agent::{Agent, News, ReportedTask, TaskLiveness};
+use crate::state::agent::{Agent, HeartbeatEffect, ReportedTask, TaskError, TaskLiveness};
 use crate::state::record_cache::{Job, RecordCache};
 use crate::transport::Outcome;
 use lease_delegation::giver::{GrantTerms, LeaseGrantor};
@@ -155,7 +155,7 @@
             return TaskLiveness::Gone;
         }
         match self.agents.get(machine) {
-            Some(w) => w.standing(self.term, job, e.task(), e.attempt(), e.agent_epoch()),
+            Some(w) => w.liveness(self.term, job, e.task(), e.attempt(), e.agent_epoch()),
             // Nobody has met it under our term, and nobody can still be renewing its lease.
             None if self.strangers_over && !self.renewed.contains(machine) => TaskLiveness::Gone,
             None => TaskLiveness::Unknown,
@@ -166,7 +166,7 @@
     /// counts while it is still `wanted`, since its start may be sent at any moment.
     pub fn presumed(&self, job: &str, e: &TaskEntry, wanted: bool) -> bool {
         let standing = self.standing(job, e);
-        standing.presumed(|| wanted && self.wanted(job, e))
+        standing.may_be_running(|| wanted && self.wanted(job, e))
     }
 
     /// Whether a recorded attempt may be started: it is not being stopped, and its gang has
@@ -263,7 +263,7 @@
                     "{name}: lease has run out, session {} is over",
                     agent.agent_epoch
                 );
-                agent.over = Some(agent.agent_epoch);
+                agent.ended_epoch = Some(agent.agent_epoch);
                 self.dirty = true;
             } else {
                 next = next.min(end);
@@ -344,7 +344,7 @@
         }
         let lease = Micros::secs(self.settings.params.agents.lease_s);
         if let Some(w) = self.leader.as_mut().and_then(|l| l.agents.get_mut(&name)) {
-            w.settle_answers(report.agent_epoch, report.seq);
+            w.settle_starts_before(report.agent_epoch, report.seq);
             if !relayed {
                 w.reachability.on_direct_heartbeat(clock.now);
             }
@@ -373,7 +373,7 @@
         let agent = self.leader.as_ref().and_then(|l| l.agents.get(machine));
         let heard = &self.peers.heard;
         agent.is_some_and(|w| {
-            let mut loose = w.loose().map(|(job, ..)| job);
+            let mut loose = w.unresolved_starts().map(|(job, ..)| job);
             loose.any(|job| known_cancelled(&self.cache, heard, job))
         })
     }
@@ -396,7 +396,7 @@
                 .or_insert_with(|| Agent::new(report)),
         };
         let news = w.update(report, clock.now);
-        if news == News::Old {
+        if news == HeartbeatEffect::Stale {
             return false;
         }
         if w.tasks.iter().all(|t| t.phase == TaskPhase::Exited) {
@@ -405,7 +405,7 @@
             w.idle_since = None;
         }
         l.fleet.met(name, report, clock.now);
-        if let News::Changed(old) = news {
+        if let HeartbeatEffect::Changed(old) = news {
             l.dirty = true;
             l.touched.insert(name.clone());
             self.take_news(clock, name, &old);
@@ -452,7 +452,7 @@
             }
             let attempt = (id.clone(), task, t.attempt);
             if phase == TaskPhase::Running && !w.errors.is_empty() {
-                w.ran_since.insert(attempt);
+                w.running_since_error.insert(attempt);
                 continue;
             }
             if phase != TaskPhase::Exited {
@@ -472,7 +472,7 @@
                     self.cache.image_caches.given_up(name, &spec.image);
                 }
             }
-            let proves = w.ran_since.remove(&attempt);
+            let proves = w.running_since_error.remove(&attempt);
             if why == Some(ExitReason::Done) && job.active() && !job.is_done(task) {
                 let edit = l.edits.pending_write_mut(&id, clock.now);
                 if spec.kind == JobKind::Gang {
@@ -485,7 +485,7 @@
             if why == Some(ExitReason::Done) {
                 if proves {
                     w.errors.clear();
-                    w.ran_since.clear();
+                    w.running_since_error.clear();
                 }
                 if let Some(t) = l.troubles.get_mut(&id) {
                     t.row = 0;
@@ -504,9 +504,12 @@
                 if trouble.jobs_fault() {
                     trouble.again = clock.now + Micros::millis(1000 << trouble.row.min(6));
                 }
-                w.ran_since.clear();
-                if w.errors.iter().all(|(_, j)| *j != id) {
-                    w.errors.push((clock.now, id));
+                w.running_since_error.clear();
+                if w.errors.iter().all(|e| e.job != id) {
+                    w.errors.push(TaskError {
+                        at: clock.now,
+                        job: id,
+                    });
                 }
             }
         }
@@ -540,9 +543,9 @@
                 agent_epoch,
             } => self.on_commands_response(clock, &machine, starts, term, agent_epoch, outcome),
             PendingCall::Cloud(ask) => self.on_cloud_response(clock, ask, outcome),
-            PendingCall::PeerHeartbeat(..)
-            | PendingCall::RelayedHeartbeat(..)
-            | PendingCall::ForwardedRequest(..) => {}
+            PendingCall::PeerHeartbeat { .. }
+            | PendingCall::RelayedHeartbeat { .. }
+            | PendingCall::ForwardedRequest { .. } => {}
         }
     }
 
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -351,7 +351,7 @@
         loop {
             // Under a flood hundreds of changes wait, and news comes hundreds of times a second: what is
             // due is only looked for when the store can take something.
-            let at = self.store.room_at(now, 1);
+            let at = self.store.changes_sendable_at(now, 1);
             if at > now {
                 return at;
             }
@@ -369,12 +369,12 @@
             let wanted = if self.turn { edits } else { accepts };
             // Half a transaction is worth sending; less only if there is no more.
             let least = wanted.min(most / 2).max(1);
-            let room = self.store.room_for(now, wanted.min(most));
-            if room < least && self.store.room_at(now, least) > now {
-                return self.store.room_at(now, least).min(next);
+            let room = self.store.sendable_changes(now, wanted.min(most));
+            if room < least && self.store.changes_sendable_at(now, least) > now {
+                return self.store.changes_sendable_at(now, least).min(next);
             }
             if room == 0 {
-                // Something is queued already: `pump` says when it can go.
+                // Something is queued already: `send_queued` says when it can go.
                 return next;
             }
             if self.turn {
@@ -382,7 +382,8 @@
             } else {
                 self.write_accepts(room);
             }
-            self.store.pump(now, &mut self.last_call_id, &mut self.out);
+            self.store
+                .send_queued(now, &mut self.last_call_id, &mut self.out);
         }
     }
 }
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -207,7 +207,7 @@
             return false;
         };
         let path = format!("{FORWARD_PREFIX}{path}");
-        let tag = PendingCall::ForwardedRequest(conn);
+        let tag = PendingCall::ForwardedRequest { conn };
         self.call(tag, addr, method, &path, body.to_vec(), timeout);
         true
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -190,8 +190,11 @@
         }
         let next = next.min(self.write_due_records(clock));
         self.store
-            .pump(clock.now, &mut self.last_call_id, &mut self.out);
-        let next = self.store.wake(clock.now).map_or(next, |t| t.min(next));
+            .send_queued(clock.now, &mut self.last_call_id, &mut self.out);
+        let next = self
+            .store
+            .next_send_at(clock.now)
+            .map_or(next, |t| t.min(next));
         (std::mem::take(&mut self.out), next)
     }
 
@@ -358,20 +361,29 @@
     }
 
     fn on_response(&mut self, clock: Clock, id: u64, outcome: Outcome) {
-        if let Some((tag, ask, sent, reply)) = self.store.on_response(id, &outcome) {
-            if !matches!(reply, StoreResponse::Refused | StoreResponse::Lost) {
+        if let Some(done) = self.store.on_response(id, &outcome) {
+            if !matches!(done.response, StoreResponse::Refused | StoreResponse::Lost) {
                 self.store_heard_at = clock.now;
                 self.connectivity.store(clock.now);
             }
-            self.on_store_response(clock, tag, ask, sent, reply);
+            self.on_store_response(
+                clock,
+                done.purpose,
+                done.request,
+                done.sent_at,
+                done.response,
+            );
             return;
         }
         match self.pending_calls.remove(&id) {
-            Some(PendingCall::PeerHeartbeat(i, sent)) => {
-                self.on_heartbeat_response(clock, i, sent, outcome)
+            Some(PendingCall::PeerHeartbeat {
+                peer: i,
+                sent_at: sent,
+            }) => self.on_heartbeat_response(clock, i, sent, outcome),
+            Some(PendingCall::ForwardedRequest { conn }) => {
+                self.on_forwarded_response(conn, outcome)
             }
-            Some(PendingCall::ForwardedRequest(conn)) => self.on_forwarded_response(conn, outcome),
-            Some(PendingCall::RelayedHeartbeat(conn, report)) => {
+            Some(PendingCall::RelayedHeartbeat { conn, report }) => {
                 self.on_relay(clock, conn, *report, outcome)
             }
             Some(tag) => self.on_leader_call_response(clock, tag, outcome),
--- a/src/leadership/delegated_renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -23,7 +23,7 @@
 use crate::protocol::key_value_api::Transaction;
 use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
-use crate::state::agent::split_task;
+use crate::state::agent::parse_task_name;
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use crate::transport::{NetworkCommand, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
@@ -153,7 +153,10 @@
             if let Some(addr) = addr {
                 log::debug!("{}: its report goes on to {leader}", report.machine);
                 let body = encode(&report);
-                let tag = PendingCall::RelayedHeartbeat(conn, Box::new(report));
+                let tag = PendingCall::RelayedHeartbeat {
+                    conn,
+                    report: Box::new(report),
+                };
                 self.call(tag, addr, "POST", "/hello", body, RELAY_TIMEOUT);
                 return;
             }
@@ -280,7 +283,7 @@
             .iter()
             .filter(|t| t.phase != TaskPhase::Exited)
             // A cancellation is final: anybody may stop what it has left.
-            .filter(|t| split_task(&t.task).is_some_and(|(job, _)| self.is_cancelled(job)))
+            .filter(|t| parse_task_name(&t.task).is_some_and(|(job, _)| self.is_cancelled(job)))
             .map(|t| Command::Stop {
                 task: t.task.clone(),
                 attempt: t.attempt,
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -119,7 +119,10 @@
         s.flying[i] = true;
         s.said_quiet[i] = beat.more.is_some_and(|m| m.quiet);
         let addr = self.settings.peers[i].address;
-        let tag = PendingCall::PeerHeartbeat(i, clock.now);
+        let tag = PendingCall::PeerHeartbeat {
+            peer: i,
+            sent_at: clock.now,
+        };
         self.call(
             tag,
             addr,
@@ -549,7 +552,7 @@
 
     /// We have read the records, and the state service serves us.
     pub fn store_available(&self) -> bool {
-        self.cache.synced && !self.store.silent()
+        self.cache.synced && !self.store.is_unresponsive()
     }
 
     /// The address of a peer that the state service serves while it does not serve us; the
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,123 +1,138 @@
-//! What components hand to one another through the controller: why a request to the key-value store was made, which
-//! calls to other machines are pending, and which client requests wait for a read barrier.
+//! What components hand to each other through the controller: why a request to the store was made, which calls to other
+//! machines are pending, and which work waits for a read barrier.
 
 use crate::protocol::agent_api::AgentHeartbeat;
 use crate::protocol::cloud_api::RentRequest;
 use crate::protocol::{JobSpec, Micros};
+use crate::state::agent::AttemptKey;
 
-/// Why the store was asked.
+/// Why a request to the store was made.
 #[derive(Debug, Clone)]
 pub enum StoreRequestPurpose {
-    /// A page of a reading of all records.
+    /// To list all records: one page.
     ListRecords,
-    /// The standing watch.
+    /// To follow the changes of all records.
     Watch,
-    /// Catching up.
+    /// To bring the cache up to date before work that waits for it.
     ReadBarrier,
-    /// Acceptance of these jobs.
+    /// To accept the jobs with these ids.
     AcceptJobs(Vec<String>),
-    /// Cancellation of a job.
+    /// To cancel the job with this id.
     CancelJob(String),
-    /// A lease to lead with.
+    /// To get the lease that a claim of leadership needs.
     LeaderLease,
-    /// Taking the lead.
+    /// To claim leadership.
     ClaimLeadership,
-    /// Renewal of the leader's lease.
+    /// To renew the leader's lease.
     RenewLeaderLease,
-    /// Hanging the leader's key on a new lease: getting the lease.
+    /// To get a new lease for the key of the leader, in place of its present one.
     ReplacementLease,
-    /// Hanging the leader's key on a new lease.
+    /// To attach the leader's key to that lease.
     AttachReplacementLease,
-    /// A new term for the leader itself.
+    /// To raise the leader's own term.
     RaiseTerm,
-    /// The leader's job records.
+    /// To write job records: the write with this number.
     WriteJobs(u64),
     /// A write that nothing waits for: machine types, the initial number of machines, deletions of placement batches.
     BackgroundWrite,
-    /// Parts of the budget of changes.
+    /// To record the controllers' shares of the write budget.
     BudgetShares,
-    /// Giving the lead away.
+    /// To transfer leadership to another controller.
     TransferLeadership,
-    /// What we renew on the leader's behalf: these machines.
+    /// To record that we renew the leases of these machines on the leader's behalf.
     RecordRenewals(Vec<String>),
-    /// The newest format that we read, or that a peer no longer reads what it did.
+    /// To record the newest format that we read, or that a peer no longer reads the format that it recorded.
     RecordFormat,
 }
 
-/// Calls to others than the store.
+/// A call to anything but the store whose response is awaited.
 #[derive(Debug, Clone)]
 pub enum PendingCall {
     /// Commands to an agent.
     AgentCommands {
-        /// Machine.
+        /// The agent's machine.
         machine: String,
-        /// Starts among them.
-        starts: Vec<(String, u32, u64)>,
-        /// Term they were sent with.
+        /// The attempts that the commands start.
+        starts: Vec<AttemptKey>,
+        /// The term that the commands carry.
         term: u64,
-        /// Session they were meant for.
+        /// The epoch that the commands are meant for.
         agent_epoch: u64,
     },
-    /// The cloud.
+    /// A call to the cloud.
     Cloud(CloudRequest),
-    /// A heartbeat: to which peer, and when.
-    PeerHeartbeat(usize, Micros),
-    /// A user's request handed on to a peer that the state service serves.
-    ForwardedRequest(u64),
-    /// An agent's report handed on to the leader.
-    RelayedHeartbeat(u64, Box<AgentHeartbeat>),
+    /// A heartbeat to a peer.
+    PeerHeartbeat {
+        /// The peer's index in the settings.
+        peer: usize,
+        /// When it was sent.
+        sent_at: Micros,
+    },
+    /// A client's request, forwarded to a peer that the store serves.
+    ForwardedRequest {
+        /// The client's connection.
+        conn: u64,
+    },
+    /// An agent's heartbeat, relayed to the leader.
+    RelayedHeartbeat {
+        /// The agent's connection.
+        conn: u64,
+        /// The heartbeat.
+        report: Box<AgentHeartbeat>,
+    },
 }
 
 /// A call to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
-    /// Machine types.
+    /// Reads the machine types.
     Types,
-    /// A page of the list.
+    /// Reads a page of the list of machines.
     List,
-    /// A rental.
+    /// Rents machines.
     RentInstances(RentRequest),
-    /// Deletion of these machines.
+    /// Returns the machines with these names.
     Delete(Vec<String>),
 }
 
-/// What waits for the copy to catch up.
+/// Work that waits for a read barrier: it goes on once the cache contains everything that was written before the work
+/// came up.
 #[derive(Debug, Clone)]
 pub enum PendingRequest {
-    /// A poll.
+    /// A client asks for the status of a job.
     Status {
-        /// Request.
+        /// The client's connection.
         conn: u64,
-        /// Job.
+        /// The job's id.
         id: String,
     },
-    /// A repeated submission of a known job.
+    /// A client submits a job that exists already.
     Resubmit {
-        /// Request.
+        /// The client's connection.
         conn: u64,
-        /// Job.
+        /// The job's id.
         id: String,
-        /// The acceptance had failed on the job's key: it must exist, so 404 is no answer.
+        /// HTTP status of the response that reports the job's state. It is never 404: the job is known to exist.
         status: u16,
     },
-    /// A submission that names a job which the copy does not hold.
+    /// A client submits a job that depends on a job which the cache does not have.
     Submit {
-        /// Request.
+        /// The client's connection.
         conn: u64,
-        /// Job.
+        /// The job's id.
         id: String,
-        /// What was submitted.
+        /// The submitted specification.
         spec: Box<JobSpec>,
     },
-    /// A cancellation.
+    /// A client cancels a job.
     Cancel {
-        /// Request.
+        /// The client's connection.
         conn: u64,
-        /// Job.
+        /// The job's id.
         id: String,
     },
-    /// The leader's proof that its term holds.
+    /// The leader confirms that its term still holds.
     ConfirmLeadership,
-    /// Job records whose transaction failed or got no answer.
+    /// A write of job records failed or got no response: the write with this number.
     SettleJobWrites(u64),
 }
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -1,9 +1,10 @@
 //! Placement batches: places of many jobs in one record.
 //!
-//! A job's record is one change of the store, and the store takes a few dozen a second. When hundreds of jobs lose tasks
-//! at once, writing each job's record would keep most of them waiting for longer than starting their tasks takes. So the
-//! leader writes their places as a batch, one change for as many jobs as a transaction may have conditions, and merges
-//! them into the jobs' own records later, with what the write budget leaves. `docs/safety.md` argues why that is safe.
+//! A job's record is one change of the store, and the store takes a few dozen a second. When hundreds of jobs lose
+//! tasks at once, writing each job's record would keep most of them waiting for longer than starting their tasks
+//! takes. So the leader writes their places as a batch, one change for as many jobs as a transaction may have
+//! conditions, and merges them into the jobs' own records later, with what the write budget leaves. `docs/safety.md`
+//! argues why that is safe.
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
@@ -105,8 +106,8 @@
 }
 
 impl Controller {
-    /// Writes the places of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs whose
-    /// writes are due, most urgent first.
+    /// Writes the places of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs
+    /// whose writes are due, most urgent first.
     pub(crate) fn write_placement_batch(
         &mut self,
         clock: Clock,
@@ -122,8 +123,8 @@
         let in_flight = leader.edits.batches_in_flight();
         let number = self.cache.placement_batches.free_number(&in_flight);
         let key = bundle_key(number);
-        // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried out
-        // after that, so the newest batch is a condition, too.
+        // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried
+        // out after that, so the newest batch is a condition, too.
         let newest = VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
         let mut conditions = vec![
             VersionCondition::new(LEAD, leader.version),
@@ -176,8 +177,8 @@
         waiting.count() >= backlog.max(MIN_JOBS)
     }
 
-    /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes batches that are superseded;
-    /// returns when to call it again.
+    /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes batches that are
+    /// superseded; returns when to call it again.
     pub(crate) fn merge_placement_batches(&mut self, clock: Clock) -> Micros {
         if self.cache.placement_batches.is_empty() {
             return Micros::FAR;
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -93,8 +93,8 @@
         in_flight.chain(pending.flat_map(|write| &write.places))
     }
 
-    /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the attempt
-    /// on record may be about to be replaced.
+    /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the
+    /// attempt on record may be about to be replaced.
     pub fn placing(&self, id: &str, task: u32) -> bool {
         self.places(id).any(|place| place.task() == task)
     }
@@ -151,8 +151,8 @@
         self.last_write_id
     }
 
-    /// Forgets a transaction in flight; returns whether it was known. Its changes are in the cache now, or will be derived
-    /// again from what the agents report and the next scheduling pass decides.
+    /// Forgets a transaction in flight; returns whether it was known. Its changes are in the cache now, or will be
+    /// derived again from what the agents report and the next scheduling pass decides.
     fn end_write(&mut self, write_id: u64) -> bool {
         let Some(write) = self.writes_in_flight.remove(&write_id) else {
             return false;
@@ -209,8 +209,8 @@
         due.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Builds a transaction from the writes of these jobs, with at most `max_changes` changes unless the first job needs
-    /// more, and marks them as in flight. `None` if there is nothing to change.
+    /// Builds a transaction from the writes of these jobs, with at most `max_changes` changes unless the first job
+    /// needs more, and marks them as in flight. `None` if there is nothing to change.
     fn take_transaction(
         &mut self,
         leader_version: u64,
@@ -395,8 +395,8 @@
         }
     }
 
-    /// The cache has caught up after a failed or unanswered transaction. If all conditions of the transaction still hold, it
-    /// may yet be carried out, so it is sent again unchanged.
+    /// The cache has caught up after a failed or unanswered transaction. If all conditions of the transaction still
+    /// hold, it may yet be carried out, so it is sent again unchanged.
     pub fn settle_job_write(&mut self, write_id: u64) {
         let Some(leader) = &self.leader else { return };
         let Some(write) = leader.edits.writes_in_flight.get(&write_id) else {
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -159,7 +159,7 @@
         // is about to lose all that it has.
         let open = w.term == l.term
             && w.answered.is_some_and(|t| now < t + fresh)
-            && w.notice.is_none()
+            && w.preemption_at.is_none()
             && w.reachability.receives()
             && !l.fleet.leaving(name)
             && !l.sick(w, policy)
@@ -229,7 +229,7 @@
     fn stand(&self, id: &str, e: &'a TaskEntry, machine: &str) -> Found {
         let host = self.hosts.find(machine);
         let standing = match host {
-            Some(h) => self.hosts.agents[h].standing(
+            Some(h) => self.hosts.agents[h].liveness(
                 self.leader.term,
                 id,
                 e.task(),
@@ -279,7 +279,7 @@
             let Some(m) = e.machine() else { continue };
             let at = self.stand(id, e, m);
             let s = at.standing;
-            let presumed = s.presumed(|| active && l.wanted(id, e));
+            let presumed = s.may_be_running(|| active && l.wanted(id, e));
             if recorded {
                 if presumed || s == TaskLiveness::Ended(ExitReason::Done) {
                     kept.push(e.task());
@@ -315,7 +315,7 @@
                     }
                     // A machine that the cloud is about to take: what can save does so now,
                     // a gang as a whole.
-                    let notice = self.hosts.agents[h].notice;
+                    let notice = self.hosts.agents[h].preemption_at;
                     let save = grace(job);
                     if save > 0.0
                         && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -1,7 +1,7 @@
-//! What each agent last said, and what follows from it about tasks recorded on it.
+//! What each agent last reported, and what follows from it about the tasks recorded on its machine.
 
 use crate::protocol::Micros;
-use crate::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase};
+use crate::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
 use crate::protocol::codec::decode;
 use crate::state::agent_reachability::AgentReachability;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,145 +9,176 @@
 /// A task as an agent last reported it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportedTask {
-    /// Job.
+    /// Job id.
     pub job: String,
     /// Task number.
     pub task: u32,
     /// Attempt.
     pub attempt: u64,
-    /// State.
+    /// Phase.
     pub phase: TaskPhase,
     /// Why it exited.
     pub why: Option<ExitReason>,
 }
 
-/// Splits `job/number`.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
-    let (job, n) = name.rsplit_once('/')?;
-    Some((job, n.parse().ok()?))
+impl ReportedTask {
+    /// A task of a heartbeat; `None` if its name cannot be parsed.
+    fn parse(reported: &TaskStatus) -> Option<ReportedTask> {
+        let (job, task) = parse_task_name(&reported.task)?;
+        Some(ReportedTask {
+            job: job.to_string(),
+            task,
+            attempt: reported.attempt,
+            phase: reported.phase,
+            why: reported.why,
+        })
+    }
+
+    /// Whether a heartbeat's task is the same, in the same phase.
+    fn is_same(&self, reported: &TaskStatus) -> bool {
+        (self.attempt, self.phase, self.why) == (reported.attempt, reported.phase, reported.why)
+            && parse_task_name(&reported.task) == Some((self.job.as_str(), self.task))
+    }
+}
+
+/// Splits a task's name `job/number` into job id and task number.
+pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
+    let (job, number) = name.rsplit_once('/')?;
+    Some((job, number.parse().ok()?))
 }
 
-/// An agent's report, from a request or from an answer to commands. One that cannot be read as a whole is dropped as a
-/// whole: a task left out of it would look as if it were not there.
+/// Decodes an agent's heartbeat, from a request or a response to commands. One that cannot be decoded completely is
+/// dropped completely: a task left out of it would look as if it were not running.
 pub fn parse_agent_heartbeat(body: &[u8]) -> Option<AgentHeartbeat> {
     let Some(report) = decode::<AgentHeartbeat>(body) else {
-        log::warn!("a report is dropped: it cannot be read");
+        log::warn!("heartbeat dropped reason=undecodable");
         return None;
     };
-    if let Some(t) = report.tasks.iter().find(|t| split_task(&t.task).is_none()) {
+    let malformed = report
+        .tasks
+        .iter()
+        .find(|t| parse_task_name(&t.task).is_none());
+    if let Some(malformed) = malformed {
         log::warn!(
-            "{}: a report is dropped: {:?} is no task",
+            "heartbeat dropped reason=malformed-task machine={} task={:?}",
             report.machine,
-            t.task
+            malformed.task
         );
         return None;
     }
     Some(report)
 }
 
-/// A start of ours that was sent directly.
+/// The starts of one attempt that we sent. A start may be repeated, so several of the flags may be set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct DirectStart {
-    /// Sent directly, and the answer is awaited.
-    pub direct: bool,
-    /// Answered with 200: carried out (or without effect).
-    pub answered: bool,
-    /// Sent once without any answer: it may be carried out late, as long as term and session
-    /// of the agent match. Such an attempt must never be forgotten.
-    pub loose: bool,
+    /// Sent as a direct command whose response is awaited.
+    pub in_flight: bool,
+    /// Answered with 200: carried out, or without effect.
+    pub acknowledged: bool,
+    /// Sent at least once without getting a response: it may still be carried out, as long as the agent's term and
+    /// epoch match. Such an attempt must never be forgotten.
+    pub unresolved: bool,
     /// The term it was sent with.
     pub term: u64,
-    /// Sent with the answer to the report of this number. Whether it was carried out is shown by
-    /// any later report: the agent sends one at a time, and drops answers that come late.
-    pub answer_to: Option<u64>,
+    /// Sent with the response to the heartbeat of this sequence number. Any later heartbeat shows whether it was
+    /// carried out: the agent sends one heartbeat at a time, and drops late responses.
+    pub sent_with_response_to: Option<u64>,
 }
 
-/// What a message from an agent brought.
+/// What a heartbeat has changed.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
-    /// It is older than what we have.
-    Old,
-    /// Nothing but a sign of life.
-    None,
-    /// A change; these were the tasks before.
+pub enum HeartbeatEffect {
+    /// Nothing: we have a newer one.
+    Stale,
+    /// Nothing but the time of the last heartbeat.
+    Unchanged,
+    /// Something else; contains the previous tasks.
     Changed(Vec<ReportedTask>),
 }
 
-/// Names an attempt of a task on an agent.
+/// Identifies an attempt of a task on an agent: job id, task number, attempt.
 pub type AttemptKey = (String, u32, u64);
 
-/// One agent.
+/// A task that ended with an error.
+#[derive(Debug, Clone, PartialEq)]
+pub struct TaskError {
+    /// When we heard of it.
+    pub at: Micros,
+    /// The task's job.
+    pub job: String,
+}
+
+/// An agent as it last reported.
 #[derive(Debug, Clone)]
 pub struct Agent {
-    /// Where direct commands go.
+    /// Where direct commands are sent; `None` if the reported address cannot be parsed.
     pub address: Option<std::net::SocketAddr>,
-    /// The same as the agent wrote it.
-    shown_address: String,
+    reported_address: String,
     /// Machine type.
     pub kind: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Session.
+    /// The agent's epoch; 0: it has not sent a heartbeat yet.
     pub agent_epoch: u64,
-    /// When we first heard of that session: its lease runs from a moment before, whatever became of the
-    /// one before it.
+    /// When we first heard of that epoch. Its lease runs from a moment before, whatever happened to earlier epochs.
     pub began: Micros,
-    /// Sequence number of the newest message.
-    pub seq: u64,
-    /// Highest term the agent had seen by its newest message.
+    /// Sequence number of the newest heartbeat.
+    pub last_seq: u64,
+    /// Highest term that the agent had seen at its newest heartbeat.
     pub term: u64,
-    /// When we learnt that it has seen that term: until then others may have renewed its lease.
+    /// When we learnt that it has seen that term: until then other leaders may have renewed its lease.
     pub termed: Micros,
-    /// When the cloud takes the machine, if it has said so.
-    pub notice: Option<Micros>,
-    /// Tasks in the newest message.
+    /// When the cloud will preempt the machine, if it has announced that.
+    pub preemption_at: Option<Micros>,
+    /// Tasks in the newest heartbeat.
     pub tasks: Vec<ReportedTask>,
-    /// When we last heard from it.
+    /// When the newest heartbeat arrived.
     pub heard: Micros,
-    /// Whether it hears us.
+    /// Whether the agent receives what we send.
     pub reachability: AgentReachability,
-    /// When we last answered a report, which renews its lease.
+    /// When we last answered a heartbeat, which renews the agent's lease.
     pub answered: Option<Micros>,
-    /// Sessions up to this one are proven over.
-    pub over: Option<u64>,
-    /// Direct starts of the present session and term.
+    /// Epochs up to this one have provably ended.
+    pub ended_epoch: Option<u64>,
+    /// Starts sent in the present epoch.
     pub starts: BTreeMap<AttemptKey, DirectStart>,
-    /// When a stop was last sent.
+    /// When a stop was last sent, by attempt.
     pub stops: BTreeMap<AttemptKey, Micros>,
-    /// Direct commands are on their way.
-    pub ordering: bool,
-    /// Direct commands are not tried before this.
-    pub order_again: Micros,
-    /// Recent task errors: when, and of which job.
-    pub errors: Vec<(Micros, String)>,
-    /// Tasks that have come to run here since the last error. Only these can show that the machine is
-    /// well again: one that fails every new task still completes those that ran before.
-    pub ran_since: BTreeSet<AttemptKey>,
-    /// Has no tasks since.
+    /// Whether direct commands are in flight.
+    pub commands_in_flight: bool,
+    /// Direct commands are not sent before this.
+    pub next_commands_at: Micros,
+    /// Recent errors of tasks.
+    pub errors: Vec<TaskError>,
+    /// Tasks that have begun to run here since the last error. Only their completion shows that the machine works
+    /// again: one that fails every new task still completes those that ran before.
+    pub running_since_error: BTreeSet<AttemptKey>,
+    /// Since when the agent has had no tasks.
     pub idle_since: Option<Micros>,
 }
 
 /// What is known about a recorded attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskLiveness {
-    /// Reported there, not exited.
+    /// Reported and not exited.
     Present(TaskPhase),
-    /// Exited there.
+    /// Reported as exited.
     Ended(ExitReason),
-    /// Proven not to be there any more.
+    /// Provably not on the machine any more.
     Gone,
-    /// No start of ours was ever sent, and nobody else's can still be carried out.
+    /// We have not sent a start, and no other leader's start can still be carried out.
     NotStarted,
-    /// Cannot be told: presumed there.
+    /// Unknown: has to be treated as present.
     Unknown,
 }
 
 impl TaskLiveness {
-    /// Whether the attempt must be presumed on its machine. One that nobody has started counts while it
-    /// is still `wanted`, since its start may be sent at any moment.
-    pub fn presumed(self, wanted: impl FnOnce() -> bool) -> bool {
+    /// Whether the attempt has to be treated as present on its machine. One that was not started counts while it is
+    /// `wanted`, since its start may be sent at any moment.
+    pub fn may_be_running(self, wanted: impl FnOnce() -> bool) -> bool {
         match self {
             TaskLiveness::Present(_) | TaskLiveness::Unknown => true,
             TaskLiveness::NotStarted => wanted(),
@@ -157,157 +188,164 @@
 }
 
 impl Agent {
-    /// Takes over a report if it is newer than the last one, and tells what it changed. Most
-    /// reports change nothing: those copy nothing either.
-    pub fn update(&mut self, r: &AgentHeartbeat, now: Micros) -> News {
-        if (r.agent_epoch, r.seq) <= (self.agent_epoch, self.seq) {
-            return News::Old;
+    /// An agent that sends its first heartbeat, which is still to be applied by `update`.
+    pub fn new(report: &AgentHeartbeat) -> Agent {
+        Agent {
+            address: None,
+            reported_address: String::new(),
+            kind: report.kind.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
+            agent_epoch: 0,
+            began: Micros::ZERO,
+            last_seq: 0,
+            term: 0,
+            termed: Micros::ZERO,
+            preemption_at: None,
+            tasks: Vec::new(),
+            heard: Micros::ZERO,
+            reachability: AgentReachability::default(),
+            answered: None,
+            ended_epoch: None,
+            starts: BTreeMap::new(),
+            stops: BTreeMap::new(),
+            commands_in_flight: false,
+            next_commands_at: Micros::ZERO,
+            errors: Vec::new(),
+            running_since_error: BTreeSet::new(),
+            idle_since: None,
         }
-        let before = (self.agent_epoch, self.term, self.notice.is_some());
-        if r.agent_epoch > self.agent_epoch {
-            // A new session has none of the old tasks, and no command for the old one counts.
-            if self.agent_epoch > 0 {
-                self.reachability.on_new_epoch(now);
-            }
-            self.began = now;
-            self.starts.clear();
-            self.stops.clear();
+    }
+
+    /// Applies a heartbeat if it is newer than the last one. Most heartbeats change nothing, so the strings and tasks
+    /// are copied only if they differ.
+    pub fn update(&mut self, report: &AgentHeartbeat, now: Micros) -> HeartbeatEffect {
+        if (report.agent_epoch, report.seq) <= (self.agent_epoch, self.last_seq) {
+            return HeartbeatEffect::Stale;
         }
-        self.agent_epoch = r.agent_epoch;
-        self.seq = r.seq;
-        if r.term > self.term {
-            self.term = r.term;
+        let before = (self.agent_epoch, self.term, self.preemption_at.is_some());
+        if report.agent_epoch > self.agent_epoch {
+            self.begin_epoch(now);
+        }
+        self.agent_epoch = report.agent_epoch;
+        self.last_seq = report.seq;
+        if report.term > self.term {
+            self.term = report.term;
             self.termed = now;
             self.reachability.on_confirmation(now);
         }
-        if self.shown_address != r.address {
-            self.shown_address.clone_from(&r.address);
-            self.address = r.address.parse().ok();
+        self.update_machine(report, now);
+        self.heard = now;
+        let reported = &report.tasks;
+        let same_tasks = self.tasks.len() == reported.len()
+            && self.tasks.iter().zip(reported).all(|(t, r)| t.is_same(r));
+        if !same_tasks {
+            let tasks = reported.iter().filter_map(ReportedTask::parse).collect();
+            return HeartbeatEffect::Changed(std::mem::replace(&mut self.tasks, tasks));
         }
-        if self.kind != r.kind || self.zone != r.zone {
-            self.kind.clone_from(&r.kind);
-            self.zone.clone_from(&r.zone);
+        if before == (self.agent_epoch, self.term, self.preemption_at.is_some()) {
+            return HeartbeatEffect::Unchanged;
         }
-        self.spot = r.spot;
-        self.notice = r.notice_s.map(|s| now + Micros::secs(s));
-        self.heard = now;
-        let same = self.tasks.len() == r.tasks.len()
-            && self.tasks.iter().zip(&r.tasks).all(|(s, t)| {
-                (s.attempt, s.phase, s.why) == (t.attempt, t.phase, t.why)
-                    && split_task(&t.task).is_some_and(|(j, n)| s.task == n && s.job == j)
-            });
-        if same {
-            return if before == (self.agent_epoch, self.term, self.notice.is_some()) {
-                News::None
-            } else {
-                News::Changed(self.tasks.clone())
-            };
+        HeartbeatEffect::Changed(self.tasks.clone())
+    }
+
+    /// A new epoch has none of the old tasks, and commands for the old one have no effect.
+    fn begin_epoch(&mut self, now: Micros) {
+        if self.agent_epoch > 0 {
+            self.reachability.on_new_epoch(now);
         }
-        let tasks = r.tasks.iter().filter_map(|t| {
-            let (job, task) = split_task(&t.task)?;
-            Some(ReportedTask {
-                job: job.to_string(),
-                task,
-                attempt: t.attempt,
-                phase: t.phase,
-                why: t.why,
-            })
-        });
-        News::Changed(std::mem::replace(&mut self.tasks, tasks.collect()))
+        self.began = now;
+        self.starts.clear();
+        self.stops.clear();
+    }
+
+    fn update_machine(&mut self, report: &AgentHeartbeat, now: Micros) {
+        if self.reported_address != report.address {
+            self.reported_address.clone_from(&report.address);
+            self.address = report.address.parse().ok();
+        }
+        if self.kind != report.kind || self.zone != report.zone {
+            self.kind.clone_from(&report.kind);
+            self.zone.clone_from(&report.zone);
+        }
+        self.spot = report.spot;
+        self.preemption_at = report.notice_s.map(|seconds| now + Micros::secs(seconds));
     }
 
-    /// A report (not an answer to commands) with this number has come: starts sent with earlier
-    /// answers have been carried out by now, or never will be.
-    pub fn settle_answers(&mut self, agent_epoch: u64, seq: u64) {
+    /// A heartbeat (not a response to commands) with this sequence number has arrived: starts sent with the responses
+    /// to earlier ones have been carried out by now, or never will be.
+    pub fn settle_starts_before(&mut self, agent_epoch: u64, seq: u64) {
         if agent_epoch != self.agent_epoch {
             return;
         }
-        self.starts.retain(|_, s| {
-            if s.answer_to.is_some_and(|n| n < seq) {
-                s.answer_to = None;
-                return s.answered || s.loose || s.direct;
+        self.starts.retain(|_, start| {
+            if start.sent_with_response_to.is_some_and(|sent| sent < seq) {
+                start.sent_with_response_to = None;
+                return start.acknowledged || start.unresolved || start.in_flight;
             }
             true
         });
     }
 
-    /// An agent that has just been met.
-    pub fn new(r: &AgentHeartbeat) -> Agent {
-        Agent {
-            address: None,
-            shown_address: String::new(),
-            kind: r.kind.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
-            agent_epoch: 0,
-            began: Micros::ZERO,
-            seq: 0,
-            term: 0,
-            termed: Micros::ZERO,
-            notice: None,
-            tasks: Vec::new(),
-            heard: Micros::ZERO,
-            reachability: AgentReachability::default(),
-            answered: None,
-            over: None,
-            starts: BTreeMap::new(),
-            stops: BTreeMap::new(),
-            ordering: false,
-            order_again: Micros::ZERO,
-            errors: Vec::new(),
-            ran_since: BTreeSet::new(),
-            idle_since: None,
-        }
+    /// The attempt in the newest heartbeat.
+    pub fn reported_task(&self, job: &str, task: u32, attempt: u64) -> Option<&ReportedTask> {
+        let mut tasks = self.tasks.iter();
+        tasks.find(|t| t.task == task && t.attempt == attempt && t.job == job)
     }
 
-    /// The task in the newest message.
-    pub fn find(&self, job: &str, task: u32, attempt: u64) -> Option<&ReportedTask> {
-        self.tasks
-            .iter()
-            .find(|s| s.task == task && s.attempt == attempt && s.job == job)
+    /// Whether the agent's epoch has provably ended.
+    pub fn is_over(&self) -> bool {
+        self.has_ended(self.agent_epoch)
     }
 
-    /// Whether the session is proven over.
-    pub fn is_over(&self) -> bool {
-        self.over.is_some_and(|o| self.agent_epoch <= o)
+    fn has_ended(&self, agent_epoch: u64) -> bool {
+        self.ended_epoch.is_some_and(|ended| agent_epoch <= ended)
     }
 
     fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&DirectStart> {
+        // Most agents have no starts: the key need not be built.
         if self.starts.is_empty() {
             return None;
         }
         self.starts.get(&(job.to_string(), task, attempt))
     }
 
-    /// A start that may still be carried out although nobody waits for its answer.
-    pub fn has_loose(&self, job: &str, task: u32, attempt: u64) -> bool {
-        self.start_of(job, task, attempt)
-            .is_some_and(|s| s.loose && s.term >= self.term)
+    /// Whether a start may still be carried out although its response is no longer awaited.
+    fn is_unresolved(&self, start: &DirectStart) -> bool {
+        start.unresolved && start.term >= self.term
     }
 
-    /// All such starts.
-    pub fn loose(&self) -> impl Iterator<Item = &AttemptKey> {
+    /// Whether a start of the attempt may still be carried out although its response is no longer awaited.
+    pub fn has_unresolved_start(&self, job: &str, task: u32, attempt: u64) -> bool {
+        let start = self.start_of(job, task, attempt);
+        start.is_some_and(|s| self.is_unresolved(s))
+    }
+
+    /// All attempts with such a start.
+    pub fn unresolved_starts(&self) -> impl Iterator<Item = &AttemptKey> {
         let starts = self.starts.iter();
-        let loose = starts.filter(|(_, s)| s.loose && s.term >= self.term);
-        loose.map(|(key, _)| key)
+        let unresolved = starts.filter(|(_, start)| self.is_unresolved(start));
+        unresolved.map(|(attempt, _)| attempt)
     }
 
-    /// Whether a start of ours may still bring back an attempt that has ended, were it forgotten: one that got no
-    /// answer and comes late, or a copy of one that was carried out. Only a higher term or another session fences
-    /// those. What is done is no harm: it ends with the same result at once.
-    pub fn may_start_again(&self, t: &ReportedTask) -> bool {
-        let start = self.start_of(&t.job, t.task, t.attempt);
-        start.is_some_and(|s| s.term >= self.term && (s.loose || t.why != Some(ExitReason::Done)))
+    /// Whether a start of ours could run an exited attempt again if the agent forgot the attempt: a start without
+    /// response that arrives late, or a duplicate of one that was carried out. Only a higher term or another epoch
+    /// fences these. A done task does no harm: it ends with the same result at once.
+    pub fn may_start_again(&self, exited: &ReportedTask) -> bool {
+        let start = self.start_of(&exited.job, exited.task, exited.attempt);
+        start.is_some_and(|s| {
+            s.term >= self.term && (s.unresolved || exited.why != Some(ExitReason::Done))
+        })
     }
 
-    /// How many attempts have ended here and are kept for that reason.
-    pub fn kept(&self) -> usize {
-        let ended = self.tasks.iter().filter(|t| t.phase == TaskPhase::Exited);
-        ended.filter(|t| self.may_start_again(t)).count()
+    /// How many exited attempts the agent has to remember for that reason.
+    pub fn retained_exits(&self) -> usize {
+        let exited = self.tasks.iter().filter(|t| t.phase == TaskPhase::Exited);
+        exited.filter(|t| self.may_start_again(t)).count()
     }
 
-    /// Where a recorded attempt stands, for a leader with this term.
-    pub fn standing(
+    /// What a leader with this term knows about a recorded attempt.
+    pub fn liveness(
         &self,
         our_term: u64,
         job: &str,
@@ -315,28 +353,33 @@
         attempt: u64,
         agent_epoch: u64,
     ) -> TaskLiveness {
-        if self.over.is_some_and(|o| agent_epoch <= o) || agent_epoch < self.agent_epoch {
+        if self.has_ended(agent_epoch) || agent_epoch < self.agent_epoch {
             return TaskLiveness::Gone;
         }
         if agent_epoch > self.agent_epoch {
             return TaskLiveness::Unknown;
         }
-        if let Some(s) = self.find(job, task, attempt) {
-            return match (s.phase, s.why) {
+        if let Some(reported) = self.reported_task(job, task, attempt) {
+            return match (reported.phase, reported.why) {
                 (TaskPhase::Exited, why) => TaskLiveness::Ended(why.unwrap_or(ExitReason::Error)),
                 (phase, _) => TaskLiveness::Present(phase),
             };
         }
         if self.term != our_term {
-            // An older term's start may still be on its way.
+            // An older leader's start may still be in transit.
             return TaskLiveness::Unknown;
         }
-        match self.start_of(job, task, attempt) {
-            None => TaskLiveness::NotStarted,
+        let Some(start) = self.start_of(job, task, attempt) else {
+            return TaskLiveness::NotStarted;
+        };
+        if start.term < self.term {
             // Sent with an older term of ours, which the agent no longer accepts.
-            Some(s) if s.term < self.term => TaskLiveness::NotStarted,
-            Some(s) if s.answered && !s.loose && s.answer_to.is_none() => TaskLiveness::Gone,
-            Some(_) => TaskLiveness::Unknown,
+            return TaskLiveness::NotStarted;
+        }
+        let is_settled = !start.unresolved && start.sent_with_response_to.is_none();
+        if start.acknowledged && is_settled {
+            return TaskLiveness::Gone;
         }
+        TaskLiveness::Unknown
     }
 }
--- a/src/state/agent_reachability.rs
+++ b/src/state/agent_reachability.rs
@@ -1,10 +1,10 @@
 //! Whether an agent receives what we send it. Its heartbeats show only that it can send: an agent may be heard for
 //! minutes while no response and no command reaches it.
 //!
-//! It receives if it reports our term, has answered a direct command, or has kept its epoch for longer than a lease lasts
-//! without renewal. It does not receive if it starts a new epoch, since its lease has expired although we were
-//! answering; or if a direct command stays unanswered while its own heartbeats go on arriving here. Heartbeats that peers
-//! relay say nothing about the path between the agent and us.
+//! It receives if it reports our term, has answered a direct command, or has kept its epoch for longer than a lease
+//! lasts without renewal. It does not receive if it starts a new epoch, since its lease has expired although we were
+//! answering; or if a direct command stays unanswered while its own heartbeats go on arriving here. Heartbeats that
+//! peers relay say nothing about the path between the agent and us.
 
 use crate::protocol::Micros;
 
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -19,8 +19,8 @@
 /// A job that has not ended, or whose tasks may still run.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its record, with placement batches overlaid. A job that depends on a cancelled one is thereby cancelled: the stage
-    /// says so here, whether or not it is ever written.
+    /// Its record, with placement batches overlaid. A job that depends on a cancelled one is thereby cancelled: the
+    /// stage says so here, whether or not it is ever written.
     pub rec: JobRecord,
     /// The record's version.
     pub version: u64,
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -141,8 +141,8 @@
         !self.dependents.is_empty()
     }
 
-    /// The newest format that a node reads, with the version of the record that says so. A node without a record (version
-    /// 0) reads the first format.
+    /// The newest format that a node reads, with the version of the record that says so. A node without a record
+    /// (version 0) reads the first format.
     pub fn format_of(&self, node: &str) -> (u32, u64) {
         *self.formats.get(node).unwrap_or(&(format::FIRST, 0))
     }
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -260,8 +260,8 @@
         })
     }
 
-    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while tasks of
-    /// it may still run.
+    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while tasks
+    /// of it may still run.
     fn insert_by_stage(&mut self, id: &str, job: Job) -> bool {
         let has_ended = !job.active();
         let has_places = job.entries().any(|e| e.machine().is_some());
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -1,5 +1,5 @@
-//! Paced access to the state service. Owns the request and write budgets; urgent requests go
-//! first. Retrying is the callers' business: only they know what a lost answer means.
+//! Rate-limited client of the key-value store. It owns this controller's share of the request and write budgets and
+//! sends urgent requests first. It never retries: only the caller knows what a lost response means.
 
 use crate::protocol::codec::{decode, encode};
 use crate::protocol::key_value_api::{
@@ -11,35 +11,56 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// A request to the state service.
+/// Tokens available when a process starts. An earlier run may have used up the burst a moment ago: if each run of a
+/// crash loop spent it anew, the store would refuse the other controllers.
+const INITIAL_REQUESTS: f64 = 4.0;
+const INITIAL_WRITES: f64 = 1.0;
+/// The request budget's burst, in seconds of its rate.
+const REQUEST_BURST_S: f64 = 0.5;
+/// Rates are reported as at least this much a second, since callers divide by them.
+const MIN_REPORTED_RATE: f64 = 0.1;
+/// How long a request may take.
+const STORE_TIMEOUT: Micros = Micros::millis(1500);
+/// How much longer a page of a listing may take.
+const LISTING_EXTRA_TIMEOUT: Micros = Micros::millis(3000);
+/// Keys in a page of a listing.
+const LISTING_PAGE_SIZE: usize = 500;
+/// The client asks to be called again no sooner than after this.
+const MIN_WAIT: Micros = Micros::millis(2);
+/// Weights of consecutive failures, and the sum from which on the store counts as unresponsive.
+const LOST_WEIGHT: u32 = 1;
+const REFUSED_WEIGHT: u32 = 2;
+const UNRESPONSIVE_WEIGHT: u32 = 2;
+
+/// A request to the store.
 #[derive(Debug, Clone)]
 pub enum StoreRequest {
     /// A transaction.
     Transaction(Transaction),
     /// Changes after a revision.
     Watch {
-        /// Revision.
+        /// The revision.
         after: u64,
-        /// How long to wait for one.
+        /// How long the store may wait for a change, in ms.
         block_ms: u64,
     },
     /// A page of all our keys.
     List {
-        /// Last key of the page before.
+        /// The last key of the previous page; empty for the first page.
         after: String,
     },
-    /// A new lease.
+    /// Creation of a lease with this duration.
     NewLease(Micros),
-    /// Renews a lease.
+    /// Renewal of the lease with this id.
     Renew(u64),
 }
 
-/// What came of it.
+/// The result of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
     /// The transaction was carried out at this revision.
     Committed(u64),
-    /// Conditions on these keys failed.
+    /// The transaction's conditions on these keys failed.
     Conflict(Vec<String>),
     /// Changes.
     Events(WatchResponse),
@@ -47,18 +68,18 @@
     TooOld,
     /// A page of keys.
     Page(ItemPage),
-    /// A lease.
+    /// The lease with this id was created or renewed.
     Lease(u64),
-    /// The lease has ended.
+    /// The lease has expired.
     LeaseGone,
     /// Certainly not carried out.
     Refused,
-    /// The same, because too much was asked for at once: a moment later it may be carried out.
+    /// Certainly not carried out because of a rate limit: a later attempt may succeed.
     TooFast,
-    /// The same, and not for the moment: the state service takes no such transaction, perhaps because
-    /// its limits are lower than we think.
+    /// Certainly not carried out, and a repetition will not be either: the store accepts no such transaction, perhaps
+    /// because its limits are lower than the settings say.
     Rejected,
-    /// No (sensible) answer: may have been, or still be, carried out.
+    /// No response, or none that can be understood: the request may have been, or may still be, carried out.
     Lost,
 }
 
@@ -67,289 +88,372 @@
 pub enum RequestPriority {
     /// Leadership, cancellations, read barriers.
     Urgent = 0,
-    /// Acceptance and placements.
+    /// Acceptances and placements.
     Normal = 1,
-    /// The rest.
+    /// Everything else.
     Background = 2,
 }
 
-struct Queued<T> {
-    ask: StoreRequest,
-    tag: T,
+impl RequestPriority {
+    /// All priorities, most urgent first.
+    const ALL: [RequestPriority; 3] = [
+        RequestPriority::Urgent,
+        RequestPriority::Normal,
+        RequestPriority::Background,
+    ];
+
+    /// Whether requests may overdraw the write budget. Leadership and cancellations do not wait for budget that others
+    /// have used up: a claim would outlive its lease, and no controller would ever lead.
+    fn may_overdraw(self) -> bool {
+        self == RequestPriority::Urgent
+    }
 }
 
-/// What a process may ask for at once when it starts. Its earlier run may have used up what was saved up a moment
-/// ago: in a storm of restarts each run would spend it anew, and others would be refused.
-const START_REQUESTS: f64 = 4.0;
-const START_WRITES: f64 = 1.0;
-/// How long a request to the state service may take.
-const STORE_TIMEOUT: Micros = Micros::millis(1500);
+/// A request that waits for budget.
+struct QueuedRequest<T> {
+    request: StoreRequest,
+    purpose: T,
+}
+
+/// A request that waits for its response.
+struct RequestInFlight<T> {
+    request: StoreRequest,
+    purpose: T,
+    sent_at: Micros,
+}
+
+/// A request with its result.
+#[derive(Debug)]
+pub struct CompletedRequest<T> {
+    /// Why the request was made.
+    pub purpose: T,
+    /// The request.
+    pub request: StoreRequest,
+    /// When it was sent.
+    pub sent_at: Micros,
+    /// Its result.
+    pub response: StoreResponse,
+}
 
-/// The store actor; `T` names requests to their owners.
+/// The client; `T` tells the owner of a request why it was made.
 pub struct StoreClient<T> {
     addr: SocketAddr,
-    requests: TokenBucket,
-    writes: TokenBucket,
-    queues: [VecDeque<Queued<T>>; 3],
-    flying: BTreeMap<u64, (T, StoreRequest, Micros)>,
-    /// Weight of the failures in a row: no answer counts 1, a refusal to serve counts 2.
-    failing: u32,
+    request_budget: TokenBucket,
+    write_budget: TokenBucket,
+    /// Queues by `RequestPriority`.
+    queues: [VecDeque<QueuedRequest<T>>; 3],
+    /// Requests in flight, by number of the call.
+    in_flight: BTreeMap<u64, RequestInFlight<T>>,
+    /// Total weight of the consecutive failures.
+    failure_weight: u32,
 }
 
 impl<T> StoreClient<T> {
-    /// For the state service at `addr`.
+    /// A client of the store at `addr`, with budgets of `rps` requests and `wps` changes a second.
     pub fn new(addr: SocketAddr, rps: f64, wps: f64, write_burst: f64) -> StoreClient<T> {
+        let requests = TokenBucket::new(rps, rps * REQUEST_BURST_S);
+        let writes = TokenBucket::new(wps, write_burst);
         StoreClient {
             addr,
-            requests: TokenBucket::new(rps, rps * 0.5).with_initial_tokens(START_REQUESTS),
-            writes: TokenBucket::new(wps, write_burst).with_initial_tokens(START_WRITES),
+            request_budget: requests.with_initial_tokens(INITIAL_REQUESTS),
+            write_budget: writes.with_initial_tokens(INITIAL_WRITES),
             queues: [VecDeque::new(), VecDeque::new(), VecDeque::new()],
-            flying: BTreeMap::new(),
-            failing: 0,
+            in_flight: BTreeMap::new(),
+            failure_weight: 0,
         }
     }
 
     /// Changes our share of the budgets.
     pub fn set_rates(&mut self, now: Micros, rps: f64, wps: f64, write_burst: f64) {
-        self.requests.set(now, rps, rps * 0.5);
-        self.writes.set(now, wps, write_burst);
+        self.request_budget.set(now, rps, rps * REQUEST_BURST_S);
+        self.write_budget.set(now, wps, write_burst);
     }
 
-    /// Our share of the budget of changes, a second.
+    /// Our share of the write budget, in changes a second.
     pub fn write_rate(&self) -> f64 {
-        self.writes.rate().max(0.1)
+        self.write_budget.rate().max(MIN_REPORTED_RATE)
     }
 
-    /// Our share of the budget of requests, a second.
+    /// Our share of the request budget, in requests a second.
     pub fn request_rate(&self) -> f64 {
-        self.requests.rate().max(0.1)
+        self.request_budget.rate().max(MIN_REPORTED_RATE)
     }
 
     /// Queues a request.
-    pub fn ask(&mut self, rank: RequestPriority, tag: T, ask: StoreRequest) {
-        self.queues[rank as usize].push_back(Queued { ask, tag });
+    pub fn ask(&mut self, priority: RequestPriority, purpose: T, request: StoreRequest) {
+        let queued = QueuedRequest { request, purpose };
+        self.queues[priority as usize].push_back(queued);
     }
 
-    /// How many of `most` wanted changes could be sent right now, behind what is queued already;
-    /// 0: none, and they had better go on gathering.
-    pub fn room_for(&mut self, now: Micros, most: usize) -> usize {
-        if self
-            .queues
-            .iter()
-            .flatten()
-            .any(|q| write_count(&q.ask) > 0.0)
-        {
+    /// How many of `wanted` changes could be sent at once now. 0 if other changes are queued already: then it is
+    /// better to go on gathering.
+    pub fn sendable_changes(&mut self, now: Micros, wanted: usize) -> usize {
+        let mut queued = self.queues.iter().flatten();
+        if queued.any(|q| change_count(&q.request) > 0.0) {
             return 0;
         }
-        if !self.requests.ready(now, 1.0) {
+        if !self.request_budget.ready(now, 1.0) {
             return 0;
         }
-        // A burst may be smaller than a transaction: then what it holds is as good as all.
-        let at_once = self.writes.level(now).floor().max(0.0) as usize;
-        at_once.min(most)
+        // The burst may be smaller than a transaction: then whatever is available counts.
+        let available = self.write_budget.level(now).floor().max(0.0) as usize;
+        available.min(wanted)
     }
 
-    /// When `n` changes can be sent at once.
-    pub fn room_at(&self, now: Micros, n: usize) -> Micros {
-        let r = self.requests.ready_at(now, 1.0, false);
-        r.max(self.writes.ready_at(now, n as f64, false))
+    /// When `count` changes can be sent at once.
+    pub fn changes_sendable_at(&self, now: Micros, count: usize) -> Micros {
+        self.affordable_at(now, count as f64, false)
     }
 
-    /// Sends what the budgets allow.
-    pub fn pump(&mut self, now: Micros, last_call_id: &mut u64, out: &mut Vec<NetworkCommand>) {
-        loop {
-            let Some(rank) = (0..3).find(|r| !self.queues[*r].is_empty()) else {
-                return;
+    fn affordable_at(&self, now: Micros, changes: f64, overdraft: bool) -> Micros {
+        let request_at = self.request_budget.ready_at(now, 1.0, false);
+        request_at.max(self.write_budget.ready_at(now, changes, overdraft))
+    }
+
+    /// Sends the queued requests that the budgets allow.
+    pub fn send_queued(
+        &mut self,
+        now: Micros,
+        last_call_id: &mut u64,
+        commands: &mut Vec<NetworkCommand>,
+    ) {
+        while let Some(QueuedRequest { request, purpose }) = self.take_affordable(now) {
+            *last_call_id += 1;
+            commands.push(NetworkCommand::Call(self.call(*last_call_id, &request)));
+            let in_flight = RequestInFlight {
+                request,
+                purpose,
+                sent_at: now,
             };
-            // A transaction short of write permits must not hold back reads of lower rank,
-            // so each rank's head is tried; the write order within a rank stays.
-            let mut sent = false;
-            for r in rank..3 {
-                let Some(q) = self.queues[r].front() else {
-                    continue;
-                };
-                let writes = write_count(&q.ask);
-                if !self.requests.ready(now, 1.0) {
-                    return;
-                }
-                // Leadership and cancellations do not wait for the budget that others have used up: a
-                // claim would outlive its lease, and nobody would ever lead.
-                let ready = if r == RequestPriority::Urgent as usize {
-                    self.writes.ready_with_overdraft(now, writes)
-                } else {
-                    self.writes.ready(now, writes)
-                };
-                if writes > 0.0 && !ready {
-                    continue;
-                }
-                self.requests.take(1.0);
-                self.writes.take(writes);
-                if let Some(q) = self.queues[r].pop_front() {
-                    *last_call_id += 1;
-                    out.push(NetworkCommand::Call(self.call(*last_call_id, &q.ask)));
-                    self.flying.insert(*last_call_id, (q.tag, q.ask, now));
-                }
-                sent = true;
-                break;
+            self.in_flight.insert(*last_call_id, in_flight);
+        }
+    }
+
+    /// Takes the most urgent request that the budgets allow, and its cost from the budgets. A transaction short of
+    /// write budget must not hold back reads of lower priority, so the head of each queue is tried; the order of
+    /// writes within a queue stays.
+    fn take_affordable(&mut self, now: Micros) -> Option<QueuedRequest<T>> {
+        for priority in RequestPriority::ALL {
+            let Some(queued) = self.queues[priority as usize].front() else {
+                continue;
+            };
+            let changes = change_count(&queued.request);
+            if !self.request_budget.ready(now, 1.0) {
+                return None;
             }
-            if !sent {
-                return;
+            let has_write_budget = if priority.may_overdraw() {
+                self.write_budget.ready_with_overdraft(now, changes)
+            } else {
+                self.write_budget.ready(now, changes)
+            };
+            if changes > 0.0 && !has_write_budget {
+                continue;
             }
+            self.request_budget.take(1.0);
+            self.write_budget.take(changes);
+            return self.queues[priority as usize].pop_front();
         }
+        None
     }
 
-    /// When `pump` can next do something.
-    pub fn wake(&self, now: Micros) -> Option<Micros> {
-        self.queues
-            .iter()
-            .enumerate()
-            .filter_map(|(rank, q)| Some((rank == RequestPriority::Urgent as usize, q.front()?)))
-            .map(|(first, q)| {
-                let r = self.requests.ready_at(now, 1.0, false);
-                match write_count(&q.ask) {
-                    w if w > 0.0 => r.max(self.writes.ready_at(now, w, first)),
-                    _ => r,
-                }
-            })
-            .min()
-            .map(|t| t.max(now + Micros::millis(2)))
+    /// When `send_queued` can send something next; `None` if nothing is queued.
+    pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
+        let heads = RequestPriority::ALL.into_iter().filter_map(|priority| {
+            let queued = self.queues[priority as usize].front()?;
+            Some(self.request_affordable_at(now, priority, &queued.request))
+        });
+        heads.min().map(|at| at.max(now + MIN_WAIT))
     }
 
-    fn call(&self, id: u64, ask: &StoreRequest) -> Call {
-        let (method, path, body, timeout) = match ask {
-            StoreRequest::Transaction(t) => {
-                ("POST", "/multi".to_string(), encode(t), STORE_TIMEOUT)
-            }
-            StoreRequest::Watch { after, block_ms } => (
-                "GET",
-                format!(
-                    "/watch?under={}&after={after}&block_ms={block_ms}",
-                    records::ROOT
-                ),
-                Vec::new(),
-                STORE_TIMEOUT + Micros::millis(*block_ms),
-            ),
-            StoreRequest::List { after } => {
-                let from = if after.is_empty() {
-                    String::new()
-                } else {
-                    format!("&after={after}")
-                };
-                let path = format!("/keys?under={}{from}&most=500", records::ROOT);
-                (
-                    "GET",
-                    path,
-                    Vec::new(),
-                    STORE_TIMEOUT + Micros::millis(3000),
-                )
-            }
-            StoreRequest::NewLease(ttl) => (
-                "POST",
-                "/leases".to_string(),
-                encode(&LeaseRequest {
-                    ttl_ms: ttl.0 / 1000,
-                }),
-                STORE_TIMEOUT,
-            ),
-            StoreRequest::Renew(l) => (
-                "POST",
-                format!("/leases/{l}/renew"),
-                Vec::new(),
-                STORE_TIMEOUT,
-            ),
-        };
+    fn request_affordable_at(
+        &self,
+        now: Micros,
+        priority: RequestPriority,
+        request: &StoreRequest,
+    ) -> Micros {
+        let changes = change_count(request);
+        if changes > 0.0 {
+            self.affordable_at(now, changes, priority.may_overdraw())
+        } else {
+            self.request_budget.ready_at(now, 1.0, false)
+        }
+    }
+
+    fn call(&self, id: u64, request: &StoreRequest) -> Call {
+        let http = HttpRequest::of(request);
         Call {
             id,
             addr: self.addr,
-            method,
+            method: http.method,
+            path: http.path,
+            body: http.body,
+            timeout: http.timeout,
+        }
+    }
+
+    /// Matches the outcome of a call with its request; `None` if the call is not one of this client.
+    pub fn on_response(&mut self, id: u64, outcome: &Outcome) -> Option<CompletedRequest<T>> {
+        let sent = self.in_flight.remove(&id)?;
+        let response = read_response(&sent.request, outcome);
+        match (&response, outcome) {
+            // A rate limit shows neither that the store serves us nor that it does not.
+            (_, Outcome::Reply { status: 429, .. }) => {}
+            (StoreResponse::Refused, _) => self.failure_weight += REFUSED_WEIGHT,
+            (StoreResponse::Lost, _) => self.failure_weight += LOST_WEIGHT,
+            _ => self.failure_weight = 0,
+        }
+        Some(CompletedRequest {
+            purpose: sent.purpose,
+            request: sent.request,
+            sent_at: sent.sent_at,
+            response,
+        })
+    }
+
+    /// Whether the store does not serve this controller; it may serve others.
+    pub fn is_unresponsive(&self) -> bool {
+        self.failure_weight >= UNRESPONSIVE_WEIGHT
+    }
+}
+
+/// A request in HTTP.
+struct HttpRequest {
+    method: &'static str,
+    path: String,
+    body: Vec<u8>,
+    timeout: Micros,
+}
+
+impl HttpRequest {
+    fn get(path: String, timeout: Micros) -> HttpRequest {
+        HttpRequest {
+            method: "GET",
             path,
-            body,
+            body: Vec::new(),
             timeout,
         }
     }
 
-    /// Matches an outcome with its request; gives back the request and when it was sent.
-    pub fn on_response(
-        &mut self,
-        id: u64,
-        outcome: &Outcome,
-    ) -> Option<(T, StoreRequest, Micros, StoreResponse)> {
-        let (tag, ask, sent) = self.flying.remove(&id)?;
-        let reply = read_reply(&ask, outcome);
-        match (&reply, outcome) {
-            (_, Outcome::Reply { status: 429, .. }) => {}
-            (StoreResponse::Refused, _) => self.failing += 2,
-            (StoreResponse::Lost, _) => self.failing += 1,
-            _ => self.failing = 0,
+    fn post(path: String, body: Vec<u8>) -> HttpRequest {
+        HttpRequest {
+            method: "POST",
+            path,
+            body,
+            timeout: STORE_TIMEOUT,
         }
-        Some((tag, ask, sent, reply))
     }
 
-    /// The state service does not serve us, whatever it does for others.
-    pub fn silent(&self) -> bool {
-        self.failing >= 2
+    fn of(request: &StoreRequest) -> HttpRequest {
+        let root = records::ROOT;
+        match request {
+            StoreRequest::Transaction(transaction) => {
+                HttpRequest::post("/multi".to_string(), encode(transaction))
+            }
+            StoreRequest::Watch { after, block_ms } => HttpRequest::get(
+                format!("/watch?under={root}&after={after}&block_ms={block_ms}"),
+                STORE_TIMEOUT + Micros::millis(*block_ms),
+            ),
+            StoreRequest::List { after } => {
+                let cursor = match after.as_str() {
+                    "" => String::new(),
+                    last_key => format!("&after={last_key}"),
+                };
+                HttpRequest::get(
+                    format!("/keys?under={root}{cursor}&most={LISTING_PAGE_SIZE}"),
+                    STORE_TIMEOUT + LISTING_EXTRA_TIMEOUT,
+                )
+            }
+            StoreRequest::NewLease(duration) => {
+                let ttl_ms = duration.0 / 1000;
+                HttpRequest::post("/leases".to_string(), encode(&LeaseRequest { ttl_ms }))
+            }
+            StoreRequest::Renew(lease) => {
+                HttpRequest::post(format!("/leases/{lease}/renew"), Vec::new())
+            }
+        }
     }
 }
 
-fn write_count(ask: &StoreRequest) -> f64 {
-    match ask {
-        StoreRequest::Transaction(t) => t.changes.len() as f64,
+/// The changes of a request, as they count against the write budget.
+fn change_count(request: &StoreRequest) -> f64 {
+    match request {
+        StoreRequest::Transaction(transaction) => transaction.changes.len() as f64,
         _ => 0.0,
     }
 }
 
-fn read_reply(ask: &StoreRequest, outcome: &Outcome) -> StoreResponse {
+fn read_response(request: &StoreRequest, outcome: &Outcome) -> StoreResponse {
     let (status, body) = match outcome {
         Outcome::NotSent => return StoreResponse::Refused,
         Outcome::Lost => return StoreResponse::Lost,
         Outcome::Reply { status, body } => (*status, body),
     };
-    let sensible = match (status, ask) {
-        (400, StoreRequest::Transaction(t)) => {
-            // Too large or malformed, or a lease that has ended.
-            let leased = |c: &Change| matches!(c, Change::Put { lease: Some(_), .. });
-            if t.changes.iter().any(leased) {
-                Some(StoreResponse::LeaseGone)
-            } else {
-                log::warn!(
-                    "store: a transaction of {} changes is rejected",
-                    t.changes.len()
-                );
-                Some(StoreResponse::Rejected)
-            }
-        }
-        (429, StoreRequest::Transaction(_)) => Some(StoreResponse::TooFast),
-        (503 | 429, _) => Some(StoreResponse::Refused),
-        (200, StoreRequest::Transaction(_)) => {
-            decode::<TransactionResponse>(body).map(|a| StoreResponse::Committed(a.revision))
-        }
-        (409, StoreRequest::Transaction(_)) => {
-            decode::<TransactionResponse>(body).map(|a| StoreResponse::Conflict(a.failed))
-        }
-        (200, StoreRequest::Watch { .. }) => {
-            decode::<WatchResponse>(body).map(StoreResponse::Events)
+    let response = match request {
+        StoreRequest::Transaction(transaction) => {
+            read_transaction_response(transaction, status, body)
         }
-        (410, StoreRequest::Watch { .. }) => Some(StoreResponse::TooOld),
-        (200, StoreRequest::List { .. }) => decode::<ItemPage>(body).map(StoreResponse::Page),
-        (200, StoreRequest::NewLease(_)) => {
-            decode::<LeaseResponse>(body).map(|a| StoreResponse::Lease(a.lease))
+        StoreRequest::Watch { .. } => match status {
+            200 => decode::<WatchResponse>(body).map(StoreResponse::Events),
+            410 => Some(StoreResponse::TooOld),
+            _ => None,
+        },
+        StoreRequest::List { .. } => match status {
+            200 => decode::<ItemPage>(body).map(StoreResponse::Page),
+            _ => None,
+        },
+        StoreRequest::NewLease(_) => match status {
+            200 => decode::<LeaseResponse>(body).map(|r| StoreResponse::Lease(r.lease)),
+            _ => None,
+        },
+        StoreRequest::Renew(lease) => match status {
+            200 => Some(StoreResponse::Lease(*lease)),
+            404 => Some(StoreResponse::LeaseGone),
+            _ => None,
+        },
+    };
+    if let Some(response) = response {
+        return response;
+    }
+    if matches!(status, 429 | 503) {
+        return StoreResponse::Refused;
+    }
+    let request = kind(request);
+    log::warn!("unexpected store response status={status} request={request}");
+    StoreResponse::Lost
+}
+
+fn read_transaction_response(
+    transaction: &Transaction,
+    status: u16,
+    body: &[u8],
+) -> Option<StoreResponse> {
+    match status {
+        200 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Committed(r.revision)),
+        409 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Conflict(r.failed)),
+        429 => Some(StoreResponse::TooFast),
+        // Too large or malformed, or with an expired lease.
+        400 if attaches_lease(transaction) => Some(StoreResponse::LeaseGone),
+        400 => {
+            let changes = transaction.changes.len();
+            log::warn!("transaction rejected changes={changes}");
+            Some(StoreResponse::Rejected)
         }
-        (200, StoreRequest::Renew(l)) => Some(StoreResponse::Lease(*l)),
-        (404, StoreRequest::Renew(_)) => Some(StoreResponse::LeaseGone),
         _ => None,
-    };
-    sensible.unwrap_or_else(|| {
-        log::warn!("store: answer {status} to {} makes no sense", kind(ask));
-        StoreResponse::Lost
-    })
+    }
+}
+
+fn attaches_lease(transaction: &Transaction) -> bool {
+    let has_lease = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
+    transaction.changes.iter().any(has_lease)
 }
 
-fn kind(ask: &StoreRequest) -> &'static str {
-    match ask {
-        StoreRequest::Transaction(_) => "a transaction",
-        StoreRequest::Watch { .. } => "a watch",
-        StoreRequest::List { .. } => "a listing",
-        StoreRequest::NewLease(_) => "a lease request",
-        StoreRequest::Renew(_) => "a lease renewal",
+/// The kind of a request, for the log.
+fn kind(request: &StoreRequest) -> &'static str {
+    match request {
+        StoreRequest::Transaction(_) => "transaction",
+        StoreRequest::Watch { .. } => "watch",
+        StoreRequest::List { .. } => "list",
+        StoreRequest::NewLease(_) => "new-lease",
+        StoreRequest::Renew(_) => "renew-lease",
     }
 }
--- a/tests/every_copy.rs
+++ b/tests/every_copy.rs
@@ -102,11 +102,11 @@
     w.update(&r, Micros::ZERO);
     if let Some((direct, answered, loose, term)) = *known {
         let start = DirectStart {
-            direct,
-            answered,
-            loose,
+            in_flight: direct,
+            acknowledged: answered,
+            unresolved: loose,
             term,
-            answer_to: None,
+            sent_with_response_to: None,
         };
         w.starts.insert(("j".into(), 0, 1), start);
     }
@@ -128,7 +128,7 @@
         } else {
             s.leader
         };
-        w.standing(ours, "j", 0, 1, 1)
+        w.liveness(ours, "j", 0, 1, 1)
     }
 
     /// The leader takes in what was said.
@@ -139,12 +139,12 @@
         };
         let mut w = agent(view);
         if self.without(Line::Order) {
-            (w.agent_epoch, w.seq) = (said.0, 0);
+            (w.agent_epoch, w.last_seq) = (said.0, 0);
         }
         w.update(&report(said), Micros::ZERO);
-        if (w.agent_epoch, w.seq) == (said.0, said.1) {
+        if (w.agent_epoch, w.last_seq) == (said.0, said.1) {
             let known = w.starts.values().next();
-            let known = known.map(|k| (k.direct, k.answered, k.loose, k.term));
+            let known = known.map(|k| (k.in_flight, k.acknowledged, k.unresolved, k.term));
             s.view = Some((said, known));
         }
     }
@@ -268,7 +268,7 @@
         }
         let w = agent(view);
         let kept = w.tasks.first().is_none_or(|t| {
-            let loose = w.has_loose(&t.job, t.task, t.attempt);
+            let loose = w.has_unresolved_start(&t.job, t.task, t.attempt);
             match self.without(Line::Kept) {
                 true => loose,
                 false => w.may_start_again(t),
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -283,7 +283,7 @@
             }
             5 => {
                 if let Some(w) = self.leader.agents.get_mut(&machine) {
-                    w.over = Some(w.agent_epoch);
+                    w.ended_epoch = Some(w.agent_epoch);
                 }
             }
             6 => {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -181,7 +181,7 @@
         }
         let open = w.term == l.term
             && w.answered.is_some_and(|t| now < t + fresh)
-            && w.notice.is_none()
+            && w.preemption_at.is_none()
             && w.reachability.receives()
             && !l.fleet.leaving(name)
             && !l.sick(w, policy)
@@ -286,7 +286,7 @@
                 }
                 // A machine that the cloud is about to take: what can save does so now,
                 // a gang as a whole.
-                let notice = l.agents.get(m).and_then(|w| w.notice);
+                let notice = l.agents.get(m).and_then(|w| w.preemption_at);
                 let save = grace(job);
                 if save > 0.0
                     && notice.is_some_and(|n| n > now + Micros::secs(spec.save_s))
--- a/tests/wire_compatibility.rs
+++ b/tests/wire_compatibility.rs
@@ -929,7 +929,7 @@
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let mut sent = Vec::new();
     store.ask(RequestPriority::Urgent, (), ask);
-    store.pump(Micros::millis(10_000), &mut 0, &mut sent);
+    store.send_queued(Micros::millis(10_000), &mut 0, &mut sent);
     let [NetworkCommand::Call(call)] = sent.as_slice() else {
         panic!("not one call: {sent:?}");
     };
@@ -943,12 +943,15 @@
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let (mut id, mut sent) = (0, Vec::new());
     store.ask(RequestPriority::Urgent, (), ask);
-    store.pump(Micros::millis(10_000), &mut id, &mut sent);
+    store.send_queued(Micros::millis(10_000), &mut id, &mut sent);
     let outcome = Outcome::Reply {
         status,
         body: body.to_vec(),
     };
-    store.on_response(id, &outcome).expect("the request").3
+    store
+        .on_response(id, &outcome)
+        .expect("the request")
+        .response
 }
 
 #[test]
--- a/tests/world/asks.rs
+++ b/tests/world/asks.rs
@@ -105,7 +105,7 @@
                 for (m, w) in &l.agents {
                     out += &format!(
                         "  {m}: session {} term {} heard {} over {:?} starts {:?} tasks {:?}\n",
-                        w.agent_epoch, w.term, w.heard, w.over, w.starts, w.tasks
+                        w.agent_epoch, w.term, w.heard, w.ended_epoch, w.starts, w.tasks
                     );
                 }
                 for (id, j) in &n.cache.jobs {
