--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -251,7 +251,7 @@
         agent.update(&heartbeat, clock.now);
         agent.answered = Some(clock.now);
         if is_lost(machine) {
-            agent.over = Some(1);
+            agent.ended_epoch = Some(1);
         }
         leader.agents.insert(machine_name(machine), agent);
     }
--- a/src/agents/failure_history.rs
+++ b/src/agents/failure_history.rs
@@ -53,8 +53,8 @@
         agent
             .errors
             .iter()
-            .filter(move |(_, job)| !is_jobs_fault(job))
-            .map(|(failed_at, _)| *failed_at)
+            .filter(move |error| !is_jobs_fault(&error.job))
+            .map(|error| error.at)
     }
 
     /// Whether tasks of several jobs failed in a row on a machine, so that the machine is at fault.
@@ -85,7 +85,7 @@
             !history.machines.is_empty() || now < history.again
         });
         for agent in self.agents.values_mut() {
-            agent.errors.retain(|(failed_at, _)| is_recent(failed_at));
+            agent.errors.retain(|error| is_recent(&error.at));
         }
     }
 }
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -7,7 +7,7 @@
     AgentHeartbeat, AgentHeartbeatResponse, ExitReason, Misdirected, TaskPhase,
 };
 use crate::protocol::{Clock, JobKind, Micros};
-use crate::state::agent::{Agent, AttemptKey, News, ReportedTask};
+use crate::state::agent::{Agent, AttemptKey, HeartbeatEffect, ReportedTask, TaskError};
 use crate::state::image_caches::ImageCaches;
 use crate::state::record_cache::{Job, RecordCache};
 use std::collections::BTreeMap;
@@ -86,12 +86,12 @@
         let Some(agent) = leader.and_then(|leader| leader.agents.get_mut(&report.machine)) else {
             return;
         };
-        agent.settle_answers(report.agent_epoch, report.seq);
+        agent.settle_starts_before(report.agent_epoch, report.seq);
         if !relayed {
-            agent.hearing.reported(clock.now);
+            agent.reachability.on_direct_heartbeat(clock.now);
         }
         if clock.now.since(agent.began) > lease.times(RENEWED_FOR_CERTAIN) {
-            agent.hearing.showed(clock.now);
+            agent.reachability.on_confirmation(clock.now);
         }
     }
 
@@ -103,7 +103,7 @@
         };
         let heard = &self.peers.reported_cancellations;
         agent
-            .loose()
+            .unresolved_starts()
             .any(|(job, ..)| known_cancelled(&self.cache, heard, job))
     }
 
@@ -127,8 +127,8 @@
                 .entry(machine.clone())
                 .or_insert_with(|| Agent::new(report)),
         };
-        let news = agent.update(report, clock.now);
-        if news == News::Old {
+        let effect = agent.update(report, clock.now);
+        if effect == HeartbeatEffect::Stale {
             return false;
         }
         if agent
@@ -141,7 +141,7 @@
             agent.idle_since = None;
         }
         leader.fleet.met(machine, report, clock.now);
-        if let News::Changed(previous) = news {
+        if let HeartbeatEffect::Changed(previous) = effect {
             leader.dirty = true;
             leader.touched.insert(machine.clone());
             leader.apply_task_changes(&mut self.cache, clock, machine, &previous);
@@ -196,16 +196,16 @@
             task.why
         );
         match task.phase {
-            TaskPhase::Waiting => cache.images.used(machine, &spec.image, spec.image_gb),
+            TaskPhase::Waiting => cache.image_caches.used(machine, &spec.image, spec.image_gb),
             TaskPhase::Running => {
-                cache.images.used(machine, &spec.image, spec.image_gb);
+                cache.image_caches.used(machine, &spec.image, spec.image_gb);
                 if !agent.errors.is_empty() {
-                    agent.ran_since.insert(attempt_key(task));
+                    agent.running_since_error.insert(attempt_key(task));
                 }
             }
             TaskPhase::Exited => {
                 if fetch_abandoned(task, previous) {
-                    drop_unused_image(&mut cache.images, &cache.jobs, agent, machine, job);
+                    drop_unused_image(&mut cache.image_caches, &cache.jobs, agent, machine, job);
                 }
                 self.apply_task_exit(job, clock, machine, task);
             }
@@ -218,12 +218,12 @@
         let Some(agent) = self.agents.get_mut(machine) else {
             return;
         };
-        let ran_after_errors = agent.ran_since.remove(&attempt_key(task));
+        let ran_after_errors = agent.running_since_error.remove(&attempt_key(task));
         match task.why {
             Some(ExitReason::Done) => {
                 if ran_after_errors {
                     agent.errors.clear();
-                    agent.ran_since.clear();
+                    agent.running_since_error.clear();
                 }
                 if let Some(history) = self.troubles.get_mut(&task.job) {
                     history.row = 0;
@@ -247,7 +247,7 @@
 
     fn record_completion(&mut self, job: &Job, clock: Clock, task: &ReportedTask) {
         let spec = &job.rec.spec;
-        let write = self.edits.want(&task.job, clock.now);
+        let write = self.edits.pending_write_mut(&task.job, clock.now);
         if spec.kind == JobKind::Gang {
             // The tasks of a gang complete together: if one is done, all are.
             write.done.extend(0..spec.tasks);
@@ -268,9 +268,12 @@
         let Some(agent) = self.agents.get_mut(machine) else {
             return;
         };
-        agent.ran_since.clear();
-        if agent.errors.iter().all(|(_, job)| *job != task.job) {
-            agent.errors.push((clock.now, task.job.clone()));
+        agent.running_since_error.clear();
+        if agent.errors.iter().all(|error| error.job != task.job) {
+            agent.errors.push(TaskError {
+                at: clock.now,
+                job: task.job.clone(),
+            });
         }
     }
 }
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -146,7 +146,7 @@
             return TaskLiveness::Gone;
         }
         match self.agents.get(machine) {
-            Some(agent) => agent.standing(
+            Some(agent) => agent.liveness(
                 self.term,
                 job,
                 entry.task(),
@@ -163,7 +163,7 @@
     /// if the task is `wanted` and may be started, since its start may be sent at any moment.
     pub fn presumed(&self, job: &str, entry: &TaskEntry, wanted: bool) -> bool {
         let liveness = self.standing(job, entry);
-        liveness.presumed(|| wanted && self.wanted(job, entry))
+        liveness.may_be_running(|| wanted && self.wanted(job, entry))
     }
 
     /// Whether a recorded attempt may be started: no stop of it is due, and its gang lost no member.
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -159,16 +159,16 @@
             "agent lease expired machine={machine} agent_epoch={}",
             agent.agent_epoch
         );
-        agent.over = Some(agent.agent_epoch);
+        agent.ended_epoch = Some(agent.agent_epoch);
         self.dirty = true;
     }
 
     /// Recomputes which machines followers renew if a renewal record has changed.
     pub fn see_renewals(&mut self, cache: &RecordCache) {
-        if self.seen_renewals_revision == cache.renewals_changed {
+        if self.seen_renewals_revision == cache.renewals_generation {
             return;
         }
-        self.seen_renewals_revision = cache.renewals_changed;
+        self.seen_renewals_revision = cache.renewals_generation;
         let renewed = cache
             .renewals
             .values()
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -190,7 +190,7 @@
                 task: task_name(id, task),
                 attempt,
             });
-        } else if !wanted && self.agent.has_loose(id, task, attempt) {
+        } else if !wanted && self.agent.has_unresolved_start(id, task, attempt) {
             self.due.needs_fence = true;
         }
     }
--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -18,7 +18,7 @@
         let mut next = self.drive_leases(clock);
         next = next.min(self.drive_pass(clock));
         self.revoke_stalled_renewals(clock);
-        next = next.min(self.fold(clock));
+        next = next.min(self.merge_placement_batches(clock));
         next = next.min(self.drive_inventory(clock));
         next.min(self.send_commands(clock))
     }
@@ -87,9 +87,9 @@
                 agent_epoch,
             } => self.on_commands_response(clock, &machine, starts, term, agent_epoch, outcome),
             PendingCall::Cloud(request) => self.on_cloud_response(clock, request, outcome),
-            PendingCall::PeerHeartbeat(..)
-            | PendingCall::RelayedHeartbeat(..)
-            | PendingCall::ForwardedRequest(..) => {}
+            PendingCall::PeerHeartbeat { .. }
+            | PendingCall::RelayedHeartbeat { .. }
+            | PendingCall::ForwardedRequest { .. } => {}
         }
     }
 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -49,7 +49,7 @@
         let version = job.version;
         // The entries written here must include what placement batches hold at this moment, or the job would look as
         // if none of its tasks were anywhere.
-        let bundled = VersionCondition::new(BUNDLED, self.cache.bundles.head());
+        let bundled = VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
         Transaction {
             conds: vec![VersionCondition::new(&key, version), bundled],
             changes: vec![Change::put(&key, &record, None)],
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -93,7 +93,7 @@
 /// The state of a job that the cache holds.
 pub(super) fn job_status(id: &str, known: &JobLookup<'_>) -> JobStatus {
     match known {
-        JobLookup::Over(job) => {
+        JobLookup::Finished(job) => {
             let done = (job.stage == JobStage::Done).then_some(job.tasks as u64);
             JobStatus {
                 over: true,
@@ -144,7 +144,7 @@
         status: u16,
         state: &JobState,
     ) {
-        let newest = self.cache.newest;
+        let newest = self.cache.last_cancellation_or_claim;
         if state.status == status_text(JobStage::Cancelled)
             && !self.peers.silence_pledges.may_tell(newest, clock.now.0)
         {
@@ -220,7 +220,7 @@
             }
             PendingRequest::Cancel { conn, id } => self.on_cancel(clock, conn, id, freshness),
             PendingRequest::ConfirmLeadership => {}
-            PendingRequest::SettleJobWrites(batch) => self.settle_edits(batch),
+            PendingRequest::SettleJobWrites(batch) => self.settle_job_write(batch),
         }
     }
 
@@ -234,7 +234,7 @@
                 self.refuse(conn, 503, "the state service does not answer");
             }
             PendingRequest::ConfirmLeadership => {}
-            PendingRequest::SettleJobWrites(batch) => self.unsettled_edits(batch),
+            PendingRequest::SettleJobWrites(batch) => self.retry_job_write(batch),
         }
     }
 }
--- a/src/api/forwarding.rs
+++ b/src/api/forwarding.rs
@@ -23,7 +23,7 @@
             return false;
         };
         let id = job_path.trim_start_matches('/');
-        if let Some(JobLookup::Over(_)) = self.cache.job(id) {
+        if let Some(JobLookup::Finished(_)) = self.cache.job(id) {
             return false;
         }
         let submits = request.method == "POST" && job_path.is_empty();
@@ -39,7 +39,7 @@
             return false;
         };
         let path = format!("{FORWARD_PREFIX}{}", request.path);
-        let pending = PendingCall::ForwardedRequest(request.conn);
+        let pending = PendingCall::ForwardedRequest { conn: request.conn };
         let body = request.body.to_vec();
         self.call(pending, addr, method, &path, body, timeout);
         true
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -118,7 +118,7 @@
     ) {
         self.read_barrier.in_flight = false;
         if let StoreResponse::Events(changes) = reply {
-            self.cache.apply(changes);
+            self.cache.apply_watch_response(changes);
             self.on_confirmed_read(sent);
             self.on_cache_updated(clock);
             for request in std::mem::take(&mut self.read_barrier.covered) {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -182,7 +182,7 @@
                     all_known = false;
                     false
                 }
-                Some(JobLookup::Over(job)) => job.service,
+                Some(JobLookup::Finished(job)) => job.service,
                 Some(JobLookup::Live(job)) => job.rec.spec.kind == JobKind::Service,
             };
             if is_service {
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -90,7 +90,8 @@
 ) -> ScalingPlan {
     let silent_zones = silent_zones(snapshot);
     let capacity_missing = !unmet.is_empty();
-    let may_scale_out = snapshot.leader.fleet.listed_once && snapshot.cache.base.is_some();
+    let may_scale_out =
+        snapshot.leader.fleet.listed_once && snapshot.cache.initial_machines.is_some();
     let requests = if may_scale_out && capacity_missing && snapshot.learnt {
         plan_scale_out(snapshot, names, &silent_zones, source, unmet)
     } else {
@@ -119,7 +120,7 @@
         let is_silent = snapshot.clock.now.since(agent.heard) > patience;
         let zone = zones.entry(&agent.zone).or_default();
         zone.machines += 1;
-        zone.silent += usize::from(is_silent || !agent.hearing.hears());
+        zone.silent += usize::from(is_silent || !agent.reachability.receives());
     }
     zones
         .into_iter()
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -158,7 +158,7 @@
         };
         self.store.ask(
             RequestPriority::Urgent,
-            StoreRequestPurpose::RecordMachineTypes,
+            StoreRequestPurpose::BackgroundWrite,
             StoreRequest::Transaction(transaction),
         );
     }
@@ -172,7 +172,7 @@
             return;
         };
         leader.fleet.list_page_read(&page, clock.now);
-        if !page.more && self.cache.base.is_none() {
+        if !page.more && self.cache.initial_machines.is_none() {
             self.record_base(page.machines.len());
         }
         let Some(leader) = &mut self.leader else {
@@ -199,7 +199,7 @@
         };
         self.store.ask(
             RequestPriority::Normal,
-            StoreRequestPurpose::RecordMachineTypes,
+            StoreRequestPurpose::BackgroundWrite,
             StoreRequest::Transaction(transaction),
         );
     }
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -243,7 +243,7 @@
         if !self.queued_calls.is_empty()
             && let Some(rate_limit) = &self.rate_limit
         {
-            next = next.min(rate_limit.when(now, CALL_COST, false));
+            next = next.min(rate_limit.ready_at(now, CALL_COST, false));
         }
         if !self.list_pending {
             next = next.min(self.next_list_at);
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -108,7 +108,7 @@
         } else {
             SILENT_PATIENCE
         };
-        if let Some(since) = agent.hearing.suspected_since() {
+        if let Some(since) = agent.reachability.suspected_since() {
             return self
                 .unreachable_for_long(since, silent_patience)
                 .then_some(DeletionReason::Unreachable);
@@ -168,7 +168,7 @@
     fn is_surplus(&self, agent: &Agent) -> bool {
         let policy = self.snapshot.policy;
         // An operator who keeps machines up before there is work considers spare capacity worth its price.
-        let patience = if self.snapshot.cache.base.unwrap_or(0) > 0 {
+        let patience = if self.snapshot.cache.initial_machines.unwrap_or(0) > 0 {
             Micros::secs(policy.idle_return_kept_s)
         } else {
             Micros::secs(policy.idle_return_s)
@@ -195,7 +195,9 @@
         let lease = Micros::secs(agents.lease_s);
         let mut deletions = Vec::new();
         // Such jobs still have tasks on record, so they are among the ending ones.
-        let ending = cache.ending().filter_map(|id| cache.jobs.get_key_value(id));
+        let ending = cache
+            .ended_with_tasks()
+            .filter_map(|id| cache.jobs.get_key_value(id));
         for (id, job) in ending {
             let is_due = self.snapshot.clock.wall >= job.rec.end + delay;
             if job.rec.stage != JobStage::Cancelled || !is_due {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -172,7 +172,7 @@
         }
         next = next.min(self.write_due_records(clock));
         self.send_store_requests(clock.now);
-        if let Some(store_ready) = self.store.wake(clock.now) {
+        if let Some(store_ready) = self.store.next_send_at(clock.now) {
             next = next.min(store_ready);
         }
         (std::mem::take(&mut self.out), next)
@@ -214,20 +214,25 @@
 
     /// Handles the outcome of a call.
     fn on_response(&mut self, clock: Clock, id: u64, outcome: Outcome) {
-        if let Some((purpose, request, sent, reply)) = self.store.on_response(id, &outcome) {
-            if !matches!(reply, StoreResponse::Refused | StoreResponse::Lost) {
+        if let Some(completed) = self.store.on_response(id, &outcome) {
+            if !matches!(
+                completed.response,
+                StoreResponse::Refused | StoreResponse::Lost
+            ) {
                 self.store_probe.heard_at = clock.now;
                 self.connectivity.on_store_heard(clock.now);
             }
-            self.on_store_response(clock, purpose, request, sent, reply);
+            self.on_store_response(clock, completed);
             return;
         }
         match self.pending_calls.remove(&id) {
-            Some(PendingCall::PeerHeartbeat(peer, sent)) => {
-                self.on_heartbeat_response(clock, peer, sent, outcome);
+            Some(PendingCall::PeerHeartbeat { peer, sent_at }) => {
+                self.on_heartbeat_response(clock, peer, sent_at, outcome);
             }
-            Some(PendingCall::ForwardedRequest(conn)) => self.on_forwarded_response(conn, outcome),
-            Some(PendingCall::RelayedHeartbeat(conn, report)) => {
+            Some(PendingCall::ForwardedRequest { conn }) => {
+                self.on_forwarded_response(conn, outcome)
+            }
+            Some(PendingCall::RelayedHeartbeat { conn, report }) => {
                 self.on_relay_response(clock, conn, *report, outcome);
             }
             Some(pending) => self.on_leader_call_response(clock, pending, outcome),
--- a/src/controller/outgoing.rs
+++ b/src/controller/outgoing.rs
@@ -75,7 +75,8 @@
 
     /// Sends queued requests to the key-value store as far as its budgets allow.
     pub(crate) fn send_store_requests(&mut self, now: Micros) {
-        self.store.pump(now, &mut self.last_call_id, &mut self.out);
+        self.store
+            .send_queued(now, &mut self.last_call_id, &mut self.out);
     }
 }
 
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -114,7 +114,7 @@
         self.record_sync.watch_open = false;
         match reply {
             StoreResponse::Events(changes) => {
-                self.cache.apply(changes);
+                self.cache.apply_watch_response(changes);
                 self.on_confirmed_read(sent);
                 let next_watch = sent + self.watch_interval();
                 self.record_sync.watch_due = Some(clock.now.max(next_watch));
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::Controller;
 use crate::protocol::{Clock, Micros};
+use crate::records::record_writer::DueWrites;
 
 /// Kinds of records that take turns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,12 +34,15 @@
         loop {
             // Under load hundreds of records wait and events come hundreds of times a second: which records are due is
             // only determined when the store can take one.
-            let writable_at = self.store.room_at(now, 1);
+            let writable_at = self.store.changes_sendable_at(now, 1);
             if writable_at > now {
                 return writable_at;
             }
             let acceptances = self.acceptances_due(now);
-            let (job_updates, next) = self.edits_due(now);
+            let DueWrites {
+                count: job_updates,
+                next_at: next,
+            } = self.due_job_writes(now);
             if acceptances + job_updates == 0 {
                 return next;
             }
@@ -50,8 +54,8 @@
             };
             // Half a transaction is worth sending; less only if no more is due.
             let worthwhile = due.min(max_changes / 2).max(1);
-            let room = self.store.room_for(now, due.min(max_changes));
-            let worthwhile_at = self.store.room_at(now, worthwhile);
+            let room = self.store.sendable_changes(now, due.min(max_changes));
+            let worthwhile_at = self.store.changes_sendable_at(now, worthwhile);
             if room < worthwhile && worthwhile_at > now {
                 return worthwhile_at.min(next);
             }
@@ -60,7 +64,7 @@
                 return next;
             }
             match kind {
-                RecordKind::JobUpdates => self.write_edits(clock, room),
+                RecordKind::JobUpdates => self.write_job_records(clock, room),
                 RecordKind::Acceptances => self.write_acceptances(room),
             }
             self.send_store_requests(now);
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -3,19 +3,22 @@
 use crate::controller::Controller;
 use crate::leadership::format_negotiation::FORMAT_CHECK_INTERVAL;
 use crate::messages::StoreRequestPurpose;
-use crate::protocol::{Clock, Micros};
-use crate::state::store_client::{StoreRequest, StoreResponse};
+use crate::protocol::Clock;
+use crate::state::store_client::CompletedRequest;
 
 impl Controller {
-    /// Dispatches the response to a request that was sent at `sent`, by the purpose of the request.
+    /// Dispatches the response to a request by the purpose of the request.
     pub(super) fn on_store_response(
         &mut self,
         clock: Clock,
-        purpose: StoreRequestPurpose,
-        request: StoreRequest,
-        sent: Micros,
-        reply: StoreResponse,
+        completed: CompletedRequest<StoreRequestPurpose>,
     ) {
+        let CompletedRequest {
+            purpose,
+            request,
+            sent_at: sent,
+            response: reply,
+        } = completed;
         match purpose {
             StoreRequestPurpose::ListRecords => self.on_listing_response(clock, reply),
             StoreRequestPurpose::Watch => self.on_watch_response(clock, sent, reply),
@@ -45,7 +48,7 @@
             StoreRequestPurpose::WriteJobs(batch) => {
                 self.on_job_writes_result(clock, batch, request, reply);
             }
-            StoreRequestPurpose::RecordMachineTypes => {
+            StoreRequestPurpose::BackgroundWrite => {
                 self.apply_if_committed(&request, &reply);
             }
             StoreRequestPurpose::BudgetShares => self.on_budget_shares(clock, request, reply),
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -235,7 +235,7 @@
 
     /// Writes per second that the current grant adds to our fixed share, or takes from it.
     fn granted_writes(&self, clock: Clock) -> f64 {
-        let Some((grant, _)) = &self.cache.parts else {
+        let Some((grant, _)) = &self.cache.budget_shares else {
             return 0.0;
         };
         let settings = &self.settings;
@@ -256,8 +256,9 @@
 
     /// The rate of writes that this controller could use beyond what it has without a grant.
     fn wanted_writes(&mut self, clock: Clock) -> Milli {
-        let (edits, _) = self.edits_due(clock.now);
-        let queued = (self.client_api.queued_acceptances() + edits) as f64 / QUEUE_CLEARING_TIME_S;
+        let job_writes = self.due_job_writes(clock.now).count;
+        let queued =
+            (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
         let wanted = (queued + self.client_api.refused_lately(clock.now)) * MILLI;
         let lendable = grant_rules(&self.settings).whole;
         let own = match self.leader {
@@ -304,7 +305,7 @@
             weight: fixed_writes(&self.settings, true) as f64,
         };
         let no_grant = (Grant::default(), 0);
-        let (current, version) = self.cache.parts.as_ref().unwrap_or(&no_grant);
+        let (current, version) = self.cache.budget_shares.as_ref().unwrap_or(&no_grant);
         let rules = grant_rules(&self.settings);
         let next = current.next(clock.wall.0, own_request, &requests, &rules);
         log::debug!("budget granted epoch={} parts={:?}", next.epoch, next.parts);
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -9,7 +9,7 @@
 };
 use crate::protocol::codec::encode;
 use crate::protocol::{Clock, Micros};
-use crate::state::agent::split_task;
+use crate::state::agent::parse_task_name;
 use crate::transport::{NetworkCommand, Outcome};
 use std::net::SocketAddr;
 
@@ -61,7 +61,7 @@
     /// The controller on record as leader, unless it is this one or the leader key is gone.
     fn remote_leader(&self) -> Option<RemoteLeader> {
         let (record, version) = self.cache.lead.as_ref()?;
-        if record.node == self.settings.node || self.cache.live.is_none() {
+        if record.node == self.settings.node || self.cache.leader_lease_version.is_none() {
             return None;
         }
         Some(RemoteLeader {
@@ -126,7 +126,10 @@
             heartbeat.machine
         );
         let body = encode(&heartbeat);
-        let call = PendingCall::RelayedHeartbeat(connection, Box::new(heartbeat));
+        let call = PendingCall::RelayedHeartbeat {
+            conn: connection,
+            report: Box::new(heartbeat),
+        };
         self.call(call, address, "POST", "/hello", body, RELAY_TIMEOUT);
     }
 
@@ -302,7 +305,9 @@
             .tasks
             .iter()
             .filter(|task| task.phase != TaskPhase::Exited)
-            .filter(|task| split_task(&task.task).is_some_and(|(job, _)| self.is_cancelled(job)))
+            .filter(|task| {
+                parse_task_name(&task.task).is_some_and(|(job, _)| self.is_cancelled(job))
+            })
             .map(|task| Command::Stop {
                 task: task.task.clone(),
                 attempt: task.attempt,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -69,7 +69,7 @@
             return true;
         };
         self.previous_run_leads()
-            || self.cache.live.is_none()
+            || self.cache.leader_lease_version.is_none()
             || self.leader_process_restarted()
             || self.leader_suspected(clock, &record.node)
     }
@@ -106,7 +106,7 @@
             return false;
         };
         leader.node != self.settings.node
-            && self.cache.live.is_some()
+            && self.cache.leader_lease_version.is_some()
             && !lease_outlasts_two_failures(&self.settings)
             && !self.next_controller_in_other_zone(&leader.node)
             && self.is_preferred_leader()
@@ -260,7 +260,7 @@
         let transaction = Transaction {
             conds: vec![
                 VersionCondition::new(LEAD, version),
-                VersionCondition::new(LIVE, self.cache.live.unwrap_or(0)),
+                VersionCondition::new(LIVE, self.cache.leader_lease_version.unwrap_or(0)),
             ],
             changes: vec![
                 Change::put(LEAD, &record, None),
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -45,7 +45,10 @@
         link.in_flight = true;
         link.announced_unserved = heartbeat.more.is_some_and(|extension| extension.quiet);
         self.call(
-            PendingCall::PeerHeartbeat(peer, clock.now),
+            PendingCall::PeerHeartbeat {
+                peer,
+                sent_at: clock.now,
+            },
             self.settings.peers[peer].address,
             "POST",
             "/heartbeat",
@@ -81,13 +84,16 @@
             node: self.settings.node.clone(),
             leading: leading_term,
             leader_silent_ms,
-            newest: self.cache.synced.then_some(self.cache.newest),
+            newest: self
+                .cache
+                .synced
+                .then_some(self.cache.last_cancellation_or_claim),
             served: store_available,
             format: format::NEWEST,
             asks: self.budget.requested_writes(),
             epoch: self
                 .cache
-                .parts
+                .budget_shares
                 .as_ref()
                 .map_or(0, |(grant, _)| grant.epoch),
             more: Some(extension),
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -98,7 +98,7 @@
 
     /// Whether this controller has read the records and the store serves it.
     pub fn store_available(&self) -> bool {
-        self.cache.synced && !self.store.silent()
+        self.cache.synced && !self.store.is_unresponsive()
     }
 
     /// Address of a peer that the store serves while it does not serve this controller; the leader is preferred.
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -78,7 +78,7 @@
         self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
-            self.edits.want(&job, now).clean = true;
+            self.edits.pending_write_mut(&job, now).clean = true;
         }
         self.record_done(findings.done_tasks, cache, now);
         let preemptions = preemption_stops(decision.preemptions, cache);
@@ -130,7 +130,10 @@
             self.term,
             start.backfilled,
         );
-        self.edits.want(&start.job, now).places.push(entry);
+        self.edits
+            .pending_write_mut(&start.job, now)
+            .places
+            .push(entry);
     }
 
     /// Records tasks as done; the tasks of a gang complete together.
@@ -138,7 +141,7 @@
         for TaskRef { job: id, task } in done_tasks {
             if let Some(job) = cache.jobs.get(&id) {
                 let tasks = tasks_stopped_with(&job.rec.spec, task);
-                self.edits.want(&id, now).done.extend(tasks);
+                self.edits.pending_write_mut(&id, now).done.extend(tasks);
             }
         }
     }
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -91,7 +91,8 @@
         let task = attempt.task();
         let active = inspected.queued.active;
         let LocatedAttempt { liveness, host } = self.locate(inspected.id, attempt, machine);
-        let presumed = liveness.presumed(|| active && self.leader.wanted(inspected.id, attempt));
+        let presumed =
+            liveness.may_be_running(|| active && self.leader.wanted(inspected.id, attempt));
         if is_recorded {
             tally.add_recorded(task, liveness, presumed);
         }
@@ -128,7 +129,7 @@
     fn locate(&self, id: &str, attempt: &'a TaskEntry, machine: &str) -> LocatedAttempt {
         let host = self.snapshot.host_table.find(machine);
         let liveness = match host {
-            Some(index) => self.snapshot.host_table.agents[index].standing(
+            Some(index) => self.snapshot.host_table.agents[index].liveness(
                 self.leader.term,
                 id,
                 attempt.task(),
@@ -172,7 +173,7 @@
     fn save_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
         let spec = inspected.spec();
         let grace_s = grace(inspected.job);
-        let reclaimed_at = self.snapshot.host_table.agents[host].notice;
+        let reclaimed_at = self.snapshot.host_table.agents[host].preemption_at;
         let saved_at = self.clock.now + Micros::secs(spec.save_s);
         if grace_s > 0.0 && reclaimed_at.is_some_and(|at| at > saved_at) {
             let tasks = tasks_stopped_with(spec, task);
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -100,8 +100,8 @@
     // reaches no controller is about to lose all of its tasks.
     agent.term == leader.term
         && agent.answered.is_some_and(|at| now < at + fresh)
-        && agent.notice.is_none()
-        && agent.hearing.hears()
+        && agent.preemption_at.is_none()
+        && agent.reachability.receives()
         && !leader.fleet.leaving(name)
         && !leader.sick(agent, inputs.policy)
         && !leader.suspect(agent, now)
@@ -130,7 +130,7 @@
         cache: &RecordCache,
         names: &mut NameTable,
     ) -> Arc<Vec<u32>> {
-        let version = cache.images.version(machine);
+        let version = cache.image_caches.version(machine);
         if let Some(known) = self.0.get(machine)
             && (known.version, known.cache_gb) == (version, cache_gb)
         {
@@ -139,7 +139,7 @@
         if self.0.len() > MAX_KNOWN_MACHINES {
             self.0.clear();
         }
-        let image_names = cache.images.of(machine, cache_gb);
+        let image_names = cache.image_caches.of(machine, cache_gb);
         let images: Arc<Vec<u32>> = Arc::new(image_names.map(|name| names.id(name)).collect());
         let known = CachedImages {
             version,
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -225,7 +225,7 @@
         let queued = QueuedJob {
             id: id.into(),
             accepted_at: job.rec.at,
-            released_at: job.released,
+            released_at: job.released_at,
             estimate: Estimate(spec.estimate_s),
             need: need(spec),
             profile,
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -20,9 +20,9 @@
         },
         version: 1,
         chunks: BTreeMap::new(),
-        unmet: 0,
-        released: Micros::ZERO,
-        bundled: Vec::new(),
+        unmet_dependencies: 0,
+        released_at: Micros::ZERO,
+        batched_places: Vec::new(),
     }
 }
 
@@ -48,7 +48,7 @@
     let mut job = job(spec, Micros(rng.random_range(0..40)));
     job.rec.stage = [JobStage::Active, JobStage::Cancelled][usize::from(is_cancelled)];
     job.rec.first.entries = entries;
-    job.unmet = usize::from(rng.random_bool(0.1));
+    job.unmet_dependencies = usize::from(rng.random_bool(0.1));
     job
 }
 
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -15,13 +15,13 @@
     /// Computes the priorities of all jobs in the cache.
     pub fn new(cache: &'a RecordCache) -> InheritedPriorities<'a> {
         let mut inherited: HashMap<&str, Priority> = HashMap::new();
-        if !cache.any_wait() {
+        if !cache.has_waiting_jobs() {
             return InheritedPriorities(inherited);
         }
         // A priority is passed on along the dependencies as long as it raises that of another job. There
         // are only four priorities, so this ends even if the dependencies contain a cycle.
         let mut raised: Vec<(&Job, Priority)> = cache
-            .waiting()
+            .waiting_jobs()
             .map(|job| (job, job.rec.spec.priority))
             .collect();
         while let Some((job, priority)) = raised.pop() {
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -326,7 +326,7 @@
             }
             5 => {
                 if let Some(agent) = self.leader.agents.get_mut(&machine) {
-                    agent.over = Some(agent.agent_epoch);
+                    agent.ended_epoch = Some(agent.agent_epoch);
                 }
             }
             6 => {
@@ -402,12 +402,14 @@
             let placements = self
                 .leader
                 .edits
-                .wanted_of(&id)
+                .pending_write(&id)
                 .map(|write: &PendingWrite| write.places.clone());
             if let Some(placements) = placements.filter(|placements| !placements.is_empty())
                 && self.rng.random_bool(0.3)
             {
-                self.leader.edits.fly_places(&id, Vec::new(), placements);
+                self.leader
+                    .edits
+                    .mark_places_in_flight(&id, Vec::new(), placements);
             }
         }
     }
@@ -426,7 +428,11 @@
             start.backfilled,
         );
         if self.rng.random_bool(0.5) {
-            self.leader.edits.want(&start.job, now).places.push(entry);
+            self.leader
+                .edits
+                .pending_write_mut(&start.job, now)
+                .places
+                .push(entry);
         } else if self.rng.random_bool(0.5) {
             let Some(job) = self.cache.jobs.get(&start.job) else {
                 return;
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -243,8 +243,8 @@
         }
         let open = agent.term == leader.term
             && agent.answered.is_some_and(|at| now < at + fresh)
-            && agent.notice.is_none()
-            && agent.hearing.hears()
+            && agent.preemption_at.is_none()
+            && agent.reachability.receives()
             && !leader.fleet.leaving(name)
             && !leader.sick(agent, policy)
             && !leader.suspect(agent, now);
@@ -263,7 +263,7 @@
             leaving: [0.0; 3],
             open,
             images: cache
-                .images
+                .image_caches
                 .of(name, machine_type.cache_gb)
                 .map(|image| names.id(image))
                 .collect::<Vec<u32>>()
@@ -358,7 +358,10 @@
                 }
                 // The spot instance is about to be reclaimed: a task that can save does so now, a gang
                 // as a whole.
-                let reclaimed_at = leader.agents.get(machine).and_then(|agent| agent.notice);
+                let reclaimed_at = leader
+                    .agents
+                    .get(machine)
+                    .and_then(|agent| agent.preemption_at);
                 let grace_s = grace(job);
                 if grace_s > 0.0
                     && reclaimed_at.is_some_and(|at| at > now + Micros::secs(spec.save_s))
@@ -509,9 +512,9 @@
         estimate_s: spec.estimate_s,
         priority,
         guaranteed,
-        overdue: clock.wall.since(job.released) > OVERDUE_AFTER,
-        aged: clock.wall.since(job.released) > AGED_AFTER,
-        starved: clock.wall.since(job.released) > STARVED_AFTER,
+        overdue: clock.wall.since(job.released_at) > OVERDUE_AFTER,
+        aged: clock.wall.since(job.released_at) > AGED_AFTER,
+        starved: clock.wall.since(job.released_at) > STARVED_AFTER,
     })
 }
 
--- a/tests/world/asks.rs
+++ b/tests/world/asks.rs
@@ -91,7 +91,11 @@
             };
             out += &format!(
                 "node {i}: synced {} revision {} lead {:?} live {:?} wake {}\n",
-                n.cache.synced, n.cache.revision, n.cache.lead, n.cache.live, s.wake
+                n.cache.synced,
+                n.cache.revision,
+                n.cache.lead,
+                n.cache.leader_lease_version,
+                s.wake
             );
             if let Some(l) = &n.leader {
                 out += &format!(
@@ -101,7 +105,7 @@
                 for (m, w) in &l.agents {
                     out += &format!(
                         "  {m}: session {} term {} heard {} over {:?} starts {:?} tasks {:?}\n",
-                        w.agent_epoch, w.term, w.heard, w.over, w.starts, w.tasks
+                        w.agent_epoch, w.term, w.heard, w.ended_epoch, w.starts, w.tasks
                     );
                 }
                 for (id, j) in &n.cache.jobs {
