--- /dev/null
+++ b/tests/large_fleet.rs
@@ -0,0 +1,83 @@
+//! Stories at the size that the operators have announced: half as many machines again as their fleets, and
+//! controllers that start again within a fraction of a second.
+
+mod simulation;
+
+use simulation::{CallCounts, SECOND, Simulation, job};
+use walnuttrestle::protocol::JobKind;
+
+const MACHINES: usize = 1_900;
+const TASKS: u32 = 1_800;
+
+/// A fleet with a task on nearly every machine.
+fn full(seed: u64) -> Simulation {
+    let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 150.0);
+    sim.run_seconds(10);
+    for n in 0..TASKS / 15 {
+        sim.spawn_client(
+            &format!("req-{n}"),
+            job(JobKind::Array, 15, 8.0),
+            600 * SECOND,
+        );
+    }
+    sim.run_seconds(40);
+    assert_eq!(sim.start_counts.values().sum::<u32>(), TASKS);
+    sim
+}
+
+#[test]
+fn all_workers_come_to_one_controller_in_the_same_second() {
+    let mut sim = full(1);
+    sim.call_counts = CallCounts::default();
+    // All are with the leader; its process goes, and that of one peer.
+    let l = sim.leader().expect("a leader");
+    let left = (l + 1) % 3;
+    sim.crash_controller(l, 60 * SECOND);
+    sim.crash_controller((l + 2) % 3, 60 * SECOND);
+    sim.crash_controller(left, 200_000);
+    sim.run_seconds(30);
+    assert_eq!(sim.leader(), Some(left));
+    assert_eq!(
+        sim.start_counts.values().sum::<u32>(),
+        TASKS,
+        "nothing starts twice"
+    );
+    assert!(
+        sim.agents.values().all(|x| x.agent_epoch == 1),
+        "no lease ran out"
+    );
+    // The records once, signs of life, barriers of polls; each agent is told the term once at the most.
+    assert!(
+        sim.call_counts.store_requests < 30 * 60,
+        "{:?}",
+        sim.call_counts
+    );
+    assert!(sim.call_counts.store_changes < 30, "{:?}", sim.call_counts);
+    assert!(
+        sim.call_counts.agent_commands <= MACHINES,
+        "{:?}",
+        sim.call_counts
+    );
+}
+
+/// Each run of a process has its share of the budget saved up when it starts; a storm must not spend it anew
+/// with every run.
+#[test]
+fn a_storm_of_restarts_costs_the_state_service_no_more_than_its_budget() {
+    for every in [150_000, 400_000, 1_000_000] {
+        let mut sim = full(2);
+        sim.call_counts = CallCounts::default();
+        for k in 0..6 * SECOND / every {
+            sim.after(k * every, |sim| {
+                (0..3).for_each(|i| sim.crash_controller(i, 50_000))
+            });
+        }
+        sim.run_seconds(6);
+        let costs = sim.call_counts;
+        assert!(costs.store_requests < 6 * 200, "every {every}: {costs:?}");
+        assert!(costs.store_changes < 6 * 150, "every {every}: {costs:?}");
+        sim.run_seconds(40);
+        let up: usize = sim.agents.values().map(|x| x.active_tasks().count()).sum();
+        assert_eq!(up as u32, TASKS, "every {every}: all are there again");
+    }
+}
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,6 +1,6 @@
 //! One controller over real loopback sockets, against stand-ins of state service and cloud.
 
-#[path = "world/store.rs"]
+#[path = "simulation/fake_store.rs"]
 mod store;
 
 use std::io::{Read, Write};
--- /dev/null
+++ b/tests/overload.rs
@@ -0,0 +1,338 @@
+//! Stories about long queues: many more jobs wait than there is room, and then something fails. The
+//! world's checker asserts the rules after every step, and every pass compares the kept queue with one
+//! made anew (debug builds); `in_turn` asserts that what waited alike started in order.
+
+mod simulation;
+
+use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job};
+use walnuttrestle::protocol::{JobKind, Priority};
+
+/// Machines of the world; each holds eight of the tasks below.
+const MACHINES: usize = 4;
+
+fn id(n: usize) -> String {
+    format!("req-{n:06}")
+}
+
+/// A world that rents no more, in which `n` arrays of two tasks each come within `s` seconds.
+fn flooded(seed: u64, n: usize, s: u64) -> Simulation {
+    let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    for i in 0..n {
+        let at = i as u64 * s * SECOND / n as u64;
+        sim.after(at, move |sim| {
+            sim.spawn_client(&id(i), job(JobKind::Array, 2, 1.0), 3 * SECOND)
+        });
+    }
+    sim.run_seconds(s);
+    sim
+}
+
+fn done(sim: &Simulation, range: std::ops::Range<usize>) -> usize {
+    range.filter(|n| sim.job_done(&id(*n))).count()
+}
+
+fn accepted(sim: &Simulation) -> usize {
+    sim.jobs.values().filter(|j| j.accepted).count()
+}
+
+/// The queue of whoever leads: all that waits, and what a walk over it says.
+fn queued(sim: &Simulation) -> usize {
+    let leads = sim.leader().and_then(|i| sim.controller(i));
+    let leader = leads.and_then(|n| n.leader.as_ref());
+    leader.map_or(0, |l| l.kept.backlog.queued())
+}
+
+/// Jobs begin in the order in which they came, but for those that came at about the same time: the
+/// clients of up to `apart` jobs may have submitted theirs again meanwhile.
+fn in_turn(sim: &Simulation, apart: usize) {
+    let mut first: Vec<(u64, usize)> = Vec::new();
+    for b in &sim.task_starts {
+        let (job, _) = b.task.rsplit_once('/').expect("a task's name");
+        let n: usize = job[4..].parse().expect("a number");
+        if first.iter().all(|(_, m)| *m != n) {
+            first.push((b.at, n));
+        }
+    }
+    for (at, (_, n)) in first.iter().enumerate() {
+        let late = first[..at].iter().filter(|(_, m)| *m > n + apart).count();
+        assert_eq!(
+            late, 0,
+            "req-{n} began behind {late} that came long after it"
+        );
+    }
+}
+
+#[test]
+fn a_new_leader_goes_on_with_a_queue_of_hundreds() {
+    let mut sim = flooded(1, 500, 8);
+    assert!(queued(&sim) > 300, "{} wait", queued(&sim));
+    let before = done(&sim, 0..500);
+    for _ in 0..3 {
+        let i = sim.leader().expect("a leader");
+        sim.crash_controller(i, 4 * SECOND);
+        sim.run_seconds(12);
+        assert!(sim.leader().is_some(), "nobody leads");
+    }
+    sim.run_seconds(20);
+    assert!(done(&sim, 0..500) > before + 60, "{}", done(&sim, 0..500));
+    in_turn(&sim, 60);
+}
+
+#[test]
+fn a_zone_is_lost_while_the_queue_is_full() {
+    let mut sim = flooded(2, 300, 6);
+    let replicas = "req-900000";
+    let mut spec = job(JobKind::Service, 4, 1.0);
+    spec.priority = Priority::Production;
+    sim.spawn_client(replicas, spec, 0);
+    sim.run_seconds(12);
+    for m in ["n-000002", "n-000004"] {
+        for i in 0..3 {
+            sim.partition(
+                Endpoint::Controller(i),
+                Endpoint::Agent(m.into()),
+                PartitionMode::Drop,
+                60 * SECOND,
+            );
+        }
+    }
+    sim.run_seconds(75);
+    // The replicas did not queue up behind hundreds of arrays, and the arrays went on.
+    let up = (0..4).filter(|t| !sim.machines_running(&format!("{replicas}/{t}")).is_empty());
+    assert_eq!(up.count(), 4);
+    assert!(done(&sim, 0..300) > 60, "{}", done(&sim, 0..300));
+}
+
+#[test]
+fn the_queue_grows_while_the_state_service_is_out() {
+    let mut sim = flooded(3, 60, 3);
+    sim.run_seconds(4);
+    let (before, waited) = (done(&sim, 0..60), accepted(&sim));
+    sim.store.outage = true;
+    sim.after(20 * SECOND, |sim| {
+        let now = sim.now;
+        sim.store.end_outage(now);
+    });
+    for i in 60..260 {
+        sim.after((i as u64 - 60) * SECOND / 10, move |sim| {
+            sim.spawn_client(&id(i), job(JobKind::Array, 2, 1.0), 2 * SECOND);
+        });
+    }
+    sim.run_seconds(19);
+    assert_eq!(
+        accepted(&sim),
+        waited,
+        "nothing is accepted that is not on record"
+    );
+    sim.run_seconds(90);
+    assert!(accepted(&sim) > 240, "{}", accepted(&sim));
+    assert!(done(&sim, 0..260) > before + 100);
+}
+
+#[test]
+fn hundreds_of_cancellations_at_once_leave_the_rest_in_turn() {
+    let mut sim = flooded(4, 400, 6);
+    sim.run_seconds(6);
+    for n in (0..400).filter(|n| n % 4 != 0) {
+        sim.cancel_until_answered(&id(n));
+    }
+    sim.run_seconds(110);
+    let kept = (0..400).filter(|n| n % 4 == 0);
+    let over = kept.clone().filter(|n| sim.job_done(&id(*n))).count();
+    assert_eq!(over, kept.count(), "{}", sim.dump());
+    assert_eq!(queued(&sim), 0);
+}
+
+/// Nothing of a team at its limit is in anybody's way, and when the limit frees the oldest goes first.
+#[test]
+fn a_team_at_its_limit_waits_alone_and_goes_on_when_the_limit_frees() {
+    let mut sim = Simulation::with_write_rate(5, 3, MACHINES, 200.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    let red = |tasks: u32, gpus: f64| {
+        let mut spec = job(JobKind::Array, tasks, gpus);
+        spec.team = "red".into();
+        spec
+    };
+    // Twelve GPUs are the red team's limit.
+    sim.spawn_client("req-100000", red(6, 2.0), 40 * SECOND);
+    sim.run_seconds(4);
+    for n in 0..150 {
+        sim.spawn_client(&id(n), red(2, 1.0), 2 * SECOND);
+    }
+    for n in 500..520 {
+        sim.spawn_client(&id(n), job(JobKind::Array, 2, 1.0), 2 * SECOND);
+    }
+    sim.run_seconds(22);
+    assert_eq!(done(&sim, 500..520), 20);
+    assert_eq!(done(&sim, 0..150), 0);
+    sim.run_seconds(60);
+    assert!(done(&sim, 0..150) > 50, "{}", done(&sim, 0..150));
+}
+
+/// The job at the top wants more than there is; all that fits goes on past it, for as long as it waits.
+#[test]
+fn a_gang_that_can_never_fit_today_holds_nobody_up() {
+    let mut sim = Simulation::with_write_rate(6, 3, MACHINES, 200.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    sim.spawn_client("req-100000", job(JobKind::Gang, 6, 8.0), 5 * SECOND);
+    sim.run_seconds(3);
+    for n in 0..200 {
+        sim.spawn_client(&id(n), job(JobKind::Array, 2, 1.0), 2 * SECOND);
+    }
+    sim.run_seconds(80);
+    assert_eq!(done(&sim, 0..200), 200);
+    assert!(sim.machines_running("req-100000/0").is_empty());
+}
+
+/// The first version leads in between and knows nothing of a kept queue.
+#[test]
+fn a_controller_of_the_first_version_leads_while_hundreds_wait() {
+    let mut sim = flooded(7, 300, 6);
+    let i = sim.leader().expect("a leader");
+    for n in (0..3).filter(|n| *n != i) {
+        sim.set_first_version(n, true);
+        sim.crash_controller(n, 2 * SECOND);
+        sim.run_seconds(5);
+    }
+    sim.crash_controller(i, 20 * SECOND);
+    sim.run_seconds(15);
+    assert!(sim.leader().is_some_and(|l| l != i));
+    for n in (0..3).filter(|n| *n != i) {
+        sim.set_first_version(n, false);
+        sim.crash_controller(n, 2 * SECOND);
+        sim.run_seconds(8);
+    }
+    sim.run_seconds(60);
+    assert!(done(&sim, 0..300) > 150, "{}", done(&sim, 0..300));
+    in_turn(&sim, 60);
+}
+
+/// One class asks for many times what the store takes; another for a job every three seconds, on
+/// whichever controller. Returns when each of the latter was accepted, in seconds.
+fn beside_a_flood(seed: u64, trouble: impl FnOnce(&mut Simulation) + 'static) -> Vec<f64> {
+    let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 12.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    for n in 0..900 {
+        let at = n as u64 * SECOND / 30;
+        sim.after(at, move |sim| {
+            sim.spawn_client(&id(n), job(JobKind::Array, 1, 1.0), SECOND)
+        });
+    }
+    sim.after(8 * SECOND, trouble);
+    let mut took = Vec::new();
+    for n in 0..9 {
+        let rare = id(800_000 + n);
+        let mut spec = job(JobKind::Array, 1, 1.0);
+        spec.class = "rare".into();
+        sim.spawn_client(&rare, spec, SECOND);
+        let began = sim.now;
+        while !sim.jobs[&rare].accepted && sim.now < began + 40 * SECOND {
+            sim.run_micros(SECOND / 10);
+        }
+        took.push((sim.now - began) as f64 / SECOND as f64);
+        sim.run_seconds(3);
+    }
+    took
+}
+
+#[test]
+fn a_class_that_floods_keeps_nobody_else_from_being_accepted() {
+    let took = beside_a_flood(11, |_| {});
+    assert!(took.iter().all(|s| *s < 4.0), "{took:?}");
+}
+
+#[test]
+fn nor_does_it_while_a_controller_is_lost_and_another_cut_off() {
+    let took = beside_a_flood(12, |sim| {
+        let i = sim.leader().expect("a leader");
+        sim.crash_controller(i, 6 * SECOND);
+        sim.partition(
+            Endpoint::Controller((i + 1) % 3),
+            Endpoint::Store,
+            PartitionMode::Delay,
+            8 * SECOND,
+        );
+    });
+    let late = took.iter().filter(|s| **s > 4.0).count();
+    // Nothing can be durable while nobody leads or the store is out of reach.
+    assert!(late <= 3 && took.iter().all(|s| *s < 15.0), "{took:?}");
+}
+
+/// What the controllers take of the store's changes in all, a second.
+fn taken(sim: &Simulation) -> f64 {
+    let nodes = (0..sim.controller_count()).filter_map(|i| sim.controller(i));
+    nodes.map(|n| n.store.write_rate()).sum()
+}
+
+/// A load balancer may send everybody to one controller, which has a sixth of the budget. Told of what it
+/// is asked for, the leader gives it what the others do not need; at no moment is more given than there is.
+#[test]
+fn all_users_come_to_one_follower() {
+    let mut sim = Simulation::with_write_rate(21, 3, MACHINES, 30.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    let leader = sim.leader().expect("a leader");
+    let one = (0..3).find(|i| *i != leader).expect("a follower");
+    let before = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
+    for n in 0..2_000 {
+        sim.declare_job(&id(n), job(JobKind::Array, 1, 1.0), SECOND);
+        for again in 0..3u64 {
+            let at = n as u64 * SECOND / 60 + again * 9 * SECOND;
+            sim.after(at, move |sim| {
+                if !sim.jobs[&id(n)].accepted {
+                    sim.submit(one, &id(n));
+                }
+            });
+        }
+    }
+    let mut most: f64 = 0.0;
+    for _ in 0..300 {
+        sim.run_micros(SECOND / 10);
+        most = most.max(taken(&sim));
+    }
+    let after = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
+    assert!(after > 1.6 * before, "{before} to {after}");
+    assert!(most <= 30.0, "{most} changes a second given of 30");
+    // Nobody asks any more: it goes back.
+    sim.run_seconds(75);
+    let calm = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
+    assert!(calm < 1.3 * before, "{calm}");
+}
+
+/// Grants end by themselves; a new leader gives on from what is on record, and a controller of an older
+/// version keeps its fixed part.
+#[test]
+fn parts_hold_while_leaders_change_and_an_old_version_comes_back() {
+    let mut sim = Simulation::with_write_rate(22, 3, MACHINES, 30.0);
+    sim.no_capacity = true;
+    sim.run_seconds(6);
+    for n in 0..1_500 {
+        let at = n as u64 * SECOND / 30;
+        sim.after(at, move |sim| {
+            sim.spawn_client(&id(n), job(JobKind::Array, 1, 1.0), SECOND)
+        });
+    }
+    sim.run_seconds(8);
+    let epoch = |sim: &Simulation| {
+        let i = sim.leader().expect("a leader");
+        let parts = sim.controller(i).and_then(|n| n.cache.parts.as_ref());
+        parts.map_or(0, |(g, _)| g.epoch)
+    };
+    assert!(epoch(&sim) > 0, "somebody asked for more");
+    let mut last = epoch(&sim);
+    for round in 0..4 {
+        let i = sim.leader().expect("a leader");
+        sim.set_first_version((i + 1) % 3, round == 1);
+        sim.crash_controller((i + round) % 3, 3 * SECOND);
+        // Silent ones leave what they have to the others; all three are there again by the end.
+        sim.run_seconds(12);
+        assert!(taken(&sim) <= 30.0, "round {round}: {}", taken(&sim));
+        assert!(epoch(&sim) >= last, "{} after {last}", epoch(&sim));
+        last = epoch(&sim);
+    }
+}
--- a/tests/mirror.rs
+++ b/tests/record_cache.rs
@@ -1,6 +1,6 @@
 //! The copy of the records: listings, watches, bundles laid over jobs, and what is newly cancelled.
 
-mod world;
+mod simulation;
 
 use walnuttrestle::protocol::codec::to_value;
 use walnuttrestle::protocol::key_value_api::{Item, ItemPage};
@@ -11,7 +11,7 @@
 use walnuttrestle::state::record_cache::{Job, JobLookup, RecordCache};
 
 fn record(stage: JobStage, entries: Vec<TaskEntry>) -> JobRecord {
-    let spec = world::job(JobKind::Service, 60, 1.0);
+    let spec = simulation::job(JobKind::Service, 60, 1.0);
     JobRecord {
         spec,
         at: Micros::ZERO,
--- a/tests/world/machines.rs
+++ b/tests/simulation/agent_behavior.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn hung(&self, name: &str) -> Option<u64> {
         self.agents
             .get(name)
@@ -27,31 +27,31 @@
                         .iter()
                         .any(|((t, _), s)| *t == task && s.phase != TaskPhase::Exited);
                     let image = self.jobs.get(&id).map(|t| t.spec.image.clone());
-                    let cached = image.is_some_and(|i| w.images.contains(&i));
+                    let cached = image.is_some_and(|i| w.cached_images.contains(&i));
                     let t = if busy {
-                        Task {
+                        FakeTask {
                             phase: TaskPhase::Exited,
-                            why: Some(ExitReason::Busy),
+                            exit_reason: Some(ExitReason::Busy),
                             saved: false,
-                            until: 0,
+                            phase_ends_at: 0,
                         }
                     } else if !self.jobs.contains_key(&id) {
-                        Task {
+                        FakeTask {
                             phase: TaskPhase::Exited,
-                            why: Some(ExitReason::Unknown),
+                            exit_reason: Some(ExitReason::Unknown),
                             saved: false,
-                            until: 0,
+                            phase_ends_at: 0,
                         }
                     } else {
-                        Task {
+                        FakeTask {
                             phase: TaskPhase::Fetching,
-                            why: None,
+                            exit_reason: None,
                             saved: false,
-                            until: self.now + if cached { 0 } else { FETCH },
+                            phase_ends_at: self.now + if cached { 0 } else { IMAGE_FETCH_TIME },
                         }
                     };
                     w.tasks.insert(key, t);
-                    w.report_at = w.report_at.min(self.now + SEC / 2);
+                    w.next_heartbeat_at = w.next_heartbeat_at.min(self.now + SECOND / 2);
                 }
                 Command::Stop {
                     task,
@@ -66,10 +66,10 @@
                             TaskPhase::Exited => {}
                             TaskPhase::Running if save > 0.0 && grace_s >= save => {
                                 t.phase = TaskPhase::Saving;
-                                t.until = self.now + (save * 1e6) as u64;
+                                t.phase_ends_at = self.now + (save * 1e6) as u64;
                             }
                             TaskPhase::Saving if grace_s > 0.0 => {}
-                            _ => w.exit(&key, ExitReason::Stopped, false),
+                            _ => w.exit_task(&key, ExitReason::Stopped, false),
                         }
                     }
                 }
@@ -86,112 +86,116 @@
         }
     }
 
-    pub(super) fn worker_tick(&mut self, name: &str) {
+    pub(super) fn agent_tick(&mut self, name: &str) {
         let now = self.now;
-        let nodes = self.nodes.len();
+        let nodes = self.controllers.len();
         if !self.agents[name].alive {
             return;
         }
         // A lease runs out on a hung machine, too: only within it may the machine continue.
         let w = self.agents.get_mut(name).unwrap();
-        if now > w.lease_from + self.lease_s * SEC {
-            w.kill_all();
-            w.lease_from = now;
+        if now > w.lease_renewed_at + self.lease_s * SECOND {
+            w.expire_session();
+            w.lease_renewed_at = now;
         }
         if self.hung(name).is_some() {
             return;
         }
         let w = self.agents.get_mut(name).unwrap();
         // Phases that end by themselves.
-        let due: Vec<agent::Key> = w
+        let due: Vec<fake_agent::TaskKey> = w
             .tasks
             .iter()
-            .filter(|(_, t)| t.phase != TaskPhase::Exited && t.until > 0 && t.until <= now)
+            .filter(|(_, t)| {
+                t.phase != TaskPhase::Exited && t.phase_ends_at > 0 && t.phase_ends_at <= now
+            })
             .map(|(k, _)| k.clone())
             .collect();
         for key in due {
             let id = key.0.rsplit_once('/').map(|(i, _)| i.to_string()).unwrap();
             let n: u32 = key.0.rsplit_once('/').unwrap().1.parse().unwrap();
             let truth = self.jobs[&id].clone();
-            let broken = self.broken_jobs.contains(&id);
+            let broken = self.failing_jobs.contains(&id);
             let whole = truth.spec.kind != JobKind::Gang || self.complete(&key, &truth);
             let w = self.agents.get_mut(name).unwrap();
-            let errors = w.errors || broken;
+            let errors = w.fails_tasks || broken;
             let t = w.tasks.get_mut(&key).unwrap();
             match t.phase {
-                TaskPhase::Fetching if errors => w.exit(&key, ExitReason::Error, false),
+                TaskPhase::Fetching if errors => w.exit_task(&key, ExitReason::Error, false),
                 TaskPhase::Fetching => {
                     if truth.done.contains(&n) {
-                        w.exit(&key, ExitReason::Done, false);
+                        w.exit_task(&key, ExitReason::Done, false);
                     } else if truth.spec.kind == JobKind::Gang {
                         t.phase = TaskPhase::Waiting;
-                        t.until = 0;
+                        t.phase_ends_at = 0;
                     } else {
                         t.phase = TaskPhase::Running;
-                        t.until = if truth.spec.kind == JobKind::Service {
+                        t.phase_ends_at = if truth.spec.kind == JobKind::Service {
                             0
                         } else {
                             now + truth.run + u64::from(n) * truth.apart
                         };
                     }
-                    w.report_at = w.report_at.min(now);
+                    w.next_heartbeat_at = w.next_heartbeat_at.min(now);
                     self.check_start(name, &key.0);
                 }
                 // While its machine hung, the others have gone.
-                TaskPhase::Running if !whole => w.exit(&key, ExitReason::Peers, false),
+                TaskPhase::Running if !whole => w.exit_task(&key, ExitReason::Peers, false),
                 TaskPhase::Running => {
-                    w.exit(&key, ExitReason::Done, false);
+                    w.exit_task(&key, ExitReason::Done, false);
                     self.jobs.get_mut(&id).unwrap().done.insert(n);
                 }
-                TaskPhase::Saving => w.exit(&key, ExitReason::Stopped, true),
+                TaskPhase::Saving => w.exit_task(&key, ExitReason::Stopped, true),
                 _ => {}
             }
         }
         let w = self.agents.get_mut(name).unwrap();
         if let Some((_, number, sent)) = w.flying
-            && now > sent + 4 * SEC
+            && now > sent + 4 * SECOND
         {
             let _ = number;
             w.flying = None;
-            w.node = (w.node + 1) % nodes;
-            w.report_at = now + SEC;
+            w.controller = (w.controller + 1) % nodes;
+            w.next_heartbeat_at = now + SECOND;
         }
-        if w.flying.is_none() && w.report_at <= now {
-            let body = encode(&w.report());
+        if w.flying.is_none() && w.next_heartbeat_at <= now {
+            let body = encode(&w.heartbeat());
             let number = w.seq;
             w.flying = Some((w.agent_epoch, number, now));
-            w.report_at = now + 2 * SEC;
-            let node = w.node;
+            w.next_heartbeat_at = now + 2 * SECOND;
+            let node = w.controller;
             let name = name.to_string();
-            if self.troubles.is_silent(&name, now) {
+            if self.faults.is_silent(&name, now) {
                 return;
             }
             let copy = || (name.clone(), number, body.clone());
-            self.troubles.keep(copy, &mut self.rng);
-            let mut at = now + self.latency() + self.troubles.lag(&mut self.rng);
-            if let Some((to, late)) = self.troubles.copy(node, nodes, &mut self.rng) {
-                let copy = Ev::AgentHeartbeat(name.clone(), to, number, body.clone());
+            self.faults.keep_stale_heartbeat(copy, &mut self.rng);
+            let mut at = now + self.latency() + self.faults.heartbeat_delay(&mut self.rng);
+            if let Some((to, late)) = self.faults.duplicate_heartbeat(node, nodes, &mut self.rng) {
+                let copy = Event::AgentHeartbeat(name.clone(), to, number, body.clone());
                 self.schedule(at + late, copy);
             }
-            match self.across(&Party::Controller(node), &Party::Agent(name.clone())) {
-                Some((Cut::Drop, _)) => return,
-                Some((Cut::Hold, until)) => at = until + 1000,
+            match self
+                .partition_between(&Endpoint::Controller(node), &Endpoint::Agent(name.clone()))
+            {
+                Some((PartitionMode::Drop, _)) => return,
+                Some((PartitionMode::Delay, until)) => at = until + 1000,
                 None => {}
             }
-            self.schedule(at, Ev::AgentHeartbeat(name, node, number, body));
+            self.schedule(at, Event::AgentHeartbeat(name, node, number, body));
         }
     }
 
     /// All tasks of a gang's attempt are there, or one of them has completed it.
-    pub(super) fn complete(&self, key: &agent::Key, truth: &JobTruth) -> bool {
+    pub(super) fn complete(&self, key: &fake_agent::TaskKey, truth: &JobGroundTruth) -> bool {
         let id = key.0.rsplit_once('/').map(|(id, _)| id);
-        let there = self.agents.values().flat_map(|w| w.holds());
+        let there = self.agents.values().flat_map(|w| w.active_tasks());
         let mates = there.filter(|((k, attempt), _)| {
             *attempt == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id
         });
         // They complete together: while the machine of one stands still, none does.
         let hung = |w: &FakeAgent| {
-            let mut held = w.holds().map(|((k, attempt), _)| (k, attempt));
+            let mut held = w.active_tasks().map(|((k, attempt), _)| (k, attempt));
             let mate =
                 |(k, a): (&String, &u64)| *a == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id;
             w.hung_until > self.now && held.any(mate)
@@ -203,10 +207,10 @@
     /// Gangs: start together, fail together.
     pub(super) fn gangs(&mut self) {
         let now = self.now;
-        type Member = (String, agent::Key, TaskPhase);
+        type Member = (String, fake_agent::TaskKey, TaskPhase);
         let mut members: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
         for w in self.agents.values() {
-            for (k, t) in w.holds() {
+            for (k, t) in w.active_tasks() {
                 let id = k.0.rsplit_once('/').unwrap().0.to_string();
                 if self
                     .jobs
@@ -229,12 +233,12 @@
                 for (m, k, _) in &list {
                     let t = self.agents.get_mut(m).unwrap().tasks.get_mut(k).unwrap();
                     t.phase = TaskPhase::Running;
-                    t.until = now + truth.run;
+                    t.phase_ends_at = now + truth.run;
                 }
             } else if !all || hung {
                 for (m, k, p) in &list {
                     if *p == TaskPhase::Running {
-                        let due = now + GANG_PEER_S * SEC / 2;
+                        let due = now + GANG_PEER_TIMEOUT_S * SECOND / 2;
                         let w = self.agents.get_mut(m).unwrap();
                         let done = truth.done.len() as u32 >= 1;
                         if w.hung_until > now {
@@ -242,11 +246,11 @@
                         }
                         if done {
                             let n: u32 = k.0.rsplit_once('/').unwrap().1.parse().unwrap();
-                            w.exit(k, ExitReason::Done, false);
+                            w.exit_task(k, ExitReason::Done, false);
                             self.jobs.get_mut(&id).unwrap().done.insert(n);
                         } else {
                             let _ = due;
-                            w.exit(k, ExitReason::Peers, false);
+                            w.exit_task(k, ExitReason::Peers, false);
                         }
                     }
                 }
@@ -255,7 +259,7 @@
     }
 
     pub(super) fn cloud(&mut self, call: &Call) -> (u16, Vec<u8>) {
-        if self.cloud_down {
+        if self.cloud_unavailable {
             return (503, Vec::new());
         }
         let route = call.path.split('?').next().unwrap_or("");
@@ -285,7 +289,7 @@
                         kind: "box".into(),
                         zone: w.zone.clone(),
                         spot: w.spot,
-                        state: if self.failed.contains(&w.name) {
+                        state: if self.failed_machines.contains(&w.name) {
                             MachineState::Failed
                         } else {
                             MachineState::Running
@@ -305,8 +309,8 @@
                 if let Some(names) = self.rented.get(&r.request) {
                     let machines = names.clone();
                     let first = self.rented_at[&r.request];
-                    if self.now > first + 60 * SEC {
-                        self.broken("hire reused", r.request);
+                    if self.now > first + 60 * SECOND {
+                        self.report_violation("hire reused", r.request);
                     }
                     return (200, encode(&MachineNames { machines }));
                 }
@@ -316,10 +320,14 @@
                 }
                 let mut names = Vec::new();
                 for _ in 0..(r.count as usize).min(room) {
-                    self.machines += 1;
-                    let name = format!("n-{:06}", self.machines);
-                    self.booting
-                        .push((self.now + self.boot, name.clone(), r.zone.clone(), r.spot));
+                    self.machine_count += 1;
+                    let name = format!("n-{:06}", self.machine_count);
+                    self.booting.push((
+                        self.now + self.machine_boot_time,
+                        name.clone(),
+                        r.zone.clone(),
+                        r.spot,
+                    ));
                     names.push(name);
                 }
                 self.rented_at.insert(r.request.clone(), self.now);
@@ -330,9 +338,9 @@
                 let names: MachineNames = decode(&call.body).expect("names");
                 for n in names.machines {
                     let gone = self.agents.remove(&n);
-                    self.failures += gone.map_or(0, |w| w.failed);
+                    self.failed_task_total += gone.map_or(0, |w| w.failed_tasks);
                     self.booting.retain(|(_, b, ..)| *b != n);
-                    self.deleted.insert(n);
+                    self.deleted_machines.insert(n);
                 }
                 (200, Vec::new())
             }
--- a/tests/world/close.rs
+++ b/tests/simulation/client_probes.rs
@@ -1,4 +1,4 @@
-//! Users who look closely, who ask for what must be refused, who call jobs off at the moment of their end; and copies
+//! Users who look closely, who ask for what must be refused, who call jobs off at the moment of their end; and heartbeat_duplication
 //! of reports that come to the next leader.
 
 use super::*;
@@ -7,59 +7,59 @@
 /// The machines of the tests' world, as jobs that fit none of them see them.
 const LARGEST: f64 = 8.0;
 
-impl World {
+impl Simulation {
     /// What happens by itself, looked at with each tick.
-    pub(super) fn look_on(&mut self) {
+    pub(super) fn inject_client_and_heartbeat_faults(&mut self) {
         let (leader, term) = (self.leader(), self.term());
-        for (name, number, body) in self.troubles.for_leader(leader, term) {
-            for node in 0..self.nodes.len() {
+        for (name, number, body) in self.faults.stale_heartbeats_for(leader, term) {
+            for node in 0..self.controllers.len() {
                 let at = self.now + self.rng.random_range(0..400_000);
                 self.schedule(
                     at,
-                    Ev::AgentHeartbeat(name.clone(), node, number, body.clone()),
+                    Event::AgentHeartbeat(name.clone(), node, number, body.clone()),
                 );
             }
         }
-        if self.troubles.cancel_at_end > 0.0 {
-            self.cancel_ended();
+        if self.faults.cancel_at_completion_probability > 0.0 {
+            self.cancel_completed_jobs();
         }
         self.check_waits();
     }
 
     /// Calls off some of the jobs whose last task has just ended.
-    fn cancel_ended(&mut self) {
-        let ended = |t: &JobTruth| {
+    fn cancel_completed_jobs(&mut self) {
+        let ended = |t: &JobGroundTruth| {
             t.accepted
-                && !t.asked_cancel
+                && !t.cancel_requested
                 && t.spec.kind != JobKind::Service
                 && t.done.len() as u32 == t.spec.tasks
         };
         let new: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(id, t)| ended(t) && !self.waits.ended.contains(*id))
+            .filter(|(id, t)| ended(t) && !self.starvation.ended.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in new {
-            self.waits.ended.insert(id.clone());
-            let share = self.troubles.cancel_at_end;
-            if self.jobs[&id].told_done.is_none() && self.rng.random_bool(share) {
-                self.cancel_surely(&id);
+            self.starvation.ended.insert(id.clone());
+            let share = self.faults.cancel_at_completion_probability;
+            if self.jobs[&id].completion_seen_at.is_none() && self.rng.random_bool(share) {
+                self.cancel_until_answered(&id);
             }
         }
     }
 
-    /// Asks at all nodes, again and again within milliseconds; repeats the submission, and the cancellation if the
+    /// Asks at all nodes, again and again within milliseconds; request_duplication the submission, and the cancellation if the
     /// job is over.
-    pub fn look_closely(&mut self, id: &str) {
-        let over = self.told_final.contains_key(id);
-        for node in 0..self.nodes.len() {
+    pub fn probe_job(&mut self, id: &str) {
+        let over = self.final_statuses.contains_key(id);
+        for node in 0..self.controllers.len() {
             for _ in 0..3 {
                 let (at, of) = (self.rng.random_range(0..60_000), id.to_string());
                 self.after(at, move |w| w.poll(node, &of));
             }
             let (at, of) = (self.rng.random_range(0..200_000), id.to_string());
-            self.after(at, move |w| w.submit_once(node, &of));
+            self.after(at, move |w| w.submit(node, &of));
             if over {
                 let (at, of) = (self.rng.random_range(0..200_000), id.to_string());
                 self.after(at, move |w| w.cancel(node, &of));
@@ -84,7 +84,7 @@
                 }
             }
             let (at, of) = (self.rng.random_range(0..200_000), id.clone());
-            self.after(at, move |w| w.cancel_surely(&of));
+            self.after(at, move |w| w.cancel_until_answered(&of));
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// One request that must be refused, at some node.
-    pub fn odd_request(&mut self) {
+    pub fn send_invalid_request(&mut self) {
         let list = |v: Vec<Value>| Some(Value::Array(v));
         let odd: Vec<(&'static str, Option<Value>, u16)> = vec![
             ("id", None, 400),
@@ -140,46 +140,54 @@
         ];
         let (field, to, right) = odd[self.rng.random_range(0..odd.len())].clone();
         let body = self.bent(field, to);
-        let node = self.rng.random_range(0..self.nodes.len());
-        let pending = Pending::Odd(field, right);
+        let node = self.rng.random_range(0..self.controllers.len());
+        let pending = PendingResponse::Odd(field, right);
         self.request(node, pending, "POST", "/submissions".into(), body);
     }
 
-    pub(super) fn odd_answered(&mut self, what: &'static str, right: u16, status: u16) {
+    pub(super) fn check_invalid_request_answer(
+        &mut self,
+        what: &'static str,
+        right: u16,
+        status: u16,
+    ) {
         if matches!(status, 200 | 201) {
-            self.broken("accepted_invalid", format!("{what}: {status}"));
+            self.report_violation("accepted_invalid", format!("{what}: {status}"));
         } else if status != right && status != 503 {
-            self.broken("refused_otherwise", format!("{what}: {status}"));
+            self.report_violation("refused_otherwise", format!("{what}: {status}"));
         }
     }
 
     /// For so long, twice a second: a request that must be refused, a repeated submission, a cancellation of what is
     /// done, a question about what nobody has submitted.
-    pub fn odd_requests(&mut self, dt: u64) {
-        fn step(w: &mut World, until: u64) {
+    pub fn send_invalid_requests(&mut self, dt: u64) {
+        fn step(w: &mut Simulation, until: u64) {
             if w.now >= until {
                 return;
             }
-            w.odd_request();
-            let node = w.rng.random_range(0..w.nodes.len());
-            let accepted = |t: &&JobTruth| t.accepted;
-            let pick = |w: &mut World, of: Vec<String>| {
+            w.send_invalid_request();
+            let node = w.rng.random_range(0..w.controllers.len());
+            let accepted = |t: &&JobGroundTruth| t.accepted;
+            let pick = |w: &mut Simulation, of: Vec<String>| {
                 let n = of.len();
                 (n > 0).then(|| of[w.rng.random_range(0..n)].clone())
             };
             let open = w.jobs.iter().filter(|(_, t)| accepted(t));
-            let open = open.filter(|(id, _)| !w.told_final.contains_key(*id));
+            let open = open.filter(|(id, _)| !w.final_statuses.contains_key(*id));
             let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
             if let Some(id) = pick(w, open) {
-                w.submit_once(node, &id);
+                w.submit(node, &id);
             }
-            let done = w.jobs.iter().filter(|(_, t)| t.told_done.is_some());
+            let done = w
+                .jobs
+                .iter()
+                .filter(|(_, t)| t.completion_seen_at.is_some());
             let done: Vec<String> = done.map(|(id, _)| id.clone()).collect();
             if let Some(id) = pick(w, done) {
                 w.cancel(node, &id);
             }
             w.poll(node, "req-5555555");
-            w.after(SEC / 2, move |w| step(w, until));
+            w.after(SECOND / 2, move |w| step(w, until));
         }
         let until = self.now + dt;
         step(self, until);
--- a/tests/world/users.rs
+++ b/tests/simulation/clients.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn request(
         &mut self,
         i: usize,
-        pending: Pending,
+        pending: PendingResponse,
         method: &str,
         path: String,
         body: Vec<u8>,
@@ -19,12 +19,12 @@
         &mut self,
         internal: bool,
         i: usize,
-        pending: Pending,
+        pending: PendingResponse,
         method: &str,
         path: String,
         body: Vec<u8>,
     ) {
-        if self.nodes[i].node.is_none() {
+        if self.controllers[i].node.is_none() {
             return;
         }
         self.serial += 1;
@@ -41,22 +41,22 @@
     }
 
     /// Declares a job; `submit` sends it.
-    pub fn declare(&mut self, id: &str, spec: JobSpec, run: u64) {
-        let truth = JobTruth {
+    pub fn declare_job(&mut self, id: &str, spec: JobSpec, run: u64) {
+        let truth = JobGroundTruth {
             spec,
             run,
             apart: 0,
             done: BTreeSet::new(),
             accepted: false,
-            asked_cancel: false,
-            told_cancelled: None,
-            told_done: None,
+            cancel_requested: false,
+            cancellation_seen_at: None,
+            completion_seen_at: None,
             submitted: false,
         };
         self.jobs.insert(id.into(), truth);
     }
 
-    pub fn submit_once(&mut self, i: usize, id: &str) {
+    pub fn submit(&mut self, i: usize, id: &str) {
         let truth = self.jobs.get_mut(id).expect("declared");
         truth.submitted = true;
         let mut value = to_value(&truth.spec);
@@ -65,7 +65,7 @@
         }
         self.request(
             i,
-            Pending::Submit(id.into(), self.now),
+            PendingResponse::Submit(id.into(), self.now),
             "POST",
             "/submissions".into(),
             encode(&value),
@@ -73,35 +73,41 @@
     }
 
     /// A user who submits, retries, and polls until the end, on changing nodes.
-    pub fn user(&mut self, id: &str, spec: JobSpec, run: u64) {
-        let all: Vec<usize> = (0..self.nodes.len()).collect();
-        self.user_of(&all, id, spec, run);
+    pub fn spawn_client(&mut self, id: &str, spec: JobSpec, run: u64) {
+        let all: Vec<usize> = (0..self.controllers.len()).collect();
+        self.spawn_client_at(&all, id, spec, run);
     }
 
     /// The same, on some of the nodes only.
-    pub fn user_of(&mut self, of: &[usize], id: &str, spec: JobSpec, run: u64) {
-        self.declare(id, spec, run);
-        fn step(w: &mut World, of: Vec<usize>, id: String) {
+    pub fn spawn_client_at(&mut self, of: &[usize], id: &str, spec: JobSpec, run: u64) {
+        self.declare_job(id, spec, run);
+        fn step(w: &mut Simulation, of: Vec<usize>, id: String) {
             let i = of[w.rng.random_range(0..of.len())];
             let t = &w.jobs[&id];
-            if t.told_done.is_some() || t.told_cancelled.is_some() {
+            if t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some() {
                 return;
             }
             if t.accepted {
                 w.poll(i, &id);
             } else {
-                w.submit_once(i, &id);
+                w.submit(i, &id);
             }
-            let dt = w.rng.random_range(SEC..3 * SEC);
+            let dt = w.rng.random_range(SECOND..3 * SECOND);
             w.after(dt, move |w| step(w, of, id));
         }
         step(self, of.to_vec(), id.to_string());
     }
 
     /// What a node answers to a health check.
-    pub fn healthy(&mut self, i: usize) -> u16 {
+    pub fn health_status(&mut self, i: usize) -> u16 {
         self.health = 0;
-        self.request(i, Pending::Health, "GET", "/healthz".into(), Vec::new());
+        self.request(
+            i,
+            PendingResponse::Health,
+            "GET",
+            "/healthz".into(),
+            Vec::new(),
+        );
         self.health
     }
 
@@ -109,7 +115,7 @@
         let path = format!("/submissions/{id}");
         self.request(
             i,
-            Pending::Poll(id.into(), self.now),
+            PendingResponse::Poll(id.into(), self.now),
             "GET",
             path,
             Vec::new(),
@@ -118,12 +124,12 @@
 
     pub fn cancel(&mut self, i: usize, id: &str) {
         if let Some(t) = self.jobs.get_mut(id) {
-            t.asked_cancel = true;
+            t.cancel_requested = true;
         }
         let path = format!("/submissions/{id}/cancel");
         self.request(
             i,
-            Pending::Cancel(id.into(), self.now),
+            PendingResponse::Cancel(id.into(), self.now),
             "POST",
             path,
             Vec::new(),
@@ -131,28 +137,28 @@
     }
 
     /// Cancels, again until it is answered.
-    pub fn cancel_surely(&mut self, id: &str) {
+    pub fn cancel_until_answered(&mut self, id: &str) {
         let id = id.to_string();
-        fn step(w: &mut World, id: String) {
+        fn step(w: &mut Simulation, id: String) {
             let t = &w.jobs[&id];
-            if t.told_done.is_some() || t.told_cancelled.is_some() {
+            if t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some() {
                 return;
             }
-            let i = w.rng.random_range(0..w.nodes.len());
+            let i = w.rng.random_range(0..w.controllers.len());
             w.cancel(i, &id);
-            w.after(SEC, move |w| step(w, id));
+            w.after(SECOND, move |w| step(w, id));
         }
         step(self, id);
     }
 
-    pub(super) fn broken(&mut self, rule: &str, what: String) {
+    pub(super) fn report_violation(&mut self, rule: &str, what: String) {
         let text = format!("{rule} at {:.3}: {what}", self.now as f64 / 1e6);
-        if self.on_break.is_none() {
-            self.on_break = Some(text);
+        if self.violation.is_none() {
+            self.violation = Some(text);
         }
     }
 
-    pub(super) fn user_heard(
+    pub(super) fn client_answered(
         &mut self,
         id: String,
         asked: u64,
@@ -163,22 +169,22 @@
         let state = decode::<JobState>(body)
             .map(|s| s.status)
             .unwrap_or_default();
-        self.said
+        self.client_answers
             .push((self.now, id.clone(), status, state.clone()));
         let now = self.now;
-        self.line_heard(&id, matches!(status, 200 | 201));
+        self.balanced_client_answered(&id, matches!(status, 200 | 201));
         let Some(t) = self.jobs.get_mut(&id) else {
             if status == 200 {
-                self.broken("invented", id);
+                self.report_violation("invented", id);
             }
             return;
         };
         if !t.submitted && status == 200 {
-            self.broken("invented", id);
+            self.report_violation("invented", id);
             return;
         }
         if t.accepted && (status == 404 || (what == "submit" && matches!(status, 400 | 422))) {
-            self.broken("forgotten", format!("{id}: {what} answered {status}"));
+            self.report_violation("forgotten", format!("{id}: {what} answered {status}"));
             return;
         }
         if what == "submit" && status == 422 {
@@ -188,7 +194,7 @@
                 need.is_some_and(|t| t.accepted && t.spec.kind != JobKind::Service)
             };
             if !needs.is_empty() && needs.iter().all(known) {
-                self.broken("refused", format!("{id}: all that it needs is accepted"));
+                self.report_violation("refused", format!("{id}: all that it needs is accepted"));
             }
             return;
         }
@@ -198,38 +204,40 @@
         let news = !t.accepted || matches!(state.as_str(), "done" | "cancelled");
         t.accepted = true;
         if state == "done" {
-            t.told_done = t.told_done.or(Some(now));
+            t.completion_seen_at = t.completion_seen_at.or(Some(now));
             if (t.done.len() as u32) < t.spec.tasks {
-                self.broken("not_done", id.clone());
+                self.report_violation("not_done", id.clone());
             }
         } else if state == "cancelled" {
-            t.told_cancelled = t.told_cancelled.or(Some(now));
-            if !t.asked_cancel && !self.before(&id).iter().any(|t| t.asked_cancel) {
-                self.broken("went_back", format!("{id} cancelled without being asked"));
+            t.cancellation_seen_at = t.cancellation_seen_at.or(Some(now));
+            if !t.cancel_requested && !self.dependencies(&id).iter().any(|t| t.cancel_requested) {
+                self.report_violation("went_back", format!("{id} cancelled without being asked"));
             }
         } else {
             let told = self
-                .before(&id)
+                .dependencies(&id)
                 .iter()
-                .filter_map(|t| t.told_cancelled)
+                .filter_map(|t| t.cancellation_seen_at)
                 .min();
-            if told.is_some_and(|c| now > c + CANCEL_S * SEC) {
-                self.broken("orphaned", format!("{id} is called {state}"));
+            if told.is_some_and(|c| now > c + CANCEL_DEADLINE_S * SECOND) {
+                self.report_violation("orphaned", format!("{id} is called {state}"));
             }
         }
-        // What was asked before the final state was told may have been answered before as well.
-        if let Some((before, told)) = self.told_final.get(&id)
-            && *before != state
+        // What was asked dependencies the final state was told may have been answered dependencies as well.
+        if let Some((dependencies, told)) = self.final_statuses.get(&id)
+            && *dependencies != state
             && asked >= *told
         {
-            self.broken("went_back", format!("{id}: {before}, then {state}"));
+            self.report_violation("went_back", format!("{id}: {dependencies}, then {state}"));
         }
-        let first = !self.told_final.contains_key(&id);
+        let first = !self.final_statuses.contains_key(&id);
         if state == "done" || state == "cancelled" {
-            self.told_final.entry(id.clone()).or_insert((state, now));
+            self.final_statuses
+                .entry(id.clone())
+                .or_insert((state, now));
         }
-        if self.troubles.close_looks && news && first {
-            self.look_closely(&id);
+        if self.faults.client_probes && news && first {
+            self.probe_job(&id);
         }
     }
 }
--- a/tests/world/agent.rs
+++ b/tests/simulation/fake_agent.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::agent_api::*;
 
-pub type Key = (String, u64);
+pub type TaskKey = (String, u64);
 
 #[derive(Debug, Clone)]
-pub struct Task {
+pub struct FakeTask {
     pub phase: TaskPhase,
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     pub saved: bool,
     /// When the present phase ends by itself.
-    pub until: u64,
+    pub phase_ends_at: u64,
 }
 
 pub struct FakeAgent {
@@ -24,19 +24,19 @@
     pub agent_epoch: u64,
     pub seq: u64,
     pub term: u64,
-    pub notice: Option<f64>,
-    pub tasks: BTreeMap<Key, Task>,
-    pub node: usize,
-    pub lease_from: u64,
-    pub report_at: u64,
+    pub preemption_notice_s: Option<f64>,
+    pub tasks: BTreeMap<TaskKey, FakeTask>,
+    pub controller: usize,
+    pub lease_renewed_at: u64,
+    pub next_heartbeat_at: u64,
     pub flying: Option<(u64, u64, u64)>,
     /// When a higher token last counted as a change.
-    pub token_at: u64,
-    pub errors: bool,
-    /// How many tasks have failed here.
-    pub failed: u32,
+    pub term_changed_at: u64,
+    pub fails_tasks: bool,
+    /// How many tasks have failed_tasks here.
+    pub failed_tasks: u32,
     /// Images it has fetched; they outlive a session.
-    pub images: BTreeSet<String>,
+    pub cached_images: BTreeSet<String>,
 }
 
 impl FakeAgent {
@@ -51,20 +51,20 @@
             agent_epoch: 1,
             seq: 0,
             term: 0,
-            notice: None,
+            preemption_notice_s: None,
             tasks: BTreeMap::new(),
-            node: 0,
-            lease_from: now,
-            report_at: now,
+            controller: 0,
+            lease_renewed_at: now,
+            next_heartbeat_at: now,
             flying: None,
-            token_at: 0,
-            errors: false,
-            failed: 0,
-            images: BTreeSet::new(),
+            term_changed_at: 0,
+            fails_tasks: false,
+            failed_tasks: 0,
+            cached_images: BTreeSet::new(),
         }
     }
 
-    pub fn report(&mut self) -> AgentHeartbeat {
+    pub fn heartbeat(&mut self) -> AgentHeartbeat {
         self.seq += 1;
         AgentHeartbeat {
             machine: self.name.clone(),
@@ -75,7 +75,7 @@
             agent_epoch: self.agent_epoch,
             seq: self.seq,
             term: self.term,
-            notice_s: self.notice,
+            notice_s: self.preemption_notice_s,
             tasks: self
                 .tasks
                 .iter()
@@ -83,7 +83,7 @@
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
-                    why: t.why,
+                    why: t.exit_reason,
                     saved: t.saved.then_some(true),
                 })
                 .collect(),
@@ -91,26 +91,26 @@
     }
 
     /// On the machine: has its image and has not exited.
-    pub fn holds(&self) -> impl Iterator<Item = (&Key, &Task)> {
+    pub fn active_tasks(&self) -> impl Iterator<Item = (&TaskKey, &FakeTask)> {
         let alive = self.alive;
         self.tasks.iter().filter(move |(_, t)| {
             alive && !matches!(t.phase, TaskPhase::Exited | TaskPhase::Fetching)
         })
     }
 
-    pub fn exit(&mut self, key: &Key, why: ExitReason, saved: bool) {
+    pub fn exit_task(&mut self, key: &TaskKey, reason: ExitReason, saved: bool) {
         if let Some(t) = self.tasks.get_mut(key) {
             t.phase = TaskPhase::Exited;
-            t.why = Some(why);
-            self.failed += u32::from(why == ExitReason::Error);
+            t.exit_reason = Some(reason);
+            self.failed_tasks += u32::from(reason == ExitReason::Error);
             t.saved = saved;
-            self.report_at = 0;
+            self.next_heartbeat_at = 0;
         }
     }
 
-    pub fn kill_all(&mut self) {
+    pub fn expire_session(&mut self) {
         self.tasks.clear();
         self.agent_epoch += 1;
-        self.report_at = 0;
+        self.next_heartbeat_at = 0;
     }
 }
--- a/tests/world/store.rs
+++ b/tests/simulation/fake_store.rs
@@ -17,7 +17,7 @@
 
 /// What the state service takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct StoreLimits {
     pub value_kb: f64,
     pub txn_ops: usize,
     pub write_rps: f64,
@@ -25,11 +25,11 @@
 
 #[derive(Default)]
 pub struct FakeStore {
-    /// Limits in force; none: it takes everything.
-    pub limits: Option<Limits>,
+    /// StoreLimits in force; none: it takes everything.
+    pub limits: Option<StoreLimits>,
     /// Transactions refused by limits: for their size, and for their pace.
-    pub too_large: usize,
-    pub too_fast: usize,
+    pub rejected_for_size: usize,
+    pub rejected_for_rate: usize,
     budget: (u64, f64),
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     log: Vec<WatchEvent>,
@@ -38,12 +38,12 @@
     next_lease: u64,
     pub waiting: Vec<Waiting>,
     pub outage: bool,
-    /// Controllers that it refuses; their open watches wait as in an outage.
-    pub refuses: Vec<usize>,
+    /// Controllers that it refused_controllers; their open watches wait as in an outage.
+    pub refused_controllers: Vec<usize>,
     /// How many changes can be looked back on; none: all.
-    pub remembers: Option<usize>,
+    pub history_limit: Option<usize>,
     /// Watches and reads that were told to read all anew.
-    pub too_old: usize,
+    pub compacted_reads: usize,
 }
 
 fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
@@ -54,12 +54,12 @@
 
 impl FakeStore {
     /// Whether a key is there.
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains_key(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
 
     /// Puts a value there that no controller can read.
-    pub fn spoil(&mut self, key: &str) {
+    pub fn corrupt(&mut self, key: &str) {
         self.revision += 1;
         let value = Value::from("spoilt");
         let lease = self.keys.get(key).and_then(|k| k.2);
@@ -75,7 +75,7 @@
     }
 
     /// How many keys begin like this.
-    pub fn under(&self, prefix: &str) -> usize {
+    pub fn count_keys_under(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|k| k.starts_with(prefix)).count()
     }
 
@@ -135,7 +135,7 @@
             || txn.conds.len() > l.txn_ops * 4
             || txn.changes.iter().any(long)
         {
-            self.too_large += 1;
+            self.rejected_for_size += 1;
             return Some(400);
         }
         let (at, level) = self.budget;
@@ -143,7 +143,7 @@
         let n = txn.changes.len() as f64;
         self.budget = (now, level);
         if level < n {
-            self.too_fast += 1;
+            self.rejected_for_rate += 1;
             return Some(429);
         }
         self.budget.1 -= n;
@@ -165,7 +165,7 @@
     /// Whether changes after this revision are no longer known.
     fn forgotten(&self, after: u64) -> bool {
         let missing = self.log.iter().filter(|e| e.version > after).count();
-        self.remembers.is_some_and(|n| missing > n)
+        self.history_limit.is_some_and(|n| missing > n)
     }
 
     /// Watches that can be answered now.
@@ -177,7 +177,7 @@
         let mut rest = Vec::new();
         for w in std::mem::take(&mut self.waiting) {
             let a = self.events(w.after);
-            let refused = self.refuses.contains(&w.from);
+            let refused = self.refused_controllers.contains(&w.from);
             if !refused && (!a.events.is_empty() || w.until <= now) {
                 out.push((w.ticket, encode(&a)));
             } else {
@@ -199,7 +199,7 @@
         body: &[u8],
     ) -> Option<(u16, Vec<u8>)> {
         self.expire(now);
-        if self.outage || self.refuses.contains(&from) {
+        if self.outage || self.refused_controllers.contains(&from) {
             return Some((503, Vec::new()));
         }
         let route = path.split('?').next().unwrap_or("");
@@ -212,7 +212,7 @@
                     .and_then(|a| a.parse().ok())
                     .unwrap_or(0);
                 if self.forgotten(after) {
-                    self.too_old += 1;
+                    self.compacted_reads += 1;
                     return Some((410, Vec::new()));
                 }
                 let a = self.events(after);
--- a/tests/world/asks.rs
+++ b/tests/simulation/inspection.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Machines a task is on.
-    pub fn on(&self, task: &str) -> BTreeSet<String> {
+    pub fn machines_running(&self, task: &str) -> BTreeSet<String> {
         self.agents
             .values()
-            .filter(|w| w.holds().any(|((t, _), _)| t == task))
+            .filter(|w| w.active_tasks().any(|((t, _), _)| t == task))
             .map(|w| w.name.clone())
             .collect()
     }
@@ -15,7 +15,7 @@
     /// What is cancelled is gone, as its user was told.
     pub fn assert_cancelled(&self, seed: u64, ids: &[&str]) {
         for id in ids {
-            let is = (self.told(id), self.there(id));
+            let is = (self.last_status(id), self.running_instances(id));
             assert_eq!(
                 is,
                 ("cancelled".into(), 0),
@@ -26,23 +26,25 @@
     }
 
     /// How many tasks of a job are on machines, counted on each.
-    pub fn there(&self, id: &str) -> usize {
+    pub fn running_instances(&self, id: &str) -> usize {
         let tasks = 0..self.jobs[id].spec.tasks;
-        tasks.map(|t| self.on(&format!("{id}/{t}")).len()).sum()
+        tasks
+            .map(|t| self.machines_running(&format!("{id}/{t}")).len())
+            .sum()
     }
 
     /// The machine on which the leader's copy places a task.
-    pub fn placed_on(&self, task: &str) -> Option<String> {
+    pub fn recorded_machine(&self, task: &str) -> Option<String> {
         let (id, n) = task.rsplit_once('/')?;
-        let node = self.nodes[self.leader()?].node.as_ref()?;
+        let node = self.controllers[self.leader()?].node.as_ref()?;
         let job = node.cache.jobs.get(id)?;
         let entry = job.entry(n.parse().ok()?)?;
         entry.machine().map(str::to_string)
     }
 
     /// The last state anybody was told of a job.
-    pub fn told(&self, id: &str) -> String {
-        self.said
+    pub fn last_status(&self, id: &str) -> String {
+        self.client_answers
             .iter()
             .rev()
             .find(|(_, i, s, _)| i == id && matches!(s, 200 | 201))
@@ -51,40 +53,40 @@
     }
 
     /// The names of all machines.
-    pub fn names(&self) -> Vec<String> {
+    pub fn machine_names(&self) -> Vec<String> {
         self.agents.keys().cloned().collect()
     }
 
     /// How many tasks have failed, on whatever machine.
-    pub fn failures(&self) -> u32 {
-        self.failures + self.agents.values().map(|w| w.failed).sum::<u32>()
+    pub fn failed_task_count(&self) -> u32 {
+        self.failed_task_total + self.agents.values().map(|w| w.failed_tasks).sum::<u32>()
     }
 
     pub fn job_done(&self, id: &str) -> bool {
-        self.jobs[id].told_done.is_some()
+        self.jobs[id].completion_seen_at.is_some()
     }
 
     /// Jobs that a node holds as not yet over.
-    pub fn held(&self, i: usize) -> usize {
-        let node = self.nodes[i].node.as_ref();
+    pub fn cached_jobs(&self, i: usize) -> usize {
+        let node = self.controllers[i].node.as_ref();
         node.map_or(0, |n| n.cache.jobs.len())
     }
 
     /// A controller, if it runs.
-    pub fn node(&self, i: usize) -> Option<&Controller> {
-        self.nodes[i].node.as_ref()
+    pub fn controller(&self, i: usize) -> Option<&Controller> {
+        self.controllers[i].node.as_ref()
     }
 
-    pub fn nodes(&self) -> usize {
-        self.nodes.len()
+    pub fn controller_count(&self) -> usize {
+        self.controllers.len()
     }
 }
 
-impl World {
+impl Simulation {
     /// For people who look into a failure.
     pub fn dump(&self) -> String {
         let mut out = format!("now {:.3}, cuts {:?}\n", self.now as f64 / 1e6, self.cuts);
-        for (i, s) in self.nodes.iter().enumerate() {
+        for (i, s) in self.controllers.iter().enumerate() {
             let Some(n) = &s.node else {
                 out += &format!("node {i}: down\n");
                 continue;
@@ -115,7 +117,7 @@
         for w in self.agents.values() {
             out += &format!(
                 "{} alive {} session {} term {} node {} {:?}\n",
-                w.name, w.alive, w.agent_epoch, w.term, w.node, w.tasks
+                w.name, w.alive, w.agent_epoch, w.term, w.controller, w.tasks
             );
         }
         out
--- a/tests/world/check.rs
+++ b/tests/simulation/invariants.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// A controller sends starts only this soon after it has read the records.
-const MAX_START_STALENESS: u64 = 4 * SEC + 50_000;
+const MAX_START_STALENESS: u64 = 4 * SECOND + 50_000;
 
-impl World {
-    /// All jobs before this one, directly or through others.
-    pub(super) fn before(&self, id: &str) -> Vec<&JobTruth> {
+impl Simulation {
+    /// All jobs dependencies this one, directly or through others.
+    pub(super) fn dependencies(&self, id: &str) -> Vec<&JobGroundTruth> {
         let mut found = BTreeSet::new();
         let mut open = vec![id];
         while let Some(t) = open.pop().and_then(|id| self.jobs.get(id)) {
@@ -23,18 +23,18 @@
     /// A task has got its image on a machine: is that allowed?
     pub(super) fn check_start(&mut self, machine: &str, task: &str) {
         let (id, n) = task.rsplit_once('/').expect("a task name");
-        self.began.push(Began {
+        self.task_starts.push(TaskStart {
             at: self.now,
             task: task.to_string(),
             machine: machine.to_string(),
         });
         let image = self.jobs.get(id).map(|t| t.spec.image.clone());
         if let (Some(w), Some(image)) = (self.agents.get_mut(machine), image) {
-            w.images.insert(image);
+            w.cached_images.insert(image);
         }
-        *self.starts.entry(task.to_string()).or_default() += 1;
+        *self.start_counts.entry(task.to_string()).or_default() += 1;
         let Some(t) = self.jobs.get(id).cloned() else {
-            self.broken("invented", format!("{task} started"));
+            self.report_violation("invented", format!("{task} started"));
             return;
         };
         let w = &self.agents[machine];
@@ -43,13 +43,13 @@
             .agents
             .values()
             .flat_map(|w| {
-                w.holds()
+                w.active_tasks()
                     .map(|((k, _), _)| (w.name.clone(), w.zone.clone(), k.clone()))
             })
             .collect();
         for (m, _, k) in &others {
             if k == task && m != machine {
-                self.broken("ran_twice", format!("{task} on {m} and {machine}"));
+                self.report_violation("ran_twice", format!("{task} on {m} and {machine}"));
             }
         }
         let mates: Vec<&String> = others
@@ -62,36 +62,36 @@
             .collect();
         let s = &t.spec;
         let early = self
-            .before(id)
+            .dependencies(id)
             .iter()
             .any(|n| (n.done.len() as u32) < n.spec.tasks);
         if early {
-            self.broken("too_early", task.to_string());
+            self.report_violation("too_early", task.to_string());
         }
         if spot && !s.spot {
-            self.broken("wrong_place", format!("{task} on a spot machine"));
+            self.report_violation("wrong_place", format!("{task} on a spot machine"));
         }
         if s.zone.as_ref().is_some_and(|z| *z != zone) {
-            self.broken("wrong_place", format!("{task} in zone {zone}"));
+            self.report_violation("wrong_place", format!("{task} in zone {zone}"));
         }
         if s.one_zone && mates.iter().any(|z| **z != zone) {
-            self.broken("wrong_place", format!("{task} apart from its mates"));
+            self.report_violation("wrong_place", format!("{task} apart from its mates"));
         }
         let here = mates.iter().filter(|z| ***z == zone).count();
         if s.spread && here as u32 > s.tasks.div_ceil(2) {
-            self.broken("wrong_place", format!("{task}: too many in {zone}"));
+            self.report_violation("wrong_place", format!("{task}: too many in {zone}"));
         }
-        if t.told_cancelled
-            .is_some_and(|c| self.now > c + CANCEL_S * SEC)
+        if t.cancellation_seen_at
+            .is_some_and(|c| self.now > c + CANCEL_DEADLINE_S * SECOND)
         {
-            self.broken("ran_cancelled", format!("{task} started"));
+            self.report_violation("ran_cancelled", format!("{task} started"));
         }
     }
 
     /// A controller sends commands to an agent. How long after its user was told of a cancellation a start of the job
     /// may still be sent: as long as a proof of the records is good for starts, with a tick more.
-    pub(super) fn check_orders(&mut self, to: &Party, call: &Call) {
-        let Party::Agent(_) = to else { return };
+    pub(super) fn check_commands(&mut self, to: &Endpoint, call: &Call) {
+        let Endpoint::Agent(_) = to else { return };
         let Some(orders) = decode::<AgentCommands>(&call.body) else {
             return;
         };
@@ -100,9 +100,9 @@
                 continue;
             };
             let id = task.rsplit_once('/').map_or("", |(id, _)| id);
-            let told = self.jobs.get(id).and_then(|t| t.told_cancelled);
+            let told = self.jobs.get(id).and_then(|t| t.cancellation_seen_at);
             if told.is_some_and(|told| self.now > told + MAX_START_STALENESS) {
-                self.broken(
+                self.report_violation(
                     "started_cancelled",
                     format!("{task} by a command sent then"),
                 );
@@ -114,14 +114,14 @@
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut late = None;
         for w in self.agents.values() {
-            for ((task, _), _) in w.holds() {
+            for ((task, _), _) in w.active_tasks() {
                 let Some((id, _)) = task.rsplit_once('/') else {
                     continue;
                 };
                 let Some(t) = self.jobs.get(id) else { continue };
                 *used.entry(t.spec.team.as_str()).or_default() += t.spec.gpus;
-                if t.told_cancelled
-                    .is_some_and(|c| self.now > c + CANCEL_S * SEC)
+                if t.cancellation_seen_at
+                    .is_some_and(|c| self.now > c + CANCEL_DEADLINE_S * SECOND)
                 {
                     late = Some(task.clone());
                 }
@@ -132,10 +132,10 @@
             .find(|(t, n)| self.limits.get(**t).is_some_and(|l| **n > l + 1e-6))
             .map(|(t, n)| format!("{t} uses {n}"));
         if let Some(o) = over {
-            self.broken("quota", o);
+            self.report_violation("quota", o);
         }
         if let Some(task) = late {
-            self.broken("ran_cancelled", task);
+            self.report_violation("ran_cancelled", task);
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,30 +1,30 @@
 //! A seeded world in memory: controllers, state service, cloud, agents, users and the network
-//! between them, on one simulated clock, with a checker that knows nothing of the scheduler.
+//! peer_duplication them, on one simulated clock, with a checker that knows nothing of the scheduler.
 
 #![allow(dead_code)]
 
-pub mod agent;
-mod asks;
-mod balancer;
-mod check;
-mod close;
-mod machines;
-mod net;
-pub mod old;
-mod pretend;
-pub mod store;
+mod agent_behavior;
+mod client_probes;
+mod clients;
+pub mod fake_agent;
+pub mod fake_store;
+pub mod fault_injection;
+pub mod first_version;
+mod inspection;
+mod invariants;
+mod load_balancer;
+mod network;
+mod starvation;
 mod trace;
-pub mod trouble;
-mod users;
-mod waits;
+mod violation_injection;
 
-use agent::{FakeAgent, Task};
+use fake_agent::{FakeAgent, FakeTask};
+use fake_store::{FakeStore, StoreLimits};
+use fault_injection::{DroppedDelivery, FaultInjection};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use store::{FakeStore, Limits};
-use trouble::{Mute, Troubles};
 use walnuttrestle::controller::Controller;
 use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Clock;
@@ -37,23 +37,23 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 
-pub const SEC: u64 = 1_000_000;
-pub const CANCEL_S: u64 = 30;
+pub const SECOND: u64 = 1_000_000;
+pub const CANCEL_DEADLINE_S: u64 = 30;
 pub const LEASE_S: u64 = 10;
-const GANG_PEER_S: u64 = 5;
-const FETCH: u64 = 2 * SEC;
-const BOOT: u64 = 5 * SEC;
+const GANG_PEER_TIMEOUT_S: u64 = 5;
+const IMAGE_FETCH_TIME: u64 = 2 * SECOND;
+const MACHINE_BOOT_TIME: u64 = 5 * SECOND;
 
 /// Who talks over the network.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Party {
+pub enum Endpoint {
     Controller(usize),
-    StoreClient,
+    Store,
     Cloud,
     Agent(String),
 }
 
-enum Ev {
+enum Event {
     Wake(usize, u64),
     /// A node's call arrives where it was sent.
     Arrive(usize, u64, u64, Call),
@@ -65,10 +65,10 @@
     AgentHeartbeat(String, usize, u64, Vec<u8>),
     AgentHeartbeatResponse(String, u64, u16, Vec<u8>),
     Tick,
-    Do(Box<dyn FnOnce(&mut World)>),
+    Do(Box<dyn FnOnce(&mut Simulation)>),
 }
 
-struct Slot {
+struct ControllerSlot {
     node: Option<Controller>,
     run: u64,
     wake: u64,
@@ -79,30 +79,30 @@
     held: Vec<NetworkEvent>,
 }
 
-/// How a cut treats what is sent across it.
+/// How a cut treats what is sent partition_between it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Cut {
+pub enum PartitionMode {
     /// Held back and delivered when the cut ends.
-    Hold,
+    Delay,
     /// Never sent.
     Drop,
 }
 
 #[derive(Debug, Clone)]
-pub struct JobTruth {
+pub struct JobGroundTruth {
     pub spec: JobSpec,
     pub run: u64,
-    /// Each task runs for so much longer than the one before.
+    /// Each task runs for so much longer than the one dependencies.
     pub apart: u64,
     pub done: BTreeSet<u32>,
     pub accepted: bool,
-    pub asked_cancel: bool,
-    pub told_cancelled: Option<u64>,
-    pub told_done: Option<u64>,
+    pub cancel_requested: bool,
+    pub cancellation_seen_at: Option<u64>,
+    pub completion_seen_at: Option<u64>,
     pub submitted: bool,
 }
 
-enum Pending {
+enum PendingResponse {
     /// A user's request about a job, and when it was asked.
     Submit(String, u64),
     Poll(String, u64),
@@ -116,7 +116,7 @@
 
 /// A task was on a machine with its image.
 #[derive(Debug, Clone)]
-pub struct Began {
+pub struct TaskStart {
     pub at: u64,
     pub task: String,
     pub machine: String,
@@ -124,71 +124,71 @@
 
 /// Calls made by controllers.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Costs {
-    pub requests: usize,
-    pub changes: usize,
-    pub orders: usize,
+pub struct CallCounts {
+    pub store_requests: usize,
+    pub store_changes: usize,
+    pub agent_commands: usize,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Ev>,
+    events: BTreeMap<u64, Event>,
     serial: u64,
-    nodes: Vec<Slot>,
+    controllers: Vec<ControllerSlot>,
     pub store: FakeStore,
     watchers: BTreeMap<u64, (usize, u64, u64)>,
     pub agents: BTreeMap<String, FakeAgent>,
     booting: Vec<(u64, String, String, bool)>,
-    pub cloud_down: bool,
-    pub failed: BTreeSet<String>,
+    pub cloud_unavailable: bool,
+    pub failed_machines: BTreeSet<String>,
     rented: BTreeMap<String, Vec<String>>,
     rented_at: BTreeMap<String, u64>,
-    machines: u64,
-    pub deleted: BTreeSet<String>,
+    machine_count: u64,
+    pub deleted_machines: BTreeSet<String>,
     open: BTreeMap<(usize, u64, u64), ()>,
-    cuts: Vec<(Party, Party, Cut, u64)>,
-    pub lose_answers: Vec<(Party, u64)>,
+    cuts: Vec<(Endpoint, Endpoint, PartitionMode, u64)>,
+    pub lost_answers_from: Vec<(Endpoint, u64)>,
     write_rps: f64,
-    /// Limits that the settings announce for later.
-    next: Option<Limits>,
+    /// StoreLimits that the settings announce for later.
+    next: Option<StoreLimits>,
     /// What the controllers have asked of others since this was last reset.
-    pub costs: Costs,
+    pub call_counts: CallCounts,
     /// Controllers pledge, as the operators' policy may ask.
     pub pledges: bool,
     /// The cloud has no machine to rent.
     pub no_capacity: bool,
     /// Jobs submitted with a mistake: their tasks fail on every machine.
-    pub broken_jobs: BTreeSet<String>,
-    pub delay_orders: Option<u64>,
+    pub failing_jobs: BTreeSet<String>,
+    pub command_delay: Option<u64>,
     /// The state service takes this much longer to answer.
-    pub slow_store: u64,
+    pub store_delay: u64,
     /// Watches of these controllers are answered this much later; other requests are not.
-    pub lag_watch: BTreeMap<usize, u64>,
-    conns: BTreeMap<(usize, u64), Pending>,
-    pub jobs: BTreeMap<String, JobTruth>,
-    pub said: Vec<(u64, String, u16, String)>,
+    pub watch_delays: BTreeMap<usize, u64>,
+    conns: BTreeMap<(usize, u64), PendingResponse>,
+    pub jobs: BTreeMap<String, JobGroundTruth>,
+    pub client_answers: Vec<(u64, String, u16, String)>,
     pub rng: ChaCha8Rng,
-    pub starts: BTreeMap<String, u32>,
+    pub start_counts: BTreeMap<String, u32>,
     /// When tasks were there with their images, one after the other.
-    pub began: Vec<Began>,
+    pub task_starts: Vec<TaskStart>,
     pub limits: BTreeMap<String, f64>,
     /// Final states that users were told, and when.
-    told_final: BTreeMap<String, (String, u64)>,
-    pub on_break: Option<String>,
-    balancer: balancer::Balancer,
+    final_statuses: BTreeMap<String, (String, u64)>,
+    pub violation: Option<String>,
+    load_balancer: load_balancer::LoadBalancer,
     /// How many tasks have failed on machines that are gone.
-    failures: u32,
+    failed_task_total: u32,
     /// How long a lease lasts, in seconds.
     pub lease_s: u64,
     /// The last answer to a health check.
     health: u16,
-    /// Troubles beyond cuts.
-    pub troubles: Troubles,
+    /// FaultInjection beyond cuts.
+    pub faults: FaultInjection,
     /// How long a machine takes to come up.
-    pub boot: u64,
+    pub machine_boot_time: u64,
     /// Since when jobs have waited though there is room.
-    pub waits: waits::Waits,
+    pub starvation: starvation::StarvationChecker,
     /// Digest of what the controllers send.
     trace: trace::Trace,
 }
@@ -229,8 +229,8 @@
 report_s=2.0
 lease_s={LEASE_S}.0
 gang_wait_s=30.0
-gang_peer_s={GANG_PEER_S}.0
-cancel_s={CANCEL_S}.0
+gang_peer_s={GANG_PEER_TIMEOUT_S}.0
+cancel_s={CANCEL_DEADLINE_S}.0
 [params.state]
 rps=200.0
 write_rps=60.0
@@ -253,12 +253,12 @@
 /// A world in which somebody leads.
 ///
 /// `LOG_LEVEL=debug cargo test -- --nocapture NAME` shows what the controllers log.
-pub fn settled(seed: u64, machines: usize) -> World {
+pub fn simulation_with_leader(seed: u64, machines: usize) -> Simulation {
     let _ = env_logger::Builder::from_env(env_logger::Env::default().filter("LOG_LEVEL"))
         .is_test(true)
         .try_init();
-    let mut w = World::new(seed, 3, machines);
-    w.run(8);
+    let mut w = Simulation::new(seed, 3, machines);
+    w.run_seconds(8);
     assert!(w.leader().is_some(), "nobody leads");
     w
 }
@@ -296,72 +296,72 @@
     }
 }
 
-impl World {
-    pub fn new(seed: u64, nodes: usize, machines: usize) -> World {
-        World::with_budget(seed, nodes, machines, 60.0)
+impl Simulation {
+    pub fn new(seed: u64, nodes: usize, machines: usize) -> Simulation {
+        Simulation::with_write_rate(seed, nodes, machines, 60.0)
     }
 
     /// A world whose state service takes so many changes a second.
-    pub fn with_budget(seed: u64, nodes: usize, machines: usize, write_rps: f64) -> World {
-        World::with_limits(seed, nodes, machines, write_rps, None)
+    pub fn with_write_rate(seed: u64, nodes: usize, machines: usize, write_rps: f64) -> Simulation {
+        Simulation::with_store_limits(seed, nodes, machines, write_rps, None)
     }
 
     /// A world whose settings announce other limits of the state service.
-    pub fn with_limits(
+    pub fn with_store_limits(
         seed: u64,
         nodes: usize,
         machines: usize,
         write_rps: f64,
-        next: Option<Limits>,
-    ) -> World {
-        let mut w = World {
+        next: Option<StoreLimits>,
+    ) -> Simulation {
+        let mut w = Simulation {
             write_rps,
             next,
-            costs: Costs::default(),
+            call_counts: CallCounts::default(),
             pledges: false,
             no_capacity: false,
-            broken_jobs: BTreeSet::new(),
-            now: SEC,
+            failing_jobs: BTreeSet::new(),
+            now: SECOND,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             serial: 0,
-            nodes: Vec::new(),
+            controllers: Vec::new(),
             store: FakeStore::default(),
             watchers: BTreeMap::new(),
             agents: BTreeMap::new(),
             booting: Vec::new(),
-            cloud_down: false,
-            failed: BTreeSet::new(),
+            cloud_unavailable: false,
+            failed_machines: BTreeSet::new(),
             rented: BTreeMap::new(),
             rented_at: BTreeMap::new(),
-            machines: 0,
-            deleted: BTreeSet::new(),
+            machine_count: 0,
+            deleted_machines: BTreeSet::new(),
             open: BTreeMap::new(),
             cuts: Vec::new(),
-            lose_answers: Vec::new(),
-            delay_orders: None,
-            slow_store: 0,
-            lag_watch: BTreeMap::new(),
+            lost_answers_from: Vec::new(),
+            command_delay: None,
+            store_delay: 0,
+            watch_delays: BTreeMap::new(),
             conns: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            said: Vec::new(),
+            client_answers: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            starts: BTreeMap::new(),
-            began: Vec::new(),
+            start_counts: BTreeMap::new(),
+            task_starts: Vec::new(),
             limits: BTreeMap::from([("red".to_string(), 12.0)]),
-            told_final: BTreeMap::new(),
-            on_break: None,
-            balancer: Default::default(),
-            failures: 0,
+            final_statuses: BTreeMap::new(),
+            violation: None,
+            load_balancer: Default::default(),
+            failed_task_total: 0,
             lease_s: LEASE_S,
             health: 0,
-            troubles: Troubles::default(),
-            boot: BOOT,
-            waits: Default::default(),
+            faults: FaultInjection::default(),
+            machine_boot_time: MACHINE_BOOT_TIME,
+            starvation: Default::default(),
             trace: Default::default(),
         };
         for i in 0..nodes {
-            w.nodes.push(Slot {
+            w.controllers.push(ControllerSlot {
                 node: None,
                 run: 0,
                 wake: 0,
@@ -373,70 +373,70 @@
         }
         for i in 0..machines {
             let zone = if i % 2 == 0 { "a" } else { "b" };
-            w.machine(zone, false);
+            w.add_machine(zone, false);
         }
-        w.schedule(SEC, Ev::Tick);
+        w.schedule(SECOND, Event::Tick);
         w
     }
 
     /// From now on leases last so long; all controllers start again.
-    pub fn with_lease(&mut self, seconds: u64) {
+    pub fn restart_with_lease(&mut self, seconds: u64) {
         self.lease_s = seconds;
-        (0..self.nodes.len()).for_each(|i| self.crash(i, 50_000));
-        self.run(18);
+        (0..self.controllers.len()).for_each(|i| self.crash_controller(i, 50_000));
+        self.run_seconds(18);
     }
 
     /// From now on the controllers pledge; all start again with that policy.
-    pub fn with_pledges(&mut self) {
+    pub fn restart_with_pledges(&mut self) {
         self.pledges = true;
-        (0..self.nodes.len()).for_each(|i| self.crash(i, 50_000));
-        self.run(18);
+        (0..self.controllers.len()).for_each(|i| self.crash_controller(i, 50_000));
+        self.run_seconds(18);
     }
 
     /// All controllers run the first version, from the beginning.
-    pub fn all_old(seed: u64, machines: usize, next: Option<Limits>) -> World {
-        let mut w = World::with_limits(seed, 3, machines, 60.0, next);
+    pub fn with_first_version(seed: u64, machines: usize, next: Option<StoreLimits>) -> Simulation {
+        let mut w = Simulation::with_store_limits(seed, 3, machines, 60.0, next);
         for i in 0..3 {
-            w.crash(i, 0);
-            w.set_old(i, true);
+            w.crash_controller(i, 0);
+            w.set_first_version(i, true);
         }
         w
     }
 
-    pub fn machine(&mut self, zone: &str, spot: bool) -> String {
-        self.machines += 1;
-        let name = format!("n-{:06}", self.machines);
-        let mut agent = FakeAgent::new(&name, zone, self.machines as usize, self.now);
+    pub fn add_machine(&mut self, zone: &str, spot: bool) -> String {
+        self.machine_count += 1;
+        let name = format!("n-{:06}", self.machine_count);
+        let mut agent = FakeAgent::new(&name, zone, self.machine_count as usize, self.now);
         agent.spot = spot;
         self.agents.insert(name.clone(), agent);
         name
     }
 
-    fn schedule(&mut self, at: u64, ev: Ev) {
+    fn schedule(&mut self, at: u64, ev: Event) {
         self.serial += 1;
         self.events.insert(self.serial, ev);
         self.queue.push(Reverse((at.max(self.now), self.serial)));
     }
 
-    pub fn after(&mut self, dt: u64, f: impl FnOnce(&mut World) + 'static) {
-        self.schedule(self.now + dt, Ev::Do(Box::new(f)));
+    pub fn after(&mut self, dt: u64, f: impl FnOnce(&mut Simulation) + 'static) {
+        self.schedule(self.now + dt, Event::Do(Box::new(f)));
     }
 
     fn clock(&self) -> Clock {
         Clock {
             now: Micros(self.now),
-            wall: Micros(1_700_000_000 * SEC + self.now),
+            wall: Micros(1_700_000_000 * SECOND + self.now),
         }
     }
 
     fn boot(&mut self, i: usize) {
-        let n = self.nodes.len().max(3);
+        let n = self.controllers.len().max(3);
         let seed = self.rng.random();
         let clock = self.clock();
         let mut settings = settings(i, n);
         settings.params.state.write_rps = self.write_rps;
         settings.params.agents.lease_s = self.lease_s as f64;
-        let next = self.next.filter(|_| !self.nodes[i].old);
+        let next = self.next.filter(|_| !self.controllers[i].old);
         settings.params.state.next = next.map(|l| NextStateParams {
             rps: None,
             write_rps: Some(l.write_rps),
@@ -448,62 +448,69 @@
             ..Policy::default()
         };
         let node = Controller::new(settings, policy, seed, clock);
-        self.nodes[i].node = Some(node);
-        self.nodes[i].run += 1;
-        self.nodes[i].wake = 0;
+        self.controllers[i].node = Some(node);
+        self.controllers[i].run += 1;
+        self.controllers[i].wake = 0;
         self.deliver(i, Vec::new());
     }
 
     /// Which version a controller runs from its next start on.
-    pub fn set_old(&mut self, i: usize, old: bool) {
-        self.nodes[i].old = old;
+    pub fn set_first_version(&mut self, i: usize, old: bool) {
+        self.controllers[i].old = old;
     }
 
     /// A controller stands still while its clocks run on.
-    pub fn freeze(&mut self, i: usize, dt: u64) {
-        self.nodes[i].frozen = self.now + dt;
+    pub fn pause_controller(&mut self, i: usize, dt: u64) {
+        self.controllers[i].frozen = self.now + dt;
         self.after(dt + 1, move |w| w.deliver(i, Vec::new()));
     }
 
-    pub fn crash(&mut self, i: usize, back: u64) {
-        self.nodes[i].node = None;
-        self.nodes[i].frozen = 0;
-        self.nodes[i].held.clear();
+    pub fn crash_controller(&mut self, i: usize, back: u64) {
+        self.controllers[i].node = None;
+        self.controllers[i].frozen = 0;
+        self.controllers[i].held.clear();
         self.reset(i);
         self.conns.retain(|(n, _), p| match p {
-            Pending::AgentHeartbeat(..) => *n != i,
+            PendingResponse::AgentHeartbeat(..) => *n != i,
             _ => *n != i,
         });
-        self.schedule(self.now + back, Ev::Restart(i));
+        self.schedule(self.now + back, Event::Restart(i));
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |s: &Slot| {
+        let leads = |s: &ControllerSlot| {
             s.node
                 .as_ref()
                 .and_then(|n| n.leader.as_ref().map(|l| l.term))
         };
-        (0..self.nodes.len())
-            .filter(|i| leads(&self.nodes[*i]).is_some())
-            .max_by_key(|i| leads(&self.nodes[*i]))
+        (0..self.controllers.len())
+            .filter(|i| leads(&self.controllers[*i]).is_some())
+            .max_by_key(|i| leads(&self.controllers[*i]))
     }
 
     pub fn term(&self) -> u64 {
         self.leader()
-            .and_then(|i| self.nodes[i].node.as_ref()?.leader.as_ref().map(|l| l.term))
+            .and_then(|i| {
+                self.controllers[i]
+                    .node
+                    .as_ref()?
+                    .leader
+                    .as_ref()
+                    .map(|l| l.term)
+            })
             .unwrap_or(0)
     }
 
-    pub fn cut(&mut self, a: Party, b: Party, how: Cut, dt: u64) {
+    pub fn partition(&mut self, a: Endpoint, b: Endpoint, how: PartitionMode, dt: u64) {
         self.cuts.push((a, b, how, self.now + dt));
     }
 
-    pub fn run(&mut self, seconds: u64) {
-        self.step_for(seconds * SEC);
+    pub fn run_seconds(&mut self, seconds: u64) {
+        self.run_micros(seconds * SECOND);
     }
 
     /// The same, in microseconds.
-    pub fn step_for(&mut self, dt: u64) {
+    pub fn run_micros(&mut self, dt: u64) {
         let end = self.now + dt;
         while let Some(Reverse((at, serial))) = self.queue.peek().copied() {
             if at > end {
@@ -516,55 +523,55 @@
             }
             for (ticket, body) in self.store.answerable(self.now) {
                 if let Some((i, run, id)) = self.watchers.remove(&ticket) {
-                    let old = self.nodes[i].old;
+                    let old = self.controllers[i].old;
                     let body = if old {
-                        old::reads("/watch", body)
+                        first_version::reads("/watch", body)
                     } else {
                         body
                     };
-                    let lag = self.lag_watch.get(&i).copied().unwrap_or(0);
-                    self.answer_late(Party::StoreClient, i, run, id, 200, body, lag);
+                    let lag = self.watch_delays.get(&i).copied().unwrap_or(0);
+                    self.answer_late(Endpoint::Store, i, run, id, 200, body, lag);
                 }
             }
-            if let Some(b) = &self.on_break {
+            if let Some(b) = &self.violation {
                 panic!("{b}\n{}", self.dump());
             }
         }
         self.now = end;
     }
 
-    fn step(&mut self, ev: Ev) {
+    fn step(&mut self, ev: Event) {
         match ev {
-            Ev::Wake(i, run) => {
-                if self.nodes[i].run == run && self.nodes[i].wake <= self.now {
+            Event::Wake(i, run) => {
+                if self.controllers[i].run == run && self.controllers[i].wake <= self.now {
                     self.deliver(i, Vec::new());
                 }
             }
-            Ev::Restart(i) => self.boot(i),
-            Ev::Timeout(i, run, id) => {
-                if self.open.remove(&(i, run, id)).is_some() && self.nodes[i].run == run {
+            Event::Restart(i) => self.boot(i),
+            Event::Timeout(i, run, id) => {
+                if self.open.remove(&(i, run, id)).is_some() && self.controllers[i].run == run {
                     let outcome = Outcome::Lost;
                     self.deliver(i, vec![NetworkEvent::Answer { id, outcome }]);
                 }
             }
-            Ev::Return(i, run, id, outcome) => {
-                if self.open.remove(&(i, run, id)).is_some() && self.nodes[i].run == run {
+            Event::Return(i, run, id, outcome) => {
+                if self.open.remove(&(i, run, id)).is_some() && self.controllers[i].run == run {
                     self.deliver(i, vec![NetworkEvent::Answer { id, outcome }]);
                 }
             }
-            Ev::Arrive(i, run, id, call) => self.arrive(i, run, id, call),
-            Ev::AgentHeartbeat(name, node, number, body) => {
-                if self.nodes[node].node.is_none() {
+            Event::Arrive(i, run, id, call) => self.arrive(i, run, id, call),
+            Event::AgentHeartbeat(name, node, number, body) => {
+                if self.controllers[node].node.is_none() {
                     return;
                 }
-                let p = Pending::AgentHeartbeat(name, number);
+                let p = PendingResponse::AgentHeartbeat(name, number);
                 self.request(node, p, "POST", "/hello".into(), body);
             }
-            Ev::AgentHeartbeatResponse(name, number, status, body) => {
-                self.report_answered(&name, number, status, &body);
+            Event::AgentHeartbeatResponse(name, number, status, body) => {
+                self.heartbeat_answered(&name, number, status, &body);
             }
-            Ev::Tick => self.tick(),
-            Ev::Do(f) => f(self),
+            Event::Tick => self.tick(),
+            Event::Do(f) => f(self),
         }
     }
 
@@ -586,11 +593,11 @@
         }
         let names: Vec<String> = self.agents.keys().cloned().collect();
         for n in names {
-            self.worker_tick(&n);
+            self.agent_tick(&n);
         }
         self.gangs();
         self.check_all();
-        self.look_on();
-        self.schedule(now + 50_000, Ev::Tick);
+        self.inject_client_and_heartbeat_faults();
+        self.schedule(now + 50_000, Event::Tick);
     }
 }
--- a/tests/world/waits.rs
+++ b/tests/simulation/starvation.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const EVERY: u64 = SEC;
-const LONGEST: u64 = 90 * SEC;
+const EVERY: u64 = SECOND;
+const LONGEST: u64 = 90 * SECOND;
 /// What a machine of the tests' world holds: CPUs, GPUs, memory.
 const HOLDS: [f64; 3] = [8.0, 8.0, 64.0];
 
 #[derive(Default)]
-pub struct Waits {
+pub struct StarvationChecker {
     since: BTreeMap<String, u64>,
     at: u64,
     /// Jobs whose end was seen.
@@ -19,24 +19,24 @@
     (0..3).all(|i| free[i] + 1e-6 >= need[i])
 }
 
-impl World {
+impl Simulation {
     /// Looks at all jobs that wait, once a second while all is calm.
     pub(super) fn check_waits(&mut self) {
-        if !self.is_calm() {
-            self.waits.since.clear();
+        if !self.faults_are_over() {
+            self.starvation.since.clear();
             return;
         }
-        if self.now < self.waits.at + EVERY {
+        if self.now < self.starvation.at + EVERY {
             return;
         }
-        self.waits.at = self.now;
+        self.starvation.at = self.now;
         let waits: BTreeSet<String> = self.left_waiting().into_iter().collect();
-        self.waits.since.retain(|id, _| waits.contains(id));
+        self.starvation.since.retain(|id, _| waits.contains(id));
         let now = self.now;
         for id in waits {
-            let since = *self.waits.since.entry(id.clone()).or_insert(now);
+            let since = *self.starvation.since.entry(id.clone()).or_insert(now);
             if now > since + LONGEST {
-                self.broken("left_waiting", id);
+                self.report_violation("left_waiting", id);
                 return;
             }
         }
@@ -59,20 +59,27 @@
                 there.insert(task);
                 busy.insert(id);
             }
-            if w.alive && !w.errors && w.hung_until <= self.now && w.notice.is_none() {
+            if w.alive
+                && !w.fails_tasks
+                && w.hung_until <= self.now
+                && w.preemption_notice_s.is_none()
+            {
                 rooms.push((w, free));
             }
         }
-        let waits = |(id, t): &(&String, &JobTruth)| {
+        let waits = |(id, t): &(&String, &JobGroundTruth)| {
             let done = t.done.len() as u32 >= t.spec.tasks;
-            let over = t.asked_cancel || t.told_cancelled.is_some() || done;
-            let needs = self.before(id).iter().any(|n| n.told_done.is_none());
+            let over = t.cancel_requested || t.cancellation_seen_at.is_some() || done;
+            let needs = self
+                .dependencies(id)
+                .iter()
+                .any(|n| n.completion_seen_at.is_none());
             let gang = t.spec.kind == JobKind::Gang && busy.contains(id.as_str());
             let whole = (0..t.spec.tasks)
                 .all(|n| t.done.contains(&n) || there.contains(format!("{id}/{n}").as_str()));
-            t.accepted && !over && !needs && !gang && !whole && !self.broken_jobs.contains(*id)
+            t.accepted && !over && !needs && !gang && !whole && !self.failing_jobs.contains(*id)
         };
-        let room = |t: &JobTruth| {
+        let room = |t: &JobGroundTruth| {
             let s = &t.spec;
             let need = [s.cpus, s.gpus, s.memory_gb];
             let many = if s.kind == JobKind::Gang { s.tasks } else { 1 };
