--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -4,6 +4,7 @@
 mod simulation;
 
 use rand::RngExt;
+use simulation::fault_injection::StoreDelay;
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
@@ -22,8 +23,14 @@
         let a = node_of(&sim, seed);
         let b = (a + 1) % 3;
         sim.watch_delays.insert(a, 6 * SECOND);
-        sim.faults.store_write_delay = Some((a, 1_200_000));
-        sim.faults.store_read_delay = Some((a, 1_400_000));
+        sim.faults.store_write_delay = Some(StoreDelay {
+            controller: a,
+            delay: 1_200_000,
+        });
+        sim.faults.store_read_delay = Some(StoreDelay {
+            controller: a,
+            delay: 1_400_000,
+        });
         sim.declare_job("req-1", job(JobKind::Array, 2, 1.0), 60 * SECOND);
         sim.submit(a, "req-1");
         sim.run_micros(60_000);
@@ -69,7 +76,7 @@
         assert!(
             sim.client_answers
                 .iter()
-                .any(|s| s.0 + 3 * SECOND > sim.now),
+                .any(|answer| answer.at + 3 * SECOND > sim.now),
             "seed {seed}"
         );
     }
@@ -128,7 +135,7 @@
         let pending = sim
             .client_answers
             .iter()
-            .filter(|s| s.3 == "pending")
+            .filter(|answer| answer.state == "pending")
             .count();
         assert!(
             pending > 10 && sim.client_answers.len() > 300,
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -119,8 +119,8 @@
         sim.run_seconds(3);
         let said: Vec<u16> = sim.client_answers[before..]
             .iter()
-            .filter(|s| s.1 == "req-1")
-            .map(|s| s.2)
+            .filter(|answer| answer.job == "req-1")
+            .map(|answer| answer.status)
             .collect();
         assert!(
             said.len() >= 9 && said.iter().all(|s| *s == 503),
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -4,7 +4,7 @@
 mod simulation;
 
 use rand::RngExt;
-use simulation::fault_injection::DroppedDelivery;
+use simulation::fault_injection::{DroppedDelivery, StoreDelay};
 use simulation::{
     CANCEL_DEADLINE_S, Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader,
 };
@@ -719,7 +719,10 @@
         }
         sim.run_seconds(3);
         sim.watch_delays.insert(c, 60 * SECOND);
-        sim.faults.store_read_delay = Some((c, 60 * SECOND));
+        sim.faults.store_read_delay = Some(StoreDelay {
+            controller: c,
+            delay: 60 * SECOND,
+        });
         sim.run_seconds(1);
         sim.store.refused_controllers.push(x);
         sim.run_micros(SECOND / 10);
--- a/tests/failure_scenarios/client_answers.rs
+++ b/tests/failure_scenarios/client_answers.rs
@@ -18,7 +18,7 @@
     let n = sim
         .client_answers
         .iter()
-        .filter(|s| s.3 == "cancelled")
+        .filter(|answer| answer.state == "cancelled")
         .count();
     assert!(n >= 4, "{:?}", sim.client_answers);
     sim.run_seconds(30);
@@ -48,7 +48,7 @@
     sim.poll(1, "nonsense");
     sim.run_seconds(1);
     assert!(
-        sim.client_answers.iter().all(|s| s.2 == 404),
+        sim.client_answers.iter().all(|answer| answer.status == 404),
         "{:?}",
         sim.client_answers
     );
@@ -57,7 +57,7 @@
     sim.submit(2, "req-1");
     sim.run_seconds(1);
     let last = sim.client_answers.last().unwrap();
-    assert_eq!((last.2, last.3.as_str()), (200, "done"));
+    assert_eq!((last.status, last.state.as_str()), (200, "done"));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     sim.run_seconds(1);
     let mut said: Vec<(u16, &str)> = sim.client_answers[from..]
         .iter()
-        .map(|s| (s.2, s.3.as_str()))
+        .map(|answer| (answer.status, answer.state.as_str()))
         .collect();
     said.sort_unstable();
     assert_eq!(
--- a/tests/failure_scenarios/job_dependencies.rs
+++ b/tests/failure_scenarios/job_dependencies.rs
@@ -58,8 +58,8 @@
         let said: Vec<u16> = sim
             .client_answers
             .iter()
-            .filter(|s| s.1 == id)
-            .map(|s| s.2)
+            .filter(|answer| answer.job == id)
+            .map(|answer| answer.status)
             .collect();
         assert_eq!(said, [422; 3], "{id}");
     }
@@ -72,7 +72,7 @@
     assert!(
         sim.client_answers
             .iter()
-            .any(|s| s.1 == "req-6" && s.2 == 400)
+            .any(|answer| answer.job == "req-6" && answer.status == 400)
     );
     // Nothing can be looked up while the store is out: no verdict then.
     sim.store.outage = true;
@@ -85,8 +85,12 @@
     let before = sim.now;
     sim.submit(0, "req-5");
     sim.run_seconds(3);
-    let (at, _, status, _) = sim.client_answers.iter().find(|s| s.1 == "req-5").unwrap();
-    assert!(*status == 503 && *at < before + 2 * SECOND);
+    let answer = sim
+        .client_answers
+        .iter()
+        .find(|answer| answer.job == "req-5")
+        .unwrap();
+    assert!(answer.status == 503 && answer.at < before + 2 * SECOND);
 }
 
 /// A need is cancelled before, while and after the jobs behind it are submitted, on any controller,
@@ -279,7 +283,12 @@
     sim.declare_job("req-3", job(JobKind::Array, 1, 1.0), SECOND);
     sim.submit(1, "req-3");
     sim.run_seconds(10);
-    let answer = |id: &str| sim.client_answers.iter().find(|s| s.1 == id).map(|s| s.2);
+    let answer = |id: &str| {
+        sim.client_answers
+            .iter()
+            .find(|answer| answer.job == id)
+            .map(|answer| answer.status)
+    };
     assert_eq!((answer("req-2"), answer("req-3")), (Some(503), Some(201)));
 }
 
--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -91,7 +91,7 @@
     sim.run_seconds(1);
     let said: Vec<(u16, &str)> = sim.client_answers[from..]
         .iter()
-        .map(|s| (s.2, s.3.as_str()))
+        .map(|answer| (answer.status, answer.state.as_str()))
         .collect();
     assert!(
         said.contains(&(200, "done")) && said.contains(&(503, "")),
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -186,7 +186,7 @@
     assert!(
         sim.client_answers
             .iter()
-            .any(|s| s.1 == "req-2" && s.2 == 400)
+            .any(|answer| answer.job == "req-2" && answer.status == 400)
     );
     assert_eq!(sim.store.rejected_for_size, 0);
 }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -11,7 +11,7 @@
 fn apart(sim: &mut Simulation, id: &str, kind: JobKind, tasks: u32, run: u64, apart: u64) {
     sim.spawn_client(id, job(kind, tasks, 1.0), run);
     if let Some(t) = sim.jobs.get_mut(id) {
-        t.apart = apart;
+        t.run_time_step = apart;
     }
 }
 
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -3,7 +3,8 @@
 mod simulation;
 
 use simulation::{
-    CANCEL_DEADLINE_S, Endpoint, LEASE_S, SECOND, Simulation, job, simulation_with_leader,
+    CANCEL_DEADLINE_S, ClientRequest, Endpoint, LEASE_S, SECOND, Simulation, job,
+    simulation_with_leader,
 };
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use walnuttrestle::protocol::{JobKind, JobSpec};
@@ -85,26 +86,38 @@
 fn answers_older_than_what_was_told_are_reported() {
     // What was told first, what is answered to which question afterwards, and the rule.
     let cases = [
-        ("pending", "poll", 404, "", "forgotten"),
-        ("pending", "cancel", 404, "", "forgotten"),
-        ("pending", "submit", 422, "", "forgotten"),
-        ("pending", "submit", 400, "", "forgotten"),
-        ("cancelled", "poll", 200, "pending", "went_back"),
-        ("cancelled", "submit", 201, "pending", "went_back"),
-        ("cancelled", "cancel", 200, "done", "not_done"),
-        ("cancelled", "poll", 404, "", "forgotten"),
+        ("pending", ClientRequest::Poll, 404, "", "forgotten"),
+        ("pending", ClientRequest::Cancel, 404, "", "forgotten"),
+        ("pending", ClientRequest::Submit, 422, "", "forgotten"),
+        ("pending", ClientRequest::Submit, 400, "", "forgotten"),
+        (
+            "cancelled",
+            ClientRequest::Poll,
+            200,
+            "pending",
+            "went_back",
+        ),
+        (
+            "cancelled",
+            ClientRequest::Submit,
+            201,
+            "pending",
+            "went_back",
+        ),
+        ("cancelled", ClientRequest::Cancel, 200, "done", "not_done"),
+        ("cancelled", ClientRequest::Poll, 404, "", "forgotten"),
     ];
-    for (first, what, status, state, rule) in cases {
+    for (first, request, status, state, rule) in cases {
         let mut sim = running(3920, job(JobKind::Array, 2, 1.0));
         if first == "cancelled" {
             sim.cancel_until_answered("req-1");
             sim.run_seconds(3);
         }
-        sim.inject_client_answer("req-1", sim.now, what, status, state);
+        sim.inject_client_answer("req-1", sim.now, request, status, state);
         assert_eq!(
             reported(sim, 1),
             rule,
-            "{first}, then {what} {status} {state}"
+            "{first}, then {request:?} {status} {state}"
         );
     }
     // A question that was asked before may be answered with what held then.
@@ -112,7 +125,7 @@
     let asked = sim.now;
     sim.cancel_until_answered("req-1");
     sim.run_seconds(3);
-    sim.inject_client_answer("req-1", asked, "poll", 200, "running");
+    sim.inject_client_answer("req-1", asked, ClientRequest::Poll, 200, "running");
     assert_eq!(reported(sim, 1), "");
 }
 
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -128,7 +128,7 @@
     let mut sim = night(seed);
     sim.run_seconds(150);
     for (id, t) in &sim.jobs {
-        let ends = t.spec.kind != JobKind::Service && t.run < 100 * SECOND;
+        let ends = t.spec.kind != JobKind::Service && t.run_time < 100 * SECOND;
         assert!(
             t.accepted,
             "seed {seed}: {id} was never accepted\n{}",
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -4,7 +4,7 @@
 mod simulation;
 
 use rand::RngExt;
-use simulation::fault_injection::Duplication;
+use simulation::fault_injection::{DelayedKey, Duplication};
 use simulation::{
     Endpoint, LEASE_S, PartitionMode, SECOND, Simulation, job, simulation_with_leader,
 };
@@ -24,7 +24,11 @@
             sim.crash_controller(i, 50_000);
             sim.run_seconds(4);
         }
-        sim.faults.delayed_key = Some(("wt/f/kernel-0", 1, 11 * SECOND));
+        sim.faults.delayed_key = Some(DelayedKey {
+            prefix: "wt/f/kernel-0",
+            remaining: 1,
+            delay: 11 * SECOND,
+        });
         sim.set_first_version(0, false);
         sim.crash_controller(0, 50_000);
         sim.run_seconds(5);
@@ -65,7 +69,11 @@
     for seed in 0..24 {
         let mut sim = Simulation::with_write_rate(6140 + seed, 3, 6, 9.0);
         sim.run_seconds(8);
-        sim.faults.delayed_key = Some(("wt/b/", 2, sim.rng.random_range(2..12) * SECOND));
+        sim.faults.delayed_key = Some(DelayedKey {
+            prefix: "wt/b/",
+            remaining: 2,
+            delay: sim.rng.random_range(2..12) * SECOND,
+        });
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..24u64 {
             let at = (n / 8) * 3 * SECOND;
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -222,7 +222,7 @@
                 0
             };
             sim.spawn_balanced_client(&of, spec, run);
-            sim.jobs.get_mut(&of).expect("declared").apart = apart;
+            sim.jobs.get_mut(&of).expect("declared").run_time_step = apart;
         });
         ids.push((id, class, large));
     }
--- a/tests/simulation/agent_behavior.rs
+++ b/tests/simulation/agent_behavior.rs
@@ -1,349 +1,282 @@
-//! Agents and the cloud.
+//! What agents do with commands and as time passes: task phases, gangs, leases and heartbeats.
 
 use super::*;
+use fake_agent::{InFlightHeartbeat, TaskKey, split_task_name};
+use fault_injection::StaleHeartbeat;
+
+const HEARTBEAT_INTERVAL: u64 = 2 * SECOND;
+/// A heartbeat follows the execution of a start within this time.
+const HEARTBEAT_AFTER_START: u64 = SECOND / 2;
 
 impl Simulation {
-    pub(super) fn hung(&self, name: &str) -> Option<u64> {
-        self.agents
-            .get(name)
-            .map(|w| w.hung_until)
-            .filter(|u| *u > self.now)
+    /// Until when a machine stands still, if it does.
+    pub(super) fn hung_until(&self, machine: &str) -> Option<u64> {
+        let agent = self.agents.get(machine)?;
+        Some(agent.hung_until).filter(|until| *until > self.now)
     }
 
-    pub(super) fn execute(&mut self, name: &str, commands: Vec<Command>) {
-        for c in commands {
-            let Some(w) = self.agents.get_mut(name) else {
+    pub(super) fn execute(&mut self, machine: &str, commands: Vec<Command>) {
+        for command in commands {
+            if !self.agents.contains_key(machine) {
                 return;
-            };
-            match c {
-                Command::Start { task, attempt } => {
-                    let key = (task.clone(), attempt);
-                    if w.tasks.contains_key(&key) {
-                        continue;
-                    }
-                    let id = task.rsplit_once('/').map(|(i, _)| i.to_string()).unwrap();
-                    let busy = w
-                        .tasks
-                        .iter()
-                        .any(|((t, _), s)| *t == task && s.phase != TaskPhase::Exited);
-                    let image = self.jobs.get(&id).map(|t| t.spec.image.clone());
-                    let cached = image.is_some_and(|i| w.cached_images.contains(&i));
-                    let t = if busy {
-                        FakeTask {
-                            phase: TaskPhase::Exited,
-                            exit_reason: Some(ExitReason::Busy),
-                            saved: false,
-                            phase_ends_at: 0,
-                        }
-                    } else if !self.jobs.contains_key(&id) {
-                        FakeTask {
-                            phase: TaskPhase::Exited,
-                            exit_reason: Some(ExitReason::Unknown),
-                            saved: false,
-                            phase_ends_at: 0,
-                        }
-                    } else {
-                        FakeTask {
-                            phase: TaskPhase::Fetching,
-                            exit_reason: None,
-                            saved: false,
-                            phase_ends_at: self.now + if cached { 0 } else { IMAGE_FETCH_TIME },
-                        }
-                    };
-                    w.tasks.insert(key, t);
-                    w.next_heartbeat_at = w.next_heartbeat_at.min(self.now + SECOND / 2);
-                }
+            }
+            match command {
+                Command::Start { task, attempt } => self.execute_start(machine, (task, attempt)),
                 Command::Stop {
                     task,
                     attempt,
                     grace_s,
-                } => {
-                    let id = task.rsplit_once('/').map(|(i, _)| i.to_string()).unwrap();
-                    let save = self.jobs.get(&id).map_or(0.0, |t| t.spec.save_s);
-                    let key = (task, attempt);
-                    if let Some(t) = w.tasks.get_mut(&key) {
-                        match t.phase {
-                            TaskPhase::Exited => {}
-                            TaskPhase::Running if save > 0.0 && grace_s >= save => {
-                                t.phase = TaskPhase::Saving;
-                                t.phase_ends_at = self.now + (save * 1e6) as u64;
-                            }
-                            TaskPhase::Saving if grace_s > 0.0 => {}
-                            _ => w.exit_task(&key, ExitReason::Stopped, false),
-                        }
-                    }
-                }
-                Command::Forget { task, attempt } => {
-                    let key = (task, attempt);
-                    if w.tasks
-                        .get(&key)
-                        .is_some_and(|t| t.phase == TaskPhase::Exited)
-                    {
-                        w.tasks.remove(&key);
-                    }
-                }
+                } => self.execute_stop(machine, (task, attempt), grace_s),
+                Command::Forget { task, attempt } => self.execute_forget(machine, (task, attempt)),
             }
         }
     }
 
-    pub(super) fn agent_tick(&mut self, name: &str) {
+    fn execute_start(&mut self, machine: &str, key: TaskKey) {
         let now = self.now;
-        let nodes = self.controllers.len();
-        if !self.agents[name].alive {
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        if agent.tasks.contains_key(&key) {
+            return;
+        }
+        let (job, _) = split_task_name(&key.0);
+        let busy = agent
+            .tasks
+            .iter()
+            .any(|((task, _), state)| *task == key.0 && state.phase != TaskPhase::Exited);
+        let started = match self.jobs.get(job) {
+            _ if busy => FakeTask::exited(ExitReason::Busy),
+            None => FakeTask::exited(ExitReason::Unknown),
+            Some(truth) if agent.cached_images.contains(&truth.spec.image) => {
+                FakeTask::fetching(now)
+            }
+            Some(_) => FakeTask::fetching(now + IMAGE_FETCH_TIME),
+        };
+        agent.tasks.insert(key, started);
+        agent.next_heartbeat_at = agent.next_heartbeat_at.min(now + HEARTBEAT_AFTER_START);
+    }
+
+    fn execute_stop(&mut self, machine: &str, key: TaskKey, grace_s: f64) {
+        let (job, _) = split_task_name(&key.0);
+        let save_s = self.jobs.get(job).map_or(0.0, |truth| truth.spec.save_s);
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        let Some(task) = agent.tasks.get_mut(&key) else {
             return;
+        };
+        match task.phase {
+            TaskPhase::Exited => {}
+            TaskPhase::Running if save_s > 0.0 && grace_s >= save_s => {
+                task.phase = TaskPhase::Saving;
+                task.phase_ends_at = self.now + (save_s * 1e6) as u64;
+            }
+            TaskPhase::Saving if grace_s > 0.0 => {}
+            _ => agent.exit_task(&key, ExitReason::Stopped, false),
         }
-        // A lease runs out on a hung machine, too: only within it may the machine continue.
-        let w = self.agents.get_mut(name).unwrap();
-        if now > w.lease_renewed_at + self.lease_s * SECOND {
-            w.expire_session();
-            w.lease_renewed_at = now;
+    }
+
+    fn execute_forget(&mut self, machine: &str, key: TaskKey) {
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        let exited = |task: &FakeTask| task.phase == TaskPhase::Exited;
+        if agent.tasks.get(&key).is_some_and(exited) {
+            agent.tasks.remove(&key);
+        }
+    }
+
+    /// What an agent does by itself: its lease expires, phases of tasks end, heartbeats are sent.
+    pub(super) fn agent_tick(&mut self, machine: &str) {
+        let now = self.now;
+        let lease = self.lease_s * SECOND;
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        if !agent.alive {
+            return;
         }
-        if self.hung(name).is_some() {
+        // The lease expires on a hung machine as well: the machine may continue only within it.
+        agent.expire_lease(now, lease);
+        if agent.hung_until > now {
             return;
         }
-        let w = self.agents.get_mut(name).unwrap();
-        // Phases that end by themselves.
-        let due: Vec<fake_agent::TaskKey> = w
+        let due = |task: &FakeTask| {
+            task.phase != TaskPhase::Exited && task.phase_ends_at > 0 && task.phase_ends_at <= now
+        };
+        let keys: Vec<TaskKey> = agent
             .tasks
             .iter()
-            .filter(|(_, t)| {
-                t.phase != TaskPhase::Exited && t.phase_ends_at > 0 && t.phase_ends_at <= now
-            })
-            .map(|(k, _)| k.clone())
+            .filter(|(_, task)| due(task))
+            .map(|(key, _)| key.clone())
             .collect();
-        for key in due {
-            let id = key.0.rsplit_once('/').map(|(i, _)| i.to_string()).unwrap();
-            let n: u32 = key.0.rsplit_once('/').unwrap().1.parse().unwrap();
-            let truth = self.jobs[&id].clone();
-            let broken = self.failing_jobs.contains(&id);
-            let whole = truth.spec.kind != JobKind::Gang || self.complete(&key, &truth);
-            let w = self.agents.get_mut(name).unwrap();
-            let errors = w.fails_tasks || broken;
-            let t = w.tasks.get_mut(&key).unwrap();
-            match t.phase {
-                TaskPhase::Fetching if errors => w.exit_task(&key, ExitReason::Error, false),
-                TaskPhase::Fetching => {
-                    if truth.done.contains(&n) {
-                        w.exit_task(&key, ExitReason::Done, false);
-                    } else if truth.spec.kind == JobKind::Gang {
-                        t.phase = TaskPhase::Waiting;
-                        t.phase_ends_at = 0;
-                    } else {
-                        t.phase = TaskPhase::Running;
-                        t.phase_ends_at = if truth.spec.kind == JobKind::Service {
-                            0
-                        } else {
-                            now + truth.run + u64::from(n) * truth.apart
-                        };
-                    }
-                    w.next_heartbeat_at = w.next_heartbeat_at.min(now);
-                    self.check_start(name, &key.0);
-                }
-                // While its machine hung, the others have gone.
-                TaskPhase::Running if !whole => w.exit_task(&key, ExitReason::Peers, false),
-                TaskPhase::Running => {
-                    w.exit_task(&key, ExitReason::Done, false);
-                    self.jobs.get_mut(&id).unwrap().done.insert(n);
-                }
-                TaskPhase::Saving => w.exit_task(&key, ExitReason::Stopped, true),
-                _ => {}
-            }
-        }
-        let w = self.agents.get_mut(name).unwrap();
-        if let Some((_, number, sent)) = w.flying
-            && now > sent + 4 * SECOND
-        {
-            let _ = number;
-            w.flying = None;
-            w.controller = (w.controller + 1) % nodes;
-            w.next_heartbeat_at = now + SECOND;
+        for key in keys {
+            self.end_phase(machine, &key);
         }
-        if w.flying.is_none() && w.next_heartbeat_at <= now {
-            let body = encode(&w.heartbeat());
-            let number = w.seq;
-            w.flying = Some((w.agent_epoch, number, now));
-            w.next_heartbeat_at = now + 2 * SECOND;
-            let node = w.controller;
-            let name = name.to_string();
-            if self.faults.is_silent(&name, now) {
-                return;
-            }
-            let copy = || (name.clone(), number, body.clone());
-            self.faults.keep_stale_heartbeat(copy, &mut self.rng);
-            let mut at = now + self.latency() + self.faults.heartbeat_delay(&mut self.rng);
-            if let Some((to, late)) = self.faults.duplicate_heartbeat(node, nodes, &mut self.rng) {
-                let copy = Event::AgentHeartbeat(name.clone(), to, number, body.clone());
-                self.schedule(at + late, copy);
-            }
-            match self
-                .partition_between(&Endpoint::Controller(node), &Endpoint::Agent(name.clone()))
-            {
-                Some((PartitionMode::Drop, _)) => return,
-                Some((PartitionMode::Delay, until)) => at = until + 1000,
-                None => {}
+        self.expire_heartbeat(machine);
+        self.send_heartbeat(machine);
+    }
+
+    /// Ends the present phase of a task.
+    fn end_phase(&mut self, machine: &str, key: &TaskKey) {
+        let (job, index) = split_task_name(&key.0);
+        let truth = self.jobs[job].clone();
+        let job_fails = self.failing_jobs.contains(job);
+        let gang_is_whole = truth.spec.kind != JobKind::Gang || self.gang_can_complete(key, &truth);
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        let fails = agent.fails_tasks || job_fails;
+        match agent.tasks[key].phase {
+            TaskPhase::Fetching if fails => agent.exit_task(key, ExitReason::Error, false),
+            TaskPhase::Fetching => self.finish_fetch(machine, key, &truth, index),
+            // Other members have exited while this machine hung.
+            TaskPhase::Running if !gang_is_whole => agent.exit_task(key, ExitReason::Peers, false),
+            TaskPhase::Running => {
+                agent.exit_task(key, ExitReason::Done, false);
+                self.jobs.get_mut(job).unwrap().done.insert(index);
             }
-            self.schedule(at, Event::AgentHeartbeat(name, node, number, body));
+            TaskPhase::Saving => agent.exit_task(key, ExitReason::Stopped, true),
+            _ => {}
+        }
+    }
+
+    /// The image of a task has arrived: the task runs, or waits for its gang, or is done already.
+    fn finish_fetch(&mut self, machine: &str, key: &TaskKey, truth: &JobGroundTruth, index: u32) {
+        let now = self.now;
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        let task = agent.tasks.get_mut(key).expect("a task");
+        if truth.done.contains(&index) {
+            agent.exit_task(key, ExitReason::Done, false);
+        } else if truth.spec.kind == JobKind::Gang {
+            task.phase = TaskPhase::Waiting;
+            task.phase_ends_at = 0;
+        } else {
+            task.phase = TaskPhase::Running;
+            task.phase_ends_at = match truth.spec.kind {
+                JobKind::Service => 0,
+                _ => now + truth.run_time + u64::from(index) * truth.run_time_step,
+            };
         }
+        agent.next_heartbeat_at = agent.next_heartbeat_at.min(now);
+        self.check_start(machine, &key.0);
     }
 
-    /// All tasks of a gang's attempt are there, or one of them has completed it.
-    pub(super) fn complete(&self, key: &fake_agent::TaskKey, truth: &JobGroundTruth) -> bool {
-        let id = key.0.rsplit_once('/').map(|(id, _)| id);
-        let there = self.agents.values().flat_map(|w| w.active_tasks());
-        let mates = there.filter(|((k, attempt), _)| {
-            *attempt == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id
+    fn send_heartbeat(&mut self, machine: &str) {
+        let now = self.now;
+        let controller_count = self.controllers.len();
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        if agent.in_flight.is_some() || agent.next_heartbeat_at > now {
+            return;
+        }
+        let body = encode(&agent.heartbeat());
+        let number = agent.seq;
+        let controller = agent.controller;
+        agent.in_flight = Some(InFlightHeartbeat {
+            agent_epoch: agent.agent_epoch,
+            number,
+            sent_at: now,
         });
-        // They complete together: while the machine of one stands still, none does.
-        let hung = |w: &FakeAgent| {
-            let mut held = w.active_tasks().map(|((k, attempt), _)| (k, attempt));
-            let mate =
-                |(k, a): (&String, &u64)| *a == key.1 && k.rsplit_once('/').map(|(id, _)| id) == id;
-            w.hung_until > self.now && held.any(mate)
+        agent.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+        if self.faults.is_silent(machine, now) {
+            return;
+        }
+        let heartbeat = StaleHeartbeat {
+            machine: machine.to_string(),
+            number,
+            body,
         };
-        !truth.done.is_empty()
-            || mates.count() as u32 == truth.spec.tasks && !self.agents.values().any(hung)
+        self.faults.keep_stale_heartbeat(&heartbeat, &mut self.rng);
+        let at = now + self.latency() + self.faults.heartbeat_delay(&mut self.rng);
+        let duplicate =
+            self.faults
+                .duplicate_heartbeat(controller, controller_count, &mut self.rng);
+        if let Some((to, delay)) = duplicate {
+            self.schedule(at + delay, heartbeat.clone().arriving_at(to));
+        }
+        let from = Endpoint::Agent(machine.to_string());
+        if let Some(at) = self.arrival_across(&Endpoint::Controller(controller), &from, at) {
+            self.schedule(at, heartbeat.arriving_at(controller));
+        }
     }
 
-    /// Gangs: start together, fail together.
-    pub(super) fn gangs(&mut self) {
-        let now = self.now;
-        type Member = (String, fake_agent::TaskKey, TaskPhase);
-        let mut members: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
-        for w in self.agents.values() {
-            for (k, t) in w.active_tasks() {
-                let id = k.0.rsplit_once('/').unwrap().0.to_string();
-                if self
-                    .jobs
-                    .get(&id)
-                    .is_some_and(|t| t.spec.kind == JobKind::Gang)
-                {
-                    members.entry((id, k.1)).or_default().push((
-                        w.name.clone(),
-                        k.clone(),
-                        t.phase,
-                    ));
-                }
+    /// All members of a gang's attempt are on machines that do not hang, or one of them has completed.
+    fn gang_can_complete(&self, key: &TaskKey, truth: &JobGroundTruth) -> bool {
+        let (job, _) = split_task_name(&key.0);
+        let is_member =
+            |(task, attempt): &TaskKey| *attempt == key.1 && split_task_name(task).0 == job;
+        let members = self
+            .agents
+            .values()
+            .flat_map(|agent| agent.active_tasks())
+            .filter(|(other, _)| is_member(other))
+            .count();
+        // Members complete together: while the machine of one hangs, none does.
+        let any_hangs = self.agents.values().any(|agent| {
+            agent.hung_until > self.now && agent.active_tasks().any(|(other, _)| is_member(other))
+        });
+        !truth.done.is_empty() || members as u32 == truth.spec.tasks && !any_hangs
+    }
+
+    /// Starts gangs whose members all wait, and ends the members of gangs that are incomplete.
+    pub(super) fn update_gangs(&mut self) {
+        for ((job, _), members) in self.gang_attempts() {
+            let truth = self.jobs[&job].clone();
+            let complete = members.len() as u32 == truth.spec.tasks;
+            let any_hangs = members
+                .iter()
+                .any(|member| self.hung_until(&member.machine).is_some());
+            let all_wait = members
+                .iter()
+                .all(|member| member.phase == TaskPhase::Waiting);
+            if complete && !any_hangs && all_wait {
+                self.start_gang(&members, truth.run_time);
+            } else if !complete || any_hangs {
+                self.end_gang_members(&job, &members, !truth.done.is_empty());
             }
         }
-        for ((id, _), list) in members {
-            let truth = self.jobs[&id].clone();
-            let all = list.len() as u32 == truth.spec.tasks;
-            let hung = list.iter().any(|(m, _, _)| self.hung(m).is_some());
-            if all && !hung && list.iter().all(|(_, _, p)| *p == TaskPhase::Waiting) {
-                for (m, k, _) in &list {
-                    let t = self.agents.get_mut(m).unwrap().tasks.get_mut(k).unwrap();
-                    t.phase = TaskPhase::Running;
-                    t.phase_ends_at = now + truth.run;
-                }
-            } else if !all || hung {
-                for (m, k, p) in &list {
-                    if *p == TaskPhase::Running {
-                        let due = now + GANG_PEER_TIMEOUT_S * SECOND / 2;
-                        let w = self.agents.get_mut(m).unwrap();
-                        let done = truth.done.len() as u32 >= 1;
-                        if w.hung_until > now {
-                            continue;
-                        }
-                        if done {
-                            let n: u32 = k.0.rsplit_once('/').unwrap().1.parse().unwrap();
-                            w.exit_task(k, ExitReason::Done, false);
-                            self.jobs.get_mut(&id).unwrap().done.insert(n);
-                        } else {
-                            let _ = due;
-                            w.exit_task(k, ExitReason::Peers, false);
-                        }
-                    }
+    }
+
+    /// Active members of gangs by job and attempt.
+    fn gang_attempts(&self) -> BTreeMap<(String, u64), Vec<GangMember>> {
+        let mut attempts: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
+        for agent in self.agents.values() {
+            for (key, task) in agent.active_tasks() {
+                let (job, _) = split_task_name(&key.0);
+                let is_gang = |truth: &JobGroundTruth| truth.spec.kind == JobKind::Gang;
+                if self.jobs.get(job).is_some_and(is_gang) {
+                    let members = attempts.entry((job.to_string(), key.1)).or_default();
+                    members.push(GangMember {
+                        machine: agent.name.clone(),
+                        key: key.clone(),
+                        phase: task.phase,
+                    });
                 }
             }
         }
+        attempts
     }
 
-    pub(super) fn cloud(&mut self, call: &Call) -> (u16, Vec<u8>) {
-        if self.cloud_unavailable {
-            return (503, Vec::new());
+    fn start_gang(&mut self, members: &[GangMember], run_time: u64) {
+        for member in members {
+            let agent = self.agents.get_mut(&member.machine).expect("a machine");
+            let task = agent.tasks.get_mut(&member.key).expect("a task");
+            task.phase = TaskPhase::Running;
+            task.phase_ends_at = self.now + run_time;
         }
-        let route = call.path.split('?').next().unwrap_or("");
-        match (call.method, route) {
-            ("GET", "/flavors") => {
-                let t = MachineType {
-                    name: "box".into(),
-                    cpus: 8.0,
-                    gpus: 8.0,
-                    memory_gb: 64.0,
-                    cache_gb: 50.0,
-                    fetch_gb_per_s: 1.0,
-                    price: 1.0,
-                    spot_price: 0.4,
-                    boot_s: 5.0,
-                    zones: vec!["a".into(), "b".into()],
-                };
-                (200, encode(&MachineTypes { types: vec![t] }))
-            }
-            ("GET", _) => {
-                let mut machines: Vec<ListedMachine> = self
-                    .agents
-                    .values()
-                    .map(|w| ListedMachine {
-                        id: w.name.clone(),
-                        address: None,
-                        kind: "box".into(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if self.failed_machines.contains(&w.name) {
-                            MachineState::Failed
-                        } else {
-                            MachineState::Running
-                        },
-                        age_s: 10.0,
-                    })
-                    .collect();
-                machines.sort_by(|a, b| a.id.cmp(&b.id));
-                let page = MachinePage {
-                    machines,
-                    more: false,
-                };
-                (200, encode(&page))
-            }
-            ("POST", "/machines") => {
-                let r: RentRequest = decode(&call.body).expect("a rental");
-                if let Some(names) = self.rented.get(&r.request) {
-                    let machines = names.clone();
-                    let first = self.rented_at[&r.request];
-                    if self.now > first + 60 * SECOND {
-                        self.report_violation("hire reused", r.request);
-                    }
-                    return (200, encode(&MachineNames { machines }));
-                }
-                let room = 12usize.saturating_sub(self.agents.len() + self.booting.len());
-                if room == 0 || self.no_capacity {
-                    return (503, Vec::new());
-                }
-                let mut names = Vec::new();
-                for _ in 0..(r.count as usize).min(room) {
-                    self.machine_count += 1;
-                    let name = format!("n-{:06}", self.machine_count);
-                    self.booting.push((
-                        self.now + self.machine_boot_time,
-                        name.clone(),
-                        r.zone.clone(),
-                        r.spot,
-                    ));
-                    names.push(name);
-                }
-                self.rented_at.insert(r.request.clone(), self.now);
-                self.rented.insert(r.request, names.clone());
-                (200, encode(&MachineNames { machines: names }))
+    }
+
+    fn end_gang_members(&mut self, job: &str, members: &[GangMember], completed: bool) {
+        for member in members {
+            let agent = self.agents.get_mut(&member.machine).expect("a machine");
+            if member.phase != TaskPhase::Running || agent.hung_until > self.now {
+                continue;
             }
-            _ => {
-                let names: MachineNames = decode(&call.body).expect("names");
-                for n in names.machines {
-                    let gone = self.agents.remove(&n);
-                    self.failed_task_total += gone.map_or(0, |w| w.failed_tasks);
-                    self.booting.retain(|(_, b, ..)| *b != n);
-                    self.deleted_machines.insert(n);
-                }
-                (200, Vec::new())
+            if completed {
+                let (_, index) = split_task_name(&member.key.0);
+                agent.exit_task(&member.key, ExitReason::Done, false);
+                self.jobs.get_mut(job).unwrap().done.insert(index);
+            } else {
+                agent.exit_task(&member.key, ExitReason::Peers, false);
             }
         }
     }
 }
+
+/// A member of a gang that is active on a machine.
+struct GangMember {
+    machine: String,
+    key: TaskKey,
+    phase: TaskPhase,
+}
--- a/tests/simulation/client_probes.rs
+++ b/tests/simulation/client_probes.rs
@@ -1,195 +1,252 @@
-//! Users who look closely, who ask for what must be refused, who call jobs off at the moment of their end; and heartbeat_duplication
-//! of reports that come to the next leader.
+//! Difficult clients: they poll all controllers at once, send invalid requests, and cancel jobs at the moment of their
+//! completion. Here stale heartbeats are sent to the next leader, too.
 
 use super::*;
 use rmpv::Value;
 
-/// The machines of the tests' world, as jobs that fit none of them see them.
-const LARGEST: f64 = 8.0;
+/// GPUs and CPUs of the largest machine.
+const LARGEST_MACHINE: f64 = 8.0;
+/// Polls of a probe are sent within this time.
+const POLL_SPREAD: std::ops::Range<u64> = 0..60_000;
+/// Other requests of a probe, and the cancellations of a burst, are sent within this time.
+const REQUEST_SPREAD: std::ops::Range<u64> = 0..200_000;
+/// Stale heartbeats reach a new leader within this time.
+const STALE_HEARTBEAT_SPREAD: std::ops::Range<u64> = 0..400_000;
+const MAX_HUNG_MACHINES: usize = 8;
+const INVALID_REQUEST_INTERVAL: u64 = SECOND / 2;
+
+/// A submission with one invalid field, and the status it must be refused with.
+#[derive(Clone)]
+struct InvalidField {
+    name: &'static str,
+    /// `None`: the field is left out.
+    value: Option<Value>,
+    expected_status: u16,
+}
+
+fn invalid_fields() -> Vec<InvalidField> {
+    let list = |values: Vec<Value>| Some(Value::Array(values));
+    let fields: Vec<(&'static str, Option<Value>, u16)> = vec![
+        ("id", None, 400),
+        ("id", Some("job-1".into()), 400),
+        ("docket", None, 400),
+        ("crew", Some(Value::from(3)), 400),
+        ("shape", Some("ring".into()), 400),
+        ("rank", Some("first".into()), 400),
+        ("sheets", None, 400),
+        ("sheets", Some(Value::from(0)), 400),
+        ("sheets", Some(Value::from(-2)), 400),
+        ("sheets", Some(Value::from(2.5)), 400),
+        ("sheets", Some(Value::from(100_001)), 400),
+        ("cpus", Some(Value::from(f64::NAN)), 400),
+        ("cards", Some(Value::from(-1.0)), 400),
+        ("memory_gb", Some(Value::from(f64::INFINITY)), 400),
+        ("memory_gb", Some("9".into()), 400),
+        ("plate", None, 400),
+        ("size_gb", Some(Value::Boolean(true)), 400),
+        ("presses", list(vec![]), 400),
+        ("presses", list(vec![Value::from(1)]), 400),
+        ("yard", Some(Value::from(1)), 400),
+        ("together", None, 400),
+        ("scatter", Some("no".into()), 400),
+        ("loaners", None, 400),
+        ("expected_s", Some(Value::from(-1.0)), 400),
+        ("proof_s", None, 400),
+        ("stash_s", Some(Value::from(f64::NAN)), 400),
+        ("due_s", Some(Value::from(-5.0)), 400),
+        ("awaits", list(vec!["me".into()]), 400),
+        ("crew", Some("nobody".into()), 422),
+        ("cpus", Some(Value::from(LARGEST_MACHINE + 1.0)), 422),
+        ("presses", list(vec!["none-such".into()]), 422),
+        ("yard", Some("z".into()), 422),
+    ];
+    let field = |(name, value, expected_status)| InvalidField {
+        name,
+        value,
+        expected_status,
+    };
+    fields.into_iter().map(field).collect()
+}
 
 impl Simulation {
-    /// What happens by itself, looked at with each tick.
+    /// Injects, with each tick, the faults that follow from what has happened; checks for starvation.
     pub(super) fn inject_client_and_heartbeat_faults(&mut self) {
-        let (leader, term) = (self.leader(), self.term());
-        for (name, number, body) in self.faults.stale_heartbeats_for(leader, term) {
-            for node in 0..self.controllers.len() {
-                let at = self.now + self.rng.random_range(0..400_000);
-                self.schedule(
-                    at,
-                    Event::AgentHeartbeat(name.clone(), node, number, body.clone()),
-                );
-            }
-        }
+        self.send_stale_heartbeats();
         if self.faults.cancel_at_completion_probability > 0.0 {
             self.cancel_completed_jobs();
         }
-        self.check_waits();
+        self.check_starvation();
+    }
+
+    fn send_stale_heartbeats(&mut self) {
+        let (leader, term) = (self.leader(), self.term());
+        for heartbeat in self.faults.stale_heartbeats_for(leader, term) {
+            for controller in 0..self.controllers.len() {
+                let at = self.now + self.rng.random_range(STALE_HEARTBEAT_SPREAD);
+                self.schedule(at, heartbeat.clone().arriving_at(controller));
+            }
+        }
     }
 
-    /// Calls off some of the jobs whose last task has just ended.
+    /// Cancels some of the jobs whose last task has just completed.
     fn cancel_completed_jobs(&mut self) {
-        let ended = |t: &JobGroundTruth| {
-            t.accepted
-                && !t.cancel_requested
-                && t.spec.kind != JobKind::Service
-                && t.done.len() as u32 == t.spec.tasks
+        let has_completed = |truth: &JobGroundTruth| {
+            truth.accepted
+                && !truth.cancel_requested
+                && truth.spec.kind != JobKind::Service
+                && truth.done.len() as u32 == truth.spec.tasks
         };
-        let new: Vec<String> = self
+        let completed: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(id, t)| ended(t) && !self.starvation.ended.contains(*id))
-            .map(|(id, _)| id.clone())
+            .filter(|(job, truth)| {
+                has_completed(truth) && !self.starvation.completed.contains(*job)
+            })
+            .map(|(job, _)| job.clone())
             .collect();
-        for id in new {
-            self.starvation.ended.insert(id.clone());
-            let share = self.faults.cancel_at_completion_probability;
-            if self.jobs[&id].completion_seen_at.is_none() && self.rng.random_bool(share) {
-                self.cancel_until_answered(&id);
+        for job in completed {
+            self.starvation.completed.insert(job.clone());
+            let probability = self.faults.cancel_at_completion_probability;
+            let is_unseen = self.jobs[&job].completion_seen_at.is_none();
+            if is_unseen && self.rng.random_bool(probability) {
+                self.cancel_until_answered(&job);
             }
         }
     }
 
-    /// Asks at all nodes, again and again within milliseconds; request_duplication the submission, and the cancellation if the
-    /// job is over.
-    pub fn probe_job(&mut self, id: &str) {
-        let over = self.final_statuses.contains_key(id);
-        for node in 0..self.controllers.len() {
+    /// Polls a job at all controllers, again and again within milliseconds; repeats its submission, and its
+    /// cancellation if it has ended.
+    pub fn probe_job(&mut self, job: &str) {
+        let has_ended = self.final_states.contains_key(job);
+        for controller in 0..self.controllers.len() {
             for _ in 0..3 {
-                let (at, of) = (self.rng.random_range(0..60_000), id.to_string());
-                self.after(at, move |w| w.poll(node, &of));
+                self.request_within(POLL_SPREAD, job, move |sim, job| sim.poll(controller, job));
             }
-            let (at, of) = (self.rng.random_range(0..200_000), id.to_string());
-            self.after(at, move |w| w.submit(node, &of));
-            if over {
-                let (at, of) = (self.rng.random_range(0..200_000), id.to_string());
-                self.after(at, move |w| w.cancel(node, &of));
+            self.request_within(REQUEST_SPREAD, job, move |sim, job| {
+                sim.submit(controller, job)
+            });
+            if has_ended {
+                self.request_within(REQUEST_SPREAD, job, move |sim, job| {
+                    sim.cancel(controller, job)
+                });
             }
         }
     }
 
-    /// Calls off these jobs within a fifth of a second; `hang`: up to eight machines with tasks of theirs stand still
-    /// for so long.
-    pub fn cancel_burst(&mut self, ids: &[String], hang: u64) {
-        let until = self.now + hang;
-        let mut hung = 0;
-        for id in ids {
-            if hang > 0 && hung < 8 {
-                for w in self.agents.values_mut() {
-                    let mut there = w.tasks.keys().map(|(t, _)| t.rsplit_once('/'));
-                    if there.any(|t| t.is_some_and(|(j, _)| j == id)) && w.hung_until <= self.now {
-                        w.hung_until = until;
-                        hung += 1;
-                        break;
-                    }
-                }
+    fn request_within(
+        &mut self,
+        spread: std::ops::Range<u64>,
+        job: &str,
+        request: impl FnOnce(&mut Simulation, &str) + 'static,
+    ) {
+        let delay = self.rng.random_range(spread);
+        let job = job.to_string();
+        self.after(delay, move |sim| request(sim, &job));
+    }
+
+    /// Cancels these jobs within a fifth of a second. With a `hang_time`, up to eight machines with tasks of theirs
+    /// stand still for so long.
+    pub fn cancel_burst(&mut self, jobs: &[String], hang_time: u64) {
+        let until = self.now + hang_time;
+        let mut hung_machines = 0;
+        for job in jobs {
+            if hang_time > 0 && hung_machines < MAX_HUNG_MACHINES {
+                hung_machines += usize::from(self.hang_machine_of(job, until));
             }
-            let (at, of) = (self.rng.random_range(0..200_000), id.clone());
-            self.after(at, move |w| w.cancel_until_answered(&of));
+            self.request_within(REQUEST_SPREAD, job, |sim, job| {
+                sim.cancel_until_answered(job)
+            });
         }
     }
 
-    /// A submission of which one field is changed or (none) left out.
-    fn bent(&mut self, field: &str, to: Option<Value>) -> Vec<u8> {
+    /// Lets one machine with tasks of a job stand still; returns whether there is one.
+    fn hang_machine_of(&mut self, job: &str, until: u64) -> bool {
+        let now = self.now;
+        let has_task = |agent: &FakeAgent| {
+            let mut tasks = agent.tasks.keys();
+            tasks.any(|(task, _)| task.rsplit_once('/').is_some_and(|(of, _)| of == job))
+        };
+        let mut agents = self.agents.values_mut();
+        let Some(agent) = agents.find(|agent| has_task(agent) && agent.hung_until <= now) else {
+            return false;
+        };
+        agent.hung_until = until;
+        true
+    }
+
+    fn submission_with(&mut self, field: &InvalidField) -> Vec<u8> {
         let spec = job(JobKind::Array, 2, 1.0);
-        let mut value = to_value(&spec);
-        if let Value::Map(m) = &mut value {
+        let mut submission = to_value(&spec);
+        if let Value::Map(fields) = &mut submission {
             let id = format!("req-7{:06}", self.serial);
-            m.push(("id".into(), id.into()));
-            m.retain(|(k, _)| k.as_str() != Some(field));
-            m.extend(to.map(|v| (field.into(), v)));
+            fields.push(("id".into(), id.into()));
+            fields.retain(|(name, _)| name.as_str() != Some(field.name));
+            let value = field.value.clone();
+            fields.extend(value.map(|value| (field.name.into(), value)));
         }
-        encode(&value)
+        encode(&submission)
     }
 
-    /// One request that must be refused, at some node.
+    /// Sends one request that must be refused, to some controller.
     pub fn send_invalid_request(&mut self) {
-        let list = |v: Vec<Value>| Some(Value::Array(v));
-        let odd: Vec<(&'static str, Option<Value>, u16)> = vec![
-            ("id", None, 400),
-            ("id", Some("job-1".into()), 400),
-            ("docket", None, 400),
-            ("crew", Some(Value::from(3)), 400),
-            ("shape", Some("ring".into()), 400),
-            ("rank", Some("first".into()), 400),
-            ("sheets", None, 400),
-            ("sheets", Some(Value::from(0)), 400),
-            ("sheets", Some(Value::from(-2)), 400),
-            ("sheets", Some(Value::from(2.5)), 400),
-            ("sheets", Some(Value::from(100_001)), 400),
-            ("cpus", Some(Value::from(f64::NAN)), 400),
-            ("cards", Some(Value::from(-1.0)), 400),
-            ("memory_gb", Some(Value::from(f64::INFINITY)), 400),
-            ("memory_gb", Some("9".into()), 400),
-            ("plate", None, 400),
-            ("size_gb", Some(Value::Boolean(true)), 400),
-            ("presses", list(vec![]), 400),
-            ("presses", list(vec![Value::from(1)]), 400),
-            ("yard", Some(Value::from(1)), 400),
-            ("together", None, 400),
-            ("scatter", Some("no".into()), 400),
-            ("loaners", None, 400),
-            ("expected_s", Some(Value::from(-1.0)), 400),
-            ("proof_s", None, 400),
-            ("stash_s", Some(Value::from(f64::NAN)), 400),
-            ("due_s", Some(Value::from(-5.0)), 400),
-            ("awaits", list(vec!["me".into()]), 400),
-            ("crew", Some("nobody".into()), 422),
-            ("cpus", Some(Value::from(LARGEST + 1.0)), 422),
-            ("presses", list(vec!["none-such".into()]), 422),
-            ("yard", Some("z".into()), 422),
-        ];
-        let (field, to, right) = odd[self.rng.random_range(0..odd.len())].clone();
-        let body = self.bent(field, to);
-        let node = self.rng.random_range(0..self.controllers.len());
-        let pending = PendingResponse::Odd(field, right);
-        self.request(node, pending, "POST", "/submissions".into(), body);
+        let fields = invalid_fields();
+        let field = fields[self.rng.random_range(0..fields.len())].clone();
+        let body = self.submission_with(&field);
+        let controller = self.rng.random_range(0..self.controllers.len());
+        let pending = PendingResponse::Invalid {
+            description: field.name,
+            expected_status: field.expected_status,
+        };
+        self.request(controller, pending, "POST", "/submissions".into(), body);
     }
 
     pub(super) fn check_invalid_request_answer(
         &mut self,
-        what: &'static str,
-        right: u16,
+        description: &'static str,
+        expected_status: u16,
         status: u16,
     ) {
         if matches!(status, 200 | 201) {
-            self.report_violation("accepted_invalid", format!("{what}: {status}"));
-        } else if status != right && status != 503 {
-            self.report_violation("refused_otherwise", format!("{what}: {status}"));
+            self.report_violation("accepted_invalid", format!("{description}: {status}"));
+        } else if status != expected_status && status != 503 {
+            self.report_violation("refused_otherwise", format!("{description}: {status}"));
         }
     }
 
-    /// For so long, twice a second: a request that must be refused, a repeated submission, a cancellation of what is
-    /// done, a question about what nobody has submitted.
-    pub fn send_invalid_requests(&mut self, dt: u64) {
-        fn step(w: &mut Simulation, until: u64) {
-            if w.now >= until {
-                return;
-            }
-            w.send_invalid_request();
-            let node = w.rng.random_range(0..w.controllers.len());
-            let accepted = |t: &&JobGroundTruth| t.accepted;
-            let pick = |w: &mut Simulation, of: Vec<String>| {
-                let n = of.len();
-                (n > 0).then(|| of[w.rng.random_range(0..n)].clone())
-            };
-            let open = w.jobs.iter().filter(|(_, t)| accepted(t));
-            let open = open.filter(|(id, _)| !w.final_statuses.contains_key(*id));
-            let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
-            if let Some(id) = pick(w, open) {
-                w.submit(node, &id);
-            }
-            let done = w
-                .jobs
-                .iter()
-                .filter(|(_, t)| t.completion_seen_at.is_some());
-            let done: Vec<String> = done.map(|(id, _)| id.clone()).collect();
-            if let Some(id) = pick(w, done) {
-                w.cancel(node, &id);
-            }
-            w.poll(node, "req-5555555");
-            w.after(SECOND / 2, move |w| step(w, until));
+    /// Sends, twice a second for this time: an invalid request, a repeated submission, a cancellation of a completed
+    /// job, and a poll of a job that does not exist.
+    pub fn send_invalid_requests(&mut self, duration: u64) {
+        self.step_invalid_requests(self.now + duration);
+    }
+
+    fn step_invalid_requests(&mut self, until: u64) {
+        if self.now >= until {
+            return;
+        }
+        self.send_invalid_request();
+        let controller = self.rng.random_range(0..self.controllers.len());
+        let open = self
+            .job_names(|sim, job| sim.jobs[job].accepted && !sim.final_states.contains_key(job));
+        if let Some(job) = self.pick(open) {
+            self.submit(controller, &job);
+        }
+        let completed = self.job_names(|sim, job| sim.jobs[job].completion_seen_at.is_some());
+        if let Some(job) = self.pick(completed) {
+            self.cancel(controller, &job);
         }
-        let until = self.now + dt;
-        step(self, until);
+        self.poll(controller, "req-5555555");
+        self.after(INVALID_REQUEST_INTERVAL, move |sim| {
+            sim.step_invalid_requests(until)
+        });
+    }
+
+    fn job_names(&self, filter: impl Fn(&Simulation, &str) -> bool) -> Vec<String> {
+        let names = self.jobs.keys();
+        names.filter(|job| filter(self, job)).cloned().collect()
+    }
+
+    fn pick(&mut self, jobs: Vec<String>) -> Option<String> {
+        let count = jobs.len();
+        (count > 0).then(|| jobs[self.rng.random_range(0..count)].clone())
     }
 }
--- a/tests/simulation/clients.rs
+++ b/tests/simulation/clients.rs
@@ -1,243 +1,205 @@
-//! Users: what they ask, and what they are told.
+//! Clients: their requests, and what they are told.
 
 use super::*;
 
+impl JobGroundTruth {
+    pub fn new(spec: JobSpec, run_time: u64) -> JobGroundTruth {
+        JobGroundTruth {
+            spec,
+            run_time,
+            run_time_step: 0,
+            done: BTreeSet::new(),
+            accepted: false,
+            cancel_requested: false,
+            cancellation_seen_at: None,
+            completion_seen_at: None,
+            submitted: false,
+        }
+    }
+
+    /// A client was told that the job is done or cancelled.
+    pub fn is_finished_for_client(&self) -> bool {
+        self.completion_seen_at.is_some() || self.cancellation_seen_at.is_some()
+    }
+
+    pub fn all_tasks_done(&self) -> bool {
+        self.done.len() as u32 >= self.spec.tasks
+    }
+}
+
 impl Simulation {
+    /// Sends a request to a controller's client address.
     pub(super) fn request(
         &mut self,
-        i: usize,
+        controller: usize,
         pending: PendingResponse,
         method: &str,
         path: String,
         body: Vec<u8>,
     ) {
-        self.request_on(false, i, pending, method, path, body);
+        self.request_on(false, controller, pending, method, path, body);
     }
 
-    /// The same, on the address for users or on that for controllers.
+    /// Sends a request to a controller's client address or to its internal address.
     pub(super) fn request_on(
         &mut self,
         internal: bool,
-        i: usize,
+        controller: usize,
         pending: PendingResponse,
         method: &str,
         path: String,
         body: Vec<u8>,
     ) {
-        if self.controllers[i].node.is_none() {
+        if self.controllers[controller].process.is_none() {
             return;
         }
         self.serial += 1;
         let conn = self.serial;
-        self.conns.insert((i, conn), pending);
-        let ev = NetworkEvent::Request {
+        self.pending_responses.insert((controller, conn), pending);
+        let request = NetworkEvent::Request {
             conn,
             internal,
             method: method.into(),
             path,
             body,
         };
-        self.deliver(i, vec![ev]);
+        self.deliver(controller, vec![request]);
+    }
+
+    fn pending_client(&self, request: ClientRequest, job: &str) -> PendingResponse {
+        PendingResponse::Client {
+            request,
+            job: job.into(),
+            asked_at: self.now,
+        }
     }
 
     /// Declares a job; `submit` sends it.
-    pub fn declare_job(&mut self, id: &str, spec: JobSpec, run: u64) {
-        let truth = JobGroundTruth {
-            spec,
-            run,
-            apart: 0,
-            done: BTreeSet::new(),
-            accepted: false,
-            cancel_requested: false,
-            cancellation_seen_at: None,
-            completion_seen_at: None,
-            submitted: false,
-        };
-        self.jobs.insert(id.into(), truth);
+    pub fn declare_job(&mut self, job: &str, spec: JobSpec, run_time: u64) {
+        let truth = JobGroundTruth::new(spec, run_time);
+        self.jobs.insert(job.into(), truth);
     }
 
-    pub fn submit(&mut self, i: usize, id: &str) {
-        let truth = self.jobs.get_mut(id).expect("declared");
+    /// Submits a declared job once.
+    pub fn submit(&mut self, controller: usize, job: &str) {
+        let truth = self.jobs.get_mut(job).expect("a declared job");
         truth.submitted = true;
-        let mut value = to_value(&truth.spec);
-        if let rmpv::Value::Map(m) = &mut value {
-            m.push(("id".into(), id.into()));
+        let mut submission = to_value(&truth.spec);
+        if let rmpv::Value::Map(fields) = &mut submission {
+            fields.push(("id".into(), job.into()));
         }
-        self.request(
-            i,
-            PendingResponse::Submit(id.into(), self.now),
-            "POST",
-            "/submissions".into(),
-            encode(&value),
-        );
+        let pending = self.pending_client(ClientRequest::Submit, job);
+        let path = "/submissions".into();
+        self.request(controller, pending, "POST", path, encode(&submission));
     }
 
-    /// A user who submits, retries, and polls until the end, on changing nodes.
-    pub fn spawn_client(&mut self, id: &str, spec: JobSpec, run: u64) {
+    /// Adds a client that submits a job, retries, and polls until the end, on changing controllers.
+    pub fn spawn_client(&mut self, job: &str, spec: JobSpec, run_time: u64) {
         let all: Vec<usize> = (0..self.controllers.len()).collect();
-        self.spawn_client_at(&all, id, spec, run);
-    }
-
-    /// The same, on some of the nodes only.
-    pub fn spawn_client_at(&mut self, of: &[usize], id: &str, spec: JobSpec, run: u64) {
-        self.declare_job(id, spec, run);
-        fn step(w: &mut Simulation, of: Vec<usize>, id: String) {
-            let i = of[w.rng.random_range(0..of.len())];
-            let t = &w.jobs[&id];
-            if t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some() {
-                return;
-            }
-            if t.accepted {
-                w.poll(i, &id);
-            } else {
-                w.submit(i, &id);
-            }
-            let dt = w.rng.random_range(SECOND..3 * SECOND);
-            w.after(dt, move |w| step(w, of, id));
-        }
-        step(self, of.to_vec(), id.to_string());
-    }
-
-    /// What a node answers to a health check.
-    pub fn health_status(&mut self, i: usize) -> u16 {
-        self.health = 0;
-        self.request(
-            i,
-            PendingResponse::Health,
-            "GET",
-            "/healthz".into(),
-            Vec::new(),
-        );
-        self.health
-    }
-
-    pub fn poll(&mut self, i: usize, id: &str) {
-        let path = format!("/submissions/{id}");
-        self.request(
-            i,
-            PendingResponse::Poll(id.into(), self.now),
-            "GET",
-            path,
-            Vec::new(),
-        );
+        self.spawn_client_at(&all, job, spec, run_time);
     }
 
-    pub fn cancel(&mut self, i: usize, id: &str) {
-        if let Some(t) = self.jobs.get_mut(id) {
-            t.cancel_requested = true;
+    /// Adds such a client that uses some of the controllers only.
+    pub fn spawn_client_at(
+        &mut self,
+        controllers: &[usize],
+        job: &str,
+        spec: JobSpec,
+        run_time: u64,
+    ) {
+        self.declare_job(job, spec, run_time);
+        self.step_client(controllers.to_vec(), job.to_string());
+    }
+
+    fn step_client(&mut self, controllers: Vec<usize>, job: String) {
+        let controller = controllers[self.rng.random_range(0..controllers.len())];
+        let truth = &self.jobs[&job];
+        if truth.is_finished_for_client() {
+            return;
         }
-        let path = format!("/submissions/{id}/cancel");
-        self.request(
-            i,
-            PendingResponse::Cancel(id.into(), self.now),
-            "POST",
-            path,
-            Vec::new(),
-        );
-    }
-
-    /// Cancels, again until it is answered.
-    pub fn cancel_until_answered(&mut self, id: &str) {
-        let id = id.to_string();
-        fn step(w: &mut Simulation, id: String) {
-            let t = &w.jobs[&id];
-            if t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some() {
-                return;
-            }
-            let i = w.rng.random_range(0..w.controllers.len());
-            w.cancel(i, &id);
-            w.after(SECOND, move |w| step(w, id));
+        if truth.accepted {
+            self.poll(controller, &job);
+        } else {
+            self.submit(controller, &job);
         }
-        step(self, id);
+        let delay = self.rng.random_range(SECOND..3 * SECOND);
+        self.after(delay, move |sim| sim.step_client(controllers, job));
+    }
+
+    /// The status of a controller's answer to a health check; 0 without one.
+    pub fn health_status(&mut self, controller: usize) -> u16 {
+        self.last_health_status = 0;
+        let pending = PendingResponse::HealthCheck;
+        self.request(controller, pending, "GET", "/healthz".into(), Vec::new());
+        self.last_health_status
     }
 
-    pub(super) fn report_violation(&mut self, rule: &str, what: String) {
-        let text = format!("{rule} at {:.3}: {what}", self.now as f64 / 1e6);
-        if self.violation.is_none() {
-            self.violation = Some(text);
+    /// Asks for a job's state once.
+    pub fn poll(&mut self, controller: usize, job: &str) {
+        let pending = self.pending_client(ClientRequest::Poll, job);
+        let path = format!("/submissions/{job}");
+        self.request(controller, pending, "GET", path, Vec::new());
+    }
+
+    /// Asks for a job's cancellation once.
+    pub fn cancel(&mut self, controller: usize, job: &str) {
+        if let Some(truth) = self.jobs.get_mut(job) {
+            truth.cancel_requested = true;
         }
+        let pending = self.pending_client(ClientRequest::Cancel, job);
+        let path = format!("/submissions/{job}/cancel");
+        self.request(controller, pending, "POST", path, Vec::new());
     }
 
+    /// Asks for a job's cancellation every second until a client was told of its end.
+    pub fn cancel_until_answered(&mut self, job: &str) {
+        if self.jobs[job].is_finished_for_client() {
+            return;
+        }
+        let controller = self.rng.random_range(0..self.controllers.len());
+        self.cancel(controller, job);
+        let job = job.to_string();
+        self.after(SECOND, move |sim| sim.cancel_until_answered(&job));
+    }
+
+    /// A client got the answer to a request about a job.
     pub(super) fn client_answered(
         &mut self,
-        id: String,
-        asked: u64,
-        what: &str,
+        job: String,
+        asked_at: u64,
+        request: ClientRequest,
         status: u16,
         body: &[u8],
     ) {
         let state = decode::<JobState>(body)
-            .map(|s| s.status)
+            .map(|answer| answer.status)
             .unwrap_or_default();
-        self.client_answers
-            .push((self.now, id.clone(), status, state.clone()));
-        let now = self.now;
-        self.balanced_client_answered(&id, matches!(status, 200 | 201));
-        let Some(t) = self.jobs.get_mut(&id) else {
-            if status == 200 {
-                self.report_violation("invented", id);
-            }
-            return;
-        };
-        if !t.submitted && status == 200 {
-            self.report_violation("invented", id);
+        self.client_answers.push(ClientAnswer {
+            at: self.now,
+            job: job.clone(),
+            status,
+            state: state.clone(),
+        });
+        let succeeded = matches!(status, 200 | 201);
+        self.balanced_client_answered(&job, succeeded);
+        if !self.check_client_answer(&job, request, status) || !succeeded {
             return;
         }
-        if t.accepted && (status == 404 || (what == "submit" && matches!(status, 400 | 422))) {
-            self.report_violation("forgotten", format!("{id}: {what} answered {status}"));
-            return;
-        }
-        if what == "submit" && status == 422 {
-            let needs = t.spec.needs.clone();
-            let known = |n: &String| {
-                let need = self.jobs.get(n);
-                need.is_some_and(|t| t.accepted && t.spec.kind != JobKind::Service)
-            };
-            if !needs.is_empty() && needs.iter().all(known) {
-                self.report_violation("refused", format!("{id}: all that it needs is accepted"));
-            }
-            return;
-        }
-        if !matches!(status, 200 | 201) {
-            return;
-        }
-        let news = !t.accepted || matches!(state.as_str(), "done" | "cancelled");
-        t.accepted = true;
-        if state == "done" {
-            t.completion_seen_at = t.completion_seen_at.or(Some(now));
-            if (t.done.len() as u32) < t.spec.tasks {
-                self.report_violation("not_done", id.clone());
-            }
-        } else if state == "cancelled" {
-            t.cancellation_seen_at = t.cancellation_seen_at.or(Some(now));
-            if !t.cancel_requested && !self.dependencies(&id).iter().any(|t| t.cancel_requested) {
-                self.report_violation("went_back", format!("{id} cancelled without being asked"));
-            }
-        } else {
-            let told = self
-                .dependencies(&id)
-                .iter()
-                .filter_map(|t| t.cancellation_seen_at)
-                .min();
-            if told.is_some_and(|c| now > c + CANCEL_DEADLINE_S * SECOND) {
-                self.report_violation("orphaned", format!("{id} is called {state}"));
-            }
-        }
-        // What was asked dependencies the final state was told may have been answered dependencies as well.
-        if let Some((dependencies, told)) = self.final_statuses.get(&id)
-            && *dependencies != state
-            && asked >= *told
-        {
-            self.report_violation("went_back", format!("{id}: {dependencies}, then {state}"));
-        }
-        let first = !self.final_statuses.contains_key(&id);
-        if state == "done" || state == "cancelled" {
-            self.final_statuses
-                .entry(id.clone())
-                .or_insert((state, now));
+        let truth = self.jobs.get_mut(&job).expect("a checked job");
+        let is_final = matches!(state.as_str(), "done" | "cancelled");
+        let is_news = !truth.accepted || is_final;
+        truth.accepted = true;
+        self.check_told_state(&job, &state);
+        self.check_final_state(&job, &state, asked_at);
+        let is_first_final = !self.final_states.contains_key(&job);
+        if is_final {
+            let told_at = self.now;
+            self.final_states
+                .entry(job.clone())
+                .or_insert(FinalState { state, told_at });
         }
-        if self.faults.client_probes && news && first {
-            self.probe_job(&id);
+        if self.faults.client_probes && is_news && is_first_final {
+            self.probe_job(&job);
         }
     }
 }
--- a/tests/simulation/fake_agent.rs
+++ b/tests/simulation/fake_agent.rs
@@ -1,41 +1,89 @@
-//! An in-memory agent: sessions, leases, tokens and tasks as PROTOCOL describes them.
+//! An in-memory agent: epochs, leases, terms and tasks as the protocol describes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::agent_api::*;
 
+/// A task and the number of the attempt.
 pub type TaskKey = (String, u64);
 
+/// The job and the index of a task named `JOB/INDEX`.
+pub fn split_task_name(task: &str) -> (&str, u32) {
+    let (job, index) = task.rsplit_once('/').expect("a task name");
+    (job, index.parse().expect("an index"))
+}
+
+/// An attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct FakeTask {
     pub phase: TaskPhase,
+    /// Why the attempt has exited.
     pub exit_reason: Option<ExitReason>,
+    /// The attempt has saved its state before it exited.
     pub saved: bool,
-    /// When the present phase ends by itself.
+    /// When the present phase ends by itself; 0 if it does not.
     pub phase_ends_at: u64,
 }
 
+impl FakeTask {
+    pub fn fetching(phase_ends_at: u64) -> FakeTask {
+        FakeTask {
+            phase: TaskPhase::Fetching,
+            exit_reason: None,
+            saved: false,
+            phase_ends_at,
+        }
+    }
+
+    pub fn exited(reason: ExitReason) -> FakeTask {
+        FakeTask {
+            phase: TaskPhase::Exited,
+            exit_reason: Some(reason),
+            saved: false,
+            phase_ends_at: 0,
+        }
+    }
+}
+
+/// A heartbeat without an answer yet.
+#[derive(Debug, Clone, Copy)]
+pub struct InFlightHeartbeat {
+    pub agent_epoch: u64,
+    pub number: u64,
+    pub sent_at: u64,
+}
+
+/// A machine with its agent. Times are simulated microseconds.
 pub struct FakeAgent {
     pub name: String,
     pub zone: String,
     pub spot: bool,
+    /// The number in the machine's name.
     pub index: usize,
+    /// A machine that is not alive has failed: it does nothing any more.
     pub alive: bool,
+    /// The machine stands still until then.
     pub hung_until: u64,
     pub agent_epoch: u64,
+    /// Number of the last heartbeat.
     pub seq: u64,
+    /// The highest term seen.
     pub term: u64,
+    /// Announced time to the loss of a spot instance, in seconds.
     pub preemption_notice_s: Option<f64>,
     pub tasks: BTreeMap<TaskKey, FakeTask>,
+    /// The controller that gets the next heartbeat.
     pub controller: usize,
+    /// When the heartbeat that renewed the lease was sent.
     pub lease_renewed_at: u64,
     pub next_heartbeat_at: u64,
-    pub flying: Option<(u64, u64, u64)>,
-    /// When a higher token last counted as a change.
+    pub in_flight: Option<InFlightHeartbeat>,
+    /// When a higher term last caused an early heartbeat.
     pub term_changed_at: u64,
+    /// Every task fails on this machine.
     pub fails_tasks: bool,
-    /// How many tasks have failed_tasks here.
+    /// Number of tasks that have failed here.
     pub failed_tasks: u32,
-    /// Images it has fetched; they outlive a session.
+    /// Images on the machine's disk; they outlive an epoch.
     pub cached_images: BTreeSet<String>,
 }
 
@@ -56,7 +104,7 @@
             controller: 0,
             lease_renewed_at: now,
             next_heartbeat_at: now,
-            flying: None,
+            in_flight: None,
             term_changed_at: 0,
             fails_tasks: false,
             failed_tasks: 0,
@@ -64,11 +112,12 @@
         }
     }
 
+    /// The next heartbeat.
     pub fn heartbeat(&mut self) -> AgentHeartbeat {
         self.seq += 1;
         AgentHeartbeat {
             machine: self.name.clone(),
-            address: format!("10.1.{}.{}:9000", self.index / 200, self.index % 200),
+            address: super::network::agent_address(self.index),
             kind: "box".into(),
             zone: self.zone.clone(),
             spot: self.spot,
@@ -76,41 +125,77 @@
             seq: self.seq,
             term: self.term,
             notice_s: self.preemption_notice_s,
-            tasks: self
-                .tasks
-                .iter()
-                .map(|((task, attempt), t)| TaskStatus {
-                    task: task.clone(),
-                    attempt: *attempt,
-                    phase: t.phase,
-                    why: t.exit_reason,
-                    saved: t.saved.then_some(true),
-                })
-                .collect(),
+            tasks: self.task_statuses(),
         }
     }
 
-    /// On the machine: has its image and has not exited.
+    fn task_statuses(&self) -> Vec<TaskStatus> {
+        self.tasks
+            .iter()
+            .map(|((name, attempt), task)| TaskStatus {
+                task: name.clone(),
+                attempt: *attempt,
+                phase: task.phase,
+                why: task.exit_reason,
+                saved: task.saved.then_some(true),
+            })
+            .collect()
+    }
+
+    /// Attempts that have their image and have not exited; none on a machine that is not alive.
     pub fn active_tasks(&self) -> impl Iterator<Item = (&TaskKey, &FakeTask)> {
         let alive = self.alive;
-        self.tasks.iter().filter(move |(_, t)| {
-            alive && !matches!(t.phase, TaskPhase::Exited | TaskPhase::Fetching)
+        self.tasks.iter().filter(move |(_, task)| {
+            alive && !matches!(task.phase, TaskPhase::Exited | TaskPhase::Fetching)
         })
     }
 
+    /// Ends an attempt; the next heartbeat is due at once.
     pub fn exit_task(&mut self, key: &TaskKey, reason: ExitReason, saved: bool) {
-        if let Some(t) = self.tasks.get_mut(key) {
-            t.phase = TaskPhase::Exited;
-            t.exit_reason = Some(reason);
+        if let Some(task) = self.tasks.get_mut(key) {
+            task.phase = TaskPhase::Exited;
+            task.exit_reason = Some(reason);
+            task.saved = saved;
             self.failed_tasks += u32::from(reason == ExitReason::Error);
-            t.saved = saved;
             self.next_heartbeat_at = 0;
         }
     }
 
-    pub fn expire_session(&mut self) {
+    /// Kills all tasks and begins a new epoch.
+    pub fn start_new_epoch(&mut self) {
         self.tasks.clear();
         self.agent_epoch += 1;
         self.next_heartbeat_at = 0;
     }
+
+    /// Starts a new epoch if the lease has expired.
+    pub fn expire_lease(&mut self, now: u64, lease: u64) {
+        if now > self.lease_renewed_at + lease {
+            self.start_new_epoch();
+            self.lease_renewed_at = now;
+        }
+    }
+
+    /// Renews the lease by the response to a heartbeat. Returns whether the response's commands are to be executed:
+    /// not if its term is outdated or another epoch has begun since the heartbeat.
+    pub fn accept_response(
+        &mut self,
+        response: &AgentHeartbeatResponse,
+        heartbeat: InFlightHeartbeat,
+        now: u64,
+        lease: u64,
+    ) -> bool {
+        if response.term < self.term || heartbeat.agent_epoch != self.agent_epoch {
+            return false;
+        }
+        if response.term > self.term {
+            self.term = response.term;
+            if now >= self.term_changed_at + lease / 2 {
+                self.term_changed_at = now;
+                self.next_heartbeat_at = self.next_heartbeat_at.min(now + super::SECOND / 2);
+            }
+        }
+        self.lease_renewed_at = heartbeat.sent_at;
+        true
+    }
 }
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -1,54 +1,56 @@
-//! What stories ask, and what people who look into a failure want to see.
+//! What tests read from a simulation, and the dump of its state for failed tests.
 
 use super::*;
+use std::fmt::Write;
 
 impl Simulation {
-    /// Machines a task is on.
+    /// Machines on which a task is active.
     pub fn machines_running(&self, task: &str) -> BTreeSet<String> {
+        let runs = |agent: &&FakeAgent| agent.active_tasks().any(|((name, _), _)| name == task);
         self.agents
             .values()
-            .filter(|w| w.active_tasks().any(|((t, _), _)| t == task))
-            .map(|w| w.name.clone())
+            .filter(runs)
+            .map(|agent| agent.name.clone())
             .collect()
     }
 
-    /// What is cancelled is gone, as its user was told.
-    pub fn assert_cancelled(&self, seed: u64, ids: &[&str]) {
-        for id in ids {
-            let is = (self.last_status(id), self.running_instances(id));
+    /// Asserts that clients were told that these jobs are cancelled, and that no task of theirs is active.
+    pub fn assert_cancelled(&self, seed: u64, jobs: &[&str]) {
+        for job in jobs {
+            let actual = (self.last_status(job), self.running_instances(job));
             assert_eq!(
-                is,
+                actual,
                 ("cancelled".into(), 0),
-                "seed {seed}: {id}\n{}",
+                "seed {seed}: {job}\n{}",
                 self.dump()
             );
         }
     }
 
-    /// How many tasks of a job are on machines, counted on each.
-    pub fn running_instances(&self, id: &str) -> usize {
-        let tasks = 0..self.jobs[id].spec.tasks;
+    /// Number of active instances of a job's tasks; a task that runs on two machines counts twice.
+    pub fn running_instances(&self, job: &str) -> usize {
+        let tasks = 0..self.jobs[job].spec.tasks;
         tasks
-            .map(|t| self.machines_running(&format!("{id}/{t}")).len())
+            .map(|index| self.machines_running(&format!("{job}/{index}")).len())
             .sum()
     }
 
-    /// The machine on which the leader's copy places a task.
+    /// The machine on which the leader's cache places a task.
     pub fn recorded_machine(&self, task: &str) -> Option<String> {
-        let (id, n) = task.rsplit_once('/')?;
-        let node = self.controllers[self.leader()?].node.as_ref()?;
-        let job = node.cache.jobs.get(id)?;
-        let entry = job.entry(n.parse().ok()?)?;
+        let (job, index) = task.rsplit_once('/')?;
+        let leader = self.controller(self.leader()?)?;
+        let job = leader.cache.jobs.get(job)?;
+        let entry = job.entry(index.parse().ok()?)?;
         entry.machine().map(str::to_string)
     }
 
-    /// The last state anybody was told of a job.
-    pub fn last_status(&self, id: &str) -> String {
+    /// The last state that a client was told of a job; empty if none was.
+    pub fn last_status(&self, job: &str) -> String {
         self.client_answers
             .iter()
             .rev()
-            .find(|(_, i, s, _)| i == id && matches!(s, 200 | 201))
-            .map(|s| s.3.clone())
+            .find(|answer| answer.job == job && matches!(answer.status, 200 | 201))
+            .map(|answer| answer.state.clone())
             .unwrap_or_default()
     }
 
@@ -57,69 +59,103 @@
         self.agents.keys().cloned().collect()
     }
 
-    /// How many tasks have failed, on whatever machine.
+    /// Number of tasks that have failed, on any machine.
     pub fn failed_task_count(&self) -> u32 {
-        self.failed_task_total + self.agents.values().map(|w| w.failed_tasks).sum::<u32>()
+        let on_present: u32 = self.agents.values().map(|agent| agent.failed_tasks).sum();
+        self.failed_tasks_on_deleted_machines + on_present
     }
 
-    pub fn job_done(&self, id: &str) -> bool {
-        self.jobs[id].completion_seen_at.is_some()
+    /// Whether a client was told that a job is done.
+    pub fn job_done(&self, job: &str) -> bool {
+        self.jobs[job].completion_seen_at.is_some()
     }
 
-    /// Jobs that a node holds as not yet over.
-    pub fn cached_jobs(&self, i: usize) -> usize {
-        let node = self.controllers[i].node.as_ref();
-        node.map_or(0, |n| n.cache.jobs.len())
+    /// Number of unfinished jobs in a controller's cache.
+    pub fn cached_jobs(&self, controller: usize) -> usize {
+        let process = self.controller(controller);
+        process.map_or(0, |process| process.cache.jobs.len())
     }
 
     /// A controller, if it runs.
-    pub fn controller(&self, i: usize) -> Option<&Controller> {
-        self.controllers[i].node.as_ref()
+    pub fn controller(&self, controller: usize) -> Option<&Controller> {
+        self.controllers[controller].process.as_ref()
     }
 
     pub fn controller_count(&self) -> usize {
         self.controllers.len()
     }
-}
 
-impl Simulation {
-    /// For people who look into a failure.
+    /// The state of all controllers and agents, for failed tests.
     pub fn dump(&self) -> String {
-        let mut out = format!("now {:.3}, cuts {:?}\n", self.now as f64 / 1e6, self.cuts);
-        for (i, s) in self.controllers.iter().enumerate() {
-            let Some(n) = &s.node else {
-                out += &format!("node {i}: down\n");
-                continue;
-            };
-            out += &format!(
-                "node {i}: synced {} revision {} lead {:?} live {:?} wake {}\n",
-                n.cache.synced, n.cache.revision, n.cache.lead, n.cache.live, s.wake
-            );
-            if let Some(l) = &n.leader {
-                out += &format!(
-                    "  leads: term {} proof {} dirty {} edits {:?} batches {:?} stopping {:?}\n",
-                    l.term, l.last_confirmed_read, l.dirty, l.edits, l.touched, l.stopping
-                );
-                for (m, w) in &l.agents {
-                    out += &format!(
-                        "  {m}: session {} term {} heard {} over {:?} starts {:?} tasks {:?}\n",
-                        w.agent_epoch, w.term, w.heard, w.over, w.starts, w.tasks
-                    );
-                }
-                for (id, j) in &n.cache.jobs {
-                    out += &format!("  {id}: {:?} {:?}\n", j.rec.stage, j.rec.first);
-                    for e in j.entries() {
-                        out += &format!("    {:?} {:?}\n", e, l.standing(id, e));
-                    }
+        let mut out = String::new();
+        self.write_dump(&mut out).expect("a string takes all text");
+        out
+    }
+
+    fn write_dump(&self, out: &mut String) -> std::fmt::Result {
+        let now = self.now as f64 / 1e6;
+        writeln!(out, "now {now:.3}, partitions {:?}", self.partitions)?;
+        for (index, slot) in self.controllers.iter().enumerate() {
+            match &slot.process {
+                Some(process) => {
+                    write_controller(out, index, process, slot.next_wake_at)?;
                 }
+                None => writeln!(out, "controller {index}: down")?,
             }
         }
-        for w in self.agents.values() {
-            out += &format!(
-                "{} alive {} session {} term {} node {} {:?}\n",
-                w.name, w.alive, w.agent_epoch, w.term, w.controller, w.tasks
-            );
+        for agent in self.agents.values() {
+            writeln!(
+                out,
+                "{} alive {} epoch {} term {} controller {} {:?}",
+                agent.name,
+                agent.alive,
+                agent.agent_epoch,
+                agent.term,
+                agent.controller,
+                agent.tasks
+            )?;
+        }
+        Ok(())
+    }
+}
+
+fn write_controller(
+    out: &mut String,
+    index: usize,
+    process: &Controller,
+    next_wake_at: u64,
+) -> std::fmt::Result {
+    let cache = &process.cache;
+    writeln!(
+        out,
+        "controller {index}: synced {} revision {} leadership {:?} live {:?} wake {next_wake_at}",
+        cache.synced, cache.revision, cache.lead, cache.live
+    )?;
+    let Some(leader) = &process.leader else {
+        return Ok(());
+    };
+    writeln!(
+        out,
+        "  leads: term {} read confirmed {} dirty {} edits {:?} batches {:?} stopping {:?}",
+        leader.term,
+        leader.last_confirmed_read,
+        leader.dirty,
+        leader.edits,
+        leader.touched,
+        leader.stopping
+    )?;
+    for (machine, agent) in &leader.agents {
+        writeln!(
+            out,
+            "  {machine}: epoch {} term {} heard {} over {:?} starts {:?} tasks {:?}",
+            agent.agent_epoch, agent.term, agent.heard, agent.over, agent.starts, agent.tasks
+        )?;
+    }
+    for (id, job) in &cache.jobs {
+        writeln!(out, "  {id}: {:?} {:?}", job.rec.stage, job.rec.first)?;
+        for entry in job.entries() {
+            writeln!(out, "    {entry:?} {:?}", leader.standing(id, entry))?;
         }
-        out
     }
+    Ok(())
 }
--- a/tests/simulation/load_balancer.rs
+++ b/tests/simulation/load_balancer.rs
@@ -1,60 +1,126 @@
-//! The load balancer peer_duplication users and controllers, and users who ask through it, as PROTOCOL describes both.
+//! The load balancer between clients and controllers, and clients that use it, as the protocol describes both.
 
 use super::*;
 use std::collections::VecDeque;
 
-const PROBE: u64 = SECOND;
-const PAUSE: u64 = 3 * SECOND;
-const MOST_PAUSE: u64 = 60 * SECOND;
-const RAMP: u64 = 10 * SECOND;
-/// Users wait this long for the answer to a poll, and for others.
-const PATIENCE: u64 = 2 * SECOND;
-const SUBMIT_PATIENCE: u64 = 5 * SECOND;
-/// A job is forgotten if no question about it is answered for this long once all faults are over.
-const FORGOTTEN: u64 = 75 * SECOND;
-
-/// What the load balancer thinks of a controller.
+const PROBE_INTERVAL: u64 = SECOND;
+/// Health checks that are remembered for each backend.
+const PROBE_HISTORY: usize = 6;
+/// A backend that was removed stays out for this long, doubled with each recent removal.
+const REMOVAL_TIME: u64 = 3 * SECOND;
+const MAX_REMOVAL_TIME: u64 = 60 * SECOND;
+/// Removals count as recent for this long.
+const REMOVAL_MEMORY: u64 = 120 * SECOND;
+/// Connections to a removed backend are closed after this time.
+const CONNECTION_GRACE: u64 = 5 * SECOND;
+/// A backend gets its full share of new connections this long after it has become healthy.
+const RAMP_TIME: u64 = 10 * SECOND;
+/// A backend is skipped for `SKIP_TIME` after this many failed connections in a row.
+const MAX_FAILED_CONNECTIONS: u32 = 3;
+const SKIP_TIME: u64 = 3 * SECOND;
+const POLL_INTERVAL: u64 = 5 * SECOND;
+/// Clients wait this long for the answer to a poll.
+const POLL_TIMEOUT: u64 = 2 * SECOND;
+/// Clients wait this long for the answer to a submission.
+const SUBMIT_TIMEOUT: u64 = 5 * SECOND;
+/// A job counts as forgotten if no poll of it is answered for this long once all faults are over.
+const FORGOTTEN_AFTER: u64 = 75 * SECOND;
+
+/// The load balancer's view of a controller.
 #[derive(Default)]
-struct BackendHealth {
+struct Backend {
     healthy: bool,
-    ever: bool,
-    last: VecDeque<bool>,
-    removals: Vec<u64>,
-    not_before: u64,
-    since: u64,
+    was_ever_healthy: bool,
+    /// Results of the last health checks, the newest last.
+    probes: VecDeque<bool>,
+    removed_at: Vec<u64>,
+    /// Not healthy again before this time.
+    removed_until: u64,
+    /// When `healthy` last changed.
+    changed_at: u64,
     /// Connections that failed in a row.
-    failed: u32,
-    passed_over: u64,
+    failed_connections: u32,
+    skipped_until: u64,
+}
+
+impl Backend {
+    fn record_probe(&mut self, passed: bool, now: u64) {
+        self.probes.push_back(passed);
+        if self.probes.len() > PROBE_HISTORY {
+            self.probes.pop_front();
+        }
+        if self.healthy && self.has_failed() {
+            self.remove(now);
+        } else if !self.healthy && self.has_recovered(passed) && now >= self.removed_until {
+            self.healthy = true;
+            self.was_ever_healthy = true;
+            self.changed_at = now;
+            self.probes.clear();
+        }
+    }
+
+    /// How many of the newest health checks had this result.
+    fn count_newest(&self, checks: usize, passed: bool) -> usize {
+        let newest = self.probes.iter().rev().take(checks);
+        newest.filter(|result| **result == passed).count()
+    }
+
+    fn has_failed(&self) -> bool {
+        self.count_newest(2, false) == 2 || self.count_newest(PROBE_HISTORY, false) >= 3
+    }
+
+    fn has_recovered(&self, passed: bool) -> bool {
+        self.count_newest(2, true) == 2 || (!self.was_ever_healthy && passed)
+    }
+
+    fn remove(&mut self, now: u64) {
+        self.healthy = false;
+        self.changed_at = now;
+        self.removed_at.retain(|at| now < at + REMOVAL_MEMORY);
+        let time = REMOVAL_TIME << self.removed_at.len().min(5);
+        self.removed_until = now + time.min(MAX_REMOVAL_TIME);
+        self.removed_at.push(now);
+    }
 }
 
-/// A user with one job and one connection.
+/// A client with one job and one connection.
 #[derive(Default)]
 struct BalancedClient {
-    node: Option<usize>,
-    asked: u64,
-    answered: u64,
-    /// When its user was last told the state of the job.
-    known: u64,
-    over: bool,
+    controller: Option<usize>,
+    asked_at: u64,
+    answered_at: u64,
+    /// When the client was last told the job's state.
+    state_told_at: u64,
+    finished: bool,
 }
 
 #[derive(Default)]
 pub struct LoadBalancer {
-    backends: Vec<BackendHealth>,
+    backends: Vec<Backend>,
+    /// Clients by job.
     clients: BTreeMap<String, BalancedClient>,
     /// Since when all faults are over.
     faults_over_at: Option<u64>,
 }
 
+impl LoadBalancer {
+    fn connection_count(&self, controller: usize) -> usize {
+        let clients = self.clients.values();
+        clients
+            .filter(|client| client.controller == Some(controller))
+            .count()
+    }
+}
+
 impl Simulation {
-    /// Users come through a load balancer from now on.
+    /// Starts the load balancer's health checks.
     pub fn enable_load_balancer(&mut self) {
-        let n = self.controller_count();
-        self.load_balancer.backends = (0..n).map(|_| BackendHealth::default()).collect();
-        self.probe();
+        let count = self.controller_count();
+        self.load_balancer.backends = (0..count).map(|_| Backend::default()).collect();
+        self.probe_backends();
     }
 
-    /// All faults are over from now on.
+    /// Declares that all faults are over: from now on every job has to stay known and to get its room.
     pub fn declare_faults_over(&mut self) {
         self.load_balancer.faults_over_at = Some(self.now);
     }
@@ -63,157 +129,136 @@
         self.load_balancer.faults_over_at.is_some()
     }
 
-    fn probe(&mut self) {
-        for i in 0..self.controller_count() {
-            let well = self.health_status(i) == 200;
+    fn probe_backends(&mut self) {
+        for controller in 0..self.controller_count() {
+            let passed = self.health_status(controller) == 200;
             let now = self.now;
-            let s = &mut self.load_balancer.backends[i];
-            s.last.push_back(well);
-            if s.last.len() > 6 {
-                s.last.pop_front();
-            }
-            let newest =
-                |n: usize, is: bool| s.last.iter().rev().take(n).filter(|w| **w == is).count();
-            let bad = newest(2, false) == 2 || newest(6, false) >= 3;
-            let good = newest(2, true) == 2 || (!s.ever && well);
-            if s.healthy && bad {
-                s.healthy = false;
-                s.since = now;
-                s.removals.retain(|t| now < t + 120 * SECOND);
-                s.not_before = now + (PAUSE << s.removals.len().min(5)).min(MOST_PAUSE);
-                s.removals.push(now);
-            } else if !s.healthy && good && now >= s.not_before {
-                s.healthy = true;
-                s.ever = true;
-                s.since = now;
-                s.last.clear();
-            }
-            if !s.healthy && now >= s.since + 5 * SECOND {
-                self.reset(i);
+            let backend = &mut self.load_balancer.backends[controller];
+            backend.record_probe(passed, now);
+            if !backend.healthy && now >= backend.changed_at + CONNECTION_GRACE {
+                self.reset_connections(controller);
             }
         }
-        self.check_known();
-        self.after(PROBE, Simulation::probe);
+        self.check_known_jobs();
+        self.after(PROBE_INTERVAL, Simulation::probe_backends);
     }
 
-    /// Connections to a controller are gone.
-    pub(super) fn reset(&mut self, i: usize) {
-        for l in self.load_balancer.clients.values_mut() {
-            if l.node == Some(i) {
-                l.node = None;
+    /// Closes all connections to a controller.
+    pub(super) fn reset_connections(&mut self, controller: usize) {
+        for client in self.load_balancer.clients.values_mut() {
+            if client.controller == Some(controller) {
+                client.controller = None;
             }
         }
     }
 
-    /// A new connection: of the healthy ones that with the fewest users; up to three are tried.
+    /// Opens a connection to the healthy controller with the fewest clients, if one accepts it.
     fn connect(&mut self) -> Option<usize> {
         let now = self.now;
         let mut order: Vec<usize> = (0..self.controller_count()).collect();
-        let count = |b: &LoadBalancer, i: usize| {
-            let all = b.clients.values();
-            all.filter(|l| l.node == Some(i)).count()
-        };
-        order.sort_by_key(|i| count(&self.load_balancer, *i));
-        for i in order {
-            let s = &self.load_balancer.backends[i];
-            let share = (now - s.since) as f64 / RAMP as f64;
-            if !s.healthy || now < s.passed_over || !self.rng.random_bool(share.clamp(0.1, 1.0)) {
+        order.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
+        for controller in order {
+            let backend = &self.load_balancer.backends[controller];
+            let share = (now - backend.changed_at) as f64 / RAMP_TIME as f64;
+            if !backend.healthy
+                || now < backend.skipped_until
+                || !self.rng.random_bool(share.clamp(0.1, 1.0))
+            {
                 continue;
             }
-            let up = self.controller(i).is_some();
-            let s = &mut self.load_balancer.backends[i];
-            if up {
-                s.failed = 0;
-                return Some(i);
+            let is_up = self.controller(controller).is_some();
+            let backend = &mut self.load_balancer.backends[controller];
+            if is_up {
+                backend.failed_connections = 0;
+                return Some(controller);
             }
-            s.failed += 1;
-            if s.failed >= 3 {
-                s.failed = 0;
-                s.passed_over = now + 3 * SECOND;
+            backend.failed_connections += 1;
+            if backend.failed_connections >= MAX_FAILED_CONNECTIONS {
+                backend.failed_connections = 0;
+                backend.skipped_until = now + SKIP_TIME;
             }
         }
         None
     }
 
-    /// A user who submits a job, and then asks about it every five seconds, through the load balancer.
-    pub fn spawn_balanced_client(&mut self, id: &str, spec: JobSpec, run: u64) {
-        self.declare_job(id, spec, run);
+    /// Adds a client that submits a job and then polls it every five seconds, through the load balancer.
+    pub fn spawn_balanced_client(&mut self, job: &str, spec: JobSpec, run_time: u64) {
+        self.declare_job(job, spec, run_time);
         self.load_balancer
             .clients
-            .insert(id.into(), BalancedClient::default());
-        self.ask(id.to_string());
-    }
-
-    fn ask(&mut self, id: String) {
-        let t = &self.jobs[&id];
-        let accepted = t.accepted;
-        let over = t.completion_seen_at.is_some()
-            || t.cancellation_seen_at.is_some()
-            || t.cancel_requested;
-        let line = self.load_balancer.clients.get_mut(&id).expect("a caller");
-        line.over = over;
-        if over {
+            .insert(job.into(), BalancedClient::default());
+        self.step_balanced_client(job.to_string());
+    }
+
+    fn step_balanced_client(&mut self, job: String) {
+        let truth = &self.jobs[&job];
+        let accepted = truth.accepted;
+        let finished = truth.is_finished_for_client() || truth.cancel_requested;
+        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        client.finished = finished;
+        if finished {
             return;
         }
-        let node = match line.node {
-            Some(n) => Some(n),
+        let controller = match client.controller {
+            Some(controller) => Some(controller),
             None => self.connect(),
         };
-        let now = self.now;
-        if let Some(line) = self.load_balancer.clients.get_mut(&id) {
-            line.node = node;
-            line.asked = now;
-        }
-        let patience = match (node, accepted) {
-            (Some(n), true) => {
-                self.poll(n, &id);
-                PATIENCE
+        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        client.controller = controller;
+        client.asked_at = self.now;
+        let timeout = match (controller, accepted) {
+            (Some(controller), true) => {
+                self.poll(controller, &job);
+                POLL_TIMEOUT
             }
-            (Some(n), false) => {
-                self.submit(n, &id);
-                SUBMIT_PATIENCE
+            (Some(controller), false) => {
+                self.submit(controller, &job);
+                SUBMIT_TIMEOUT
             }
-            (None, _) => PATIENCE,
+            (None, _) => POLL_TIMEOUT,
         };
-        let of = id.clone();
-        self.after(patience, move |w| {
-            if let Some(l) = w.load_balancer.clients.get_mut(&of)
-                && l.answered < l.asked
-            {
-                // No answer in time: the connection is given up.
-                l.node = None;
-            }
-        });
-        let again = if accepted {
-            5 * SECOND
+        let asked = job.clone();
+        self.after(timeout, move |sim| sim.close_unanswered_connection(&asked));
+        let next = if accepted {
+            POLL_INTERVAL
         } else {
-            patience + SECOND
+            timeout + SECOND
         };
-        self.after(again, move |w| w.ask(id));
+        self.after(next, move |sim| sim.step_balanced_client(job));
+    }
+
+    fn close_unanswered_connection(&mut self, job: &str) {
+        if let Some(client) = self.load_balancer.clients.get_mut(job)
+            && client.answered_at < client.asked_at
+        {
+            client.controller = None;
+        }
     }
 
-    /// A user was answered; `known`: with the state of the job.
-    pub(super) fn balanced_client_answered(&mut self, id: &str, known: bool) {
+    /// A client got an answer; `with_state`: it tells the job's state.
+    pub(super) fn balanced_client_answered(&mut self, job: &str, with_state: bool) {
         let now = self.now;
-        if let Some(l) = self.load_balancer.clients.get_mut(id) {
-            l.answered = now;
-            if known {
-                l.known = now;
+        if let Some(client) = self.load_balancer.clients.get_mut(job) {
+            client.answered_at = now;
+            if with_state {
+                client.state_told_at = now;
             }
         }
     }
 
-    fn check_known(&mut self) {
-        let Some(calm) = self.load_balancer.faults_over_at else {
+    /// Once all faults are over, every accepted job's client hears its state in time.
+    fn check_known_jobs(&mut self) {
+        let Some(faults_over_at) = self.load_balancer.faults_over_at else {
             return;
         };
-        let now = self.now;
-        let lost = self.load_balancer.clients.iter().find(|(id, l)| {
-            !l.over && self.jobs[*id].accepted && now > l.known.max(calm) + FORGOTTEN
-        });
-        if let Some((id, _)) = lost {
-            let id = id.clone();
-            self.report_violation("forgotten", format!("{id}: no question answered for 75 s"));
+        let is_forgotten = |job: &str, client: &BalancedClient| {
+            let heard_at = client.state_told_at.max(faults_over_at);
+            !client.finished && self.jobs[job].accepted && self.now > heard_at + FORGOTTEN_AFTER
+        };
+        let mut clients = self.load_balancer.clients.iter();
+        if let Some((job, _)) = clients.find(|(job, client)| is_forgotten(job, client)) {
+            let details = format!("{job}: no question answered for 75 s");
+            self.report_violation("forgotten", details);
         }
     }
 }
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -1,90 +1,144 @@
-//! The network peer_duplication controllers, agents, state service and cloud.
+//! The network between controllers, agents, store and cloud.
 
 use super::*;
 
+/// Time between the end of a partition and the delivery of an answer that it delayed.
+const DELIVERY_AFTER_PARTITION: u64 = 1000;
+/// A controller is not woken sooner than this.
+const MIN_WAKE_DELAY: u64 = 1000;
+/// An agent drops the response to a heartbeat after this time.
+const HEARTBEAT_TIMEOUT: u64 = 4 * SECOND;
+/// An agent that was not served tries the next controller after this time.
+const HEARTBEAT_RETRY_DELAY: u64 = SECOND;
+/// Number of machines that share the third byte of their addresses.
+const MACHINES_PER_SUBNET: usize = 200;
+
+const STORE_ADDRESS: &str = "10.2.0.1:2379";
+const CLOUD_ADDRESS: &str = "10.2.0.2:8443";
+
+/// The address of the machine with this index.
+pub(super) fn agent_address(index: usize) -> String {
+    format!(
+        "10.1.{}.{}:9000",
+        index / MACHINES_PER_SUBNET,
+        index % MACHINES_PER_SUBNET
+    )
+}
+
+fn host_after<'a>(address: &'a str, prefix: &str) -> Option<&'a str> {
+    address.strip_prefix(prefix)?.split(':').next()
+}
+
+/// The endpoint that a call is addressed to.
+fn destination(call: &Call) -> Endpoint {
+    let address = call.addr.to_string();
+    if address == STORE_ADDRESS {
+        return Endpoint::Store;
+    }
+    if address == CLOUD_ADDRESS {
+        return Endpoint::Cloud;
+    }
+    if let Some(host) = host_after(&address, "10.0.0.") {
+        return Endpoint::Controller(host.parse::<usize>().unwrap() - 1);
+    }
+    let host = host_after(&address, "10.1.").unwrap();
+    let (high, low) = host.split_once('.').unwrap();
+    let subnet = high.parse::<usize>().unwrap();
+    let index = subnet * MACHINES_PER_SUBNET + low.parse::<usize>().unwrap();
+    Endpoint::Agent(format!("n-{index:06}"))
+}
+
 impl Simulation {
-    pub(super) fn partition_between(
-        &self,
-        a: &Endpoint,
-        b: &Endpoint,
-    ) -> Option<(PartitionMode, u64)> {
-        self.cuts
-            .iter()
-            .filter(|(x, y, _, until)| {
-                *until > self.now && ((x == a && y == b) || (x == b && y == a))
-            })
-            .map(|(_, _, how, until)| (*how, *until))
-            .max_by_key(|c| c.1)
+    /// Interrupts the link between two endpoints in both directions.
+    pub fn partition(&mut self, one: Endpoint, other: Endpoint, mode: PartitionMode, time: u64) {
+        self.partitions.push(Partition {
+            ends: (one, other),
+            mode,
+            until: self.now + time,
+        });
     }
 
-    pub(super) fn latency(&mut self) -> u64 {
-        self.rng.random_range(500..4000) + self.faults.link_delay(&mut self.rng)
+    /// The partition between two endpoints that ends last, as its mode and end.
+    fn partition_between(&self, one: &Endpoint, other: &Endpoint) -> Option<(PartitionMode, u64)> {
+        let separates = |partition: &&Partition| {
+            let (left, right) = &partition.ends;
+            (left == one && right == other) || (left == other && right == one)
+        };
+        self.partitions
+            .iter()
+            .filter(|partition| partition.until > self.now)
+            .filter(separates)
+            .map(|partition| (partition.mode, partition.until))
+            .max_by_key(|(_, until)| *until)
     }
 
-    pub(super) fn endpoint_of(&self, call: &Call) -> Endpoint {
-        let text = call.addr.to_string();
-        if text == "10.2.0.1:2379" {
-            Endpoint::Store
-        } else if text == "10.2.0.2:8443" {
-            Endpoint::Cloud
-        } else if let Some(n) = text
-            .strip_prefix("10.0.0.")
-            .and_then(|r| r.split(':').next())
-        {
-            Endpoint::Controller(n.parse::<usize>().unwrap() - 1)
-        } else {
-            let rest = text.strip_prefix("10.1.").and_then(|r| r.split(':').next());
-            let (high, low) = rest.and_then(|r| r.split_once('.')).unwrap();
-            let index = high.parse::<usize>().unwrap() * 200 + low.parse::<usize>().unwrap();
-            Endpoint::Agent(format!("n-{index:06}"))
+    /// When a message arrives that takes until `at` on a link that works; `None` if a partition drops it.
+    pub(super) fn arrival_across(&self, one: &Endpoint, other: &Endpoint, at: u64) -> Option<u64> {
+        match self.partition_between(one, other) {
+            Some((PartitionMode::Drop, _)) => None,
+            Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_AFTER_PARTITION),
+            None => Some(at),
         }
     }
 
-    /// Hands messages to a node and carries out what it wants.
-    pub(super) fn deliver(&mut self, i: usize, events: Vec<NetworkEvent>) {
+    pub(super) fn latency(&mut self) -> u64 {
+        self.rng.random_range(500..4000) + self.faults.link_delay(&mut self.rng)
+    }
+
+    /// Hands events to a controller and carries out its commands.
+    pub(super) fn deliver(&mut self, controller: usize, events: Vec<NetworkEvent>) {
         let clock = self.clock();
-        let old = self.controllers[i].old;
-        if self.controllers[i].frozen > self.now {
-            self.controllers[i].held.extend(events);
+        let slot = &mut self.controllers[controller];
+        if slot.paused_until > self.now {
+            slot.queued_events.extend(events);
             return;
         }
-        let mut all = std::mem::take(&mut self.controllers[i].held);
-        all.extend(events);
-        let events = all;
-        let Some(node) = self.controllers[i].node.as_mut() else {
+        let mut events_in_order = std::mem::take(&mut slot.queued_events);
+        events_in_order.extend(events);
+        let Some(process) = slot.process.as_mut() else {
             return;
         };
-        let events = if old {
-            events.into_iter().map(first_version::hears).collect()
-        } else {
-            events
-        };
-        let (cmds, next) = node.handle(clock, events);
-        let run = self.controllers[i].run;
-        for cmd in cmds {
-            self.trace.add(self.now, i, &cmd);
-            match cmd {
-                NetworkCommand::Call(call) => self.send(i, run, call),
+        if slot.first_version {
+            events_in_order = events_in_order
+                .into_iter()
+                .map(first_version::hears)
+                .collect();
+        }
+        let (commands, next_wake) = process.handle(clock, events_in_order);
+        let incarnation = slot.incarnation;
+        for command in commands {
+            self.trace.add(self.now, controller, &command);
+            match command {
+                NetworkCommand::Call(call) => self.send(controller, incarnation, call),
                 NetworkCommand::Respond {
                     conn, status, body, ..
-                } => self.respond(i, conn, status, body),
+                } => self.respond(controller, conn, status, body),
             }
         }
-        let at = next.0.max(self.now + 1000);
-        if self.controllers[i].wake <= self.now || at < self.controllers[i].wake {
-            self.controllers[i].wake = at;
-            self.schedule(at, Event::Wake(i, run));
+        self.schedule_wake(controller, incarnation, next_wake);
+    }
+
+    fn schedule_wake(&mut self, controller: usize, incarnation: u64, next_wake: Micros) {
+        let at = next_wake.0.max(self.now + MIN_WAKE_DELAY);
+        let slot = &mut self.controllers[controller];
+        if slot.next_wake_at <= self.now || at < slot.next_wake_at {
+            slot.next_wake_at = at;
+            let wake = Event::ControllerWake {
+                controller,
+                incarnation,
+            };
+            self.schedule(at, wake);
         }
     }
 
-    /// Counts what the controllers ask of others, by what it costs there.
-    pub(super) fn count(&mut self, to: &Endpoint, call: &Call) {
+    fn count_call(&mut self, to: &Endpoint, call: &Call) {
         match to {
             Endpoint::Store => {
                 self.call_counts.store_requests += 1;
-                if let Some(t) = decode::<Transaction>(&call.body).filter(|_| call.path == "/multi")
+                if call.path == "/multi"
+                    && let Some(transaction) = decode::<Transaction>(&call.body)
                 {
-                    self.call_counts.store_changes += t.changes.len();
+                    self.call_counts.store_changes += transaction.changes.len();
                 }
             }
             Endpoint::Agent(_) => self.call_counts.agent_commands += 1,
@@ -92,298 +146,315 @@
         }
     }
 
-    pub(super) fn send(&mut self, i: usize, run: u64, mut call: Call) {
-        let to = self.endpoint_of(&call);
-        if self.controllers[i].old && to == Endpoint::Store && call.path == "/multi" {
+    /// Sends a controller's call, subject to partitions and faults.
+    pub(super) fn send(&mut self, controller: usize, incarnation: u64, mut call: Call) {
+        let from = Endpoint::Controller(controller);
+        let to = destination(&call);
+        let first_version = self.controllers[controller].first_version;
+        if first_version && to == Endpoint::Store && call.path == "/multi" {
             match first_version::writes(call.body) {
                 Some(body) => call.body = body,
-                // It never asks for this: the call is not made.
+                // The first version does not make this call.
                 None => return,
             }
         }
-        self.count(&to, &call);
+        self.count_call(&to, &call);
         self.check_commands(&to, &call);
-        let key = (i, run, call.id);
-        self.open.insert(key, ());
-        self.schedule(self.now + call.timeout.0, Event::Timeout(i, run, call.id));
+        let key = CallKey {
+            controller,
+            incarnation,
+            call_id: call.id,
+        };
+        self.open_calls.insert(key);
+        self.schedule(self.now + call.timeout.0, Event::CallTimeout(key));
         let mut at = self.now + self.latency();
-        if self.faults.is_lost(&Endpoint::Controller(i), &to, self.now) {
+        if self.faults.is_lost(&from, &to, self.now) {
             return;
         }
-        match self.partition_between(&Endpoint::Controller(i), &to) {
+        match self.partition_between(&from, &to) {
             Some((PartitionMode::Drop, _)) => return,
             Some((PartitionMode::Delay, until)) => at = until + self.latency(),
             None => {}
         }
-        if let (Endpoint::Agent(_), Some(d)) = (&to, self.command_delay) {
-            at += d;
-        }
-        if let Endpoint::Agent(name) = &to
-            && self
+        if let Endpoint::Agent(machine) = &to {
+            at += self.command_delay.unwrap_or(0);
+            let kind = DroppedDelivery::Commands;
+            if self
                 .faults
-                .drops_delivery(name, i, DroppedDelivery::Commands, self.now)
-        {
-            return;
+                .drops_delivery(machine, controller, kind, self.now)
+            {
+                return;
+            }
         }
-        if let Some(late) = self.faults.write_delay(&call, &to, &mut self.rng) {
-            // Whoever asked has given up by then.
-            self.schedule(at + late, Event::Arrive(i, run, call.id, call));
+        if let Some(delay) = self.faults.write_delay(&call, &to, &mut self.rng) {
+            // The call has timed out by then.
+            self.schedule(at + delay, Event::CallArrival { key, call });
             return;
         }
         self.faults
             .maybe_lose_answer(&call, &to, key, &mut self.rng);
-        if let Some(late) = self.faults.duplicate_request(&call, &to, &mut self.rng) {
-            let copy = Event::Arrive(i, run, call.id, call.clone());
-            self.schedule(at + late, copy);
+        if let Some(delay) = self.faults.duplicate_request(&call, &to, &mut self.rng) {
+            let call = call.clone();
+            self.schedule(at + delay, Event::CallArrival { key, call });
         }
-        self.schedule(at, Event::Arrive(i, run, call.id, call));
+        self.schedule(at, Event::CallArrival { key, call });
     }
 
-    pub(super) fn answer(
-        &mut self,
-        from: Endpoint,
-        i: usize,
-        run: u64,
-        id: u64,
-        status: u16,
-        body: Vec<u8>,
-    ) {
-        self.answer_late(from, i, run, id, status, body, 0);
+    fn answer(&mut self, from: Endpoint, key: CallKey, status: u16, body: Vec<u8>) {
+        self.answer_late(from, key, status, body, 0);
     }
 
-    /// The same, this much later than the network takes.
-    #[allow(clippy::too_many_arguments)]
+    /// Sends the answer to a call, with this much additional latency.
     pub(super) fn answer_late(
         &mut self,
         from: Endpoint,
-        i: usize,
-        run: u64,
-        id: u64,
+        key: CallKey,
         status: u16,
         body: Vec<u8>,
-        late: u64,
+        delay: u64,
     ) {
-        let mut at = self.now + self.latency() + late;
+        let to = Endpoint::Controller(key.controller);
+        let mut at = self.now + self.latency() + delay;
         if from == Endpoint::Store {
             at += self.store_delay;
         }
-        if self
-            .faults
-            .is_lost(&from, &Endpoint::Controller(i), self.now)
-            || self.faults.answer_is_lost(&(i, run, id))
-        {
+        if self.faults.is_lost(&from, &to, self.now) || self.faults.answer_is_lost(&key) {
             return;
         }
-        match self.partition_between(&Endpoint::Controller(i), &from) {
-            Some((PartitionMode::Drop, _)) => return,
-            Some((PartitionMode::Delay, until)) => at = until + 1000,
-            None => {}
-        }
-        if let Some(p) = self
-            .lost_answers_from
-            .iter()
-            .position(|(p, until)| *p == from && *until > self.now)
-        {
-            let _ = p;
+        let Some(at) = self.arrival_across(&to, &from, at) else {
+            return;
+        };
+        let now = self.now;
+        let loses = |(endpoint, until): &(Endpoint, u64)| *endpoint == from && *until > now;
+        if self.lost_answers_from.iter().any(loses) {
             return;
         }
-        self.schedule(
-            at,
-            Event::Return(i, run, id, Outcome::Reply { status, body }),
-        );
+        let outcome = Outcome::Reply { status, body };
+        self.schedule(at, Event::CallAnswer { key, outcome });
     }
 
-    pub(super) fn respond(&mut self, i: usize, conn: u64, status: u16, body: Vec<u8>) {
-        match self.conns.remove(&(i, conn)) {
-            Some(PendingResponse::AgentHeartbeat(name, number)) => {
-                if self.faults.drops_delivery(
-                    &name,
-                    i,
-                    DroppedDelivery::HeartbeatResponses,
-                    self.now,
-                ) {
-                    return;
-                }
-                let mut at = self.now + self.latency();
-                match self
-                    .partition_between(&Endpoint::Controller(i), &Endpoint::Agent(name.clone()))
-                {
-                    Some((PartitionMode::Drop, _)) => return,
-                    Some((PartitionMode::Delay, until)) => at = until + 1000,
-                    None => {}
-                }
-                self.schedule(
-                    at,
-                    Event::AgentHeartbeatResponse(name, number, status, body),
-                );
-            }
-            Some(PendingResponse::Peer(from, run, id, beat)) => {
-                let who = Endpoint::Controller(i);
-                let old = beat && (self.controllers[i].old || self.controllers[from].old);
-                let body = if old {
-                    first_version::heartbeat(body)
-                } else {
-                    body
-                };
-                self.answer(who, from, run, id, status, body);
-            }
-            Some(PendingResponse::Health) => self.health = status,
-            Some(PendingResponse::Odd(what, right)) => {
-                self.check_invalid_request_answer(what, right, status)
+    /// Hands a controller's response to the sender of the request.
+    fn respond(&mut self, controller: usize, conn: u64, status: u16, body: Vec<u8>) {
+        match self.pending_responses.remove(&(controller, conn)) {
+            Some(PendingResponse::AgentHeartbeat { machine, number }) => {
+                self.respond_to_agent(controller, machine, number, status, body);
             }
-            Some(PendingResponse::Submit(id, asked)) => {
-                self.client_answered(id, asked, "submit", status, &body)
-            }
-            Some(PendingResponse::Poll(id, asked)) => {
-                self.client_answered(id, asked, "poll", status, &body)
-            }
-            Some(PendingResponse::Cancel(id, asked)) => {
-                self.client_answered(id, asked, "cancel", status, &body)
+            Some(PendingResponse::Peer {
+                caller,
+                is_heartbeat,
+            }) => {
+                let body = self.peer_body(controller, caller.controller, is_heartbeat, body);
+                self.answer(Endpoint::Controller(controller), caller, status, body);
             }
+            Some(PendingResponse::HealthCheck) => self.last_health_status = status,
+            Some(PendingResponse::Invalid {
+                description,
+                expected_status,
+            }) => self.check_invalid_request_answer(description, expected_status, status),
+            Some(PendingResponse::Client {
+                request,
+                job,
+                asked_at,
+            }) => self.client_answered(job, asked_at, request, status, &body),
             None => {}
         }
     }
 
-    pub(super) fn arrive(&mut self, i: usize, run: u64, id: u64, call: Call) {
-        let to = self.endpoint_of(&call);
-        match &to {
-            Endpoint::Store => {
-                self.serial += 1;
-                let ticket = self.serial;
-                match self
-                    .store
-                    .handle(self.now, i, ticket, call.method, &call.path, &call.body)
-                {
-                    Some((status, mut body)) => {
-                        if self.controllers[i].old && status == 200 {
-                            body = first_version::reads(&call.path, body);
-                        }
-                        let late = self.faults.store_answer_delay(i, &call);
-                        self.answer_late(to, i, run, id, status, body, late);
-                    }
-                    None => {
-                        self.watchers.insert(ticket, (i, run, id));
-                    }
-                }
-            }
+    fn respond_to_agent(
+        &mut self,
+        controller: usize,
+        machine: String,
+        number: u64,
+        status: u16,
+        body: Vec<u8>,
+    ) {
+        let kind = DroppedDelivery::HeartbeatResponses;
+        if self
+            .faults
+            .drops_delivery(&machine, controller, kind, self.now)
+        {
+            return;
+        }
+        let at = self.now + self.latency();
+        let from = Endpoint::Controller(controller);
+        let Some(at) = self.arrival_across(&from, &Endpoint::Agent(machine.clone()), at) else {
+            return;
+        };
+        let response = Event::AgentHeartbeatResponse {
+            machine,
+            number,
+            status,
+            body,
+        };
+        self.schedule(at, response);
+    }
+
+    /// A message between controllers as it arrives if one of them runs the first version.
+    fn peer_body(&self, one: usize, other: usize, is_heartbeat: bool, body: Vec<u8>) -> Vec<u8> {
+        let either_is_old =
+            self.controllers[one].first_version || self.controllers[other].first_version;
+        if is_heartbeat && either_is_old {
+            first_version::heartbeat(body)
+        } else {
+            body
+        }
+    }
+
+    /// Handles a controller's call at its destination.
+    pub(super) fn handle_call(&mut self, key: CallKey, call: Call) {
+        match destination(&call) {
+            Endpoint::Store => self.handle_store_call(key, call),
             Endpoint::Cloud => {
-                let (status, body) = self.cloud(&call);
-                self.answer(to, i, run, id, status, body);
-            }
-            Endpoint::Agent(name) => {
-                if let Some(until) = self.hung(name) {
-                    self.schedule(until + 20, Event::Arrive(i, run, id, call));
-                    return;
-                }
-                let now = self.now;
-                let Some(w) = self.agents.get_mut(name).filter(|w| w.alive) else {
-                    return;
-                };
-                if now > w.lease_renewed_at + self.lease_s * SECOND {
-                    w.expire_session();
-                    w.lease_renewed_at = now;
-                }
-                let o: AgentCommands = decode(&call.body).expect("orders");
-                let status = if o.term < w.term || o.agent_epoch != w.agent_epoch {
-                    409
-                } else {
-                    w.term = o.term;
-                    200
-                };
-                if status == 200 {
-                    self.execute(name, o.commands);
-                }
-                let body = encode(&self.agents.get_mut(name).unwrap().heartbeat());
-                self.answer(to, i, run, id, status, body);
-            }
-            Endpoint::Controller(j) => {
-                if self.controllers[*j].node.is_none() {
-                    return;
-                }
-                self.serial += 1;
-                let conn = self.serial;
-                let beat = call.path == "/heartbeat";
-                let old = beat && (self.controllers[i].old || self.controllers[*j].old);
-                let body = if old {
-                    first_version::heartbeat(call.body)
-                } else {
-                    call.body
-                };
-                self.conns
-                    .insert((*j, conn), PendingResponse::Peer(i, run, id, beat));
-                let ev = NetworkEvent::Request {
-                    conn,
-                    internal: true,
-                    method: call.method.into(),
-                    path: call.path,
-                    body,
-                };
-                self.deliver(*j, vec![ev]);
+                let (status, body) = self.handle_cloud_call(&call);
+                self.answer(Endpoint::Cloud, key, status, body);
             }
+            Endpoint::Agent(machine) => self.handle_agent_call(key, call, &machine),
+            Endpoint::Controller(peer) => self.handle_peer_call(key, call, peer),
+        }
+    }
+
+    fn handle_store_call(&mut self, key: CallKey, call: Call) {
+        self.serial += 1;
+        let ticket = self.serial;
+        let answer = self.store.handle(
+            self.now,
+            key.controller,
+            ticket,
+            call.method,
+            &call.path,
+            &call.body,
+        );
+        let Some((status, mut body)) = answer else {
+            self.watch_calls.insert(ticket, key);
+            return;
+        };
+        if self.controllers[key.controller].first_version && status == 200 {
+            body = first_version::reads(&call.path, body);
         }
+        let delay = self.faults.store_answer_delay(key.controller, &call);
+        self.answer_late(Endpoint::Store, key, status, body, delay);
     }
 
-    pub(super) fn heartbeat_answered(&mut self, name: &str, number: u64, status: u16, body: &[u8]) {
-        let nodes = self.controllers.len();
-        if let Some(until) = self.hung(name) {
-            let (n, b) = (name.to_string(), body.to_vec());
-            self.schedule(
-                until + 10,
-                Event::AgentHeartbeatResponse(n, number, status, b),
-            );
+    fn handle_agent_call(&mut self, key: CallKey, call: Call, machine: &str) {
+        if let Some(until) = self.hung_until(machine) {
+            self.schedule(until + 20, Event::CallArrival { key, call });
             return;
         }
         let now = self.now;
-        let Some(w) = self.agents.get_mut(name).filter(|w| w.alive) else {
+        let lease = self.lease_s * SECOND;
+        let Some(agent) = self.agents.get_mut(machine).filter(|agent| agent.alive) else {
             return;
         };
-        let Some((agent_epoch, flying, sent)) = w.flying else {
+        agent.expire_lease(now, lease);
+        let commands: AgentCommands = decode(&call.body).expect("commands");
+        let outdated = commands.term < agent.term || commands.agent_epoch != agent.agent_epoch;
+        let status = if outdated { 409 } else { 200 };
+        if !outdated {
+            agent.term = commands.term;
+            self.execute(machine, commands.commands);
+        }
+        let body = encode(&self.heartbeat_of(machine));
+        self.answer(Endpoint::Agent(machine.to_string()), key, status, body);
+    }
+
+    fn handle_peer_call(&mut self, key: CallKey, call: Call, peer: usize) {
+        if self.controllers[peer].process.is_none() {
+            return;
+        }
+        self.serial += 1;
+        let conn = self.serial;
+        let is_heartbeat = call.path == "/heartbeat";
+        let body = self.peer_body(key.controller, peer, is_heartbeat, call.body);
+        let pending = PendingResponse::Peer {
+            caller: key,
+            is_heartbeat,
+        };
+        self.pending_responses.insert((peer, conn), pending);
+        let request = NetworkEvent::Request {
+            conn,
+            internal: true,
+            method: call.method.into(),
+            path: call.path,
+            body,
+        };
+        self.deliver(peer, vec![request]);
+    }
+
+    /// The response to an agent's heartbeat has arrived at the agent.
+    pub(super) fn heartbeat_answered(
+        &mut self,
+        machine: &str,
+        number: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        if let Some(until) = self.hung_until(machine) {
+            let response = Event::AgentHeartbeatResponse {
+                machine: machine.to_string(),
+                number,
+                status,
+                body: body.to_vec(),
+            };
+            self.schedule(until + 10, response);
+            return;
+        }
+        let now = self.now;
+        let controller_count = self.controllers.len();
+        let Some(agent) = self.agents.get_mut(machine).filter(|agent| agent.alive) else {
             return;
         };
-        if flying != number || now > sent + 4 * SECOND {
+        let Some(in_flight) = agent.in_flight else {
+            return;
+        };
+        if in_flight.number != number || now > in_flight.sent_at + HEARTBEAT_TIMEOUT {
             return;
         }
-        w.flying = None;
+        agent.in_flight = None;
         match status {
             200 => {
-                // Without a token it is dropped.
-                let Some(a) = decode::<AgentHeartbeatResponse>(body) else {
-                    return;
-                };
-                if a.term < w.term || agent_epoch != w.agent_epoch {
-                    return;
-                }
-                if a.term > w.term {
-                    w.term = a.term;
-                    if now >= w.term_changed_at + self.lease_s * SECOND / 2 {
-                        w.term_changed_at = now;
-                        w.next_heartbeat_at = w.next_heartbeat_at.min(now + SECOND / 2);
-                    }
+                let lease = self.lease_s * SECOND;
+                // A response without a term is dropped.
+                if let Some(response) = decode::<AgentHeartbeatResponse>(body)
+                    && agent.accept_response(&response, in_flight, now, lease)
+                {
+                    self.execute(machine, response.commands);
                 }
-                w.lease_renewed_at = sent;
-                self.execute(name, a.commands);
             }
             421 => {
-                let m: Misdirected = decode(body).unwrap_or_default();
-                let to = m
+                let misdirected: Misdirected = decode(body).unwrap_or_default();
+                let leader = misdirected
                     .leader
-                    .and_then(|l| l.strip_prefix("kernel-").and_then(|n| n.parse().ok()))
-                    .filter(|n: &usize| *n != w.controller && *n < nodes);
-                match to {
-                    Some(n) => {
-                        w.controller = n;
-                        w.next_heartbeat_at = now;
-                    }
-                    None => {
-                        w.controller = (w.controller + 1) % nodes;
-                        w.next_heartbeat_at = now + SECOND;
+                    .and_then(|name| name.strip_prefix("kernel-")?.parse::<usize>().ok())
+                    .filter(|leader| *leader != agent.controller && *leader < controller_count);
+                match leader {
+                    Some(leader) => {
+                        agent.controller = leader;
+                        agent.next_heartbeat_at = now;
                     }
+                    None => agent.try_next_controller(controller_count, now),
                 }
             }
-            _ => {
-                w.controller = (w.controller + 1) % nodes;
-                w.next_heartbeat_at = now + SECOND;
-            }
+            _ => agent.try_next_controller(controller_count, now),
         }
     }
+
+    /// Gives up a heartbeat that was not answered in time.
+    pub(super) fn expire_heartbeat(&mut self, machine: &str) {
+        let now = self.now;
+        let controller_count = self.controllers.len();
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        if let Some(in_flight) = agent.in_flight
+            && now > in_flight.sent_at + HEARTBEAT_TIMEOUT
+        {
+            agent.in_flight = None;
+            agent.try_next_controller(controller_count, now);
+        }
+    }
+}
+
+impl FakeAgent {
+    fn try_next_controller(&mut self, controller_count: usize, now: u64) {
+        self.controller = (self.controller + 1) % controller_count;
+        self.next_heartbeat_at = now + HEARTBEAT_RETRY_DELAY;
+    }
 }
--- a/tests/simulation/starvation.rs
+++ b/tests/simulation/starvation.rs
@@ -1,112 +1,181 @@
-//! Once all is calm, no job waits for 90 s while a machine that fits has room and its team is under its limit.
+//! The starvation checker: once all faults are over, no job waits for 90 s while a machine that fits has room and its
+//! team is under its limit.
 
 use super::*;
+use fake_agent::split_task_name;
 
-const EVERY: u64 = SECOND;
-const LONGEST: u64 = 90 * SECOND;
-/// What a machine of the tests' world holds: CPUs, GPUs, memory.
-const HOLDS: [f64; 3] = [8.0, 8.0, 64.0];
+const CHECK_INTERVAL: u64 = SECOND;
+const MAX_WAIT: u64 = 90 * SECOND;
+/// Resources of a machine.
+const MACHINE_RESOURCES: Resources = Resources([8.0, 8.0, 64.0]);
+const ZONES: [&str; 2] = ["a", "b"];
+/// Tolerance of sums of resources.
+const EPSILON: f64 = 1e-6;
+
+/// CPUs, GPUs and memory in GB.
+#[derive(Clone, Copy)]
+struct Resources([f64; 3]);
+
+impl Resources {
+    /// What one task needs.
+    fn of_task(spec: &JobSpec) -> Resources {
+        Resources([spec.cpus, spec.gpus, spec.memory_gb])
+    }
+
+    fn fit(&self, need: &Resources) -> bool {
+        self.0
+            .iter()
+            .zip(need.0)
+            .all(|(free, need)| free + EPSILON >= need)
+    }
+
+    fn subtract(&mut self, need: &Resources) {
+        self.0
+            .iter_mut()
+            .zip(need.0)
+            .for_each(|(free, need)| *free -= need);
+    }
+
+    /// How many tasks fit, at most `limit`.
+    fn count_fitting(mut self, need: &Resources, limit: u32) -> u32 {
+        let mut count = 0;
+        while count < limit && self.fit(need) {
+            self.subtract(need);
+            count += 1;
+        }
+        count
+    }
+}
 
 #[derive(Default)]
 pub struct StarvationChecker {
-    since: BTreeMap<String, u64>,
-    at: u64,
-    /// Jobs whose end was seen.
-    pub(super) ended: BTreeSet<String>,
+    /// Since when jobs have waited although there is room.
+    waiting_since: BTreeMap<String, u64>,
+    checked_at: u64,
+    /// Jobs whose completion was noticed by `cancel_completed_jobs`.
+    pub(super) completed: BTreeSet<String>,
 }
 
-fn fits(free: &[f64; 3], need: &[f64; 3]) -> bool {
-    (0..3).all(|i| free[i] + 1e-6 >= need[i])
+/// What runs and what is free on all machines.
+struct Usage<'a> {
+    /// Machines that can take tasks, with their free resources.
+    available: Vec<(&'a FakeAgent, Resources)>,
+    gpus_by_team: BTreeMap<&'a str, f64>,
+    present_tasks: BTreeSet<&'a str>,
+    present_jobs: BTreeSet<&'a str>,
 }
 
 impl Simulation {
-    /// Looks at all jobs that wait, once a second while all is calm.
-    pub(super) fn check_waits(&mut self) {
+    /// Checks all waiting jobs, once a second after all faults are over.
+    pub(super) fn check_starvation(&mut self) {
         if !self.faults_are_over() {
-            self.starvation.since.clear();
+            self.starvation.waiting_since.clear();
             return;
         }
-        if self.now < self.starvation.at + EVERY {
+        let now = self.now;
+        if now < self.starvation.checked_at + CHECK_INTERVAL {
             return;
         }
-        self.starvation.at = self.now;
-        let waits: BTreeSet<String> = self.left_waiting().into_iter().collect();
-        self.starvation.since.retain(|id, _| waits.contains(id));
-        let now = self.now;
-        for id in waits {
-            let since = *self.starvation.since.entry(id.clone()).or_insert(now);
-            if now > since + LONGEST {
-                self.report_violation("left_waiting", id);
+        self.starvation.checked_at = now;
+        let waiting: BTreeSet<String> = self.jobs_waiting_despite_room().into_iter().collect();
+        let waiting_since = &mut self.starvation.waiting_since;
+        waiting_since.retain(|job, _| waiting.contains(job));
+        for job in waiting {
+            let since = *waiting_since.entry(job.clone()).or_insert(now);
+            if now > since + MAX_WAIT {
+                self.report_violation("left_waiting", job);
                 return;
             }
         }
     }
 
-    /// Jobs that wait although there is room for more of them.
-    fn left_waiting(&self) -> Vec<String> {
-        let mut rooms: Vec<(&FakeAgent, [f64; 3])> = Vec::new();
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        let mut there: BTreeSet<&str> = BTreeSet::new();
-        let mut busy: BTreeSet<&str> = BTreeSet::new();
-        for w in self.agents.values() {
-            let mut free = HOLDS;
-            for ((task, _), _) in w.tasks.iter().filter(|(_, t)| t.phase != TaskPhase::Exited) {
-                let id = task.rsplit_once('/').map_or("", |(id, _)| id);
-                let Some(t) = self.jobs.get(id) else { continue };
-                let need = [t.spec.cpus, t.spec.gpus, t.spec.memory_gb];
-                (0..3).for_each(|i| free[i] -= need[i]);
-                *used.entry(&t.spec.team).or_default() += t.spec.gpus;
-                there.insert(task);
-                busy.insert(id);
+    fn jobs_waiting_despite_room(&self) -> Vec<String> {
+        let usage = self.usage();
+        self.jobs
+            .iter()
+            .filter(|(job, truth)| self.is_waiting(job, truth, &usage))
+            .filter(|(_, truth)| self.has_room(&truth.spec, &usage))
+            .map(|(job, _)| job.clone())
+            .collect()
+    }
+
+    fn usage(&self) -> Usage<'_> {
+        let mut usage = Usage {
+            available: Vec::new(),
+            gpus_by_team: BTreeMap::new(),
+            present_tasks: BTreeSet::new(),
+            present_jobs: BTreeSet::new(),
+        };
+        for agent in self.agents.values() {
+            let mut free = MACHINE_RESOURCES;
+            let tasks = agent.tasks.iter();
+            for ((task, _), _) in tasks.filter(|(_, task)| task.phase != TaskPhase::Exited) {
+                let (job, _) = split_task_name(task);
+                let Some(truth) = self.jobs.get(job) else {
+                    continue;
+                };
+                free.subtract(&Resources::of_task(&truth.spec));
+                *usage.gpus_by_team.entry(&truth.spec.team).or_default() += truth.spec.gpus;
+                usage.present_tasks.insert(task);
+                usage.present_jobs.insert(job);
             }
-            if w.alive
-                && !w.fails_tasks
-                && w.hung_until <= self.now
-                && w.preemption_notice_s.is_none()
-            {
-                rooms.push((w, free));
+            let is_available = agent.alive
+                && !agent.fails_tasks
+                && agent.hung_until <= self.now
+                && agent.preemption_notice_s.is_none();
+            if is_available {
+                usage.available.push((agent, free));
             }
         }
-        let waits = |(id, t): &(&String, &JobGroundTruth)| {
-            let done = t.done.len() as u32 >= t.spec.tasks;
-            let over = t.cancel_requested || t.cancellation_seen_at.is_some() || done;
-            let needs = self
-                .dependencies(id)
-                .iter()
-                .any(|n| n.completion_seen_at.is_none());
-            let gang = t.spec.kind == JobKind::Gang && busy.contains(id.as_str());
-            let whole = (0..t.spec.tasks)
-                .all(|n| t.done.contains(&n) || there.contains(format!("{id}/{n}").as_str()));
-            t.accepted && !over && !needs && !gang && !whole && !self.failing_jobs.contains(*id)
+        usage
+    }
+
+    /// Whether a job has tasks that could run now but are on no machine.
+    fn is_waiting(&self, job: &str, truth: &JobGroundTruth, usage: &Usage) -> bool {
+        let has_ended = truth.cancel_requested
+            || truth.cancellation_seen_at.is_some()
+            || truth.all_tasks_done();
+        let needs_are_done = self
+            .dependencies(job)
+            .iter()
+            .all(|need| need.completion_seen_at.is_some());
+        let gang_is_present = truth.spec.kind == JobKind::Gang && usage.present_jobs.contains(job);
+        let is_present_or_done = |index: u32| {
+            let task = format!("{job}/{index}");
+            truth.done.contains(&index) || usage.present_tasks.contains(task.as_str())
         };
-        let room = |t: &JobGroundTruth| {
-            let s = &t.spec;
-            let need = [s.cpus, s.gpus, s.memory_gb];
-            let many = if s.kind == JobKind::Gang { s.tasks } else { 1 };
-            let limit = self.limits.get(&s.team).copied().unwrap_or(f64::INFINITY);
-            let used = used.get(s.team.as_str()).copied().unwrap_or(0.0);
-            if used + s.gpus * f64::from(many) > limit + 1e-6 || s.spread {
-                return false;
-            }
-            ["a", "b"].iter().any(|zone| {
-                let ours = rooms.iter().filter(|(w, _)| {
-                    (!s.one_zone || w.zone == *zone)
-                        && s.zone.as_ref().is_none_or(|z| *z == w.zone)
-                        && (s.spot || !w.spot)
-                });
-                let slots = ours.map(|(_, free)| {
-                    let mut left = *free;
-                    let mut n = 0;
-                    while n < many && fits(&left, &need) {
-                        (0..3).for_each(|i| left[i] -= need[i]);
-                        n += 1;
-                    }
-                    n
-                });
-                slots.sum::<u32>() >= many
-            })
+        truth.accepted
+            && !has_ended
+            && needs_are_done
+            && !gang_is_present
+            && !(0..truth.spec.tasks).all(is_present_or_done)
+            && !self.failing_jobs.contains(job)
+    }
+
+    /// Whether there is room for one more task of a job, or for a whole gang.
+    fn has_room(&self, spec: &JobSpec, usage: &Usage) -> bool {
+        let need = Resources::of_task(spec);
+        let count = match spec.kind {
+            JobKind::Gang => spec.tasks,
+            _ => 1,
+        };
+        let limit = self.limits.get(&spec.team).copied();
+        let used = usage.gpus_by_team.get(spec.team.as_str()).copied();
+        let used_then = used.unwrap_or(0.0) + spec.gpus * f64::from(count);
+        if used_then > limit.unwrap_or(f64::INFINITY) + EPSILON || spec.spread {
+            return false;
+        }
+        let may_use = |agent: &FakeAgent, zone: &str| {
+            (!spec.one_zone || agent.zone == zone)
+                && spec.zone.as_ref().is_none_or(|only| *only == agent.zone)
+                && (spec.spot || !agent.spot)
         };
-        let jobs = self.jobs.iter().filter(waits).filter(|(_, t)| room(t));
-        jobs.map(|(id, _)| id.clone()).collect()
+        ZONES.iter().any(|zone| {
+            let machines = usage.available.iter();
+            let fitting = machines
+                .filter(|(agent, _)| may_use(agent, zone))
+                .map(|(_, free)| free.count_fitting(&need, count));
+            fitting.sum::<u32>() >= count
+        })
     }
 }
--- a/tests/simulation/violation_injection.rs
+++ b/tests/simulation/violation_injection.rs
@@ -1,12 +1,11 @@
-//! Faults for the checker: what no controller or agent does.
+//! A faulty scheduler for tests of the invariant checker: it does what no controller or agent may do.
 
 use super::*;
 
 impl Simulation {
-    /// A controller sends a start.
-    pub fn inject_start(&mut self, node: usize, machine: &str, task: &str, attempt: u64) {
-        let index: usize = machine.trim_start_matches("n-").parse().unwrap();
-        let orders = AgentCommands {
+    /// Lets a controller send a start.
+    pub fn inject_start(&mut self, controller: usize, machine: &str, task: &str, attempt: u64) {
+        let commands = AgentCommands {
             term: self.term(),
             agent_epoch: self.agents[machine].agent_epoch,
             commands: vec![Command::Start {
@@ -14,21 +13,20 @@
                 attempt,
             }],
         };
+        let index: usize = machine.trim_start_matches("n-").parse().unwrap();
         let call = Call {
             id: u64::MAX,
-            addr: format!("10.1.{}.{}:9000", index / 200, index % 200)
-                .parse()
-                .unwrap(),
+            addr: network::agent_address(index).parse().unwrap(),
             method: "POST",
             path: "/orders".into(),
-            body: encode(&orders),
+            body: encode(&commands),
             timeout: Micros(SECOND),
         };
-        let run = self.controllers[node].run;
-        self.send(node, run, call);
+        let incarnation = self.controllers[controller].incarnation;
+        self.send(controller, incarnation, call);
     }
 
-    /// A task runs on a machine although nobody has started it.
+    /// Lets a task run on a machine although no controller has started it.
     pub fn inject_running_task(&mut self, machine: &str, key: fake_agent::TaskKey) {
         let task = FakeTask {
             phase: TaskPhase::Running,
@@ -36,52 +34,58 @@
             saved: false,
             phase_ends_at: u64::MAX,
         };
-        let w = self.agents.get_mut(machine).expect("a machine");
-        w.tasks.insert(key, task);
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        agent.tasks.insert(key, task);
     }
 
-    /// A user is told this.
+    /// Lets a client get an answer that no controller has sent.
     pub fn inject_client_answer(
         &mut self,
-        id: &str,
-        asked: u64,
-        what: &str,
+        job: &str,
+        asked_at: u64,
+        request: ClientRequest,
         status: u16,
         state: &str,
     ) {
         let body = encode(&JobState {
-            id: id.into(),
+            id: job.into(),
             status: state.into(),
             done: None,
             running: None,
         });
-        self.client_answered(id.into(), asked, what, status, &body);
+        self.client_answered(job.into(), asked_at, request, status, &body);
     }
 
-    /// A controller's copy holds machine types of later: none that there was.
-    pub fn clear_machine_types(&mut self, node: usize) {
-        if let Some(n) = self.controllers[node].node.as_mut() {
-            n.cache.types = Some(Vec::new());
+    /// Empties the list of machine types in a controller's cache.
+    pub fn clear_machine_types(&mut self, controller: usize) {
+        if let Some(process) = self.controllers[controller].process.as_mut() {
+            process.cache.types = Some(Vec::new());
         }
     }
 
-    /// A message with this body comes to a controller, for the path.
-    pub fn send_bytes(&mut self, node: usize, internal: bool, path: &str, body: Vec<u8>) {
+    /// Sends a message with any body to a controller.
+    pub fn send_bytes(&mut self, controller: usize, internal: bool, path: &str, body: Vec<u8>) {
         let pending = match path {
-            "/submissions" => PendingResponse::Odd("bytes", 400),
-            _ => PendingResponse::AgentHeartbeat("none".into(), 0),
+            "/submissions" => PendingResponse::Invalid {
+                description: "bytes",
+                expected_status: 400,
+            },
+            _ => PendingResponse::AgentHeartbeat {
+                machine: "none".into(),
+                number: 0,
+            },
         };
-        self.request_on(internal, node, pending, "POST", path.into(), body);
+        self.request_on(internal, controller, pending, "POST", path.into(), body);
     }
 
-    /// What an agent would report now.
+    /// The next heartbeat of a machine's agent.
     pub fn heartbeat_of(&mut self, machine: &str) -> AgentHeartbeat {
-        let w = self.agents.get_mut(machine).expect("a machine");
-        w.heartbeat()
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        agent.heartbeat()
     }
 
-    /// A job that can never run is answered with this.
+    /// Lets a submission of a job that can never run be answered with this status.
     pub fn inject_invalid_request_answer(&mut self, status: u16) {
-        self.check_invalid_request_answer("pretended", 400, status);
+        self.check_invalid_request_answer("injected", 400, status);
     }
 }
