--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn what_was_given_up_as_gone_never_runs_there_again() {
+fn task_presumed_gone_never_runs_there_again() {
     let all = explore(
         &Small {
             without: None,
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn each_line_that_is_taken_out_is_missed() {
+fn removing_any_rule_of_the_model_is_detected() {
     let mut stories = BTreeMap::new();
     for line in [Line::Order, Line::Term, Line::Loose, Line::Kept] {
         let small = Small {
--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -17,7 +17,7 @@
 /// through another node, and its client asks the first one again, whose copy lags. Fails (went_back: pending after
 /// cancelled) if whoever joined the acceptance on its way is told what was written.
 #[test]
-fn an_acceptance_whose_answer_is_late_tells_nobody_what_held_before() {
+fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4000 + seed, 4);
         let a = node_of(&sim, seed);
@@ -52,7 +52,7 @@
 /// A job was accepted while a machine type was on offer; a node whose copy lags knows the types of later. Fails
 /// (forgotten: 422) without a look at the records before the refusal.
 #[test]
-fn what_can_no_longer_run_and_was_accepted_elsewhere_is_not_refused() {
+fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
         let a = node_of(&sim, seed);
@@ -85,7 +85,7 @@
 /// Close looks at every node after each acceptance, end and cancellation, while the store is slow, loses answers,
 /// refuses one, and the lead changes.
 #[test]
-fn close_looks_are_answered_with_nothing_older_than_what_was_told() {
+fn rapid_polls_never_return_an_older_state() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(4060 + seed, 5);
         sim.faults.client_probes = true;
@@ -147,7 +147,7 @@
 /// A cancellation, questions and repeated submissions meet the end of a job's last task, with no other trouble. The job
 /// is done or cancelled, and every node says the same for good.
 #[test]
-fn a_cancellation_meets_the_end_of_the_last_task() {
+fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4100 + seed, 5);
@@ -178,7 +178,7 @@
 /// Of every kind of transaction, acceptance, cancellation, places, ends, the lead and what hangs on it, some are carried
 /// out at once and only the answer is lost, while other nodes read what they wrote.
 #[test]
-fn only_the_answers_of_transactions_are_lost() {
+fn lost_transaction_answers_break_no_invariant() {
     for seed in 0..32 {
         let mut sim =
             Simulation::with_write_rate(4140 + seed, 3, 6, [60.0, 9.0][seed as usize % 2]);
@@ -235,7 +235,7 @@
 /// Clients send what must be refused, repeat what is accepted, cancel what is done and ask about what nobody submitted,
 /// while the lead changes and one node has just started.
 #[test]
-fn odd_requests_are_refused_alike_by_every_node() {
+fn invalid_requests_are_refused_alike_by_every_controller() {
     for seed in 0..12 {
         let mut sim = simulation_with_leader(4180 + seed, 4);
         for n in 0..6 {
@@ -260,7 +260,7 @@
 /// run. One look at the records serves many; what is left of the budget is the leader's and the acceptances'.
 /// Fails if each kind of question may look when it likes.
 #[test]
-fn thousands_of_questions_a_minute_share_their_reads() {
+fn thousands_of_polls_a_minute_share_their_store_reads() {
     let mut sim = simulation_with_leader(4220, 5);
     for n in 0..8 {
         sim.spawn_client(
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bytes_of_any_kind_harm_nobody() {
+fn arbitrary_bytes_crash_no_controller() {
     for seed in 0..4 {
         let mut sim = simulation_with_leader(6000 + seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -64,7 +64,7 @@
 /// A report of which one task cannot be read: were the rest believed, that task would look as if it were not there, and
 /// be started elsewhere.
 #[test]
-fn a_report_with_a_broken_task_is_not_believed_in_part() {
+fn heartbeat_with_an_invalid_task_is_rejected_as_a_whole() {
     let mut sim = simulation_with_leader(6010, 4);
     sim.spawn_client("req-1", job(JobKind::Array, 4, 1.0), 60 * SECOND);
     sim.run_seconds(8);
@@ -93,7 +93,7 @@
 
 /// The record of a job cannot be read by anybody: it is not forgotten, nothing of it is started again, and all others go on.
 #[test]
-fn a_job_whose_record_cannot_be_read_is_not_forgotten() {
+fn job_with_an_unreadable_record_is_not_forgotten() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(6020 + seed, 4);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 300 * SECOND);
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -79,7 +79,7 @@
 /// Fails if the leader learns of cancellations from the records alone: then it stops renewing all agents 18 s after
 /// its last read, and every task dies with its lease. Fails as well if it goes on without knowing them.
 #[test]
-fn what_another_controller_confirms_is_stopped_at_once_and_all_else_lives_on() {
+fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
     for seed in 0..12 {
         let mut sim = busy(2000 + seed);
         let (_, f, _) = parties(&sim);
@@ -112,7 +112,7 @@
 
 /// The clients of the old leader: it hands their requests on to whoever is served.
 #[test]
-fn what_the_old_leader_hands_on_is_stopped_as_well() {
+fn cancellation_forwarded_by_the_old_leader_is_enforced() {
     for seed in 0..8 {
         let mut sim = busy(2020 + seed);
         let (l, ..) = parties(&sim);
@@ -138,7 +138,7 @@
 
 /// Each of the others confirms one.
 #[test]
-fn the_third_controller_may_confirm_as_well() {
+fn cancellations_confirmed_by_both_followers_are_enforced() {
     for seed in 0..8 {
         let mut sim = busy(2040 + seed);
         let (_, f, t) = parties(&sim);
@@ -153,7 +153,7 @@
 /// Whoever has confirmed ends at once, or a while later; it stays away, or is back in a moment and knows nothing. Then
 /// nobody can tell what it has told its clients, and no agent may be renewed for long.
 #[test]
-fn whoever_has_confirmed_crashes() {
+fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
     for seed in 0..8 {
         for (after, back) in [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)] {
             let mut sim = busy(2060 + seed);
@@ -179,7 +179,7 @@
 
 /// The two cannot talk to one another, in both directions or in one; the third passes on what both know.
 #[test]
-fn the_third_controller_passes_on_what_two_cannot_tell_each_other() {
+fn third_controller_relays_cancellations() {
     for seed in 0..8 {
         for how in 0..3 {
             let mut sim = busy(2080 + seed);
@@ -205,7 +205,7 @@
 
 /// The leader hears neither of the others: it cannot know what they have told, and lets its agents go in time.
 #[test]
-fn a_leader_that_hears_nobody_lets_its_workers_go_in_time() {
+fn isolated_leader_stops_renewing_leases_in_time() {
     for seed in 0..8 {
         let mut sim = busy(2100 + seed);
         let (l, f, t) = parties(&sim);
@@ -238,7 +238,7 @@
 /// The store carries a cancellation out and the answer is lost, or comes seconds late: nobody is told, or
 /// in time.
 #[test]
-fn the_answer_to_a_cancellation_is_lost_or_late() {
+fn lost_or_late_cancellation_answer_is_handled() {
     for seed in 0..8 {
         for late in [false, true] {
             let mut sim = busy(2120 + seed);
@@ -271,7 +271,7 @@
 /// Starts that the leader has sent, without an answer yet, when its machines stand still: they go on within their
 /// leases, or later.
 #[test]
-fn a_start_is_held_up_by_a_machine_that_goes_on_later() {
+fn start_delayed_by_a_hung_machine_runs_no_cancelled_task() {
     for seed in 0..8 {
         for hang in [6 * SECOND, 9 * SECOND, 20 * SECOND] {
             let mut sim = busy(2140 + seed);
@@ -298,7 +298,7 @@
 /// A start gets no answer, and comes after all else, long after its job was cancelled. With the store out, no
 /// higher term can fence it. Fails (ran_cancelled) if the agent is renewed all the same.
 #[test]
-fn a_start_that_got_no_answer_comes_when_its_job_is_long_cancelled() {
+fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
     for seed in 0..8 {
         let mut sim = busy(2160 + seed);
         let (_, f, _) = parties(&sim);
@@ -321,7 +321,7 @@
 /// Starts of a job that is placed and recorded, and not yet carried out, when the leader hears that it is cancelled.
 /// Fails if it still sends them.
 #[test]
-fn what_was_heard_to_be_cancelled_is_not_started_any_more() {
+fn job_known_to_be_cancelled_is_not_started() {
     for seed in 0..12 {
         let mut sim = busy(2380 + seed);
         let (_, f, _) = parties(&sim);
@@ -349,7 +349,7 @@
 
 /// One gap after the other, with a leader of whatever name.
 #[test]
-fn two_gaps_in_a_row() {
+fn two_store_outages_in_a_row_are_survived() {
     for seed in 0..6 {
         let mut sim = busy(2180 + seed);
         for (round, ids) in [["req-2", "req-3"], ["req-4", "req-6"]].iter().enumerate() {
@@ -377,7 +377,7 @@
 /// Who does not know the new format is told nothing and vouches as before: no rule breaks, and the agents go
 /// in time.
 #[test]
-fn controllers_of_the_first_version_beside_ours() {
+fn first_version_controllers_among_ours_break_no_invariant() {
     for seed in 0..4 {
         for old in 0..3 {
             let mut sim = simulation_with_leader(2200 + seed, 5);
@@ -414,7 +414,7 @@
 /// Agents that come to the others meanwhile: they renew by right, and stop what is cancelled as well, also the third
 /// that has only heard of it.
 #[test]
-fn workers_that_move_between_the_controllers_meanwhile() {
+fn agents_that_change_controllers_stop_cancelled_tasks() {
     for seed in 0..12 {
         let mut sim = busy(2220 + seed);
         let (l, f, t) = parties(&sim);
@@ -469,7 +469,7 @@
 
 /// Tasks that were told to stop, and save, when their job is cancelled.
 #[test]
-fn a_task_that_is_saving_when_it_is_cancelled() {
+fn cancelled_task_that_is_saving_ends_in_time() {
     for seed in 0..8 {
         let mut sim = simulation_with_leader(2240 + seed, 3);
         sim.no_capacity = true;
@@ -502,7 +502,7 @@
 
 /// Machines that stand still, or hear nothing, while it happens.
 #[test]
-fn machines_that_cannot_be_told_to_stop() {
+fn unreachable_machines_run_no_cancelled_task_past_the_deadline() {
     for seed in 0..8 {
         for (deaf, dt) in [
             (true, 40 * SECOND),
@@ -534,7 +534,7 @@
 /// Whoever has confirmed starts again at once, while the store still serves it: it reads the records and
 /// vouches, with a log that begins anew. Fails if its log is taken for the one of its earlier run.
 #[test]
-fn whoever_has_confirmed_starts_again_and_has_read_the_records() {
+fn restarted_confirming_controller_relays_its_cancellations() {
     for seed in 0..12 {
         let mut sim = busy(2280 + seed);
         let (l, f, t) = parties(&sim);
@@ -600,7 +600,7 @@
 /// The leader and the third are both refused, and the leader cannot talk to whoever confirms: it hears of it from the
 /// third, who knows it from hearsay as well.
 #[test]
-fn what_was_heard_is_passed_on() {
+fn cancellations_learned_from_a_peer_are_relayed() {
     for seed in 0..8 {
         let mut sim = busy(2300 + seed);
         let (l, f, t) = parties(&sim);
@@ -622,7 +622,7 @@
 /// The leader is refused for so long that another leads. It hears the third alone, who is refused as well and hears
 /// the new leader. Fails (ran_twice) if knowing of all cancellations is enough to vouch.
 #[test]
-fn a_leader_that_was_replaced_unseen_lets_its_workers_go() {
+fn replaced_leader_stops_renewing_leases() {
     let mut replaced = 0;
     for seed in 0..4 {
         let mut sim = busy(2320 + seed);
@@ -679,7 +679,7 @@
 /// Direct commands to the machines are lost, answers to their reports are not. Fails if an answer leaves a stop out
 /// because it was sent a moment ago.
 #[test]
-fn every_answer_stops_what_is_cancelled() {
+fn every_heartbeat_response_stops_cancelled_tasks() {
     for seed in 0..16 {
         let mut sim = busy(2340 + seed);
         let (_, f, _) = parties(&sim);
@@ -704,7 +704,7 @@
 /// anything: that its claim was carried out does not show it what was cancelled before. Fails (ran_cancelled) if
 /// agents are renewed as if it did.
 #[test]
-fn a_claim_is_no_proof_of_what_was_cancelled_before_it() {
+fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
     let mut led = 0;
     for seed in 0..12 {
         let mut sim = busy(2360 + seed);
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -13,7 +13,7 @@
 /// Fails if a machine is blamed for jobs that fail anywhere: it was emptied and returned once it had met two of
 /// them (inc-944e: 28 sound machines). Fails as well if all tasks of such a job are tried again and again.
 #[test]
-fn no_machine_is_blamed_for_jobs_with_a_mistake() {
+fn failing_jobs_do_not_mark_machines_faulty() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(700 + seed, 5);
         sim.spawn_client("req-90", job(JobKind::Service, 5, 1.0), 0);
@@ -47,7 +47,7 @@
 /// stays in the agents' reports until a higher term fences it, so the new leader learns it from them; until it has,
 /// no machine may be given up for it.
 #[test]
-fn a_takeover_starts_no_storm_of_jobs_with_a_mistake() {
+fn takeover_does_not_restart_all_failing_tasks() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(1500 + seed, 5);
         for i in 0..4 {
@@ -79,7 +79,7 @@
 /// Fails if reports alone count as a sign that a machine can be used: what is placed there waits for a lease,
 /// again and again.
 #[test]
-fn a_machine_that_hears_nothing_gets_nothing_new_and_is_used_again_when_it_hears() {
+fn deaf_machine_gets_no_new_task_until_it_recovers() {
     for seed in 0..8 {
         let mut sim = simulation_with_leader(720 + seed, 4);
         sim.no_capacity = true;
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_machine_that_stays_deaf_is_returned_and_replaced() {
+fn permanently_deaf_machine_is_replaced() {
     let mut sim = simulation_with_leader(730, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 2, 6.0), 0);
     sim.run_seconds(10);
@@ -133,7 +133,7 @@
 /// A rack, a whole zone, one controller only, one kind of message only: no rule is broken, and what runs in the
 /// end is what should.
 #[test]
-fn deaf_racks_and_zones_break_no_rule() {
+fn deaf_racks_and_zones_break_no_invariant() {
     let mut half = 0;
     for seed in 0..60 {
         let mut sim = simulation_with_leader(800 + seed, 6);
@@ -187,7 +187,7 @@
 
 /// Fails if what a dead machine said long ago, said again, counts as a sign of life.
 #[test]
-fn late_copies_of_reports_keep_no_dead_machine_alive() {
+fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive() {
     for seed in 0..8 {
         let mut sim = simulation_with_leader(740 + seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -213,7 +213,7 @@
 /// Fails if a report that a direct answer has overtaken is answered with our term although we do not count on it:
 /// its agent's lease is renewed, and taken for run out too early.
 #[test]
-fn a_report_that_an_answer_has_overtaken_renews_nothing_unnoticed() {
+fn overtaken_heartbeat_does_not_renew_a_lease_silently() {
     for seed in 0..80 {
         let mut sim = simulation_with_leader(900 + seed, 4);
         sim.faults.max_heartbeat_delay = 1_500_000;
@@ -250,7 +250,7 @@
 
 /// Fails if an attempt that was stopped is forgotten by its agent while a copy of its start may still come.
 #[test]
-fn copies_of_commands_that_were_carried_out_start_nothing_again() {
+fn duplicate_commands_do_not_restart_a_task() {
     let mut stopped = 0;
     for seed in 0..40 {
         let mut sim = simulation_with_leader(1000 + seed, 3);
@@ -312,7 +312,7 @@
 /// Fails if such a leader keeps its agents to itself as long as it may: others lead by then, and have no machine
 /// to start anything on.
 #[test]
-fn a_leader_with_nothing_but_its_workers_gives_them_up_in_time() {
+fn leader_reaching_only_its_agents_releases_them_in_time() {
     for seed in 0..12 {
         let mut sim = simulation_with_leader(1100 + seed, 4);
         sim.restart_with_lease(16);
@@ -355,7 +355,7 @@
 
 /// The same with everybody else out of reach for the agents as well: then they are kept.
 #[test]
-fn a_leader_that_is_all_its_workers_have_keeps_them_as_long_as_it_may() {
+fn only_reachable_leader_keeps_its_agents_as_long_as_allowed() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(1120 + seed, 4);
         sim.restart_with_lease(16);
@@ -387,7 +387,7 @@
 
 /// Any controller, flaps, a restart inside, a cancellation meanwhile: no rule is broken.
 #[test]
-fn controllers_with_nothing_but_their_workers_break_no_rule() {
+fn controllers_reaching_only_agents_break_no_invariant() {
     for seed in 0..60 {
         let mut sim = simulation_with_leader(1200 + seed, 4);
         if seed % 2 == 0 {
@@ -425,7 +425,7 @@
 /// Back within 20 to 500 ms, at any step of an election, one, two or all of them, with late copies of what they
 /// had asked before: jobs are done once, nobody is told anything that is not so.
 #[test]
-fn crashes_and_quick_returns_in_the_middle_of_elections_break_no_rule() {
+fn quick_restarts_during_elections_break_no_invariant() {
     for seed in 0..80 {
         let mut sim = simulation_with_leader(1300 + seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -475,7 +475,7 @@
 /// A zone with the leader in it, cut off from everything for 24 s. Fails if its agents are sent on, although there is
 /// nobody else for them: by the time they are back the leader may renew no more.
 #[test]
-fn in_a_zone_that_is_cut_off_workers_are_not_sent_on() {
+fn agents_in_a_partitioned_zone_are_not_redirected() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(1400 + seed, 4);
         sim.restart_with_lease(16);
@@ -523,7 +523,7 @@
 
 /// Fails if a follower that renews a lease takes copies of old reports for signs of life.
 #[test]
-fn copies_keep_no_dead_machine_alive_on_a_follower_that_renews_it() {
+fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive_on_a_renewing_follower() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(1420 + seed, 4);
         sim.no_capacity = true;
@@ -577,7 +577,7 @@
 
 /// Fails if a copy that comes after its machine was returned brings it back.
 #[test]
-fn copies_bring_no_returned_machine_back() {
+fn duplicate_heartbeats_do_not_revive_a_deleted_machine() {
     let mut sim = simulation_with_leader(1440, 3);
     sim.spawn_client("req-1", job(JobKind::Service, 2, 1.0), 0);
     sim.run_seconds(10);
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_follower_that_renews_stops_what_is_cancelled() {
+fn renewing_follower_stops_cancelled_tasks() {
     for seed in 0..8 {
         let (mut sim, _, t) = renewed(6300 + seed);
         sim.cancel(t, "req-2");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_follower_that_renews_lets_go_once_it_reads_and_hears_nothing() {
+fn renewing_follower_stops_renewing_without_reads_and_news() {
     for seed in 0..8 {
         let (mut sim, f, t) = renewed(6320 + seed);
         let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
--- a/tests/failure_scenarios/client_answers.rs
+++ b/tests/failure_scenarios/client_answers.rs
@@ -5,7 +5,7 @@
 use walnuttrestle::protocol::JobKind;
 
 #[test]
-fn cancelled_on_one_controller_is_cancelled_on_all() {
+fn cancellation_is_visible_on_all_controllers() {
     let mut sim = simulation_with_leader(8, 2);
     sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 100 * SECOND);
     sim.run_seconds(6);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn cancel_races_with_the_end_and_one_of_them_stands() {
+fn cancel_racing_with_completion_has_one_outcome() {
     for seed in 20..28 {
         let mut sim = simulation_with_leader(seed, 2);
         sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 4 * SECOND);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn nobody_invents_or_forgets_a_job() {
+fn no_job_is_invented_or_forgotten() {
     let mut sim = simulation_with_leader(16, 1);
     sim.poll(0, "req-99");
     sim.poll(1, "nonsense");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn users_of_a_controller_that_the_store_refuses_are_served_by_another() {
+fn clients_of_a_controller_refused_by_the_store_are_served_by_another() {
     let mut sim = simulation_with_leader(36, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(10);
--- a/tests/failure_scenarios/job_dependencies.rs
+++ b/tests/failure_scenarios/job_dependencies.rs
@@ -5,7 +5,7 @@
 
 /// A pipeline of three steps and a diamond, each job handed to another controller.
 #[test]
-fn jobs_wait_for_the_jobs_they_need() {
+fn jobs_wait_for_their_dependencies() {
     for seed in 100..106 {
         let mut sim = simulation_with_leader(seed, 5);
         sim.spawn_client("req-1", job(JobKind::Array, 4, 1.0), 6 * SECOND);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_job_that_needs_what_nobody_submitted_is_refused() {
+fn job_with_an_unknown_dependency_is_refused() {
     let mut sim = simulation_with_leader(110, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(4);
@@ -96,7 +96,7 @@
 /// A need is cancelled before, while and after the jobs behind it are submitted, on any controller,
 /// and with the leader gone.
 #[test]
-fn what_needs_a_cancelled_job_is_cancelled_with_it() {
+fn cancellation_cascades_to_dependents() {
     for seed in 120..128 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 100 * SECOND);
@@ -154,7 +154,7 @@
 /// The cancellation of a job in the middle races with its end; one of the two stands, for all jobs
 /// behind it.
 #[test]
-fn cancel_against_done_in_the_middle_of_a_pipeline() {
+fn cancel_racing_with_done_in_a_pipeline_has_one_outcome() {
     let mut ends = std::collections::BTreeSet::new();
     for seed in 130..150 {
         let mut sim = simulation_with_leader(seed, 3);
@@ -181,7 +181,7 @@
 /// The leader is killed at every moment around the end of a job that others wait for, and the store
 /// is out around it, too.
 #[test]
-fn a_takeover_or_an_outage_between_the_end_and_the_release() {
+fn dependents_are_released_despite_takeover_or_outage() {
     for step in 0..16 {
         let mut sim = simulation_with_leader(150 + step, 3);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 5 * SECOND);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_job_that_waits_holds_no_part_of_limit_or_guarantee() {
+fn waiting_job_uses_no_quota_or_guarantee() {
     let mut sim = simulation_with_leader(170, 4);
     let red = |spec| JobSpec {
         team: "red".into(),
@@ -265,7 +265,7 @@
 /// A new controller that the store refuses must not hand a pipeline to one of the old version,
 /// which would take the job without what it waits for.
 #[test]
-fn a_pipeline_is_not_handed_on_to_the_old_version() {
+fn pipeline_is_not_forwarded_to_the_first_version() {
     let mut sim = Simulation::with_first_version(177, 3, None);
     sim.run_seconds(8);
     sim.crash_controller(1, 2 * SECOND);
@@ -295,7 +295,7 @@
 /// A job of low priority that one of high priority needs gives way to nobody below the latter, and
 /// others give way to it.
 #[test]
-fn a_job_is_as_urgent_as_the_job_that_needs_it() {
+fn dependency_inherits_the_priority_of_its_dependent() {
     use walnuttrestle::protocol::Priority;
     let run = |needed: bool| {
         let mut sim = simulation_with_leader(175, 2);
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -9,7 +9,7 @@
 use walnuttrestle::protocol::agent_api::TaskPhase;
 
 #[test]
-fn a_start_whose_answer_is_lost_and_that_comes_late_runs_once() {
+fn late_start_with_a_lost_answer_runs_once() {
     let mut sim = simulation_with_leader(3, 3);
     // Commands take longer than the leader waits for them.
     sim.command_delay = Some(4 * SECOND);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_start_held_back_is_not_run_after_its_job_was_cancelled() {
+fn delayed_start_does_not_run_after_cancellation() {
     let mut sim = simulation_with_leader(4, 2);
     let l = sim.leader().unwrap();
     for m in ["n-000001", "n-000002"] {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_leader_cut_from_the_store_alone_is_replaced() {
+fn leader_partitioned_from_the_store_is_replaced() {
     let mut sim = simulation_with_leader(5, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_old_leader_in_a_cut_zone_does_not_keep_cancelled_tasks() {
+fn old_leader_in_a_partitioned_zone_keeps_no_cancelled_task() {
     let mut sim = simulation_with_leader(6, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_zone_that_cannot_reach_the_leader_keeps_its_tasks() {
+fn zone_that_cannot_reach_the_leader_keeps_its_tasks() {
     for seed in 40..50 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn controllers_that_hear_one_another_again_leave_a_live_leader_alone() {
+fn reconnected_controllers_do_not_replace_a_live_leader() {
     for seed in 600..620 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_leader_cut_from_the_workers_alone_still_runs_them() {
+fn leader_partitioned_from_agents_still_manages_them() {
     let mut sim = simulation_with_leader(47, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_machine_that_dies_behind_a_cut_is_given_up_after_all() {
+fn machine_that_dies_behind_a_partition_is_replaced() {
     let mut sim = simulation_with_leader(46, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_takeover_waits_for_a_hung_machine() {
+fn takeover_waits_for_a_hung_machine() {
     let mut sim = simulation_with_leader(7, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(8);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn all_controllers_restart_and_tasks_go_on() {
+fn tasks_survive_a_restart_of_all_controllers() {
     let mut sim = simulation_with_leader(9, 4);
     sim.spawn_client("req-1", job(JobKind::Array, 4, 2.0), 25 * SECOND);
     sim.spawn_client("req-2", job(JobKind::Gang, 2, 8.0), 25 * SECOND);
@@ -255,7 +255,7 @@
 
 /// Luck of many kinds at once; every seed is a day of its own, and always the same one.
 #[test]
-fn overlapping_troubles_break_no_rule() {
+fn overlapping_faults_break_no_invariant() {
     for seed in (100..240).chain([1159]) {
         let mut sim = simulation_with_leader(seed, 5);
         for i in 0..14 {
@@ -379,7 +379,7 @@
 /// The leader loses its network, its successor crashes soon after, and the third is left alone: what
 /// runs goes on, what waits for it starts, and nothing runs twice.
 #[test]
-fn the_leader_is_cut_off_and_its_successor_crashes() {
+fn partitioned_leader_and_crashed_successor_are_replaced() {
     for seed in 220..228 {
         let mut sim = simulation_with_leader(seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
@@ -424,7 +424,7 @@
 
 /// No leader lives long enough to be shown its term by any agent; each renews leases all the same.
 #[test]
-fn cancelled_tasks_end_in_time_although_no_leader_lives_for_two_reports() {
+fn cancelled_tasks_end_in_time_under_short_leaderships() {
     for seed in 700..712 {
         let mut sim = simulation_with_leader(seed, 6);
         sim.spawn_client("req-1", job(JobKind::Array, 24, 1.0), 300 * SECOND);
@@ -443,7 +443,7 @@
 
 /// Cuts that leave some links up, crossed with crashes and quick restarts, one within the other.
 #[test]
-fn cuts_that_leave_some_links_up_and_quick_restarts_break_no_rule() {
+fn partial_partitions_and_quick_restarts_break_no_invariant() {
     for seed in 800..900 {
         let mut sim = simulation_with_leader(seed, 6);
         if seed % 2 == 0 {
@@ -545,7 +545,7 @@
 }
 
 #[test]
-fn a_leader_that_cannot_use_the_lead_gives_it_to_whoever_can() {
+fn ineffective_leader_hands_over_leadership() {
     for seed in 900..910 {
         let mut sim = simulation_with_leader(seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
@@ -581,7 +581,7 @@
 
 /// A new run of the leader's process is no life of the old one: somebody takes the lead at once, and only once.
 #[test]
-fn a_leader_that_starts_again_at_once_is_replaced_at_once_and_only_once() {
+fn restarted_leader_is_replaced_at_once_and_only_once() {
     for seed in 920..940 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -6,7 +6,7 @@
 use walnuttrestle::protocol::JobKind;
 
 #[test]
-fn a_quiet_day_runs_everything() {
+fn all_jobs_run_without_faults() {
     let mut sim = simulation_with_leader(1, 4);
     sim.spawn_client("req-1", job(JobKind::Array, 5, 1.0), 6 * SECOND);
     sim.spawn_client("req-2", job(JobKind::Gang, 3, 4.0), 6 * SECOND);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_large_array_spans_several_records() {
+fn large_array_spans_several_records() {
     let mut sim = simulation_with_leader(2, 6);
     sim.spawn_client("req-1", job(JobKind::Array, 130, 1.0), 2 * SECOND);
     sim.run_seconds(120);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_gang_that_waits_for_its_record_is_not_taken_for_broken() {
+fn gang_waiting_for_its_record_is_not_restarted() {
     // A change takes two seconds: passes come and go before the second attempt is on record.
     let mut sim = Simulation::with_write_rate(33, 3, 2, 1.0);
     sim.run_seconds(20);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_gang_that_loses_a_member_starts_anew_as_a_whole() {
+fn gang_that_loses_a_member_restarts_as_a_whole() {
     let mut sim = simulation_with_leader(12, 4);
     sim.spawn_client("req-1", job(JobKind::Gang, 2, 8.0), 30 * SECOND);
     sim.run_seconds(10);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_team_stays_within_its_limit_while_a_machine_cannot_be_reached() {
+fn quota_holds_while_a_machine_is_unreachable() {
     let mut sim = simulation_with_leader(13, 4);
     let spec = walnuttrestle::protocol::JobSpec {
         team: "red".into(),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_gang_ahead_takes_the_room_of_backfilled_tasks_and_they_save() {
+fn gang_preempts_backfilled_tasks_after_they_save() {
     let mut sim = simulation_with_leader(14, 2);
     sim.cloud_unavailable = true;
     // One machine is full for a while, so the gang must wait, and small ones pass it.
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_machine_that_fails_every_task_is_set_aside() {
+fn machine_that_fails_every_task_is_cordoned() {
     let mut sim = simulation_with_leader(15, 3);
     sim.agents.get_mut("n-000001").unwrap().fails_tasks = true;
     for i in 0..6 {
@@ -120,7 +120,7 @@
 
 /// What ran there before still completes, one task after the other; that proves nothing.
 #[test]
-fn a_machine_that_fails_what_it_starts_is_not_well_because_old_tasks_complete() {
+fn completions_of_old_tasks_do_not_clear_a_failing_machine() {
     let mut sim = simulation_with_leader(16, 2);
     sim.no_capacity = true;
     for i in 0..10 {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn three_hundred_machines_cost_what_happens_on_them() {
+fn store_cost_of_300_machines_follows_their_events() {
     let mut sim = Simulation::new(38, 3, 300);
     sim.run_seconds(12);
     sim.call_counts = CallCounts::default();
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_team_gets_its_guarantee_back_from_whoever_runs_beyond_theirs() {
+fn team_reclaims_its_guarantee_from_teams_above_theirs() {
     let mut sim = simulation_with_leader(37, 2);
     // Team green has 8 GPUs guaranteed, blue none; nothing more can be rented.
     sim.no_capacity = true;
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_gang_is_not_tried_again_on_the_machine_that_failed_it() {
+fn gang_is_not_retried_on_the_machine_that_failed_it() {
     let mut sim = simulation_with_leader(34, 3);
     let busy = ["n-000002", "n-000003"];
     sim.agents.get_mut("n-000001").unwrap().fails_tasks = true;
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_leaves_the_machines_to_others() {
+fn job_that_fails_everywhere_does_not_hold_machines() {
     let mut sim = simulation_with_leader(35, 3);
     sim.spawn_client("req-1", job(JobKind::Array, 12, 1.0), 2 * SECOND);
     sim.failing_jobs.insert("req-1".into());
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_controller_that_leads_twice_rents_under_new_names() {
+fn second_leadership_uses_new_rental_names() {
     let mut sim = simulation_with_leader(19, 1);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 8.0), 0);
     sim.spawn_client("req-2", job(JobKind::Service, 1, 8.0), 0);
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_spot_notice_moves_nothing_onto_the_machine_and_work_goes_on() {
+fn machine_with_a_spot_notice_gets_no_new_task() {
     let mut sim = Simulation::new(18, 3, 1);
     let m = sim.add_machine("b", true);
     sim.run_seconds(8);
--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -7,7 +7,7 @@
 use walnuttrestle::protocol::JobKind;
 
 #[test]
-fn a_store_outage_across_a_crash_loses_no_accepted_job() {
+fn store_outage_across_a_crash_loses_no_accepted_job() {
     let mut sim = simulation_with_leader(10, 3);
     sim.spawn_client("req-1", job(JobKind::Array, 3, 1.0), 8 * SECOND);
     sim.run_seconds(2);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_short_store_outage_kills_nothing() {
+fn short_store_outage_kills_no_task() {
     let mut sim = simulation_with_leader(11, 3);
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_long_store_outage_kills_nothing_while_all_controllers_vouch_for_one_another() {
+fn long_store_outage_kills_no_task_while_all_peers_confirm() {
     let mut sim = simulation_with_leader(31, 3);
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.spawn_client("req-2", job(JobKind::Service, 1, 1.0), 0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn without_one_of_them_a_long_store_outage_ends_the_renewals_in_time() {
+fn missing_peer_ends_renewals_in_a_long_store_outage() {
     let mut sim = simulation_with_leader(32, 3);
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn while_the_store_is_silent_polls_are_refused_at_once_and_ends_are_still_told() {
+fn silent_store_refuses_polls_at_once_and_final_states_are_still_served() {
     let mut sim = simulation_with_leader(17, 2);
     sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 2 * SECOND);
     sim.declare_job("req-2", job(JobKind::Service, 1, 1.0), 0);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_leader_lost_in_a_store_outage_takes_no_task_with_it() {
+fn leader_loss_in_a_store_outage_kills_no_task() {
     for seed in 720..740 {
         for (back, pledges) in [
             (50_000, true),
@@ -149,7 +149,7 @@
 
 /// It does not come back while the outage lasts: then the right ends, as nobody can tell that it is dead.
 #[test]
-fn a_right_ends_while_nobody_knows_what_became_of_the_leader() {
+fn renewal_right_expires_while_the_leader_is_unknown() {
     let mut sim = leader_lost_in_an_outage(745, 200 * SECOND, false);
     sim.run_seconds(16);
     let up = |sim: &Simulation| {
@@ -168,7 +168,7 @@
 
 /// Others renew by right what the leader has lost sight of. It must not take those leases for run out.
 #[test]
-fn a_leader_waits_for_what_others_may_have_renewed_by_its_right() {
+fn leader_waits_for_leases_renewed_under_its_right() {
     for seed in 760..772 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 4.0), 0);
@@ -215,7 +215,7 @@
 /// One controller has pledged to tell nothing new, is then alone with the store, and clients cancel and
 /// machines come free there; the others go by its pledge.
 #[test]
-fn a_pledge_is_kept_by_whoever_is_alone_with_the_state_service() {
+fn pledge_is_kept_by_the_controller_alone_with_the_store() {
     for seed in 780..792 {
         let mut sim = simulation_with_leader(seed, 6);
         sim.restart_with_pledges();
@@ -264,7 +264,7 @@
 
 /// One after the other starts again in an outage; at no moment does nobody know the records.
 #[test]
-fn controllers_that_start_again_in_an_outage_learn_what_they_need_from_one_another() {
+fn controllers_restarted_in_an_outage_recover_state_from_peers() {
     for seed in 950..970 {
         let mut sim = simulation_with_leader(seed, 5);
         sim.restart_with_pledges();
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -9,7 +9,7 @@
 
 /// Large arrays, a full queue and a takeover while the store lowers its limits.
 #[test]
-fn lower_limits_of_the_state_service_come_without_notice() {
+fn lowered_store_limits_without_notice_are_handled() {
     let low = StoreLimits {
         value_kb: 2.0,
         txn_ops: 4,
@@ -48,7 +48,7 @@
 /// are still old crashes before its turn and comes back old; one goes back to the old version for a
 /// while. Clients ask the new controllers for pipelines from the start.
 #[test]
-fn a_new_version_arrives_while_the_old_one_serves() {
+fn rolling_upgrade_from_the_first_version_keeps_jobs() {
     let orders = [
         [0, 1, 2],
         [0, 2, 1],
@@ -134,7 +134,7 @@
 
 /// Bytes that the first version has written.
 #[test]
-fn what_the_first_version_wrote_means_what_it_meant() {
+fn first_version_records_keep_their_meaning() {
     let bytes = |hex: &str| -> Vec<u8> {
         let digits = hex.as_bytes().chunks(2);
         digits
@@ -164,7 +164,7 @@
 /// A gang over several records is placed by one transaction, or its members would start without the
 /// others; one that no transaction can place is refused.
 #[test]
-fn a_wide_gang_is_placed_as_a_whole_under_lower_limits() {
+fn wide_gang_is_placed_as_a_whole_under_lower_limits() {
     let low = StoreLimits {
         value_kb: 2.0,
         txn_ops: 3,
@@ -193,7 +193,7 @@
 
 /// StoreLimits that nobody has announced: smaller transactions are tried, and no job comes to harm.
 #[test]
-fn a_rejected_transaction_is_no_verdict_on_a_job() {
+fn rejected_transaction_does_not_reject_the_job() {
     let mut sim = simulation_with_leader(190, 10);
     for n in 0..4 {
         sim.spawn_client(
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -19,7 +19,7 @@
 /// anew, page by page, while clients ask it. Fails (forgotten) if such a reading is begun again while its pages are on
 /// their way: the last pages of the one lead the other past keys that it has not met.
 #[test]
-fn a_controller_that_has_missed_too_much_reads_all_anew_and_forgets_nothing() {
+fn controller_behind_a_compacted_log_relists_and_forgets_no_job() {
     let mut anew = 0;
     for seed in 0..12 {
         let mut sim = simulation_with_leader(2400 + seed, 5);
@@ -88,7 +88,7 @@
 /// cancelled, and others run within their team's limit, through the new one. What it tells its clients may not be older
 /// than what others were told, and nothing runs beside what the new leader starts.
 #[test]
-fn an_old_leader_that_workers_and_users_still_reach() {
+fn old_leader_still_reached_by_agents_and_clients_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(2500 + seed, 5);
         let red = |tasks| JobSpec {
@@ -149,7 +149,7 @@
 /// Tasks of two or three of a job end far apart, while the lead changes, once or again and again; answers of the state
 /// service are lost now and then. Fails if a job is called done too early or never.
 #[test]
-fn tasks_of_a_job_end_far_apart_across_changes_of_the_leader() {
+fn tasks_ending_far_apart_survive_leader_changes() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2540 + seed, 5);
         for n in 0..6 {
@@ -195,7 +195,7 @@
 /// The store answers after seconds, then it refuses the leader alone, then everybody for longer than a
 /// cancellation has, while clients cancel and ask at every controller.
 #[test]
-fn the_state_service_is_slow_then_refuses_one_then_all() {
+fn store_that_slows_then_refuses_one_then_all_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(2580 + seed, 5);
         sim.enable_load_balancer();
@@ -255,7 +255,7 @@
 /// The leader ends while machines with long tasks cannot be reached, or do not hear the new leader's answer. They are
 /// presumed to run until it is proven that they do not; what was cancelled meanwhile is gone in time.
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
+fn leader_crash_with_unreachable_machines_loses_no_long_task() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2620 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
@@ -312,7 +312,7 @@
 /// Controllers hand over and back, all end, one returns, also within a second; what they had asked before is carried
 /// out late or again.
 #[test]
-fn the_lead_goes_to_and_fro_all_end_and_one_returns() {
+fn alternating_leaders_then_a_full_crash_break_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2660 + seed, 5);
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
@@ -367,7 +367,7 @@
 /// Commands, or their answers, are held up for seconds, and the machine goes on then: starts after stops, stops of
 /// older attempts, starts of what was forgotten.
 #[test]
-fn commands_and_their_answers_are_held_up() {
+fn delayed_commands_and_answers_break_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2700 + seed, 3);
         sim.no_capacity = true;
@@ -423,7 +423,7 @@
 /// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of
 /// others, across changes of the leader.
 #[test]
-fn transactions_are_carried_out_after_newer_ones() {
+fn reordered_transactions_break_no_invariant() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(2740 + seed, 5);
         sim.faults.delayed_write_probability = [0.05, 0.2, 0.5][seed as usize % 3];
@@ -496,7 +496,7 @@
 /// A follower that renews machines for a leader which cannot reach them starts again within a second, or ends for
 /// good. Fails (ran_twice) if the first record of its new run names only who has come to that run.
 #[test]
-fn a_follower_that_renews_starts_again_at_once() {
+fn restart_of_a_renewing_follower_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(2840 + seed, 5);
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
@@ -545,7 +545,7 @@
 /// The same where the store takes few changes, so that places of many jobs go into one record: such records are
 /// deleted when they are spent, and their numbers come again.
 #[test]
-fn bundles_are_carried_out_after_newer_ones() {
+fn reordered_placement_batches_break_no_invariant() {
     let mut bundled = 0;
     for seed in 0..32 {
         let mut sim = Simulation::with_write_rate(2880 + seed, 3, 6, 9.0);
@@ -602,7 +602,7 @@
 /// Old reports, also of earlier sessions and attempts, come after newer ones: to the leader, to a follower that renews
 /// and never saw the original, to a controller that has just started.
 #[test]
-fn old_reports_come_after_newer_ones() {
+fn reordered_heartbeats_break_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2800 + seed, 5);
         sim.faults.heartbeat_duplication = Some(Duplication {
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -36,7 +36,7 @@
 /// is started there; what is cancelled is stopped by command; what ran there runs on elsewhere, once. Fails if such
 /// an answer counts as a sign that the machine may have new work.
 #[test]
-fn machines_that_reach_no_controller_get_stops_and_no_starts() {
+fn silent_machines_get_stops_and_no_starts() {
     let mut stopped = 0;
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5000 + seed, 4);
@@ -94,7 +94,7 @@
 /// A team is at its limit; jobs of it are cancelled whose machines are cut off, hang or hear nothing, and the leader
 /// changes, once or again and again. What is not confirmed gone counts, to whoever leads.
 #[test]
-fn a_team_at_its_limit_whose_cancelled_tasks_cannot_be_confirmed_gone() {
+fn quota_holds_while_cancelled_tasks_are_unconfirmed() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5040 + seed, 6);
         for n in 0..3 {
@@ -152,7 +152,7 @@
 /// Jobs are cancelled in the seconds of a handover: told by the old leader, the new one or a follower, while places are
 /// chosen, recorded and started, and what is over is cleaned by both.
 #[test]
-fn jobs_are_cancelled_in_the_seconds_of_a_handover() {
+fn cancellations_during_a_leader_change_are_enforced() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5100 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -223,7 +223,7 @@
 /// rentals that are not on record, first reports to a node that does not lead, starts on their way to machines that
 /// the new leader has never heard of.
 #[test]
-fn machines_that_are_up_at_once_while_writes_lag_and_the_leader_ends() {
+fn instantly_booted_machines_during_slow_writes_and_a_leader_crash_break_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5160 + seed, 2);
         sim.machine_boot_time = sim.rng.random_range(100_000..2 * SECOND);
@@ -261,7 +261,7 @@
 /// Copies of reports, kept for the next leader, come to every controller just as it begins: the first that it hears of a
 /// agent may be of an earlier session or attempt.
 #[test]
-fn old_reports_reach_every_controller_just_as_a_new_leader_begins() {
+fn stale_heartbeats_to_a_new_leader_break_no_invariant() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5220 + seed, 5);
         sim.faults.stale_heartbeat_probability = 0.6;
@@ -320,7 +320,7 @@
 /// One-task jobs, four a second for two minutes, a quarter of them cancelled, at a small budget of changes; leaders change
 /// ten times in the same time, also inside an outage. Nothing starves, and what the store takes suffices.
 #[test]
-fn one_task_jobs_four_a_second_while_leaders_change() {
+fn four_jobs_a_second_survive_leader_changes() {
     for seed in 0..4 {
         let mut sim =
             Simulation::with_write_rate(5300 + seed, 3, 8, [60.0, 25.0][seed as usize % 2]);
@@ -371,7 +371,7 @@
 /// A zone with agents and a controller is cut off for longer than a lease, or all controllers are away for longer; jobs are
 /// cancelled meanwhile.
 #[test]
-fn a_zone_with_a_controller_or_all_controllers_are_away_for_longer_than_a_lease() {
+fn absence_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5340 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
@@ -425,7 +425,7 @@
 /// More work than room, urgent and not, over slow links, and the lead changes: tasks are stopped to make room, again and again,
 /// and gangs lose theirs. Nobody waits for good.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn overload_over_slow_links_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5400 + seed, 4);
         sim.no_capacity = true;
@@ -480,7 +480,7 @@
 
 /// Jobs bound to one zone, arrays too, lose machines there, while the leader changes.
 #[test]
-fn jobs_bound_to_one_zone_lose_machines() {
+fn zone_bound_jobs_recover_from_machine_loss() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5440 + seed, 6);
         let bound = |kind, tasks, zone: Option<&str>| JobSpec {
@@ -534,7 +534,7 @@
 /// A start or its answer is held up while its job is cancelled, within a fifth of a second with others, and the machines hang:
 /// for less and for more than a lease. Once they go on, whatever comes is fenced or stopped.
 #[test]
-fn starts_are_held_up_while_their_jobs_are_cancelled_and_the_machines_hang() {
+fn delayed_starts_of_cancelled_jobs_on_hung_machines_are_harmless() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5500 + seed, 5);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -575,7 +575,7 @@
 /// A job has failed on the only machine that has room, which is well again: it is not kept off it for 90 s, and a
 /// machine that has failed several jobs while others run on it is not shut for good. Fails (left_waiting) with 180 s.
 #[test]
-fn the_only_machine_with_room_is_tried_again_in_time() {
+fn only_machine_with_room_is_retried_in_time() {
     for seed in 0..12 {
         let mut sim = simulation_with_leader(5560 + seed, 2);
         sim.enable_load_balancer();
@@ -609,7 +609,7 @@
 /// Copies of reports come late, everywhere, while machines are lost and the lead changes; nothing is taken for alive or gone
 /// by what an old copy says.
 #[test]
-fn late_copies_everywhere_while_a_team_is_at_its_limit() {
+fn duplicates_everywhere_keep_the_quota() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5600 + seed, 5);
         sim.faults.heartbeat_duplication = Some(Duplication {
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_start_that_is_sent_after_a_confirmed_cancellation_is_reported() {
+fn start_after_confirmed_cancellation_is_reported() {
     let start = |sim: &mut Simulation| {
         let l = sim.leader().expect("a leader");
         sim.inject_start(l, "n-000001", "req-1/0", 9);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_cancelled_task_that_goes_on_after_its_machine_hung_is_reported() {
+fn cancelled_task_running_after_a_hang_is_reported() {
     for lease_over in [false, true] {
         let mut sim = running(3910, job(JobKind::Array, 1, 1.0));
         let m = sim
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn answers_older_than_what_was_told_are_reported() {
+fn answer_older_than_a_previous_answer_is_reported() {
     // What was told first, what is answered to which question afterwards, and the rule.
     let cases = [
         ("pending", ClientRequest::Poll, 404, "", "forgotten"),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_job_that_waits_although_there_is_room_is_reported() {
+fn starving_job_is_reported() {
     let red = |tasks| JobSpec {
         team: "red".into(),
         ..job(JobKind::Array, tasks, 2.0)
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_team_over_its_limit_is_reported_also_on_machines_that_are_cut_off_or_hang() {
+fn quota_violation_is_reported_also_on_partitioned_or_hung_machines() {
     for trouble in 0..2 {
         let mut sim = simulation_with_leader(3940, 4);
         let red = JobSpec {
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn an_accepted_job_that_can_never_run_is_reported() {
+fn acceptance_of_an_impossible_job_is_reported() {
     for (status, rule) in [
         (201, "accepted_invalid"),
         (404, "refused_otherwise"),
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_job_about_which_nobody_is_answered_is_reported() {
+fn unanswered_polls_of_a_job_are_reported() {
     let mut sim = simulation_with_leader(3960, 4);
     sim.enable_load_balancer();
     sim.run_seconds(3);
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn whatever_happened_every_job_is_known_and_runs_once_it_is_calm() {
+fn every_accepted_job_stays_visible_and_runs_after_random_faults() {
     let first = std::env::var("SEEDS_FROM")
         .ok()
         .and_then(|s| s.parse().ok());
@@ -237,7 +237,7 @@
 /// Fails if the widest gang, service or array of a class waits for more than four minutes while smaller jobs of the
 /// same rank go on coming.
 #[test]
-fn the_largest_begin_within_four_minutes_whatever_smaller_jobs_come() {
+fn largest_job_starts_within_four_minutes_despite_smaller_jobs() {
     let of = |kind, tasks, gpus, priority| JobSpec {
         priority,
         estimate_s: 60.0,
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn all_workers_come_to_one_controller_in_the_same_second() {
+fn all_agents_arriving_in_one_second_are_served() {
     let mut sim = full(1);
     sim.call_counts = CallCounts::default();
     // All are with the leader; its process goes, and that of one peer.
@@ -63,7 +63,7 @@
 /// Each run of a process has its share of the budget saved up when it starts; a storm must not spend it anew
 /// with every run.
 #[test]
-fn a_storm_of_restarts_costs_the_state_service_no_more_than_its_budget() {
+fn restart_storm_stays_within_the_store_budget() {
     for every in [150_000, 400_000, 1_000_000] {
         let mut sim = full(2);
         sim.call_counts = CallCounts::default();
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -14,7 +14,7 @@
 /// A controller starts with the new version, the first write of its format's number gets no answer, and it goes back to
 /// the old version; the write comes after that. Fails if the number was deleted: its version is 0 again then.
 #[test]
-fn a_formats_number_does_not_come_back_after_a_rollback() {
+fn format_number_does_not_return_after_a_rollback() {
     let mut went_back = 0;
     for seed in 0..6 {
         let mut sim = Simulation::with_first_version(6100 + seed, 4, None);
@@ -64,7 +64,7 @@
 /// A bundle gets no answer, is written again or another way, is spent and deleted, and is then carried out late. Fails in
 /// the end only together with other lines; what it holds never counts again, and it is deleted once more.
 #[test]
-fn a_bundle_that_comes_after_its_number_is_free_again_brings_nothing_back() {
+fn late_placement_batch_with_a_reused_number_has_no_effect() {
     let mut bundles = 0;
     for seed in 0..24 {
         let mut sim = Simulation::with_write_rate(6140 + seed, 3, 6, 9.0);
@@ -122,7 +122,7 @@
 /// What controllers told and asked one another comes again, seconds to a lease later, while the lead changes, the state
 /// service is out and jobs are cancelled. A copy may make things later, never sooner.
 #[test]
-fn copies_of_heartbeats_prove_nothing() {
+fn duplicate_peer_heartbeats_prove_nothing() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(6180 + seed, 5);
         sim.faults.peer_duplication = Some(Duplication {
@@ -181,7 +181,7 @@
 /// A follower renews machines that a cut keeps from the leader, and copies of reports come to it whose originals went to
 /// the leader before the cut. It names a dead machine a lease longer at most; nothing runs twice, and the team's limit holds.
 #[test]
-fn copies_come_to_a_follower_that_renews_and_never_saw_the_original() {
+fn duplicates_to_a_renewing_follower_without_the_original_are_harmless() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(6220 + seed, 6);
         let red = |tasks| JobSpec {
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -10,7 +10,7 @@
 /// After a cut the answer to a direct command may be the first that shows an agent's new session, while
 /// our last answer to it was to the old one, a lease ago and longer.
 #[test]
-fn a_session_that_only_a_direct_answer_has_shown_has_its_own_lease() {
+fn epoch_learned_from_a_command_answer_has_its_own_lease() {
     let example = include_str!("../examples/settings.toml");
     let s = Settings::parse("examples/settings.toml", example).expect("the example is valid");
     let lease = Micros::secs(s.params.agents.lease_s);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_new_leader_goes_on_with_a_queue_of_hundreds() {
+fn new_leader_continues_a_queue_of_hundreds() {
     let mut sim = flooded(1, 500, 8);
     assert!(queued(&sim) > 300, "{} wait", queued(&sim));
     let before = done(&sim, 0..500);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_zone_is_lost_while_the_queue_is_full() {
+fn zone_loss_with_a_full_queue_is_survived() {
     let mut sim = flooded(2, 300, 6);
     let replicas = "req-900000";
     let mut spec = job(JobKind::Service, 4, 1.0);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_queue_grows_while_the_state_service_is_out() {
+fn queue_growth_during_a_store_outage_is_handled() {
     let mut sim = flooded(3, 60, 3);
     sim.run_seconds(4);
     let (before, waited) = (done(&sim, 0..60), accepted(&sim));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn hundreds_of_cancellations_at_once_leave_the_rest_in_turn() {
+fn hundreds_of_cancellations_keep_the_queue_order() {
     let mut sim = flooded(4, 400, 6);
     sim.run_seconds(6);
     for n in (0..400).filter(|n| n % 4 != 0) {
@@ -147,7 +147,7 @@
 
 /// Nothing of a team at its limit is in anybody's way, and when the limit frees the oldest goes first.
 #[test]
-fn a_team_at_its_limit_waits_alone_and_goes_on_when_the_limit_frees() {
+fn team_at_its_quota_waits_without_blocking_others() {
     let mut sim = Simulation::with_write_rate(5, 3, MACHINES, 200.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
@@ -174,7 +174,7 @@
 
 /// The job at the top wants more than there is; all that fits goes on past it, for as long as it waits.
 #[test]
-fn a_gang_that_can_never_fit_today_holds_nobody_up() {
+fn gang_that_cannot_fit_blocks_no_other_job() {
     let mut sim = Simulation::with_write_rate(6, 3, MACHINES, 200.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
@@ -190,7 +190,7 @@
 
 /// The first version leads in between and knows nothing of a kept queue.
 #[test]
-fn a_controller_of_the_first_version_leads_while_hundreds_wait() {
+fn first_version_leader_handles_a_queue_of_hundreds() {
     let mut sim = flooded(7, 300, 6);
     let i = sim.leader().expect("a leader");
     for n in (0..3).filter(|n| *n != i) {
@@ -241,13 +241,13 @@
 }
 
 #[test]
-fn a_class_that_floods_keeps_nobody_else_from_being_accepted() {
+fn flooding_class_does_not_block_other_classes() {
     let took = beside_a_flood(11, |_| {});
     assert!(took.iter().all(|s| *s < 4.0), "{took:?}");
 }
 
 #[test]
-fn nor_does_it_while_a_controller_is_lost_and_another_cut_off() {
+fn flooding_class_does_not_block_other_classes_during_controller_loss() {
     let took = beside_a_flood(12, |sim| {
         let i = sim.leader().expect("a leader");
         sim.crash_controller(i, 6 * SECOND);
@@ -272,7 +272,7 @@
 /// A load balancer may send everybody to one controller, which has a sixth of the budget. Told of what it
 /// is asked for, the leader gives it what the others do not need; at no moment is more given than there is.
 #[test]
-fn all_users_come_to_one_follower() {
+fn all_clients_at_one_follower_are_served() {
     let mut sim = Simulation::with_write_rate(21, 3, MACHINES, 30.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
@@ -307,7 +307,7 @@
 /// Grants end by themselves; a new leader gives on from what is on record, and a controller of an older
 /// version keeps its fixed part.
 #[test]
-fn parts_hold_while_leaders_change_and_an_old_version_comes_back() {
+fn write_shares_hold_across_leader_changes_and_a_rollback() {
     let mut sim = Simulation::with_write_rate(22, 3, MACHINES, 30.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn two_or_three_troubles_at_once_break_no_rule() {
+fn overlapping_random_faults_break_no_invariant() {
     let given = |name: &str| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok());
     let first = given("SEEDS_FROM").unwrap_or(9_000);
     for seed in first..first + given("SEEDS").unwrap_or(120) {
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -41,7 +41,7 @@
 
 /// A listing brings bundles before jobs, a watch after them; both come to the same.
 #[test]
-fn listing_and_watching_lay_bundles_over_jobs_alike() {
+fn listing_and_watch_apply_placement_batches_alike() {
     let job = record(JobStage::Active, vec![entry(0, 1), entry(1, 1)]);
     let far = TaskChunk {
         entries: vec![entry(50, 1)],
@@ -97,7 +97,7 @@
 
 /// Whoever cancels may not have seen the bundle; and a bundle outlives the cleaning.
 #[test]
-fn a_cancelled_job_keeps_its_bundled_places_until_it_is_cleaned() {
+fn cancelled_job_keeps_its_batched_placements_until_cleanup() {
     let mut m = RecordCache::default();
     m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
     m.put(&bundle_key(4), to_value(&bundle(vec![entry(0, 2)])), 5);
@@ -114,7 +114,7 @@
 
 /// A cancellation is told once, whatever comes after it: the cleaning, a rereading, or an older record.
 #[test]
-fn what_is_newly_cancelled_is_told_once() {
+fn new_cancellation_is_returned_once() {
     let mut m = RecordCache::default();
     m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
     assert!(m.take_cancelled().is_empty());
@@ -133,7 +133,7 @@
 
 /// A record that cannot be read holds until a newer one or its deletion: an older one that comes late says nothing.
 #[test]
-fn a_record_that_cannot_be_read_holds_until_a_newer_one_comes() {
+fn unreadable_record_is_kept_until_a_newer_version() {
     let (mut m, key) = (RecordCache::default(), job_key("req-1"));
     let active = to_value(&record(JobStage::Active, Vec::new()));
     m.put(&key, active.clone(), 3);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_zone_that_was_cut_off_comes_back_in_order() {
+fn partitioned_zone_recovers_in_priority_order() {
     let mut sim = busy(1, 12);
     let since = sim.now;
     cut_off(&mut sim, "b", 35 * SECOND);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_zone_lost_while_all_controllers_restart() {
+fn zone_loss_during_controller_restarts_recovers_in_order() {
     comes_back(10..14, 12, LEASE_S * SECOND, |sim, _| {
         cut_off(sim, "b", 40 * SECOND);
         sim.run_seconds(2);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn half_the_machines_of_both_zones_at_once() {
+fn loss_of_half_the_machines_recovers_in_order() {
     comes_back(20..24, 12, 0, |sim, _| {
         kill(sim, |i| i % 4 < 2);
         sim.run_seconds(160);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_lost_zone_comes_back_while_replacements_start() {
+fn returning_zone_during_replacement_recovers_in_order() {
     comes_back(30..34, 10, LEASE_S * SECOND, |sim, seed| {
         // Leases of 10 s end, replacements take 5 s to boot: the cut ends in between.
         let dt = (LEASE_S + 4 + seed % 4) * SECOND;
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_second_loss_during_a_recovery() {
+fn second_loss_during_recovery_recovers_in_order() {
     comes_back(40..44, 12, 0, |sim, _| {
         kill(sim, |i| i % 4 == 0);
         sim.run_seconds(LEASE_S + 3);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_recovery_while_the_state_service_answers_slowly() {
+fn recovery_with_a_slow_store_keeps_order() {
     comes_back(50..53, 12, 0, |sim, _| {
         sim.store_delay = 600_000;
         kill(sim, |i| i % 4 < 2);
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_leader_lost_in_the_middle_of_a_recovery() {
+fn leader_loss_during_recovery_keeps_order() {
     comes_back(60..66, 12, 0, |sim, _| {
         kill(sim, |i| i % 4 < 2);
         run_until_bundled(sim, 20_000);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn bundles_are_folded_into_the_records_of_their_jobs() {
+fn placement_batches_are_merged_into_job_records() {
     let mut sim = busy(70, 12);
     kill(&mut sim, |i| i % 4 < 2);
     sim.run_seconds(200);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn jobs_cancelled_while_their_places_are_bundled() {
+fn cancelled_jobs_with_batched_placements_end() {
     for seed in 80..90 {
         let mut sim = busy(seed, 12);
         let since = sim.now;
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn after_a_takeover_tasks_start_where_their_image_is() {
+fn takeover_prefers_machines_with_cached_images() {
     let mut sim = started(90, 12, 60.0);
     let mut led: BTreeSet<usize> = sim.leader().into_iter().collect();
     // Six images, one to a machine of the zone; twice as many machines are there.
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn a_new_leader_whose_copy_is_behind_starts_nothing_twice() {
+fn new_leader_with_a_stale_cache_starts_nothing_twice() {
     for seed in 100..106 {
         let mut sim = started(seed, 12, WRITE_RPS);
         // Nobody polls: a poll would have the copies catch up.
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn nothing_is_bundled_while_a_controller_does_not_read_it() {
+fn no_batches_while_a_controller_cannot_read_them() {
     for seed in 120..123 {
         let mut sim = started(seed, 12, WRITE_RPS);
         sim.set_first_version(2, true);
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn bundles_are_folded_at_once_when_a_controller_goes_back() {
+fn batches_are_merged_at_once_after_a_rollback() {
     let mut sim = busy(130, 12);
     kill(&mut sim, |i| i % 4 < 2);
     run_until_bundled(&mut sim, 20_000);
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn answers_about_bundles_are_lost() {
+fn lost_answers_about_batches_break_no_invariant() {
     for seed in 110..116 {
         let mut sim = busy(seed, 12);
         let since = sim.now;
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn overlapping_losses_break_no_rule() {
+fn overlapping_losses_break_no_invariant() {
     for seed in 200..230 {
         let mut sim = busy(seed, 10);
         for _ in 0..6 {
