--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -97,13 +97,13 @@
             0 => _ = sim.watch_delays.insert(f, 3 * SECOND),
             1 => sim.store.refused_controllers.push(f),
             2 => sim.after(9 * SECOND, |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.crash_controller(l, 50_000);
+                let leader = sim.leader().unwrap_or(0);
+                sim.crash_controller(leader, 50_000);
             }),
             3 => {
-                let (l, dt) = (node_of(&sim, 0), 12 * SECOND);
+                let (leader, dt) = (node_of(&sim, 0), 12 * SECOND);
                 sim.partition(
-                    Endpoint::Controller(l),
+                    Endpoint::Controller(leader),
                     Endpoint::Store,
                     PartitionMode::Delay,
                     dt,
@@ -128,8 +128,8 @@
         sim.faults.clear();
         sim.store_delay = 0;
         sim.run_seconds(60);
-        for (id, t) in &sim.jobs {
-            let told = t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some();
+        for (id, truth) in &sim.jobs {
+            let told = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
             assert!(told, "seed {seed}: {id}\n{}", sim.dump());
         }
         let pending = sim
@@ -193,18 +193,18 @@
                 sim.spawn_client(&id, job(JobKind::Array, 2, 1.0), 3 * SECOND);
             });
         }
-        for k in 0..4u64 {
-            let at = 6 * SECOND * k + sim.rng.random_range(0..6 * SECOND);
+        for step in 0..4u64 {
+            let at = 6 * SECOND * step + sim.rng.random_range(0..6 * SECOND);
             sim.after(at, move |sim| {
-                let l = sim.leader().unwrap_or(0);
-                match k % 3 {
-                    0 => sim.crash_controller(l, 60_000),
+                let leader = sim.leader().unwrap_or(0);
+                match step % 3 {
+                    0 => sim.crash_controller(leader, 60_000),
                     1 => {
                         // Followers renew, and put it on record.
-                        for m in sim.machine_names().into_iter().take(3) {
+                        for machine in sim.machine_names().into_iter().take(3) {
                             sim.partition(
-                                Endpoint::Controller(l),
-                                Endpoint::Agent(m),
+                                Endpoint::Controller(leader),
+                                Endpoint::Agent(machine),
                                 PartitionMode::Drop,
                                 12 * SECOND,
                             );
@@ -243,8 +243,8 @@
         }
         sim.send_invalid_requests(30 * SECOND);
         sim.after(4 * SECOND, |sim| {
-            let l = sim.leader().unwrap_or(0);
-            sim.crash_controller(l, 50_000);
+            let leader = sim.leader().unwrap_or(0);
+            sim.crash_controller(leader, 50_000);
         });
         sim.after(15 * SECOND, |sim| {
             (0..3).for_each(|i| sim.crash_controller(i, 80_000))
@@ -273,10 +273,10 @@
     sim.run_seconds(10);
     sim.call_counts = Default::default();
     let before = sim.client_answers.len();
-    for k in 0..20 * 50u64 {
-        sim.after(k * SECOND / 50, move |sim| {
+    for step in 0..20 * 50u64 {
+        sim.after(step * SECOND / 50, move |sim| {
             for node in 0..3 {
-                let id = format!("req-{}", k % 8);
+                let id = format!("req-{}", step % 8);
                 sim.poll(node, &id);
                 sim.submit(node, &id);
                 sim.submit(node, "req-99");
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -68,18 +68,18 @@
     let mut sim = simulation_with_leader(6010, 4);
     sim.spawn_client("req-1", job(JobKind::Array, 4, 1.0), 60 * SECOND);
     sim.run_seconds(8);
-    let l = sim.leader().expect("a leader");
-    let m = sim
+    let leader = sim.leader().expect("a leader");
+    let machine = sim
         .machines_running("req-1/0")
         .pop_first()
         .expect("a machine");
     for _ in 0..3 {
-        let mut report = sim.heartbeat_of(&m);
+        let mut report = sim.heartbeat_of(&machine);
         let spoilt = report.tasks.iter_mut().find(|t| t.task == "req-1/0");
         spoilt.expect("its task").task = "req-1".into();
         // Its machine is about to go, so it would be started elsewhere.
         report.notice_s = Some(30.0);
-        sim.send_bytes(l, false, "/hello", encode(&report));
+        sim.send_bytes(leader, false, "/hello", encode(&report));
         sim.run_seconds(2);
     }
     sim.run_seconds(80);
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -17,8 +17,8 @@
 
 /// The leader, who confirms, and the third.
 fn parties(sim: &Simulation) -> (usize, usize, usize) {
-    let l = sim.leader().expect("a leader");
-    (l, (l + 1) % 3, (l + 2) % 3)
+    let leader = sim.leader().expect("a leader");
+    (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
 /// A world with replicas that should live on, and arrays that are to be cancelled.
@@ -39,8 +39,8 @@
 
 /// The leader alone is refused; what `tell` does then happens half-way to the outage, and a moment before it.
 fn gap(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
-    let (l, ..) = parties(sim);
-    sim.store.refused_controllers.push(l);
+    let (leader, ..) = parties(sim);
+    sim.store.refused_controllers.push(leader);
     sim.run_micros(ALONE / 2);
     tell(sim, "req-2");
     sim.run_micros(ALONE / 2 - SECOND / 10);
@@ -66,9 +66,9 @@
 }
 
 fn kept(sim: &Simulation, seed: u64) {
-    for t in 0..5 {
+    for task in 0..5 {
         assert_eq!(
-            sim.start_counts[&format!("req-1/{t}")],
+            sim.start_counts[&format!("req-1/{task}")],
             1,
             "seed {seed}: {}",
             sim.dump()
@@ -82,8 +82,8 @@
 fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
     for seed in 0..12 {
         let mut sim = busy(2000 + seed);
-        let (_, f, _) = parties(&sim);
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        let (_, follower, _) = parties(&sim);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         for id in ["req-2", "req-3"] {
             assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
         }
@@ -115,11 +115,11 @@
 fn cancellation_forwarded_by_the_old_leader_is_enforced() {
     for seed in 0..8 {
         let mut sim = busy(2020 + seed);
-        let (l, ..) = parties(&sim);
-        sim.store.refused_controllers.push(l);
+        let (leader, ..) = parties(&sim);
+        sim.store.refused_controllers.push(leader);
         // It has to notice first.
         sim.run_seconds(3);
-        sim.cancel(l, "req-2");
+        sim.cancel(leader, "req-2");
         sim.run_micros(SECOND / 5);
         sim.store.outage = true;
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
@@ -141,9 +141,9 @@
 fn cancellations_confirmed_by_both_followers_are_enforced() {
     for seed in 0..8 {
         let mut sim = busy(2040 + seed);
-        let (_, f, t) = parties(&sim);
+        let (_, follower, third) = parties(&sim);
         gap(&mut sim, |sim, id| {
-            sim.cancel(if id == "req-2" { f } else { t }, id)
+            sim.cancel(if id == "req-2" { follower } else { third }, id)
         });
         sim.run_seconds(3);
         gone_and_kept(&mut sim, seed);
@@ -157,10 +157,10 @@
     for seed in 0..8 {
         for (after, back) in [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)] {
             let mut sim = busy(2060 + seed);
-            let (_, f, _) = parties(&sim);
-            gap(&mut sim, |sim, id| sim.cancel(f, id));
+            let (_, follower, _) = parties(&sim);
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_micros(after);
-            sim.crash_controller(f, back);
+            sim.crash_controller(follower, back);
             sim.run_seconds(DOWN_S);
             end(&mut sim);
             sim.run_seconds(40);
@@ -183,10 +183,10 @@
     for seed in 0..8 {
         for how in 0..3 {
             let mut sim = busy(2080 + seed);
-            let (l, f, _) = parties(&sim);
+            let (leader, follower, _) = parties(&sim);
             let (from, to, until) = (
-                Endpoint::Controller(l),
-                Endpoint::Controller(f),
+                Endpoint::Controller(leader),
+                Endpoint::Controller(follower),
                 sim.now + 90 * SECOND,
             );
             match how {
@@ -195,8 +195,8 @@
                 _ => sim.faults.partition_one_way(to, from, until),
             }
             sim.run_seconds(4);
-            assert_eq!(sim.leader(), Some(l), "seed {seed} {how}");
-            gap(&mut sim, |sim, id| sim.cancel(f, id));
+            assert_eq!(sim.leader(), Some(leader), "seed {seed} {how}");
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(4);
             gone_and_kept(&mut sim, seed);
         }
@@ -208,16 +208,16 @@
 fn isolated_leader_stops_renewing_leases_in_time() {
     for seed in 0..8 {
         let mut sim = busy(2100 + seed);
-        let (l, f, t) = parties(&sim);
-        for other in [f, t] {
+        let (leader, follower, third) = parties(&sim);
+        for other in [follower, third] {
             sim.partition(
-                Endpoint::Controller(l),
+                Endpoint::Controller(leader),
                 Endpoint::Controller(other),
                 PartitionMode::Delay,
                 DOWN_S * SECOND,
             );
         }
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(DOWN_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
@@ -242,14 +242,14 @@
     for seed in 0..8 {
         for late in [false, true] {
             let mut sim = busy(2120 + seed);
-            let (_, f, _) = parties(&sim);
+            let (_, follower, _) = parties(&sim);
             if late {
                 sim.store_delay = 1_200_000;
             } else {
                 let until = sim.now + ALONE + SECOND / 2;
                 sim.lost_answers_from.push((Endpoint::Store, until));
             }
-            gap(&mut sim, |sim, id| sim.cancel(f, id));
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(DOWN_S);
             sim.store_delay = 0;
             end(&mut sim);
@@ -275,18 +275,18 @@
     for seed in 0..8 {
         for hang in [6 * SECOND, 9 * SECOND, 20 * SECOND] {
             let mut sim = busy(2140 + seed);
-            let (_, f, _) = parties(&sim);
+            let (_, follower, _) = parties(&sim);
             sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
             sim.command_delay = Some(300_000);
             sim.run_micros(900_000);
             let until = sim.now + hang;
-            for m in sim.machine_names() {
-                sim.agents.get_mut(&m).unwrap().hung_until = until;
+            for machine in sim.machine_names() {
+                sim.agents.get_mut(&machine).unwrap().hung_until = until;
             }
             sim.command_delay = None;
             gap(&mut sim, |sim, id| {
-                sim.cancel(f, id);
-                sim.cancel(f, "req-5");
+                sim.cancel(follower, id);
+                sim.cancel(follower, "req-5");
             });
             sim.run_seconds(DOWN_S);
             assert_eq!(sim.running_instances("req-5"), 0, "seed {seed} {hang}");
@@ -301,14 +301,14 @@
 fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
     for seed in 0..8 {
         let mut sim = busy(2160 + seed);
-        let (_, f, _) = parties(&sim);
+        let (_, follower, _) = parties(&sim);
         let long = (ALONE / SECOND + CANCEL_DEADLINE_S + 8) * SECOND;
         sim.command_delay = Some(long);
         sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
         sim.run_seconds(4);
         gap(&mut sim, |sim, id| {
-            sim.cancel(f, id);
-            sim.cancel(f, "req-5");
+            sim.cancel(follower, id);
+            sim.cancel(follower, "req-5");
         });
         assert_eq!(sim.last_status("req-5"), "cancelled", "seed {seed}");
         sim.run_seconds(DOWN_S + 10);
@@ -324,17 +324,17 @@
 fn job_known_to_be_cancelled_is_not_started() {
     for seed in 0..12 {
         let mut sim = busy(2380 + seed);
-        let (_, f, _) = parties(&sim);
+        let (_, follower, _) = parties(&sim);
         let until = sim.now + 1_900_000;
-        for m in sim.machine_names() {
+        for machine in sim.machine_names() {
             sim.faults
-                .drop_deliveries(&m, None, &[DroppedDelivery::Commands], until);
+                .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
         sim.spawn_client("req-2000", job(JobKind::Array, 8, 1.0), 300 * SECOND);
         sim.run_seconds(1);
-        let l = sim.leader().expect("a leader");
-        sim.store.refused_controllers.push(l);
-        sim.cancel(f, "req-2000");
+        let leader = sim.leader().expect("a leader");
+        sim.store.refused_controllers.push(leader);
+        sim.cancel(follower, "req-2000");
         sim.run_micros(900_000);
         assert_eq!(sim.last_status("req-2000"), "cancelled", "seed {seed}");
         let before = sim.task_starts.len();
@@ -353,11 +353,11 @@
     for seed in 0..6 {
         let mut sim = busy(2180 + seed);
         for (round, ids) in [["req-2", "req-3"], ["req-4", "req-6"]].iter().enumerate() {
-            let (l, f, t) = parties(&sim);
-            sim.store.refused_controllers.push(l);
+            let (leader, follower, third) = parties(&sim);
+            sim.store.refused_controllers.push(leader);
             sim.run_micros(ALONE / 2);
-            sim.cancel(f, ids[0]);
-            sim.cancel(t, ids[1]);
+            sim.cancel(follower, ids[0]);
+            sim.cancel(third, ids[1]);
             sim.run_micros(ALONE / 2);
             sim.store.outage = true;
             sim.run_seconds(DOWN_S);
@@ -381,8 +381,8 @@
     for seed in 0..4 {
         for old in 0..3 {
             let mut sim = simulation_with_leader(2200 + seed, 5);
-            let (l, f, t) = parties(&sim);
-            let place = [l, f, t][old];
+            let (leader, follower, third) = parties(&sim);
+            let place = [leader, follower, third][old];
             sim.set_first_version(place, true);
             sim.crash_controller(place, 50_000);
             sim.run_seconds(10);
@@ -390,8 +390,8 @@
             sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.run_seconds(12);
-            let (l, f, _) = parties(&sim);
-            let who = if l == place { f } else { place };
+            let (leader, follower, _) = parties(&sim);
+            let who = if leader == place { follower } else { place };
             gap(&mut sim, |sim, id| sim.cancel(who, id));
             sim.run_seconds(DOWN_S);
             assert_eq!(
@@ -417,19 +417,19 @@
 fn agents_that_change_controllers_stop_cancelled_tasks() {
     for seed in 0..12 {
         let mut sim = busy(2220 + seed);
-        let (l, f, t) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         let hearsay = seed % 2 == 1;
         if hearsay {
-            sim.store.refused_controllers.push(t);
+            sim.store.refused_controllers.push(third);
             // The leader does not hear of it, and cannot stop anything itself.
             sim.partition(
-                Endpoint::Controller(l),
-                Endpoint::Controller(f),
+                Endpoint::Controller(leader),
+                Endpoint::Controller(follower),
                 PartitionMode::Drop,
                 12 * SECOND,
             );
         }
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         for (n, m) in sim.machine_names().into_iter().enumerate() {
             let at = sim.rng.random_range(0..12 * SECOND);
             let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
@@ -437,20 +437,20 @@
             if hearsay {
                 // Its way to whoever is left, from the beginning.
                 sim.partition(
-                    Endpoint::Controller(l),
+                    Endpoint::Controller(leader),
                     agent.clone(),
                     PartitionMode::Drop,
                     DOWN_S * SECOND,
                 );
                 sim.partition(
-                    Endpoint::Controller(f),
+                    Endpoint::Controller(follower),
                     agent,
                     PartitionMode::Drop,
                     DOWN_S * SECOND,
                 );
             } else if n % 2 == 0 {
                 sim.after(at, move |sim| {
-                    sim.partition(Endpoint::Controller(l), agent, PartitionMode::Drop, dt)
+                    sim.partition(Endpoint::Controller(leader), agent, PartitionMode::Drop, dt)
                 });
             }
         }
@@ -488,8 +488,8 @@
         };
         sim.spawn_client("req-7", high, 200 * SECOND);
         sim.run_seconds(3);
-        let (_, f, _) = parties(&sim);
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        let (_, follower, _) = parties(&sim);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(DOWN_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
@@ -510,14 +510,14 @@
             (false, 15 * SECOND),
         ] {
             let mut sim = busy(2260 + seed);
-            let (_, f, _) = parties(&sim);
-            gap(&mut sim, |sim, id| sim.cancel(f, id));
+            let (_, follower, _) = parties(&sim);
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
             let until = sim.now + dt;
-            for m in sim.machine_names().into_iter().take(3) {
+            for machine in sim.machine_names().into_iter().take(3) {
                 if deaf {
-                    sim.faults.drop_all_deliveries(&m, until);
+                    sim.faults.drop_all_deliveries(&machine, until);
                 } else {
-                    sim.agents.get_mut(&m).unwrap().hung_until = until;
+                    sim.agents.get_mut(&machine).unwrap().hung_until = until;
                 }
             }
             sim.run_seconds(DOWN_S);
@@ -537,11 +537,11 @@
 fn restarted_confirming_controller_relays_its_cancellations() {
     for seed in 0..12 {
         let mut sim = busy(2280 + seed);
-        let (l, f, t) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         // Only what F itself tells reaches the leader.
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(t),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
             PartitionMode::Drop,
             3 * SECOND,
         );
@@ -554,33 +554,33 @@
         }
         sim.run_seconds(4);
         for n in 10..13 {
-            sim.cancel(f, &format!("req-{n}"));
+            sim.cancel(follower, &format!("req-{n}"));
         }
         sim.run_seconds(3);
-        sim.store.refused_controllers.push(l);
+        sim.store.refused_controllers.push(leader);
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(f),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
             PartitionMode::Drop,
             2 * SECOND,
         );
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(t),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
             PartitionMode::Drop,
             2 * SECOND,
         );
         sim.run_micros(SECOND / 5);
-        sim.cancel(f, "req-2");
+        sim.cancel(follower, "req-2");
         sim.run_micros(SECOND / 20);
-        sim.crash_controller(f, 50_000);
+        sim.crash_controller(follower, 50_000);
         sim.run_micros(SECOND);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
         sim.store.outage = true;
         // The third would tell it as well.
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(t),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
             PartitionMode::Drop,
             200 * SECOND,
         );
@@ -603,17 +603,17 @@
 fn cancellations_learned_from_a_peer_are_relayed() {
     for seed in 0..8 {
         let mut sim = busy(2300 + seed);
-        let (l, f, t) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(f),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
             PartitionMode::Drop,
             90 * SECOND,
         );
         sim.run_seconds(3);
-        assert_eq!(sim.leader(), Some(l), "seed {seed}");
-        sim.store.refused_controllers.push(t);
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        assert_eq!(sim.leader(), Some(leader), "seed {seed}");
+        sim.store.refused_controllers.push(third);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(5);
         gone_and_kept(&mut sim, seed);
     }
@@ -626,40 +626,40 @@
     let mut replaced = 0;
     for seed in 0..4 {
         let mut sim = busy(2320 + seed);
-        let (l, f, t) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(f),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
             PartitionMode::Drop,
             120 * SECOND,
         );
-        for m in sim.machine_names() {
+        for machine in sim.machine_names() {
             sim.partition(
-                Endpoint::Controller(f),
-                Endpoint::Agent(m.clone()),
+                Endpoint::Controller(follower),
+                Endpoint::Agent(machine.clone()),
                 PartitionMode::Drop,
                 120 * SECOND,
             );
             sim.partition(
-                Endpoint::Controller(t),
-                Endpoint::Agent(m),
+                Endpoint::Controller(third),
+                Endpoint::Agent(machine),
                 PartitionMode::Drop,
                 120 * SECOND,
             );
         }
         // New machines come to the new leader alone: their reports would show the old one its term.
-        for m in 6..16 {
-            let m = Endpoint::Agent(format!("n-{m:06}"));
+        for machine in 6..16 {
+            let machine = Endpoint::Agent(format!("n-{machine:06}"));
             sim.partition(
-                Endpoint::Controller(l),
-                m,
+                Endpoint::Controller(leader),
+                machine,
                 PartitionMode::Drop,
                 120 * SECOND,
             );
         }
-        sim.store.refused_controllers.extend([l, t]);
+        sim.store.refused_controllers.extend([leader, third]);
         sim.run_seconds(12);
-        replaced += usize::from(sim.leader() == Some(f));
+        replaced += usize::from(sim.leader() == Some(follower));
         for zone in ["a", "b", "a", "b"] {
             sim.add_machine(zone, false);
         }
@@ -682,13 +682,13 @@
 fn every_heartbeat_response_stops_cancelled_tasks() {
     for seed in 0..16 {
         let mut sim = busy(2340 + seed);
-        let (_, f, _) = parties(&sim);
+        let (_, follower, _) = parties(&sim);
         let until = sim.now + 120 * SECOND;
-        for m in sim.machine_names() {
+        for machine in sim.machine_names() {
             sim.faults
-                .drop_deliveries(&m, None, &[DroppedDelivery::Commands], until);
+                .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
-        gap(&mut sim, |sim, id| sim.cancel(f, id));
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
         // A heartbeat, a report, and what they take on their way.
         sim.run_micros(2_900_000);
         assert_eq!(
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -57,8 +57,8 @@
         }
         sim.run_seconds(90);
         let before = sim.failed_task_count();
-        let l = sim.leader().unwrap();
-        sim.crash_controller(l, 2 * SECOND);
+        let leader = sim.leader().unwrap();
+        sim.crash_controller(leader, 2 * SECOND);
         sim.run_seconds(40);
         let again = sim.failed_task_count() - before;
         assert!(again <= 32, "seed {seed}: {again} failures in 40 s");
@@ -90,8 +90,8 @@
         sim.faults.drop_all_deliveries(&deaf, until);
         // Its lease runs out by itself; a report or two later its replicas are elsewhere.
         sim.run_seconds(LEASE_S + 7);
-        for t in 0..4 {
-            let on = sim.machines_running(&format!("req-1/{t}"));
+        for task in 0..4 {
+            let on = sim.machines_running(&format!("req-1/{task}"));
             assert_eq!(on.len(), 1, "seed {seed}: {}", sim.dump());
             assert!(!on.contains(&deaf), "seed {seed}");
         }
@@ -149,9 +149,9 @@
         ];
         let what = [&both[..], &both[..1], &both[1..]][sim.rng.random_range(0..3)];
         let until = sim.now + sim.rng.random_range(5..50) * SECOND;
-        for m in sim.machine_names() {
-            if zone.is_none_or(|z| sim.agents[&m].zone == z) && sim.rng.random_bool(0.8) {
-                sim.faults.drop_deliveries(&m, of, what, until);
+        for machine in sim.machine_names() {
+            if zone.is_none_or(|z| sim.agents[&machine].zone == z) && sim.rng.random_bool(0.8) {
+                sim.faults.drop_deliveries(&machine, of, what, until);
                 half += 1;
             }
         }
@@ -161,11 +161,11 @@
         sim.run_seconds(6);
         sim.cancel_until_answered("req-5");
         if sim.rng.random_bool(0.4) {
-            let (l, back) = (
+            let (leader, back) = (
                 sim.leader().unwrap_or(0),
                 sim.rng.random_range(50_000..SECOND),
             );
-            sim.crash_controller(l, back);
+            sim.crash_controller(leader, back);
         }
         sim.run_seconds(150);
         for i in [2, 3, 4] {
@@ -231,12 +231,12 @@
         }
         let dt = sim.rng.random_range(5_000_000..25_000_000);
         sim.run_micros(dt);
-        for m in sim.machine_names() {
+        for machine in sim.machine_names() {
             if sim.rng.random_bool(0.5) {
                 for i in 0..3 {
                     sim.partition(
                         Endpoint::Controller(i),
-                        Endpoint::Agent(m.clone()),
+                        Endpoint::Agent(machine.clone()),
                         PartitionMode::Drop,
                         25 * SECOND,
                     );
@@ -319,18 +319,18 @@
         sim.no_capacity = true;
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
-        let l = sim.leader().unwrap();
-        only_its_workers(&mut sim, l, 60 * SECOND);
+        let leader = sim.leader().unwrap();
+        only_its_workers(&mut sim, leader, 60 * SECOND);
         sim.run_seconds(7);
-        assert_ne!(sim.health_status(l), 200, "users are sent away");
+        assert_ne!(sim.health_status(leader), 200, "users are sent away");
         sim.spawn_client_at(
-            &[(l + 1) % 3, (l + 2) % 3],
+            &[(leader + 1) % 3, (leader + 2) % 3],
             "req-2",
             job(JobKind::Array, 4, 1.0),
             2 * SECOND,
         );
         sim.spawn_client_at(
-            &[(l + 1) % 3, (l + 2) % 3],
+            &[(leader + 1) % 3, (leader + 2) % 3],
             "req-3",
             job(JobKind::Array, 2, 1.0),
             99 * SECOND,
@@ -345,9 +345,9 @@
         );
         sim.run_seconds(3);
         assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
-        sim.cancel((l + 1) % 3, "req-3");
+        sim.cancel((leader + 1) % 3, "req-3");
         sim.run_seconds(80);
-        assert_eq!(sim.health_status(l), 200);
+        assert_eq!(sim.health_status(leader), 200);
         let again: Vec<_> = sim.start_counts.iter().filter(|(_, n)| **n > 1).collect();
         assert!(again.is_empty(), "seed {seed}: {again:?}");
     }
@@ -361,14 +361,14 @@
         sim.restart_with_lease(16);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
-        let l = sim.leader().unwrap();
-        only_its_workers(&mut sim, l, 17 * SECOND);
-        for i in (0..3).filter(|i| *i != l) {
+        let leader = sim.leader().unwrap();
+        only_its_workers(&mut sim, leader, 17 * SECOND);
+        for i in (0..3).filter(|i| *i != leader) {
             sim.store.refused_controllers.push(i);
-            for m in sim.machine_names() {
+            for machine in sim.machine_names() {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m),
+                    Endpoint::Agent(machine),
                     PartitionMode::Drop,
                     17 * SECOND,
                 );
@@ -454,8 +454,8 @@
             });
             let step = sim.rng.random_range(0..60_000);
             sim.after(at + 2_600_000 + step, |sim| {
-                let l = sim.leader().unwrap_or(1);
-                sim.crash_controller(l, 40_000);
+                let leader = sim.leader().unwrap_or(1);
+                sim.crash_controller(leader, 40_000);
             });
         }
         sim.spawn_client("req-3", job(JobKind::Array, 6, 1.0), 4 * SECOND);
@@ -481,14 +481,17 @@
         sim.restart_with_lease(16);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
-        let l = sim.leader().unwrap();
-        let (dt, zone) = (24 * SECOND, if l.is_multiple_of(2) { "a" } else { "b" });
+        let leader = sim.leader().unwrap();
+        let (dt, zone) = (
+            24 * SECOND,
+            if leader.is_multiple_of(2) { "a" } else { "b" },
+        );
         let inside = |z: &str| z == zone;
         let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
         // Other controllers of the zone are lost, so the leader is alone in it.
-        for j in (0..3).filter(|j| *j != l) {
+        for j in (0..3).filter(|j| *j != leader) {
             sim.partition(
-                Endpoint::Controller(l),
+                Endpoint::Controller(leader),
                 Endpoint::Controller(j),
                 PartitionMode::Drop,
                 dt,
@@ -498,17 +501,17 @@
             }
         }
         sim.partition(
-            Endpoint::Controller(l),
+            Endpoint::Controller(leader),
             Endpoint::Store,
             PartitionMode::Drop,
             dt,
         );
-        for m in sim.machine_names() {
-            let here = inside(&sim.agents[&m].zone);
-            for i in (0..3).filter(|i| (*i == l) != here) {
+        for machine in sim.machine_names() {
+            let here = inside(&sim.agents[&machine].zone);
+            for i in (0..3).filter(|i| (*i == leader) != here) {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Drop,
                     dt,
                 );
@@ -529,25 +532,25 @@
         sim.no_capacity = true;
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(10);
-        let l = sim.leader().unwrap();
+        let leader = sim.leader().unwrap();
         // One machine reaches only a controller that the leader does not.
-        let m = homes(&sim, "req-1", 4)[0].clone();
-        let (f, other) = ((l + 1) % 3, (l + 2) % 3);
+        let machine = homes(&sim, "req-1", 4)[0].clone();
+        let (f, other) = ((leader + 1) % 3, (leader + 2) % 3);
         sim.partition(
-            Endpoint::Controller(l),
+            Endpoint::Controller(leader),
             Endpoint::Controller(f),
             PartitionMode::Drop,
             200 * SECOND,
         );
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Agent(m.clone()),
+            Endpoint::Controller(leader),
+            Endpoint::Agent(machine.clone()),
             PartitionMode::Drop,
             200 * SECOND,
         );
         sim.partition(
             Endpoint::Controller(other),
-            Endpoint::Agent(m.clone()),
+            Endpoint::Agent(machine.clone()),
             PartitionMode::Drop,
             200 * SECOND,
         );
@@ -563,7 +566,7 @@
             Some(&1),
             "seed {seed}: it is renewed"
         );
-        sim.agents.get_mut(&m).unwrap().alive = false;
+        sim.agents.get_mut(&machine).unwrap().alive = false;
         // A lease at the follower, the record, a lease at the leader, and a start.
         sim.run_seconds(2 * LEASE_S + 6);
         assert_eq!(
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -15,13 +15,13 @@
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
     sim.run_seconds(10);
-    let l = sim.leader().expect("a leader");
-    let (f, t) = ((l + 1) % 3, (l + 2) % 3);
-    for m in sim.machine_names().into_iter().take(2) {
-        for i in [l, t] {
+    let leader = sim.leader().expect("a leader");
+    let (follower, third) = ((leader + 1) % 3, (leader + 2) % 3);
+    for machine in sim.machine_names().into_iter().take(2) {
+        for i in [leader, third] {
             sim.partition(
                 Endpoint::Controller(i),
-                Endpoint::Agent(m.clone()),
+                Endpoint::Agent(machine.clone()),
                 PartitionMode::Drop,
                 120 * SECOND,
             );
@@ -29,8 +29,8 @@
     }
     // It cannot hand reports on either.
     sim.partition(
-        Endpoint::Controller(l),
-        Endpoint::Controller(f),
+        Endpoint::Controller(leader),
+        Endpoint::Controller(follower),
         PartitionMode::Drop,
         120 * SECOND,
     );
@@ -42,7 +42,7 @@
         "seed {seed}: kept by the follower\n{}",
         sim.dump()
     );
-    (sim, f, t)
+    (sim, follower, third)
 }
 
 #[test]
--- a/tests/failure_scenarios/job_dependencies.rs
+++ b/tests/failure_scenarios/job_dependencies.rs
@@ -114,8 +114,8 @@
         );
         sim.run_seconds(2);
         if seed % 2 == 0 {
-            let l = sim.leader().unwrap();
-            sim.crash_controller(l, 20 * SECOND);
+            let leader = sim.leader().unwrap();
+            sim.crash_controller(leader, 20 * SECOND);
         }
         sim.cancel_until_answered("req-1");
         sim.spawn_client(
@@ -194,8 +194,8 @@
         sim.run_seconds(5);
         sim.after(step * 150_000, move |sim| {
             if step % 2 == 0 {
-                let l = sim.leader().unwrap();
-                sim.crash_controller(l, 3 * SECOND);
+                let leader = sim.leader().unwrap();
+                sim.crash_controller(leader, 3 * SECOND);
             } else {
                 sim.store.outage = true;
             }
--- a/tests/failure_scenarios/main.rs
+++ b/tests/failure_scenarios/main.rs
@@ -31,10 +31,10 @@
             .filter(|x| x.zone != zone(i))
             .map(|x| x.name.clone())
             .collect();
-        for m in far {
+        for machine in far {
             sim.partition(
                 Endpoint::Controller(i),
-                Endpoint::Agent(m),
+                Endpoint::Agent(machine),
                 PartitionMode::Drop,
                 dt,
             );
@@ -44,15 +44,15 @@
 
 /// Who leads, and the two others.
 pub fn parties(sim: &Simulation) -> (usize, usize, usize) {
-    let l = sim.leader().expect("a leader");
-    (l, (l + 1) % 3, (l + 2) % 3)
+    let leader = sim.leader().expect("a leader");
+    (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
 pub fn cut_from_workers(sim: &mut Simulation, node: usize, names: &[String], dt: u64) {
-    for m in names {
+    for machine in names {
         sim.partition(
             Endpoint::Controller(node),
-            Endpoint::Agent(m.clone()),
+            Endpoint::Agent(machine.clone()),
             PartitionMode::Drop,
             dt,
         );
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -28,11 +28,11 @@
 #[test]
 fn delayed_start_does_not_run_after_cancellation() {
     let mut sim = simulation_with_leader(4, 2);
-    let l = sim.leader().unwrap();
-    for m in ["n-000001", "n-000002"] {
+    let leader = sim.leader().unwrap();
+    for machine in ["n-000001", "n-000002"] {
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Agent(m.into()),
+            Endpoint::Controller(leader),
+            Endpoint::Agent(machine.into()),
             PartitionMode::Delay,
             6 * SECOND,
         );
@@ -50,11 +50,11 @@
     let mut sim = simulation_with_leader(5, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
-    let (l, term) = (sim.leader().unwrap(), sim.term());
-    sim.store.refused_controllers.push(l);
+    let (leader, term) = (sim.leader().unwrap(), sim.term());
+    sim.store.refused_controllers.push(leader);
     sim.run_seconds(20);
     assert!(sim.term() > term);
-    assert_ne!(sim.leader(), Some(l));
+    assert_ne!(sim.leader(), Some(leader));
     sim.store.refused_controllers.clear();
     sim.run_seconds(20);
     assert_eq!(
@@ -69,38 +69,38 @@
     let mut sim = simulation_with_leader(6, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
-    let l = sim.leader().unwrap();
+    let leader = sim.leader().unwrap();
     // The leader and the machines of its zone are cut off from all others, and live on inside.
     let inside: Vec<String> = sim
         .agents
         .values()
-        .filter(|x| x.zone == if l.is_multiple_of(2) { "a" } else { "b" })
+        .filter(|x| x.zone == if leader.is_multiple_of(2) { "a" } else { "b" })
         .map(|x| x.name.clone())
         .collect();
-    for i in (0..3).filter(|i| *i != l) {
+    for i in (0..3).filter(|i| *i != leader) {
         sim.partition(
-            Endpoint::Controller(l),
+            Endpoint::Controller(leader),
             Endpoint::Controller(i),
             PartitionMode::Delay,
             70 * SECOND,
         );
-        for m in &inside {
+        for machine in &inside {
             sim.partition(
                 Endpoint::Controller(i),
-                Endpoint::Agent(m.clone()),
+                Endpoint::Agent(machine.clone()),
                 PartitionMode::Delay,
                 70 * SECOND,
             );
         }
     }
     sim.partition(
-        Endpoint::Controller(l),
+        Endpoint::Controller(leader),
         Endpoint::Store,
         PartitionMode::Delay,
         70 * SECOND,
     );
     sim.partition(
-        Endpoint::Controller(l),
+        Endpoint::Controller(leader),
         Endpoint::Cloud,
         PartitionMode::Delay,
         70 * SECOND,
@@ -151,7 +151,7 @@
             sim.crash_controller(i, back);
         }
         sim.run_seconds(25);
-        let (l, term) = (sim.leader().unwrap(), sim.term());
+        let (leader, term) = (sim.leader().unwrap(), sim.term());
         for (i, j) in [(0, 1), (0, 2), (1, 2)] {
             sim.partition(
                 Endpoint::Controller(i),
@@ -162,7 +162,11 @@
         }
         sim.run_seconds(40);
         // Which of the others one hears first is luck.
-        assert_eq!((sim.leader(), sim.term()), (Some(l), term), "seed {seed}");
+        assert_eq!(
+            (sim.leader(), sim.term()),
+            (Some(leader), term),
+            "seed {seed}"
+        );
     }
 }
 
@@ -171,11 +175,11 @@
     let mut sim = simulation_with_leader(47, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
-    let l = sim.leader().unwrap();
-    for m in sim.agents.keys().cloned().collect::<Vec<_>>() {
+    let leader = sim.leader().unwrap();
+    for machine in sim.agents.keys().cloned().collect::<Vec<_>>() {
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Agent(m),
+            Endpoint::Controller(leader),
+            Endpoint::Agent(machine),
             PartitionMode::Drop,
             60 * SECOND,
         );
@@ -207,9 +211,9 @@
     // The controller that renewed the leases goes, too.
     sim.crash_controller(1, 4 * SECOND);
     sim.run_seconds(120);
-    for t in 0..4 {
+    for task in 0..4 {
         assert_eq!(
-            sim.machines_running(&format!("req-1/{t}")).len(),
+            sim.machines_running(&format!("req-1/{task}")).len(),
             1,
             "{}",
             sim.dump()
@@ -222,11 +226,11 @@
     let mut sim = simulation_with_leader(7, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(8);
-    let m = sim.machines_running("req-1/0").into_iter().next().unwrap();
+    let machine = sim.machines_running("req-1/0").into_iter().next().unwrap();
     let until = sim.now + 9 * SECOND;
-    sim.agents.get_mut(&m).unwrap().hung_until = until;
-    let l = sim.leader().unwrap();
-    sim.crash_controller(l, 5 * SECOND);
+    sim.agents.get_mut(&machine).unwrap().hung_until = until;
+    let leader = sim.leader().unwrap();
+    sim.crash_controller(leader, 5 * SECOND);
     sim.run_seconds(60);
     assert_eq!(
         sim.machines_running("req-1/0").len(),
@@ -298,7 +302,7 @@
             let i = sim.rng.random_range(0..3usize);
             let k = sim.rng.random_range(1..8u32);
             sim.after(at, move |sim| {
-                let m = format!("n-{k:06}");
+                let machine = format!("n-{k:06}");
                 match what {
                     0 => sim.crash_controller(i, 4 * SECOND),
                     1 => (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND)),
@@ -318,28 +322,28 @@
                     4 => (0..3).for_each(|i| {
                         sim.partition(
                             Endpoint::Controller(i),
-                            Endpoint::Agent(m.clone()),
+                            Endpoint::Agent(machine.clone()),
                             PartitionMode::Delay,
                             dt,
                         );
                     }),
                     5 => {
                         let until = sim.now + dt;
-                        if let Some(x) = sim.agents.get_mut(&m) {
+                        if let Some(x) = sim.agents.get_mut(&machine) {
                             x.hung_until = until;
                         }
                     }
                     6 => {
-                        if let Some(x) = sim.agents.get_mut(&m) {
+                        if let Some(x) = sim.agents.get_mut(&machine) {
                             x.alive = false;
                         }
                     }
                     7 => cut_zones(sim, dt),
                     8 => {
-                        for m in sim.agents.keys().cloned().collect::<Vec<_>>() {
+                        for machine in sim.agents.keys().cloned().collect::<Vec<_>>() {
                             sim.partition(
                                 Endpoint::Controller(i),
-                                Endpoint::Agent(m),
+                                Endpoint::Agent(machine),
                                 PartitionMode::Delay,
                                 dt,
                             );
@@ -353,11 +357,12 @@
             });
         }
         sim.run_seconds(400);
-        for (id, t) in &sim.jobs {
-            if t.spec.kind != JobKind::Service {
-                let over = t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some();
+        for (id, truth) in &sim.jobs {
+            if truth.spec.kind != JobKind::Service {
+                let over =
+                    truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
                 assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
-            } else if t.cancellation_seen_at.is_none() {
+            } else if truth.cancellation_seen_at.is_none() {
                 let up = sim
                     .agents
                     .values()
@@ -367,7 +372,7 @@
                     })
                     .count();
                 assert!(
-                    up as u32 == t.spec.tasks,
+                    up as u32 == truth.spec.tasks,
                     "seed {seed}: {id}: {up} up\n{}",
                     sim.dump()
                 );
@@ -391,13 +396,13 @@
             5 * SECOND,
         );
         sim.run_seconds(4);
-        let l = sim.leader().unwrap();
+        let leader = sim.leader().unwrap();
         let mut all: Vec<Endpoint> = sim.agents.keys().cloned().map(Endpoint::Agent).collect();
-        all.extend((0..3).filter(|i| *i != l).map(Endpoint::Controller));
+        all.extend((0..3).filter(|i| *i != leader).map(Endpoint::Controller));
         all.extend([Endpoint::Store, Endpoint::Cloud]);
         for other in all {
             sim.partition(
-                Endpoint::Controller(l),
+                Endpoint::Controller(leader),
                 other,
                 PartitionMode::Delay,
                 40 * SECOND,
@@ -405,10 +410,10 @@
         }
         sim.run_seconds(8);
         let next = sim.leader().unwrap();
-        assert_ne!(next, l, "seed {seed}");
+        assert_ne!(next, leader, "seed {seed}");
         sim.crash_controller(next, 8 * SECOND);
         sim.run_seconds(20);
-        assert!(sim.leader().is_some_and(|x| x != l), "seed {seed}");
+        assert!(sim.leader().is_some_and(|x| x != leader), "seed {seed}");
         sim.run_seconds(60);
         assert!(
             sim.job_done("req-2") && sim.job_done("req-3"),
@@ -526,18 +531,19 @@
             });
         }
         sim.run_seconds(300);
-        for (id, t) in &sim.jobs {
-            if t.spec.kind == JobKind::Service && t.cancellation_seen_at.is_none() {
-                let up = (0..t.spec.tasks)
+        for (id, truth) in &sim.jobs {
+            if truth.spec.kind == JobKind::Service && truth.cancellation_seen_at.is_none() {
+                let up = (0..truth.spec.tasks)
                     .filter(|n| sim.machines_running(&format!("{id}/{n}")).len() == 1);
                 assert_eq!(
                     up.count() as u32,
-                    t.spec.tasks,
+                    truth.spec.tasks,
                     "seed {seed}: {id}\n{}",
                     sim.dump()
                 );
             } else {
-                let over = t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some();
+                let over =
+                    truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
                 assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
             }
         }
@@ -550,11 +556,11 @@
         let mut sim = simulation_with_leader(seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.run_seconds(20);
-        let (l, b, c) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         let term = sim.term();
         let names: Vec<String> = sim.agents.keys().cloned().collect();
-        cut_from_workers(&mut sim, l, &names, 60 * SECOND);
-        for (i, j) in [(l, b), (l, c), (b, c)] {
+        cut_from_workers(&mut sim, leader, &names, 60 * SECOND);
+        for (i, j) in [(leader, follower), (leader, third), (follower, third)] {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Controller(j),
@@ -563,7 +569,10 @@
             );
         }
         sim.run_seconds(16);
-        assert!(sim.leader() != Some(l) && sim.term() > term, "seed {seed}");
+        assert!(
+            sim.leader() != Some(leader) && sim.term() > term,
+            "seed {seed}"
+        );
         sim.spawn_client("req-2", job(JobKind::Array, 3, 1.0), 3 * SECOND);
         sim.run_seconds(25);
         assert!(sim.job_done("req-2"), "seed {seed}: the others serve");
@@ -586,8 +595,8 @@
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(20);
-        let (l, term) = (sim.leader().expect("a leader"), sim.term());
-        sim.crash_controller(l, 50_000);
+        let (leader, term) = (sim.leader().expect("a leader"), sim.term());
+        sim.crash_controller(leader, 50_000);
         sim.run_seconds(2);
         assert!(sim.leader().is_some(), "seed {seed}");
         sim.run_seconds(20);
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -36,8 +36,8 @@
         sim.spawn_client(id, job(JobKind::Gang, 1, 1.0), 60 * SECOND);
     }
     sim.run_seconds(40);
-    let m = sim.machines_running("req-1/0").into_iter().next().unwrap();
-    sim.agents.get_mut(&m).unwrap().alive = false;
+    let machine = sim.machines_running("req-1/0").into_iter().next().unwrap();
+    sim.agents.get_mut(&machine).unwrap().alive = false;
     sim.run_seconds(180);
     assert!(gangs.iter().all(|id| sim.job_done(id)));
     assert!(
@@ -52,8 +52,8 @@
     let mut sim = simulation_with_leader(12, 4);
     sim.spawn_client("req-1", job(JobKind::Gang, 2, 8.0), 30 * SECOND);
     sim.run_seconds(10);
-    let m = sim.machines_running("req-1/1").into_iter().next().unwrap();
-    sim.agents.get_mut(&m).unwrap().alive = false;
+    let machine = sim.machines_running("req-1/1").into_iter().next().unwrap();
+    sim.agents.get_mut(&machine).unwrap().alive = false;
     sim.run_seconds(120);
     assert!(sim.job_done("req-1"));
     assert_eq!(sim.start_counts["req-1/0"], 2);
@@ -68,11 +68,11 @@
     };
     sim.spawn_client("req-1", spec, 12 * SECOND);
     sim.run_seconds(6);
-    let m = sim.machines_running("req-1/0").into_iter().next().unwrap();
+    let machine = sim.machines_running("req-1/0").into_iter().next().unwrap();
     for i in 0..3 {
         sim.partition(
             Endpoint::Controller(i),
-            Endpoint::Agent(m.clone()),
+            Endpoint::Agent(machine.clone()),
             PartitionMode::Delay,
             LEASE_S * SECOND - SECOND,
         );
@@ -198,11 +198,11 @@
     );
 
     // A takeover reads the records once, and tells each agent the new term at most once.
-    let l = sim.leader().unwrap();
+    let leader = sim.leader().unwrap();
     sim.call_counts = CallCounts::default();
-    sim.crash_controller(l, 4 * SECOND);
+    sim.crash_controller(leader, 4 * SECOND);
     sim.run_seconds(15);
-    assert!(sim.leader().is_some_and(|x| x != l));
+    assert!(sim.leader().is_some_and(|x| x != leader));
     assert!(
         sim.call_counts.agent_commands <= 300,
         "{:?}",
@@ -315,7 +315,7 @@
 #[test]
 fn machine_with_a_spot_notice_gets_no_new_task() {
     let mut sim = Simulation::new(18, 3, 1);
-    let m = sim.add_machine("b", true);
+    let machine = sim.add_machine("b", true);
     sim.run_seconds(8);
     let mut spec = job(JobKind::Array, 10, 1.0);
     spec.spot = true;
@@ -323,9 +323,9 @@
     spec.save_s = 2.0;
     sim.spawn_client("req-1", spec, 20 * SECOND);
     sim.run_seconds(6);
-    sim.agents.get_mut(&m).unwrap().preemption_notice_s = Some(10.0);
+    sim.agents.get_mut(&machine).unwrap().preemption_notice_s = Some(10.0);
     sim.after(10 * SECOND, move |sim| {
-        sim.agents.get_mut(&m).unwrap().alive = false
+        sim.agents.get_mut(&machine).unwrap().alive = false
     });
     sim.run_seconds(120);
     assert!(sim.job_done("req-1"));
--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -12,8 +12,8 @@
     sim.spawn_client("req-1", job(JobKind::Array, 3, 1.0), 8 * SECOND);
     sim.run_seconds(2);
     sim.store.outage = true;
-    let l = sim.leader().unwrap();
-    sim.crash_controller(l, 5 * SECOND);
+    let leader = sim.leader().unwrap();
+    sim.crash_controller(leader, 5 * SECOND);
     sim.spawn_client("req-2", job(JobKind::Array, 1, 1.0), 3 * SECOND);
     sim.run_seconds(15);
     let now = sim.now;
@@ -113,8 +113,8 @@
     sim.after(early, |sim| sim.cancel_until_answered("req-3"));
     sim.store.outage = true;
     sim.run_seconds(6);
-    let l = sim.leader().expect("a leader");
-    sim.crash_controller(l, back);
+    let leader = sim.leader().expect("a leader");
+    sim.crash_controller(leader, back);
     sim
 }
 
@@ -173,7 +173,7 @@
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 4.0), 0);
         sim.run_seconds(12);
-        let (l, b, c) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         sim.store.outage = true;
         sim.run_seconds(4);
         let far: Vec<String> = sim
@@ -182,19 +182,19 @@
             .chain(sim.machines_running("req-1/1"))
             .collect();
         assert!(!far.is_empty());
-        for i in [b, c] {
+        for i in [follower, third] {
             sim.partition(
-                Endpoint::Controller(l),
+                Endpoint::Controller(leader),
                 Endpoint::Controller(i),
                 PartitionMode::Drop,
                 60 * SECOND,
             );
         }
-        cut_from_workers(&mut sim, l, &far, 60 * SECOND);
+        cut_from_workers(&mut sim, leader, &far, 60 * SECOND);
         sim.run_seconds(13);
         // The store is back for the leader alone, which cannot return machines.
         sim.cloud_unavailable = true;
-        sim.store.refused_controllers = vec![b, c];
+        sim.store.refused_controllers = vec![follower, third];
         let now = sim.now;
         sim.store.end_outage(now);
         sim.run_seconds(8);
@@ -222,31 +222,31 @@
         sim.spawn_client("req-1", job(JobKind::Service, 6, 4.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 4.0), 300 * SECOND);
         sim.run_seconds(12);
-        let (l, b, c) = parties(&sim);
+        let (leader, follower, third) = parties(&sim);
         sim.store.outage = true;
         sim.run_seconds(12);
         // Some machines come to the one that will be alone, the others stay.
         let names: Vec<String> = sim.agents.keys().cloned().collect();
-        for i in [l, c] {
+        for i in [leader, third] {
             sim.partition(
-                Endpoint::Controller(b),
+                Endpoint::Controller(follower),
                 Endpoint::Controller(i),
                 PartitionMode::Drop,
                 90 * SECOND,
             );
             cut_from_workers(&mut sim, i, &names[..2], 90 * SECOND);
         }
-        cut_from_workers(&mut sim, b, &names[2..], 90 * SECOND);
-        sim.store.refused_controllers = vec![l, c];
+        cut_from_workers(&mut sim, follower, &names[2..], 90 * SECOND);
+        sim.store.refused_controllers = vec![leader, third];
         sim.cloud_unavailable = true;
         let now = sim.now;
         sim.store.end_outage(now);
         for _ in 0..60 {
-            sim.cancel(b, "req-2");
+            sim.cancel(follower, "req-2");
             sim.run_seconds(1);
         }
         sim.cloud_unavailable = false;
-        assert_eq!(sim.leader(), Some(b), "seed {seed}");
+        assert_eq!(sim.leader(), Some(follower), "seed {seed}");
         assert_eq!(
             sim.last_status("req-2"),
             "cancelled",
@@ -275,8 +275,11 @@
         sim.run_seconds(4);
         sim.store.outage = true;
         sim.run_seconds(4);
-        let (l, b, c) = parties(&sim);
-        for (n, i) in [l, b, c, l, b].into_iter().enumerate() {
+        let (leader, follower, third) = parties(&sim);
+        for (n, i) in [leader, follower, third, leader, follower]
+            .into_iter()
+            .enumerate()
+        {
             let back = sim.rng.random_range(50_000..400_000);
             sim.after(n as u64 * 7 * SECOND, move |sim| {
                 sim.crash_controller(i, back)
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -30,8 +30,8 @@
         sim.run_seconds(3);
         sim.store.limits = Some(low);
         sim.run_seconds(4);
-        let l = sim.leader().unwrap();
-        sim.crash_controller(l, 3 * SECOND);
+        let leader = sim.leader().unwrap();
+        sim.crash_controller(leader, 3 * SECOND);
         sim.spawn_client("req-77", job(JobKind::Array, 1, 1.0), SECOND);
         sim.run_seconds(200);
         assert_eq!(sim.store.rejected_for_size, 0);
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -108,13 +108,18 @@
             8 * SECOND,
         );
         sim.run_seconds(10);
-        let l = sim.leader().expect("a leader");
-        let others = [(l + 1) % 3, (l + 2) % 3];
+        let leader = sim.leader().expect("a leader");
+        let others = [(leader + 1) % 3, (leader + 2) % 3];
         let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
         let dt = sim.rng.random_range(12..55) * SECOND;
-        sim.partition(Endpoint::Controller(l), Endpoint::Store, how, dt);
-        for o in others {
-            sim.partition(Endpoint::Controller(l), Endpoint::Controller(o), how, dt);
+        sim.partition(Endpoint::Controller(leader), Endpoint::Store, how, dt);
+        for other in others {
+            sim.partition(
+                Endpoint::Controller(leader),
+                Endpoint::Controller(other),
+                how,
+                dt,
+            );
         }
         let at = sim.rng.random_range(4 * SECOND..9 * SECOND);
         sim.after(at, move |sim| sim.cancel(others[0], "req-2"));
@@ -122,12 +127,12 @@
         for s in 0..80 {
             sim.after(s * SECOND, move |sim| {
                 for n in 1..6 {
-                    sim.poll(l, &format!("req-{n}"));
+                    sim.poll(leader, &format!("req-{n}"));
                 }
                 // Repeats of submissions and of the cancellation come to it as well.
-                sim.submit(l, "req-2");
+                sim.submit(leader, "req-2");
                 if s > 30 {
-                    sim.cancel(l, "req-2");
+                    sim.cancel(leader, "req-2");
                 }
             });
         }
@@ -170,12 +175,12 @@
         };
         sim.spawn_client("req-8", gang, 14 * SECOND);
         sim.run_seconds(4);
-        for k in 0..sim.rng.random_range(1..5u64) {
-            let at = k * 7 * SECOND + sim.rng.random_range(0..7 * SECOND);
+        for step in 0..sim.rng.random_range(1..5u64) {
+            let at = step * 7 * SECOND + sim.rng.random_range(0..7 * SECOND);
             let back = [20_000, 400_000, 5 * SECOND][sim.rng.random_range(0..3)];
             sim.after(at, move |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.crash_controller(l, back);
+                let leader = sim.leader().unwrap_or(0);
+                sim.crash_controller(leader, back);
             });
             if sim.rng.random_bool(0.5) {
                 let lost = sim.rng.random_range(200_000..2 * SECOND);
@@ -219,8 +224,8 @@
         }
         let pause = sim.rng.random_range(2 * SECOND..9 * SECOND);
         sim.run_micros(pause);
-        let l = sim.leader().unwrap_or(0);
-        sim.store.refused_controllers.push(l);
+        let leader = sim.leader().unwrap_or(0);
+        sim.store.refused_controllers.push(leader);
         let pause = sim.rng.random_range(SECOND / 5..6 * SECOND);
         sim.run_micros(pause);
         sim.store.outage = true;
@@ -263,18 +268,18 @@
         sim.spawn_client("req-3", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.spawn_client("req-4", job(JobKind::Gang, 2, 2.0), 60 * SECOND);
         sim.run_seconds(10);
-        let l = sim.leader().expect("a leader");
-        let others = [(l + 1) % 3, (l + 2) % 3];
+        let leader = sim.leader().expect("a leader");
+        let others = [(leader + 1) % 3, (leader + 2) % 3];
         let dt = sim.rng.random_range(6..50) * SECOND;
         let until = sim.now + dt;
-        for m in sim.machine_names().into_iter().take(3) {
+        for machine in sim.machine_names().into_iter().take(3) {
             match seed % 4 {
-                0 => sim.agents.get_mut(&m).unwrap().hung_until = until,
-                1 => sim.faults.drop_all_deliveries(&m, until),
+                0 => sim.agents.get_mut(&machine).unwrap().hung_until = until,
+                1 => sim.faults.drop_all_deliveries(&machine, until),
                 2 => others.iter().for_each(|o| {
                     sim.partition(
                         Endpoint::Controller(*o),
-                        Endpoint::Agent(m.clone()),
+                        Endpoint::Agent(machine.clone()),
                         PartitionMode::Delay,
                         dt,
                     );
@@ -284,13 +289,13 @@
                         DroppedDelivery::HeartbeatResponses,
                         DroppedDelivery::Commands,
                     ];
-                    sim.faults.drop_deliveries(&m, Some(*o), &what, until);
+                    sim.faults.drop_deliveries(&machine, Some(*o), &what, until);
                 }),
             }
         }
         let at = sim.rng.random_range(0..4 * SECOND);
         let back = [30_000, 9 * SECOND, 40 * SECOND][seed as usize / 4 % 3];
-        sim.after(at, move |sim| sim.crash_controller(l, back));
+        sim.after(at, move |sim| sim.crash_controller(leader, back));
         let at = sim.rng.random_range(0..12 * SECOND);
         sim.after(at, |sim| sim.cancel_until_answered("req-3"));
         sim.run_seconds(220);
@@ -327,17 +332,17 @@
                 max_delay: 25 * SECOND,
             });
         }
-        for k in 0..3 {
-            let at = k * 6 * SECOND + sim.rng.random_range(0..3 * SECOND);
+        for step in 0..3 {
+            let at = step * 6 * SECOND + sim.rng.random_range(0..3 * SECOND);
             let back = sim.rng.random_range(20_000..900_000);
             // The leader, its successor, and the first again.
             sim.after(at, move |sim| {
-                let l = sim.leader().unwrap_or(1);
-                sim.crash_controller(l, back);
+                let leader = sim.leader().unwrap_or(1);
+                sim.crash_controller(leader, back);
             });
             sim.after(at + 2 * SECOND, |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.pause_controller(l, 3 * SECOND);
+                let leader = sim.leader().unwrap_or(0);
+                sim.pause_controller(leader, 3 * SECOND);
             });
         }
         let back: Vec<u64> = (0..3)
@@ -379,18 +384,18 @@
         };
         sim.spawn_client("req-2", low.clone(), 25 * SECOND);
         sim.spawn_client("req-3", low, 25 * SECOND);
-        for k in 0..10u64 {
+        for step in 0..10u64 {
             let held = sim.rng.random_range(SECOND..9 * SECOND);
             let dt = sim.rng.random_range(SECOND..5 * SECOND);
-            sim.after(k * 5 * SECOND, move |sim| sim.command_delay = Some(held));
-            sim.after(k * 5 * SECOND + dt, |sim| sim.command_delay = None);
-            if k % 3 == 1 {
-                sim.after(k * 5 * SECOND + dt / 2, |sim| {
+            sim.after(step * 5 * SECOND, move |sim| sim.command_delay = Some(held));
+            sim.after(step * 5 * SECOND + dt, |sim| sim.command_delay = None);
+            if step % 3 == 1 {
+                sim.after(step * 5 * SECOND + dt / 2, |sim| {
                     for i in 0..3 {
-                        for m in sim.machine_names().into_iter().take(2) {
+                        for machine in sim.machine_names().into_iter().take(2) {
                             sim.partition(
                                 Endpoint::Controller(i),
-                                Endpoint::Agent(m),
+                                Endpoint::Agent(machine),
                                 PartitionMode::Delay,
                                 3 * SECOND,
                             );
@@ -443,27 +448,27 @@
         }
         sim.run_seconds(20);
         sim.cancel_until_answered("req-4");
-        for k in 0..sim.rng.random_range(0..4u64) {
-            let (at, back) = (k * 8 * SECOND, sim.rng.random_range(20_000..4 * SECOND));
+        for step in 0..sim.rng.random_range(0..4u64) {
+            let (at, back) = (step * 8 * SECOND, sim.rng.random_range(20_000..4 * SECOND));
             sim.after(at, move |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.crash_controller(l, back);
+                let leader = sim.leader().unwrap_or(0);
+                sim.crash_controller(leader, back);
             });
         }
         if seed % 4 == 0 {
             // A follower renews on record, with writes that come late.
-            let l = sim.leader().unwrap_or(0);
-            let f = (l + 1) % 3;
+            let leader = sim.leader().unwrap_or(0);
+            let follower = (leader + 1) % 3;
             sim.partition(
-                Endpoint::Controller(l),
-                Endpoint::Controller(f),
+                Endpoint::Controller(leader),
+                Endpoint::Controller(follower),
                 PartitionMode::Drop,
                 25 * SECOND,
             );
-            for m in sim.machine_names().into_iter().take(3) {
+            for machine in sim.machine_names().into_iter().take(3) {
                 sim.partition(
-                    Endpoint::Controller(l),
-                    Endpoint::Agent(m),
+                    Endpoint::Controller(leader),
+                    Endpoint::Agent(machine),
                     PartitionMode::Drop,
                     25 * SECOND,
                 );
@@ -502,24 +507,24 @@
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 5, 1.0), 60 * SECOND);
         sim.run_seconds(10);
-        let l = sim.leader().expect("a leader");
-        let f = (l + 1) % 3;
+        let leader = sim.leader().expect("a leader");
+        let follower = (leader + 1) % 3;
         sim.partition(
-            Endpoint::Controller(l),
-            Endpoint::Controller(f),
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
             PartitionMode::Drop,
             50 * SECOND,
         );
-        for m in sim.machine_names().into_iter().take(3) {
+        for machine in sim.machine_names().into_iter().take(3) {
             sim.partition(
-                Endpoint::Controller(l),
-                Endpoint::Agent(m.clone()),
+                Endpoint::Controller(leader),
+                Endpoint::Agent(machine.clone()),
                 PartitionMode::Drop,
                 50 * SECOND,
             );
             sim.partition(
-                Endpoint::Controller((l + 2) % 3),
-                Endpoint::Agent(m),
+                Endpoint::Controller((leader + 2) % 3),
+                Endpoint::Agent(machine),
                 PartitionMode::Drop,
                 50 * SECOND,
             );
@@ -527,9 +532,11 @@
         sim.run_seconds(12);
         let at = sim.rng.random_range(0..4 * SECOND);
         let back = [20_000, 300_000, 900_000, 100 * SECOND][seed as usize % 4];
-        sim.after(at, move |sim| sim.crash_controller(f, back));
+        sim.after(at, move |sim| sim.crash_controller(follower, back));
         if seed % 3 == 0 {
-            sim.after(at + 3 * SECOND, move |sim| sim.crash_controller(f, back));
+            sim.after(at + 3 * SECOND, move |sim| {
+                sim.crash_controller(follower, back)
+            });
         }
         sim.run_seconds(150);
         assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
@@ -559,18 +566,18 @@
                 apart(sim, &id, JobKind::Array, 3, 3 * SECOND, 2 * SECOND)
             });
         }
-        for k in 0..3u64 {
-            let at = k * 14 * SECOND + sim.rng.random_range(0..9 * SECOND);
+        for step in 0..3u64 {
+            let at = step * 14 * SECOND + sim.rng.random_range(0..9 * SECOND);
             match seed % 3 {
                 0 => sim.after(at, |sim| {
-                    let l = sim.leader().unwrap_or(0);
-                    sim.crash_controller(l, 400_000);
+                    let leader = sim.leader().unwrap_or(0);
+                    sim.crash_controller(leader, 400_000);
                 }),
                 // Machines with half of the tasks are lost: all of these get places at once.
                 1 => sim.after(at, |sim| {
-                    for m in sim.machine_names().into_iter().take(2) {
-                        sim.failed_machines.insert(m.clone());
-                        sim.agents.get_mut(&m).unwrap().alive = false;
+                    for machine in sim.machine_names().into_iter().take(2) {
+                        sim.failed_machines.insert(machine.clone());
+                        sim.agents.get_mut(&machine).unwrap().alive = false;
                     }
                 }),
                 _ => {}
@@ -622,27 +629,27 @@
             );
         }
         sim.run_seconds(10);
-        let l = sim.leader().expect("a leader");
-        let f = (l + 1) % 3;
+        let leader = sim.leader().expect("a leader");
+        let follower = (leader + 1) % 3;
         match seed % 3 {
-            0 => sim.crash_controller(l, 50_000),
+            0 => sim.crash_controller(leader, 50_000),
             1 => {
-                for m in sim.machine_names().into_iter().take(3) {
+                for machine in sim.machine_names().into_iter().take(3) {
                     let until = sim.now + sim.rng.random_range(8..30) * SECOND;
-                    sim.faults.drop_all_deliveries(&m, until);
+                    sim.faults.drop_all_deliveries(&machine, until);
                 }
             }
             _ => {
                 sim.partition(
-                    Endpoint::Controller(l),
-                    Endpoint::Controller(f),
+                    Endpoint::Controller(leader),
+                    Endpoint::Controller(follower),
                     PartitionMode::Drop,
                     40 * SECOND,
                 );
-                for m in sim.machine_names().into_iter().take(3) {
+                for machine in sim.machine_names().into_iter().take(3) {
                     sim.partition(
-                        Endpoint::Controller(l),
-                        Endpoint::Agent(m),
+                        Endpoint::Controller(leader),
+                        Endpoint::Agent(machine),
                         PartitionMode::Delay,
                         40 * SECOND,
                     );
@@ -651,7 +658,9 @@
         }
         sim.run_seconds(6);
         sim.cancel_until_answered("req-3");
-        sim.after(12 * SECOND, move |sim| sim.crash_controller(f, 60_000));
+        sim.after(12 * SECOND, move |sim| {
+            sim.crash_controller(follower, 60_000)
+        });
         sim.run_seconds(60);
         sim.faults.clear();
         sim.run_seconds(110);
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -22,8 +22,8 @@
 }
 
 fn crash_leader(sim: &mut Simulation, back: u64) {
-    let l = leader(sim);
-    sim.crash_controller(l, back);
+    let leader = leader(sim);
+    sim.crash_controller(leader, back);
 }
 
 fn assert_done(sim: &Simulation, seed: u64, ids: &[&str]) {
@@ -117,26 +117,26 @@
         let machines: Vec<String> = machines.collect();
         let dt = sim.rng.random_range(4..45) * SECOND;
         let until = sim.now + dt;
-        for m in &machines {
+        for machine in &machines {
             match seed % 4 {
                 0 => (0..3).for_each(|i| {
                     sim.partition(
                         Endpoint::Controller(i),
-                        Endpoint::Agent(m.clone()),
+                        Endpoint::Agent(machine.clone()),
                         PartitionMode::Delay,
                         dt,
                     )
                 }),
-                1 => sim.agents.get_mut(m).expect("a machine").hung_until = until,
-                2 => sim.faults.silence_heartbeats(m, until),
-                _ => sim.faults.drop_all_deliveries(m, until),
+                1 => sim.agents.get_mut(machine).expect("a machine").hung_until = until,
+                2 => sim.faults.silence_heartbeats(machine, until),
+                _ => sim.faults.drop_all_deliveries(machine, until),
             }
         }
         let at = sim.rng.random_range(0..5 * SECOND);
         sim.after(at, |sim| sim.cancel_until_answered("req-0"));
         sim.after(at + SECOND, |sim| sim.cancel_until_answered("req-1"));
-        for k in 0..1 + seed % 3 {
-            let at = sim.rng.random_range(0..8 * SECOND) + k * 6 * SECOND;
+        for step in 0..1 + seed % 3 {
+            let at = sim.rng.random_range(0..8 * SECOND) + step * 6 * SECOND;
             let back = [20_000, 500_000, 6 * SECOND][sim.rng.random_range(0..3)];
             sim.after(at, move |sim| crash_leader(sim, back));
         }
@@ -178,20 +178,20 @@
         match seed % 4 {
             0 => sim.after(at, |sim| crash_leader(sim, 50_000)),
             1 => sim.after(at, |sim| {
-                let l = leader(sim);
-                sim.pause_controller(l, 7 * SECOND);
+                let leader = leader(sim);
+                sim.pause_controller(leader, 7 * SECOND);
             }),
             2 => sim.after(at, |sim| {
-                let l = leader(sim);
+                let leader = leader(sim);
                 sim.partition(
-                    Endpoint::Controller(l),
+                    Endpoint::Controller(leader),
                     Endpoint::Store,
                     PartitionMode::Delay,
                     9 * SECOND,
                 );
-                for o in (0..3).filter(|o| *o != l) {
+                for o in (0..3).filter(|o| *o != leader) {
                     sim.partition(
-                        Endpoint::Controller(l),
+                        Endpoint::Controller(leader),
                         Endpoint::Controller(o),
                         PartitionMode::Delay,
                         9 * SECOND,
@@ -199,8 +199,8 @@
                 }
             }),
             _ => sim.after(at, |sim| {
-                let l = leader(sim);
-                sim.store.refused_controllers.push(l);
+                let leader = leader(sim);
+                sim.store.refused_controllers.push(leader);
                 sim.after(8 * SECOND, |sim| sim.store.refused_controllers.clear());
             }),
         }
@@ -233,10 +233,10 @@
         }
         sim.faults.delayed_write_probability = [0.0, 0.2, 0.4][seed as usize % 3];
         sim.faults.lost_write_answer_probability = [0.2, 0.0][seed as usize % 2];
-        for k in 0..3u64 {
-            let at = k * 3 * SECOND + sim.rng.random_range(0..3 * SECOND);
+        for step in 0..3u64 {
+            let at = step * 3 * SECOND + sim.rng.random_range(0..3 * SECOND);
             sim.after(at, move |sim| {
-                crash_leader(sim, [30_000, 2 * SECOND][k as usize % 2])
+                crash_leader(sim, [30_000, 2 * SECOND][step as usize % 2])
             });
         }
         sim.after(6 * SECOND, |sim| sim.cancel_until_answered("req-10"));
@@ -274,29 +274,32 @@
             });
         }
         sim.run_seconds(8);
-        let m = sim.machine_names().remove(seed as usize % 5);
+        let machine = sim.machine_names().remove(seed as usize % 5);
         match seed % 4 {
-            0 => sim.agents.get_mut(&m).expect("it").hung_until = sim.now + (LEASE_S + 3) * SECOND,
+            0 => {
+                sim.agents.get_mut(&machine).expect("it").hung_until =
+                    sim.now + (LEASE_S + 3) * SECOND
+            }
             1 => sim
                 .faults
-                .silence_heartbeats(&m, sim.now + (LEASE_S + 5) * SECOND),
+                .silence_heartbeats(&machine, sim.now + (LEASE_S + 5) * SECOND),
             2 => {
-                sim.failed_machines.insert(m.clone());
-                sim.agents.get_mut(&m).expect("it").alive = false;
+                sim.failed_machines.insert(machine.clone());
+                sim.agents.get_mut(&machine).expect("it").alive = false;
             }
             _ => (0..3).for_each(|i| {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Drop,
                     16 * SECOND,
                 );
             }),
         }
-        for k in 0..4u64 {
-            let at = k * 9 * SECOND + sim.rng.random_range(0..4 * SECOND);
+        for step in 0..4u64 {
+            let at = step * 9 * SECOND + sim.rng.random_range(0..4 * SECOND);
             sim.after(at, move |sim| {
-                crash_leader(sim, [20_000, SECOND][k as usize % 2])
+                crash_leader(sim, [20_000, SECOND][step as usize % 2])
             });
         }
         sim.after(15 * SECOND, |sim| sim.cancel_until_answered("req-2"));
@@ -339,8 +342,8 @@
             });
         }
         if seed >= 2 {
-            for k in 0..10u64 {
-                sim.after(k * 12 * SECOND, |sim| crash_leader(sim, 300_000));
+            for step in 0..10u64 {
+                sim.after(step * 12 * SECOND, |sim| crash_leader(sim, 300_000));
             }
             sim.after(58 * SECOND, |sim| sim.store.outage = true);
             sim.after(64 * SECOND, |sim| {
@@ -498,19 +501,19 @@
         };
         sim.spawn_client("req-5", spread, 0);
         sim.run_seconds(8);
-        for k in 0..4u64 {
-            let at = k * 5 * SECOND;
+        for step in 0..4u64 {
+            let at = step * 5 * SECOND;
             sim.after(at, move |sim| {
                 let names = sim.machine_names();
-                let m = names[sim.rng.random_range(0..names.len())].clone();
+                let machine = names[sim.rng.random_range(0..names.len())].clone();
                 let until = sim.now + sim.rng.random_range(5..25) * SECOND;
-                match (seed + k) % 3 {
+                match (seed + step) % 3 {
                     0 => {
-                        sim.failed_machines.insert(m.clone());
-                        sim.agents.get_mut(&m).expect("it").alive = false;
+                        sim.failed_machines.insert(machine.clone());
+                        sim.agents.get_mut(&machine).expect("it").alive = false;
                     }
-                    1 => sim.agents.get_mut(&m).expect("it").hung_until = until,
-                    _ => sim.faults.silence_heartbeats(&m, until),
+                    1 => sim.agents.get_mut(&machine).expect("it").hung_until = until,
+                    _ => sim.faults.silence_heartbeats(&machine, until),
                 }
             });
         }
@@ -584,8 +587,8 @@
         sim.spawn_client("req-1", job(JobKind::Service, 2, 7.0), 0);
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 2);
-        for m in sim.machine_names() {
-            sim.agents.get_mut(&m).expect("a machine").fails_tasks = true;
+        for machine in sim.machine_names() {
+            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = true;
         }
         for n in 0..1 + seed % 4 {
             sim.spawn_balanced_client(
@@ -595,8 +598,8 @@
             );
         }
         sim.run_seconds(8);
-        for m in sim.machine_names() {
-            sim.agents.get_mut(&m).expect("a machine").fails_tasks = false;
+        for machine in sim.machine_names() {
+            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = false;
         }
         sim.declare_faults_over();
         sim.run_seconds(150);
@@ -620,11 +623,11 @@
         sim.spawn_client("req-1", red(6, 2.0), 20 * SECOND);
         sim.spawn_client("req-2", red(6, 2.0), 6 * SECOND);
         sim.run_seconds(9);
-        let m = sim
+        let machine = sim
             .machines_running("req-1/0")
             .pop_first()
             .expect("a machine");
-        sim.agents.get_mut(&m).expect("it").hung_until = sim.now + (LEASE_S + 6) * SECOND;
+        sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + (LEASE_S + 6) * SECOND;
         sim.after(3 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.after(17 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.run_seconds(60);
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -31,8 +31,8 @@
 #[test]
 fn start_after_confirmed_cancellation_is_reported() {
     let start = |sim: &mut Simulation| {
-        let l = sim.leader().expect("a leader");
-        sim.inject_start(l, "n-000001", "req-1/0", 9);
+        let leader = sim.leader().expect("a leader");
+        sim.inject_start(leader, "n-000001", "req-1/0", 9);
     };
     let mut sim = running(3900, job(JobKind::Array, 2, 1.0));
     sim.cancel_until_answered("req-1");
@@ -53,24 +53,24 @@
 fn cancelled_task_running_after_a_hang_is_reported() {
     for lease_over in [false, true] {
         let mut sim = running(3910, job(JobKind::Array, 1, 1.0));
-        let m = sim
+        let machine = sim
             .machines_running("req-1/0")
             .pop_first()
             .expect("a machine");
         sim.cancel_until_answered("req-1");
         // The machine stands still, and the leader does not return it.
         sim.cloud_unavailable = true;
-        sim.agents.get_mut(&m).expect("it").hung_until = sim.now + 40 * SECOND;
+        sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 40 * SECOND;
         let dt = if lease_over { LEASE_S + 2 } else { 2 };
         sim.run_seconds(dt);
         let key = ("req-1/0".to_string(), 1);
         if lease_over {
             // An agent whose clock stood still, too, would not know that its lease is over.
-            assert!(sim.agents[&m].tasks.is_empty());
-            sim.inject_running_task(&m, key);
+            assert!(sim.agents[&machine].tasks.is_empty());
+            sim.inject_running_task(&machine, key);
         }
         for s in 0..CANCEL_DEADLINE_S + 4 {
-            let of = m.clone();
+            let of = machine.clone();
             sim.after(s * SECOND, move |sim| {
                 let now = sim.now;
                 if let Some(x) = sim.agents.get_mut(&of) {
@@ -171,17 +171,17 @@
         sim.spawn_client("req-1", red, 300 * SECOND);
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 6);
-        let m = sim
+        let machine = sim
             .machines_running("req-1/0")
             .pop_first()
             .expect("a machine");
         if trouble == 0 {
-            sim.agents.get_mut(&m).expect("it").hung_until = sim.now + 5 * SECOND;
+            sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 5 * SECOND;
         } else {
             for i in 0..3 {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     simulation::PartitionMode::Drop,
                     5 * SECOND,
                 );
@@ -196,7 +196,7 @@
         let other = sim
             .machine_names()
             .into_iter()
-            .find(|n| *n != m)
+            .find(|n| *n != machine)
             .expect("another");
         sim.inject_running_task(&other, ("req-2/0".to_string(), 1));
         assert_eq!(reported(sim, 1), "quota");
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -28,9 +28,9 @@
             sim.crash_controller(i, back);
         }
         1 => {
-            for k in 0..sim.rng.random_range(2..4) {
+            for step in 0..sim.rng.random_range(2..4) {
                 let back = sim.rng.random_range(20_000..8 * SECOND);
-                sim.crash_controller((i + k) % 3, back);
+                sim.crash_controller((i + step) % 3, back);
             }
         }
         2 => sim.pause_controller(leader, dt),
@@ -75,9 +75,9 @@
         }
         8 => {
             let (chance, until) = (sim.rng.random_range(0.1..0.6), sim.now + dt);
-            for m in sim.machine_names() {
+            for machine in sim.machine_names() {
                 if sim.rng.random_bool(chance) {
-                    sim.faults.drop_all_deliveries(&m, until);
+                    sim.faults.drop_all_deliveries(&machine, until);
                 }
             }
         }
@@ -88,10 +88,10 @@
             });
         }
         _ => {
-            let m = sim.machine_names();
-            let m = &m[sim.rng.random_range(0..m.len())];
+            let machine = sim.machine_names();
+            let machine = &machine[sim.rng.random_range(0..machine.len())];
             let until = sim.now + dt;
-            sim.agents.get_mut(m).expect("a machine").hung_until = until;
+            sim.agents.get_mut(machine).expect("a machine").hung_until = until;
         }
     }
 }
@@ -224,8 +224,8 @@
         }
         sim.run_seconds(1);
         if crash && s == 40 {
-            let l = sim.leader().unwrap_or(0);
-            sim.crash_controller(l, 2 * SECOND);
+            let leader = sim.leader().unwrap_or(0);
+            sim.crash_controller(leader, 2 * SECOND);
         }
         if let Some(t) = begun(&sim, "req-1", since) {
             return Some(t);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -30,10 +30,10 @@
     let mut sim = full(1);
     sim.call_counts = CallCounts::default();
     // All are with the leader; its process goes, and that of one peer.
-    let l = sim.leader().expect("a leader");
-    let left = (l + 1) % 3;
-    sim.crash_controller(l, 60 * SECOND);
-    sim.crash_controller((l + 2) % 3, 60 * SECOND);
+    let leader = sim.leader().expect("a leader");
+    let left = (leader + 1) % 3;
+    sim.crash_controller(leader, 60 * SECOND);
+    sim.crash_controller((leader + 2) % 3, 60 * SECOND);
     sim.crash_controller(left, 200_000);
     sim.run_seconds(30);
     assert_eq!(sim.leader(), Some(left));
@@ -67,8 +67,8 @@
     for every in [150_000, 400_000, 1_000_000] {
         let mut sim = full(2);
         sim.call_counts = CallCounts::default();
-        for k in 0..6 * SECOND / every {
-            sim.after(k * every, |sim| {
+        for step in 0..6 * SECOND / every {
+            sim.after(step * every, |sim| {
                 (0..3).for_each(|i| sim.crash_controller(i, 50_000))
             });
         }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -88,8 +88,8 @@
         }
         if seed % 2 == 0 {
             sim.after(4 * SECOND, |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.crash_controller(l, 100_000);
+                let leader = sim.leader().unwrap_or(0);
+                sim.crash_controller(leader, 100_000);
             });
         }
         for _ in 0..40 {
@@ -133,16 +133,16 @@
         sim.spawn_client("req-2", job(JobKind::Array, 5, 1.0), 300 * SECOND);
         sim.spawn_client("req-3", job(JobKind::Array, 2, 1.0), 30 * SECOND);
         sim.run_seconds(10);
-        for k in 0..4u64 {
-            let at = k * 8 * SECOND + sim.rng.random_range(0..3 * SECOND);
-            match (seed + k) % 4 {
+        for step in 0..4u64 {
+            let at = step * 8 * SECOND + sim.rng.random_range(0..3 * SECOND);
+            match (seed + step) % 4 {
                 0 => sim.after(at, |sim| {
-                    let l = sim.leader().unwrap_or(0);
-                    sim.crash_controller(l, 30_000);
+                    let leader = sim.leader().unwrap_or(0);
+                    sim.crash_controller(leader, 30_000);
                 }),
                 1 => sim.after(at, |sim| {
-                    let l = sim.leader().unwrap_or(0);
-                    sim.store.refused_controllers.push(l);
+                    let leader = sim.leader().unwrap_or(0);
+                    sim.store.refused_controllers.push(leader);
                     sim.after(6 * SECOND, |sim| sim.store.refused_controllers.clear());
                 }),
                 2 => sim.after(at, |sim| {
@@ -153,10 +153,10 @@
                     });
                 }),
                 _ => sim.after(at, |sim| {
-                    let l = sim.leader().unwrap_or(0);
+                    let leader = sim.leader().unwrap_or(0);
                     sim.partition(
-                        Endpoint::Controller(l),
-                        Endpoint::Controller((l + 1) % 3),
+                        Endpoint::Controller(leader),
+                        Endpoint::Controller((leader + 1) % 3),
                         PartitionMode::Delay,
                         7 * SECOND,
                     );
@@ -195,12 +195,12 @@
         sim.spawn_client("req-1", red(6), 60 * SECOND);
         sim.spawn_client("req-2", job(JobKind::Service, 6, 1.0), 0);
         sim.run_seconds(12);
-        let l = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("a leader");
         let all = sim.machine_names();
-        for m in &all {
+        for machine in &all {
             sim.partition(
-                Endpoint::Controller(l),
-                Endpoint::Agent(m.clone()),
+                Endpoint::Controller(leader),
+                Endpoint::Agent(machine.clone()),
                 PartitionMode::Drop,
                 30 * SECOND,
             );
@@ -218,7 +218,7 @@
         sim.spawn_client("req-3", red(3), 5 * SECOND);
         if seed % 2 == 0 {
             let at = sim.rng.random_range(5..20) * SECOND;
-            sim.after(at, move |sim| sim.crash_controller(l, 60_000));
+            sim.after(at, move |sim| sim.crash_controller(leader, 60_000));
         }
         sim.run_seconds(40);
         sim.faults.clear();
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -88,11 +88,11 @@
     spec.priority = Priority::Production;
     sim.spawn_client(replicas, spec, 0);
     sim.run_seconds(12);
-    for m in ["n-000002", "n-000004"] {
+    for machine in ["n-000002", "n-000004"] {
         for i in 0..3 {
             sim.partition(
                 Endpoint::Controller(i),
-                Endpoint::Agent(m.into()),
+                Endpoint::Agent(machine.into()),
                 PartitionMode::Drop,
                 60 * SECOND,
             );
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -31,9 +31,9 @@
 
 /// One trouble, for about so long.
 fn trouble(sim: &mut Simulation, which: usize, dt: u64) {
-    let l = sim.leader().unwrap_or(0);
+    let leader = sim.leader().unwrap_or(0);
     let i = if sim.rng.random_bool(0.6) {
-        l
+        leader
     } else {
         sim.rng.random_range(0..3)
     };
@@ -154,8 +154,8 @@
             // The lead changes again and again.
             for k in 0..10 {
                 sim.after(k * 3 * SECOND, move |sim| {
-                    let l = sim.leader().unwrap_or(0);
-                    sim.crash_controller(l, back.min(2 * SECOND));
+                    let leader = sim.leader().unwrap_or(0);
+                    sim.crash_controller(leader, back.min(2 * SECOND));
                 });
             }
         }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -69,8 +69,8 @@
     for b in &sim.task_starts {
         if b.at < since {
             on.insert(&b.task, &b.machine);
-        } else if let Some(m) = on.remove(b.task.as_str()) {
-            let of = lost.entry(m.to_string()).or_default();
+        } else if let Some(machine) = on.remove(b.task.as_str()) {
+            let of = lost.entry(machine.to_string()).or_default();
             of.insert(b.task.clone(), b.at);
         }
     }
@@ -107,11 +107,11 @@
     for (id, truth) in &sim.jobs {
         match truth.spec.kind {
             JobKind::Service => {
-                for t in 0..truth.spec.tasks {
+                for task in 0..truth.spec.tasks {
                     assert_eq!(
-                        sim.machines_running(&format!("{id}/{t}")).len(),
+                        sim.machines_running(&format!("{id}/{task}")).len(),
                         1,
-                        "{id}/{t}\n{}",
+                        "{id}/{task}\n{}",
                         sim.dump()
                     );
                 }
@@ -285,10 +285,10 @@
     comes_back(60..66, 12, 0, |sim, _| {
         kill(sim, |i| i % 4 < 2);
         run_until_bundled(sim, 20_000);
-        let l = sim.leader().unwrap();
+        let leader = sim.leader().unwrap();
         sim.lost_answers_from
             .push((Endpoint::Store, sim.now + SECOND / 2));
-        sim.crash_controller(l, 6 * SECOND);
+        sim.crash_controller(leader, 6 * SECOND);
         sim.run_seconds(160);
     });
 }
@@ -301,10 +301,10 @@
     assert!(bundled(&sim));
     assert_eq!(sim.store.count_keys_under("wt/b/"), 0, "bundles are left");
     // A controller that reads the records only now sees the same.
-    let l = sim.leader().unwrap();
+    let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
     sim.run_seconds(30);
-    assert!(sim.leader().is_some(), "kernel-{l} led before");
+    assert!(sim.leader().is_some(), "kernel-{leader} led before");
     all_there(&sim);
 }
 
@@ -324,18 +324,18 @@
         }
         if seed % 2 == 0 {
             sim.after((LEASE_S + 4) * SECOND, |sim| {
-                let l = sim.leader().unwrap_or(0);
-                sim.crash_controller(l, 5 * SECOND);
+                let leader = sim.leader().unwrap_or(0);
+                sim.crash_controller(leader, 5 * SECOND);
             });
         }
         sim.run_seconds(200);
         assert!(sim.now > since);
-        for (id, t) in &sim.jobs {
-            if t.cancel_requested {
+        for (id, truth) in &sim.jobs {
+            if truth.cancel_requested {
                 let told = sim.last_status(id);
                 assert!(told == "cancelled" || told == "done", "{id} is {told}");
                 assert!(
-                    (0..t.spec.tasks)
+                    (0..truth.spec.tasks)
                         .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty())
                 );
             }
@@ -394,22 +394,25 @@
         for n in 0..24 {
             sim.declare_job(&id(n), job(JobKind::Service, 2, 1.0), 0);
             while !sim.jobs[&id(n)].accepted {
-                let l = sim.leader().unwrap();
-                sim.submit(l, &id(n));
+                let leader = sim.leader().unwrap();
+                sim.submit(leader, &id(n));
                 sim.run_seconds(1);
             }
         }
         sim.run_seconds(12);
-        let l = sim.leader().unwrap();
+        let leader = sim.leader().unwrap();
         sim.watch_delays = (0..3)
-            .filter(|i| *i != l)
+            .filter(|i| *i != leader)
             .map(|i| (i, 9 * SECOND))
             .collect();
         kill(&mut sim, |i| i % 4 < 2);
         run_until_bundled(&mut sim, 1_000);
-        sim.crash_controller(l, 30 * SECOND);
+        sim.crash_controller(leader, 30 * SECOND);
         sim.run_seconds(4);
-        assert!(sim.leader().is_some_and(|n| n != l), "nobody took over");
+        assert!(
+            sim.leader().is_some_and(|n| n != leader),
+            "nobody took over"
+        );
         sim.run_seconds(3);
         sim.watch_delays.clear();
         sim.run_seconds(60);
@@ -441,8 +444,8 @@
     let mut sim = busy(130, 12);
     kill(&mut sim, |i| i % 4 < 2);
     run_until_bundled(&mut sim, 20_000);
-    let l = sim.leader().unwrap();
-    let back = (0..3).find(|i| *i != l).unwrap();
+    let leader = sim.leader().unwrap();
+    let back = (0..3).find(|i| *i != leader).unwrap();
     sim.set_first_version(back, true);
     sim.crash_controller(back, SECOND);
     sim.run_seconds(20);
@@ -461,8 +464,8 @@
         let mut sim = busy(seed, 12);
         let since = sim.now;
         kill(&mut sim, |i| i % 4 < 2);
-        for k in 0..40u64 {
-            let dt = (LEASE_S - 2) * SECOND + k * SECOND / 2;
+        for step in 0..40u64 {
+            let dt = (LEASE_S - 2) * SECOND + step * SECOND / 2;
             sim.after(dt, |sim| {
                 let until = sim.now + SECOND / 4;
                 sim.lost_answers_from.push((Endpoint::Store, until));
