--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -1,6 +1,7 @@
 //! Two versions at once, and limits of the store that change.
 
 use crate::simulation::fake_store::StoreLimits;
+use crate::simulation::first_version;
 use crate::simulation::{SECOND, Simulation, after, job, simulation_with_leader};
 use walnuttrestle::protocol::codec::{decode, encode};
 use walnuttrestle::protocol::peer_messages::PeerHeartbeat;
@@ -147,16 +148,16 @@
     assert_eq!(rec.first.entry(3).unwrap().machine(), Some("n-000231"));
     // What we write without needs is the same to the byte, and the old version reads it.
     assert_eq!(encode(&rec), job);
-    assert!(decode::<crate::simulation::first_version::OldJobRec>(&job).is_some());
+    assert!(decode::<first_version::FirstJobRecord>(&job).is_some());
     let beat = bytes("086b65726e656c2d31012901ac02014d01");
     let mut heard = PeerHeartbeat::decode(&beat).unwrap();
     assert_eq!((heard.format, heard.newest), (1, Some(77)));
     heard.format = 2;
     let sent = heard.encode();
     assert_eq!(PeerHeartbeat::decode(&sent).unwrap().format, 2);
-    let old: crate::simulation::first_version::OldHeartbeat = postcard::from_bytes(&sent).unwrap();
-    assert_eq!(old.node, "kernel-1");
-    assert_eq!(crate::simulation::first_version::heartbeat(sent), beat);
+    let heartbeat: first_version::FirstPeerHeartbeat = postcard::from_bytes(&sent).unwrap();
+    assert_eq!(heartbeat.node, "kernel-1");
+    assert_eq!(first_version::heartbeat(sent), beat);
 }
 
 const OLD_JOB: &str = "85a173de0012a6646f636b6574ac636f6c6f75722d7377656570a463726577ad706c6174666f726d2d63726577a57368617065a57377656570a472616e6ba87374616e64617264a6736865657473cc82a463707573cb4018000000000000a56361726473cb3ff0000000000000a96d656d6f72795f6762cb4038000000000000a5706c617465a6696d672d3037a773697a655f6762cb4011000000000000a77072657373657391aa6d656e6869722d626f78a8746f676574686572c2a773636174746572c2a76c6f616e657273c3aa65787065637465645f73cb404ec00000000000a770726f6f665f73cb0000000000000000a773746173685f73cb0000000000000000a56475655f73cb406e000000000000a26174cf000644e4f42bb000a27374a161a3656e6400a16382a16591960302a86e2d3030303233310129c3a164cc80";
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -1,5 +1,6 @@
-//! An in-memory state service.
+//! An in-memory key-value store with transactions, watches, leases and limits, as the protocol describes it.
 
+// Each test target uses some of the items.
 #![allow(dead_code)]
 
 use rmpv::Value;
@@ -7,188 +8,242 @@
 use walnuttrestle::protocol::codec::*;
 use walnuttrestle::protocol::key_value_api::*;
 
-/// A request that waits for a change.
-pub struct Waiting {
+/// Items on a page of a listing.
+const PAGE_SIZE: usize = 7;
+/// A transaction may have this many conditions for each change that it may have.
+const CONDITIONS_PER_CHANGE: usize = 4;
+
+/// Status and body of an answer.
+type Answer = (u16, Vec<u8>);
+
+/// A watch that waits for a change.
+pub struct OpenWatch {
     pub ticket: u64,
+    /// The controller that watches.
     pub from: usize,
+    /// Changes after this revision are wanted.
     pub after: u64,
     pub until: u64,
 }
 
-/// What the state service takes.
+/// Limits on transactions.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
     pub value_kb: f64,
     pub txn_ops: usize,
+    /// Changes per second.
     pub write_rps: f64,
 }
 
+/// Changes that are allowed at once: a token bucket.
+#[derive(Default)]
+struct WriteBudget {
+    updated_at: u64,
+    tokens: f64,
+}
+
+struct StoredValue {
+    value: Value,
+    version: u64,
+    lease: Option<u64>,
+}
+
+struct Lease {
+    expires_at: u64,
+    duration: u64,
+}
+
+/// The store. Times are in microseconds.
 #[derive(Default)]
 pub struct FakeStore {
-    /// StoreLimits in force; none: it takes everything.
+    /// Limits in force; `None`: every transaction is taken.
     pub limits: Option<StoreLimits>,
-    /// Transactions refused by limits: for their size, and for their pace.
+    /// Transactions rejected for their size.
     pub rejected_for_size: usize,
+    /// Transactions rejected for their rate.
     pub rejected_for_rate: usize,
-    budget: (u64, f64),
-    keys: BTreeMap<String, (Value, u64, Option<u64>)>,
+    budget: WriteBudget,
+    keys: BTreeMap<String, StoredValue>,
     log: Vec<WatchEvent>,
-    leases: BTreeMap<u64, (u64, u64)>,
+    leases: BTreeMap<u64, Lease>,
     revision: u64,
-    next_lease: u64,
-    pub waiting: Vec<Waiting>,
+    last_lease: u64,
+    pub watches: Vec<OpenWatch>,
+    /// The store answers no request.
     pub outage: bool,
-    /// Controllers that it refused_controllers; their open watches wait as in an outage.
+    /// Controllers whose requests are refused; their open watches wait as in an outage.
     pub refused_controllers: Vec<usize>,
-    /// How many changes can be looked back on; none: all.
+    /// Number of changes that watches can look back on; `None`: all.
     pub history_limit: Option<usize>,
-    /// Watches and reads that were told to read all anew.
+    /// Watches that were refused because their revision is compacted.
     pub compacted_reads: usize,
 }
 
-fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
-    let (_, q) = path.split_once('?')?;
-    q.split('&')
-        .find_map(|p| p.strip_prefix(name).and_then(|r| r.strip_prefix('=')))
+fn query_value<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+    let (_, query) = path.split_once('?')?;
+    query
+        .split('&')
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
+}
+
+fn query_number(path: &str, name: &str) -> u64 {
+    query_value(path, name)
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(0)
 }
 
 impl FakeStore {
-    /// Whether a key is there.
+    /// Whether a key exists.
     pub fn contains_key(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// Puts a value there that no controller can read.
+    /// Replaces a value by one that no controller can read.
     pub fn corrupt(&mut self, key: &str) {
         self.revision += 1;
-        let value = Value::from("spoilt");
-        let lease = self.keys.get(key).and_then(|k| k.2);
-        self.keys
-            .insert(key.into(), (value.clone(), self.revision, lease));
-        self.log(Some((key.into(), value)), None);
+        let lease = self.keys.get(key).and_then(|stored| stored.lease);
+        self.put(key.into(), Value::from("spoilt"), lease);
     }
 
-    /// All keys that begin like this.
+    /// All keys with a prefix.
     pub fn keys_under(&self, prefix: &str) -> Vec<String> {
-        let all = self.keys.keys().filter(|k| k.starts_with(prefix));
-        all.cloned().collect()
+        let keys = self.keys.keys();
+        keys.filter(|key| key.starts_with(prefix))
+            .cloned()
+            .collect()
     }
 
-    /// How many keys begin like this.
+    /// Number of keys with a prefix.
     pub fn count_keys_under(&self, prefix: &str) -> usize {
-        self.keys.keys().filter(|k| k.starts_with(prefix)).count()
+        let keys = self.keys.keys();
+        keys.filter(|key| key.starts_with(prefix)).count()
+    }
+
+    fn put(&mut self, key: String, value: Value, lease: Option<u64>) {
+        let stored = StoredValue {
+            value: value.clone(),
+            version: self.revision,
+            lease,
+        };
+        self.keys.insert(key.clone(), stored);
+        self.log.push(WatchEvent {
+            put: Some(key),
+            value: Some(value),
+            deleted: None,
+            version: self.revision,
+        });
     }
 
-    fn log(&mut self, put: Option<(String, Value)>, deleted: Option<String>) {
-        let (put, value) = put.map_or((None, None), |(k, v)| (Some(k), Some(v)));
+    fn delete(&mut self, key: String) {
+        self.keys.remove(&key);
         self.log.push(WatchEvent {
-            put,
-            value,
-            deleted,
+            put: None,
+            value: None,
+            deleted: Some(key),
             version: self.revision,
         });
     }
 
-    /// Ends leases that are over.
+    /// Expires leases and deletes their keys.
     pub fn expire(&mut self, now: u64) {
         if self.outage {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (end, _))| *end <= now)
-            .map(|(l, _)| *l)
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
             .collect();
-        for l in over {
-            self.leases.remove(&l);
+        for id in expired {
+            self.leases.remove(&id);
             let keys: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, (_, _, lease))| *lease == Some(l))
-                .map(|(k, _)| k.clone())
+                .filter(|(_, stored)| stored.lease == Some(id))
+                .map(|(key, _)| key.clone())
                 .collect();
-            for k in keys {
+            for key in keys {
                 self.revision += 1;
-                self.keys.remove(&k);
-                self.log(None, Some(k));
+                self.delete(key);
             }
         }
     }
 
-    /// After an outage all leases have their full time again.
+    /// Ends an outage: all leases have their full duration again.
     pub fn end_outage(&mut self, now: u64) {
         self.outage = false;
-        for (end, life) in self.leases.values_mut() {
-            *end = now + *life;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.duration;
         }
     }
 
-    /// What the limits say to a transaction.
-    fn over_limits(&mut self, now: u64, txn: &Transaction) -> Option<u16> {
-        let l = self.limits?;
-        let long = |c: &Change| match c {
-            Change::Put { value, .. } => json_len(value) as f64 > l.value_kb * 1024.0,
+    /// The status that a transaction is rejected with by the limits, if it is.
+    fn check_limits(&mut self, now: u64, transaction: &Transaction) -> Option<u16> {
+        let limits = self.limits?;
+        let is_too_long = |change: &Change| match change {
+            Change::Put { value, .. } => json_len(value) as f64 > limits.value_kb * 1024.0,
             Change::Delete { .. } => false,
         };
-        if txn.changes.len() > l.txn_ops
-            || txn.conds.len() > l.txn_ops * 4
-            || txn.changes.iter().any(long)
+        if transaction.changes.len() > limits.txn_ops
+            || transaction.conds.len() > limits.txn_ops * CONDITIONS_PER_CHANGE
+            || transaction.changes.iter().any(is_too_long)
         {
             self.rejected_for_size += 1;
             return Some(400);
         }
-        let (at, level) = self.budget;
-        let level = (level + (now - at) as f64 / 1e6 * l.write_rps).min(l.write_rps);
-        let n = txn.changes.len() as f64;
-        self.budget = (now, level);
-        if level < n {
+        let elapsed_s = (now - self.budget.updated_at) as f64 / 1e6;
+        let refilled = self.budget.tokens + elapsed_s * limits.write_rps;
+        self.budget.tokens = refilled.min(limits.write_rps);
+        self.budget.updated_at = now;
+        let needed = transaction.changes.len() as f64;
+        if self.budget.tokens < needed {
             self.rejected_for_rate += 1;
             return Some(429);
         }
-        self.budget.1 -= n;
+        self.budget.tokens -= needed;
         None
     }
 
-    fn events(&self, after: u64) -> WatchResponse {
+    fn changes_after(&self, revision: u64) -> WatchResponse {
+        let changes = self.log.iter();
         WatchResponse {
             revision: self.revision,
-            events: self
-                .log
-                .iter()
-                .filter(|e| e.version > after)
+            events: changes
+                .filter(|event| event.version > revision)
                 .cloned()
                 .collect(),
         }
     }
 
-    /// Whether changes after this revision are no longer known.
-    fn forgotten(&self, after: u64) -> bool {
-        let missing = self.log.iter().filter(|e| e.version > after).count();
-        self.history_limit.is_some_and(|n| missing > n)
+    /// Whether changes after a revision are no longer all known.
+    fn is_compacted(&self, revision: u64) -> bool {
+        let changes = self.log.iter();
+        let missing = changes.filter(|event| event.version > revision).count();
+        self.history_limit.is_some_and(|limit| missing > limit)
     }
 
-    /// Watches that can be answered now.
+    /// Takes the watches that can be answered now, as tickets and bodies.
     pub fn answerable(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
         if self.outage {
             return Vec::new();
         }
-        let mut out = Vec::new();
-        let mut rest = Vec::new();
-        for w in std::mem::take(&mut self.waiting) {
-            let a = self.events(w.after);
-            let refused = self.refused_controllers.contains(&w.from);
-            if !refused && (!a.events.is_empty() || w.until <= now) {
-                out.push((w.ticket, encode(&a)));
+        let mut answers = Vec::new();
+        let mut open = Vec::new();
+        for watch in std::mem::take(&mut self.watches) {
+            let response = self.changes_after(watch.after);
+            let refused = self.refused_controllers.contains(&watch.from);
+            if !refused && (!response.events.is_empty() || watch.until <= now) {
+                answers.push((watch.ticket, encode(&response)));
             } else {
-                rest.push(w);
+                open.push(watch);
             }
         }
-        self.waiting = rest;
-        out
+        self.watches = open;
+        answers
     }
 
-    /// Handles a request; none: the watch waits under its ticket.
+    /// Handles a request; `None`: it is a watch that stays open under its ticket.
     pub fn handle(
         &mut self,
         now: u64,
@@ -197,130 +252,126 @@
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Option<(u16, Vec<u8>)> {
+    ) -> Option<Answer> {
         self.expire(now);
         if self.outage || self.refused_controllers.contains(&from) {
             return Some((503, Vec::new()));
         }
         let route = path.split('?').next().unwrap_or("");
         match (method, route) {
-            ("GET", "/watch") => {
-                let after = query(path, "after")
-                    .and_then(|a| a.parse().ok())
-                    .unwrap_or(0);
-                let block: u64 = query(path, "block_ms")
-                    .and_then(|a| a.parse().ok())
-                    .unwrap_or(0);
-                if self.forgotten(after) {
-                    self.compacted_reads += 1;
-                    return Some((410, Vec::new()));
-                }
-                let a = self.events(after);
-                if a.events.is_empty() && block > 0 {
-                    self.waiting.push(Waiting {
-                        ticket,
-                        from,
-                        after,
-                        until: now + block * 1000,
-                    });
-                    return None;
-                }
-                Some((200, encode(&a)))
-            }
-            ("GET", "/keys") => {
-                let after = query(path, "after").unwrap_or("");
-                let items: Vec<Item> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.as_str() > after)
-                    .take(7)
-                    .map(|(k, (v, version, _))| Item {
-                        key: k.clone(),
-                        value: v.clone(),
-                        version: *version,
-                    })
-                    .collect();
-                let more = items
-                    .last()
-                    .is_some_and(|l| self.keys.keys().any(|k| *k > l.key));
-                let revision = self.revision;
-                Some((
-                    200,
-                    encode(&ItemPage {
-                        items,
-                        more,
-                        revision,
-                    }),
-                ))
-            }
+            ("GET", "/watch") => self.watch(now, from, ticket, path),
+            ("GET", "/keys") => Some(self.list(path)),
             ("POST", "/multi") => {
-                let txn: Transaction = decode(body).expect("a transaction");
-                if let Some(status) = self.over_limits(now, &txn) {
-                    return Some((status, Vec::new()));
-                }
-                let failed: Vec<String> = txn
-                    .conds
-                    .iter()
-                    .filter(|c| self.keys.get(&c.key).map_or(0, |k| k.1) != c.version)
-                    .map(|c| c.key.clone())
-                    .collect();
-                if !failed.is_empty() {
-                    let a = TransactionResponse {
-                        revision: self.revision,
-                        failed,
-                    };
-                    return Some((409, encode(&a)));
-                }
-                for c in &txn.changes {
-                    if let Change::Put { lease: Some(l), .. } = c
-                        && !self.leases.contains_key(l)
-                    {
-                        return Some((400, Vec::new()));
-                    }
-                }
-                self.revision += 1;
-                for c in txn.changes {
-                    match c {
-                        Change::Put { put, value, lease } => {
-                            self.keys
-                                .insert(put.clone(), (value.clone(), self.revision, lease));
-                            self.log(Some((put, value)), None);
-                        }
-                        Change::Delete { key } => {
-                            self.keys.remove(&key);
-                            self.log(None, Some(key));
-                        }
-                    }
-                }
-                let a = TransactionResponse {
-                    revision: self.revision,
-                    failed: Vec::new(),
-                };
-                Some((200, encode(&a)))
+                let transaction = decode(body).expect("a transaction");
+                Some(self.commit(now, transaction))
             }
             ("POST", "/leases") => {
-                let r: LeaseRequest = decode(body).expect("a lease request");
-                self.next_lease += 1;
-                let life = r.ttl_ms * 1000;
-                self.leases.insert(self.next_lease, (now + life, life));
-                let lease = self.next_lease;
-                Some((200, encode(&LeaseResponse { lease })))
-            }
-            ("POST", renew) => {
-                let id: u64 = renew
-                    .strip_prefix("/leases/")
-                    .and_then(|r| r.strip_suffix("/renew"))
-                    .and_then(|r| r.parse().ok())
-                    .expect("a renewal");
-                match self.leases.get_mut(&id) {
-                    Some((end, life)) => {
-                        *end = now + *life;
-                        Some((200, encode(&LeaseResponse { lease: id })))
-                    }
-                    None => Some((404, Vec::new())),
-                }
+                let request = decode(body).expect("a lease request");
+                Some(self.grant_lease(now, &request))
             }
+            ("POST", renewal) => Some(self.renew_lease(now, renewal)),
             _ => Some((400, Vec::new())),
         }
     }
+
+    fn watch(&mut self, now: u64, from: usize, ticket: u64, path: &str) -> Option<Answer> {
+        let after = query_number(path, "after");
+        let block_ms = query_number(path, "block_ms");
+        if self.is_compacted(after) {
+            self.compacted_reads += 1;
+            return Some((410, Vec::new()));
+        }
+        let response = self.changes_after(after);
+        if response.events.is_empty() && block_ms > 0 {
+            self.watches.push(OpenWatch {
+                ticket,
+                from,
+                after,
+                until: now + block_ms * 1000,
+            });
+            return None;
+        }
+        Some((200, encode(&response)))
+    }
+
+    fn list(&self, path: &str) -> Answer {
+        let after = query_value(path, "after").unwrap_or("");
+        let mut rest = self.keys.iter().filter(|(key, _)| key.as_str() > after);
+        let items: Vec<Item> = rest
+            .by_ref()
+            .take(PAGE_SIZE)
+            .map(|(key, stored)| Item {
+                key: key.clone(),
+                value: stored.value.clone(),
+                version: stored.version,
+            })
+            .collect();
+        let page = ItemPage {
+            items,
+            more: rest.next().is_some(),
+            revision: self.revision,
+        };
+        (200, encode(&page))
+    }
+
+    fn commit(&mut self, now: u64, transaction: Transaction) -> Answer {
+        if let Some(status) = self.check_limits(now, &transaction) {
+            return (status, Vec::new());
+        }
+        let version_of = |key: &str| self.keys.get(key).map_or(0, |stored| stored.version);
+        let failed: Vec<String> = transaction
+            .conds
+            .iter()
+            .filter(|condition| version_of(&condition.key) != condition.version)
+            .map(|condition| condition.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            let revision = self.revision;
+            return (409, encode(&TransactionResponse { revision, failed }));
+        }
+        let has_unknown_lease = |change: &Change| match change {
+            Change::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
+            Change::Delete { .. } => false,
+        };
+        if transaction.changes.iter().any(has_unknown_lease) {
+            return (400, Vec::new());
+        }
+        self.revision += 1;
+        for change in transaction.changes {
+            match change {
+                Change::Put { put, value, lease } => self.put(put, value, lease),
+                Change::Delete { key } => self.delete(key),
+            }
+        }
+        let response = TransactionResponse {
+            revision: self.revision,
+            failed,
+        };
+        (200, encode(&response))
+    }
+
+    fn grant_lease(&mut self, now: u64, request: &LeaseRequest) -> Answer {
+        self.last_lease += 1;
+        let duration = request.ttl_ms * 1000;
+        let lease = Lease {
+            expires_at: now + duration,
+            duration,
+        };
+        self.leases.insert(self.last_lease, lease);
+        let lease = self.last_lease;
+        (200, encode(&LeaseResponse { lease }))
+    }
+
+    fn renew_lease(&mut self, now: u64, path: &str) -> Answer {
+        let lease: u64 = path
+            .strip_prefix("/leases/")
+            .and_then(|rest| rest.strip_suffix("/renew"))
+            .and_then(|id| id.parse().ok())
+            .expect("a renewal");
+        let Some(renewed) = self.leases.get_mut(&lease) else {
+            return (404, Vec::new());
+        };
+        renewed.expires_at = now + renewed.duration;
+        (200, encode(&LeaseResponse { lease }))
+    }
 }
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -1,5 +1,5 @@
-//! The first version's records and messages, frozen, to play a controller of that version: whatever it
-//! reads and writes goes through these types, so that it loses what it does not know.
+//! Frozen records and messages of the first released version, to simulate a controller of that version: all that it
+//! reads and writes is converted through these types and loses the fields that it does not know.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 use walnuttrestle::transport::NetworkEvent;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OldSpec {
+pub struct FirstJobSpec {
     docket: String,
     crew: String,
     shape: JobKind,
@@ -35,29 +35,29 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct OldEntry(u32, u64, String, u64, u64, bool);
+struct FirstTaskEntry(u32, u64, String, u64, u64, bool);
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct OldChunk {
+struct FirstTaskChunk {
     #[serde(default)]
-    e: Vec<OldEntry>,
+    e: Vec<FirstTaskEntry>,
     #[serde(default)]
     d: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OldJobRec {
-    s: OldSpec,
+pub struct FirstJobRecord {
+    s: FirstJobSpec,
     at: Micros,
     st: String,
     #[serde(default)]
     end: Micros,
     #[serde(default)]
-    c: OldChunk,
+    c: FirstTaskChunk,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OldHeartbeat {
+pub struct FirstPeerHeartbeat {
     pub node: String,
     leading: Option<u64>,
     leader_silent_ms: Option<u64>,
@@ -65,51 +65,53 @@
     served: bool,
 }
 
-/// Beginnings of names that it does not know, and what stands for them where it lists all: names that
-/// it does not know either, at the same place in the order, since a listing goes on from the last one.
-const UNKNOWN: [(&str, &str); 3] = [
+/// Key prefixes that the first version does not know, each with its replacement in listings: another unknown prefix at
+/// the same place in the order, since the next page starts after the last key.
+const UNKNOWN_PREFIXES: [(&str, &str); 3] = [
     ("wt/f/", "wt/f0/"),
     ("wt/b/", "wt/b0/"),
     ("wt/bundled", "wt/bundled0"),
 ];
 
-fn seen(key: &str) -> bool {
-    UNKNOWN.iter().all(|(k, _)| !key.starts_with(k))
+fn is_known(key: &str) -> bool {
+    UNKNOWN_PREFIXES
+        .iter()
+        .all(|(prefix, _)| !key.starts_with(prefix))
 }
 
-/// A value as the first version writes it again after it has read it.
+/// A value as the first version writes it back after it has read it.
 fn rewritten(key: &str, value: Value) -> Value {
     if !key.starts_with("wt/j/") {
         return value;
     }
-    let old: OldJobRec = from_value(&value).expect("the first version reads it");
-    to_value(&old)
+    let record: FirstJobRecord = from_value(&value).expect("the first version reads it");
+    to_value(&record)
 }
 
-/// What the first version makes of an answer of the state service.
+/// An answer of the store as the first version understands it.
 pub fn reads(path: &str, body: Vec<u8>) -> Vec<u8> {
     if path.starts_with("/watch") {
-        let mut a: WatchResponse = decode(&body).expect("a watch's answer");
-        a.events.retain(|e| {
-            let key = e.put.as_deref().or(e.deleted.as_deref());
-            key.is_none_or(seen)
+        let mut response: WatchResponse = decode(&body).expect("a watch's answer");
+        response.events.retain(|event| {
+            let key = event.put.as_deref().or(event.deleted.as_deref());
+            key.is_none_or(is_known)
         });
-        for e in &mut a.events {
-            if let (Some(key), Some(value)) = (&e.put, e.value.take()) {
-                e.value = Some(rewritten(key, value));
+        for event in &mut response.events {
+            if let (Some(key), Some(value)) = (&event.put, event.value.take()) {
+                event.value = Some(rewritten(key, value));
             }
         }
-        encode(&a)
+        encode(&response)
     } else if path.starts_with("/keys") {
         let mut page: ItemPage = decode(&body).expect("a listing");
-        for i in &mut page.items {
-            if seen(&i.key) {
-                i.value = rewritten(&i.key, i.value.clone());
+        for item in &mut page.items {
+            if is_known(&item.key) {
+                item.value = rewritten(&item.key, item.value.clone());
             } else {
-                // Unknown keys pass it by.
-                for (k, other) in UNKNOWN {
-                    if let Some(rest) = i.key.strip_prefix(k) {
-                        i.key = format!("{other}{rest}");
+                // Keys that it does not know are ignored.
+                for (prefix, replacement) in UNKNOWN_PREFIXES {
+                    if let Some(rest) = item.key.strip_prefix(prefix) {
+                        item.key = format!("{replacement}{rest}");
                         break;
                     }
                 }
@@ -121,31 +123,30 @@
     }
 }
 
-/// What the first version writes; none: it would not write this.
+/// A transaction as the first version writes it; `None`: it would not write this.
 pub fn writes(body: Vec<u8>) -> Option<Vec<u8>> {
-    let mut txn: Transaction = decode(&body)?;
-    for c in &mut txn.changes {
-        match c {
-            Change::Put { put, value, .. } if seen(put) => {
+    let mut transaction: Transaction = decode(&body)?;
+    for change in &mut transaction.changes {
+        match change {
+            Change::Put { put, value, .. } if is_known(put) => {
                 *value = rewritten(put, value.clone());
             }
-            Change::Delete { key } if seen(key) => {}
+            Change::Delete { key } if is_known(key) => {}
             _ => return None,
         }
     }
-    Some(encode(&txn))
+    Some(encode(&transaction))
 }
 
-/// A heartbeat as the first version sends and understands it.
+/// A peer heartbeat as the first version sends and understands it.
 pub fn heartbeat(body: Vec<u8>) -> Vec<u8> {
-    match postcard::from_bytes::<OldHeartbeat>(&body) {
-        Ok(h) => postcard::to_stdvec(&h).expect("a heartbeat"),
+    match postcard::from_bytes::<FirstPeerHeartbeat>(&body) {
+        Ok(heartbeat) => postcard::to_stdvec(&heartbeat).expect("a heartbeat"),
         Err(_) => body,
     }
 }
 
-/// A request as the first version understands it: fields of a submission that it does not know are
-/// as good as absent.
+/// A request as the first version understands it: it ignores the fields of a submission that it does not know.
 pub fn hears(event: NetworkEvent) -> NetworkEvent {
     match event {
         NetworkEvent::Request {
@@ -156,8 +157,8 @@
             body,
         } if path.ends_with("/submissions") => {
             let mut value: Value = decode(&body).expect("a submission");
-            if let Value::Map(m) = &mut value {
-                m.retain(|(k, _)| k.as_str() != Some("awaits"));
+            if let Value::Map(fields) = &mut value {
+                fields.retain(|(name, _)| name.as_str() != Some("awaits"));
             }
             NetworkEvent::Request {
                 conn,
