--- /dev/null
+++ b/tests/cancellation_during_store_outage.rs
@@ -0,0 +1,748 @@
+//! The gap: the store refuses the leader alone, another controller confirms cancellations, then the state
+//! service is down for all, for longer than a cancellation has, while agents report to the old leader.
+
+mod simulation;
+
+use rand::RngExt;
+use simulation::fault_injection::{DroppedDelivery, StoreDelay};
+use simulation::{
+    CANCEL_DEADLINE_S, Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader,
+};
+use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
+
+/// How long the leader is refused before the store is down for all.
+const ALONE: u64 = 2 * SECOND;
+/// How long it is down then.
+const DOWN_S: u64 = CANCEL_DEADLINE_S + 12;
+
+/// The leader, who confirms, and the third.
+fn parties(sim: &Simulation) -> (usize, usize, usize) {
+    let leader = sim.leader().expect("a leader");
+    (leader, (leader + 1) % 3, (leader + 2) % 3)
+}
+
+/// A world with replicas that should live on, and arrays that are to be cancelled.
+fn busy(seed: u64) -> Simulation {
+    let mut sim = simulation_with_leader(seed, 5);
+    sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
+    for n in 2..5 {
+        sim.spawn_client(
+            &format!("req-{n}"),
+            job(JobKind::Array, 4, 1.0),
+            300 * SECOND,
+        );
+    }
+    sim.run_seconds(12);
+    assert_eq!(sim.start_counts.len(), 17, "seed {seed}: {}", sim.dump());
+    sim
+}
+
+/// The leader alone is refused; what `tell` does then happens half-way to the outage, and a moment before it.
+fn gap(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
+    let (leader, ..) = parties(sim);
+    sim.store.refused_controllers.push(leader);
+    sim.run_micros(ALONE / 2);
+    tell(sim, "req-2");
+    sim.run_micros(ALONE / 2 - SECOND / 10);
+    tell(sim, "req-3");
+    sim.run_micros(SECOND / 10);
+    sim.store.outage = true;
+}
+
+fn end(sim: &mut Simulation) {
+    let now = sim.now;
+    sim.store.refused_controllers.clear();
+    sim.store.end_outage(now);
+    sim.run_seconds(40);
+}
+
+/// Nothing of what was cancelled is there; the outage passes, and all else is kept.
+fn gone_and_kept(sim: &mut Simulation, seed: u64) {
+    let there = sim.running_instances("req-2") + sim.running_instances("req-3");
+    assert_eq!(there, 0, "seed {seed}: {}", sim.dump());
+    sim.run_seconds(DOWN_S);
+    end(sim);
+    kept(sim, seed);
+}
+
+fn kept(sim: &Simulation, seed: u64) {
+    for task in 0..5 {
+        assert_eq!(
+            sim.start_counts[&format!("req-1/{task}")],
+            1,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+    }
+}
+
+/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all agents 18 s after
+/// its last read, and every task dies with its lease. Fails as well if it goes on without knowing them.
+#[test]
+fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
+    for seed in 0..12 {
+        let mut sim = busy(2000 + seed);
+        let (_, follower, _) = parties(&sim);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        for id in ["req-2", "req-3"] {
+            assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
+        }
+        // A heartbeat later, and what messages take.
+        sim.run_micros(900_000);
+        assert_eq!(
+            sim.running_instances("req-2") + sim.running_instances("req-3"),
+            0,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+        sim.run_seconds(DOWN_S);
+        assert_eq!(
+            sim.running_instances("req-4"),
+            4,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+        end(&mut sim);
+        kept(&sim, seed);
+        sim.spawn_client("req-9", job(JobKind::Array, 2, 1.0), 2 * SECOND);
+        sim.run_seconds(20);
+        assert!(sim.job_done("req-9"), "seed {seed}: {}", sim.dump());
+    }
+}
+
+/// The clients of the old leader: it hands their requests on to whoever is served.
+#[test]
+fn cancellation_forwarded_by_the_old_leader_is_enforced() {
+    for seed in 0..8 {
+        let mut sim = busy(2020 + seed);
+        let (leader, ..) = parties(&sim);
+        sim.store.refused_controllers.push(leader);
+        // It has to notice first.
+        sim.run_seconds(3);
+        sim.cancel(leader, "req-2");
+        sim.run_micros(SECOND / 5);
+        sim.store.outage = true;
+        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        sim.run_seconds(3);
+        assert_eq!(
+            sim.running_instances("req-2"),
+            0,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+        sim.run_seconds(DOWN_S);
+        end(&mut sim);
+        kept(&sim, seed);
+    }
+}
+
+/// Each of the others confirms one.
+#[test]
+fn cancellations_confirmed_by_both_followers_are_enforced() {
+    for seed in 0..8 {
+        let mut sim = busy(2040 + seed);
+        let (_, follower, third) = parties(&sim);
+        gap(&mut sim, |sim, id| {
+            sim.cancel(if id == "req-2" { follower } else { third }, id)
+        });
+        sim.run_seconds(3);
+        gone_and_kept(&mut sim, seed);
+    }
+}
+
+/// Whoever has confirmed ends at once, or a while later; it stays away, or is back in a moment and knows nothing. Then
+/// nobody can tell what it has told its clients, and no agent may be renewed for long.
+#[test]
+fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
+    for seed in 0..8 {
+        for (after, back) in [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)] {
+            let mut sim = busy(2060 + seed);
+            let (_, follower, _) = parties(&sim);
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            sim.run_micros(after);
+            sim.crash_controller(follower, back);
+            sim.run_seconds(DOWN_S);
+            end(&mut sim);
+            sim.run_seconds(40);
+            for id in ["req-2", "req-3"] {
+                assert_eq!(sim.running_instances(id), 0, "seed {seed} {after} {back}");
+            }
+            assert_eq!(
+                sim.running_instances("req-1"),
+                5,
+                "seed {seed}: {}",
+                sim.dump()
+            );
+        }
+    }
+}
+
+/// The two cannot talk to one another, in both directions or in one; the third passes on what both know.
+#[test]
+fn third_controller_relays_cancellations() {
+    for seed in 0..8 {
+        for how in 0..3 {
+            let mut sim = busy(2080 + seed);
+            let (leader, follower, _) = parties(&sim);
+            let (from, to, until) = (
+                Endpoint::Controller(leader),
+                Endpoint::Controller(follower),
+                sim.now + 90 * SECOND,
+            );
+            match how {
+                0 => sim.partition(from, to, PartitionMode::Drop, 90 * SECOND),
+                1 => sim.faults.partition_one_way(from, to, until),
+                _ => sim.faults.partition_one_way(to, from, until),
+            }
+            sim.run_seconds(4);
+            assert_eq!(sim.leader(), Some(leader), "seed {seed} {how}");
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            sim.run_seconds(4);
+            gone_and_kept(&mut sim, seed);
+        }
+    }
+}
+
+/// The leader hears neither of the others: it cannot know what they have told, and lets its agents go in time.
+#[test]
+fn isolated_leader_stops_renewing_leases_in_time() {
+    for seed in 0..8 {
+        let mut sim = busy(2100 + seed);
+        let (leader, follower, third) = parties(&sim);
+        for other in [follower, third] {
+            sim.partition(
+                Endpoint::Controller(leader),
+                Endpoint::Controller(other),
+                PartitionMode::Delay,
+                DOWN_S * SECOND,
+            );
+        }
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        sim.run_seconds(DOWN_S);
+        assert_eq!(
+            sim.running_instances("req-2") + sim.running_instances("req-3"),
+            0,
+            "seed {seed}"
+        );
+        end(&mut sim);
+        sim.run_seconds(20);
+        assert_eq!(
+            sim.running_instances("req-1"),
+            5,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+    }
+}
+
+/// The store carries a cancellation out and the answer is lost, or comes seconds late: nobody is told, or
+/// in time.
+#[test]
+fn lost_or_late_cancellation_answer_is_handled() {
+    for seed in 0..8 {
+        for late in [false, true] {
+            let mut sim = busy(2120 + seed);
+            let (_, follower, _) = parties(&sim);
+            if late {
+                sim.store_delay = 1_200_000;
+            } else {
+                let until = sim.now + ALONE + SECOND / 2;
+                sim.lost_answers_from.push((Endpoint::Store, until));
+            }
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            sim.run_seconds(DOWN_S);
+            sim.store_delay = 0;
+            end(&mut sim);
+            for id in ["req-2", "req-3"] {
+                sim.cancel_until_answered(id);
+            }
+            sim.run_seconds(40);
+            for id in ["req-2", "req-3"] {
+                assert_eq!(
+                    (sim.last_status(id).as_str(), sim.running_instances(id)),
+                    ("cancelled", 0),
+                    "seed {seed}"
+                );
+            }
+        }
+    }
+}
+
+/// Starts that the leader has sent, without an answer yet, when its machines stand still: they go on within their
+/// leases, or later.
+#[test]
+fn start_delayed_by_a_hung_machine_runs_no_cancelled_task() {
+    for seed in 0..8 {
+        for hang in [6 * SECOND, 9 * SECOND, 20 * SECOND] {
+            let mut sim = busy(2140 + seed);
+            let (_, follower, _) = parties(&sim);
+            sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
+            sim.command_delay = Some(300_000);
+            sim.run_micros(900_000);
+            let until = sim.now + hang;
+            for machine in sim.machine_names() {
+                sim.agents.get_mut(&machine).unwrap().hung_until = until;
+            }
+            sim.command_delay = None;
+            gap(&mut sim, |sim, id| {
+                sim.cancel(follower, id);
+                sim.cancel(follower, "req-5");
+            });
+            sim.run_seconds(DOWN_S);
+            assert_eq!(sim.running_instances("req-5"), 0, "seed {seed} {hang}");
+            end(&mut sim);
+        }
+    }
+}
+
+/// A start gets no answer, and comes after all else, long after its job was cancelled. With the store out, no
+/// higher term can fence it. Fails (ran_cancelled) if the agent is renewed all the same.
+#[test]
+fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
+    for seed in 0..8 {
+        let mut sim = busy(2160 + seed);
+        let (_, follower, _) = parties(&sim);
+        let long = (ALONE / SECOND + CANCEL_DEADLINE_S + 8) * SECOND;
+        sim.command_delay = Some(long);
+        sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
+        sim.run_seconds(4);
+        gap(&mut sim, |sim, id| {
+            sim.cancel(follower, id);
+            sim.cancel(follower, "req-5");
+        });
+        assert_eq!(sim.last_status("req-5"), "cancelled", "seed {seed}");
+        sim.run_seconds(DOWN_S + 10);
+        sim.command_delay = None;
+        end(&mut sim);
+        sim.run_seconds(30);
+    }
+}
+
+/// Starts of a job that is placed and recorded, and not yet carried out, when the leader hears that it is cancelled.
+/// Fails if it still sends them.
+#[test]
+fn job_known_to_be_cancelled_is_not_started() {
+    for seed in 0..12 {
+        let mut sim = busy(2380 + seed);
+        let (_, follower, _) = parties(&sim);
+        let until = sim.now + 1_900_000;
+        for machine in sim.machine_names() {
+            sim.faults
+                .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
+        }
+        sim.spawn_client("req-2000", job(JobKind::Array, 8, 1.0), 300 * SECOND);
+        sim.run_seconds(1);
+        let leader = sim.leader().expect("a leader");
+        sim.store.refused_controllers.push(leader);
+        sim.cancel(follower, "req-2000");
+        sim.run_micros(900_000);
+        assert_eq!(sim.last_status("req-2000"), "cancelled", "seed {seed}");
+        let before = sim.task_starts.len();
+        sim.run_seconds(5);
+        let late: Vec<_> = sim.task_starts[before..]
+            .iter()
+            .filter(|b| b.task.starts_with("req-2000/"))
+            .collect();
+        assert!(late.is_empty(), "seed {seed}: {late:?}");
+    }
+}
+
+/// One gap after the other, with a leader of whatever name.
+#[test]
+fn two_store_outages_in_a_row_are_survived() {
+    for seed in 0..6 {
+        let mut sim = busy(2180 + seed);
+        for (round, ids) in [["req-2", "req-3"], ["req-4", "req-6"]].iter().enumerate() {
+            let (leader, follower, third) = parties(&sim);
+            sim.store.refused_controllers.push(leader);
+            sim.run_micros(ALONE / 2);
+            sim.cancel(follower, ids[0]);
+            sim.cancel(third, ids[1]);
+            sim.run_micros(ALONE / 2);
+            sim.store.outage = true;
+            sim.run_seconds(DOWN_S);
+            for id in ids {
+                assert_eq!(sim.running_instances(id), 0, "seed {seed} {round}");
+            }
+            end(&mut sim);
+            kept(&sim, seed);
+            if round == 0 {
+                sim.spawn_client("req-6", job(JobKind::Array, 4, 1.0), 300 * SECOND);
+                sim.run_seconds(10);
+            }
+        }
+    }
+}
+
+/// Who does not know the new format is told nothing and vouches as before: no rule breaks, and the agents go
+/// in time.
+#[test]
+fn first_version_controllers_among_ours_break_no_invariant() {
+    for seed in 0..4 {
+        for old in 0..3 {
+            let mut sim = simulation_with_leader(2200 + seed, 5);
+            let (leader, follower, third) = parties(&sim);
+            let place = [leader, follower, third][old];
+            sim.set_first_version(place, true);
+            sim.crash_controller(place, 50_000);
+            sim.run_seconds(10);
+            sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
+            sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
+            sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
+            sim.run_seconds(12);
+            let (leader, follower, _) = parties(&sim);
+            let who = if leader == place { follower } else { place };
+            gap(&mut sim, |sim, id| sim.cancel(who, id));
+            sim.run_seconds(DOWN_S);
+            assert_eq!(
+                sim.running_instances("req-2") + sim.running_instances("req-3"),
+                0,
+                "seed {seed}"
+            );
+            end(&mut sim);
+            sim.run_seconds(20);
+            assert_eq!(
+                sim.running_instances("req-1"),
+                5,
+                "seed {seed}: {}",
+                sim.dump()
+            );
+        }
+    }
+}
+
+/// Agents that come to the others meanwhile: they renew by right, and stop what is cancelled as well, also the third
+/// that has only heard of it.
+#[test]
+fn agents_that_change_controllers_stop_cancelled_tasks() {
+    for seed in 0..12 {
+        let mut sim = busy(2220 + seed);
+        let (leader, follower, third) = parties(&sim);
+        let hearsay = seed % 2 == 1;
+        if hearsay {
+            sim.store.refused_controllers.push(third);
+            // The leader does not hear of it, and cannot stop anything itself.
+            sim.partition(
+                Endpoint::Controller(leader),
+                Endpoint::Controller(follower),
+                PartitionMode::Drop,
+                12 * SECOND,
+            );
+        }
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        for (n, m) in sim.machine_names().into_iter().enumerate() {
+            let at = sim.rng.random_range(0..12 * SECOND);
+            let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
+            let agent = Endpoint::Agent(m);
+            if hearsay {
+                // Its way to whoever is left, from the beginning.
+                sim.partition(
+                    Endpoint::Controller(leader),
+                    agent.clone(),
+                    PartitionMode::Drop,
+                    DOWN_S * SECOND,
+                );
+                sim.partition(
+                    Endpoint::Controller(follower),
+                    agent,
+                    PartitionMode::Drop,
+                    DOWN_S * SECOND,
+                );
+            } else if n % 2 == 0 {
+                sim.after(at, move |sim| {
+                    sim.partition(Endpoint::Controller(leader), agent, PartitionMode::Drop, dt)
+                });
+            }
+        }
+        sim.run_seconds(DOWN_S);
+        assert_eq!(
+            sim.running_instances("req-2") + sim.running_instances("req-3"),
+            0,
+            "seed {seed}"
+        );
+        end(&mut sim);
+        if !hearsay {
+            kept(&sim, seed);
+        }
+    }
+}
+
+/// Tasks that were told to stop, and save, when their job is cancelled.
+#[test]
+fn cancelled_task_that_is_saving_ends_in_time() {
+    for seed in 0..8 {
+        let mut sim = simulation_with_leader(2240 + seed, 3);
+        sim.no_capacity = true;
+        let spec = JobSpec {
+            checkpoint_s: 5.0,
+            save_s: 25.0,
+            priority: Priority::Low,
+            ..job(JobKind::Array, 12, 2.0)
+        };
+        sim.spawn_client("req-2", spec.clone(), 300 * SECOND);
+        sim.spawn_client("req-3", spec, 300 * SECOND);
+        sim.run_seconds(8);
+        let high = JobSpec {
+            priority: Priority::High,
+            ..job(JobKind::Gang, 1, 8.0)
+        };
+        sim.spawn_client("req-7", high, 200 * SECOND);
+        sim.run_seconds(3);
+        let (_, follower, _) = parties(&sim);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        sim.run_seconds(DOWN_S);
+        assert_eq!(
+            sim.running_instances("req-2") + sim.running_instances("req-3"),
+            0,
+            "seed {seed}"
+        );
+        end(&mut sim);
+    }
+}
+
+/// Machines that stand still, or hear nothing, while it happens.
+#[test]
+fn unreachable_machines_run_no_cancelled_task_past_the_deadline() {
+    for seed in 0..8 {
+        for (deaf, dt) in [
+            (true, 40 * SECOND),
+            (false, 8 * SECOND),
+            (false, 15 * SECOND),
+        ] {
+            let mut sim = busy(2260 + seed);
+            let (_, follower, _) = parties(&sim);
+            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            let until = sim.now + dt;
+            for machine in sim.machine_names().into_iter().take(3) {
+                if deaf {
+                    sim.faults.drop_all_deliveries(&machine, until);
+                } else {
+                    sim.agents.get_mut(&machine).unwrap().hung_until = until;
+                }
+            }
+            sim.run_seconds(DOWN_S);
+            assert_eq!(
+                sim.running_instances("req-2") + sim.running_instances("req-3"),
+                0,
+                "seed {seed}"
+            );
+            end(&mut sim);
+        }
+    }
+}
+
+/// Whoever has confirmed starts again at once, while the store still serves it: it reads the records and
+/// vouches, with a log that begins anew. Fails if its log is taken for the one of its earlier run.
+#[test]
+fn restarted_confirming_controller_relays_its_cancellations() {
+    for seed in 0..12 {
+        let mut sim = busy(2280 + seed);
+        let (leader, follower, third) = parties(&sim);
+        // Only what F itself tells reaches the leader.
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
+            PartitionMode::Drop,
+            3 * SECOND,
+        );
+        for n in 10..13 {
+            sim.spawn_client(
+                &format!("req-{n}"),
+                job(JobKind::Array, 1, 1.0),
+                300 * SECOND,
+            );
+        }
+        sim.run_seconds(4);
+        for n in 10..13 {
+            sim.cancel(follower, &format!("req-{n}"));
+        }
+        sim.run_seconds(3);
+        sim.store.refused_controllers.push(leader);
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
+            PartitionMode::Drop,
+            2 * SECOND,
+        );
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
+            PartitionMode::Drop,
+            2 * SECOND,
+        );
+        sim.run_micros(SECOND / 5);
+        sim.cancel(follower, "req-2");
+        sim.run_micros(SECOND / 20);
+        sim.crash_controller(follower, 50_000);
+        sim.run_micros(SECOND);
+        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        sim.store.outage = true;
+        // The third would tell it as well.
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(third),
+            PartitionMode::Drop,
+            200 * SECOND,
+        );
+        sim.run_seconds(6);
+        assert_eq!(
+            sim.running_instances("req-2"),
+            0,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+        sim.run_seconds(DOWN_S);
+        end(&mut sim);
+        kept(&sim, seed);
+    }
+}
+
+/// The leader and the third are both refused, and the leader cannot talk to whoever confirms: it hears of it from the
+/// third, who knows it from hearsay as well.
+#[test]
+fn cancellations_learned_from_a_peer_are_relayed() {
+    for seed in 0..8 {
+        let mut sim = busy(2300 + seed);
+        let (leader, follower, third) = parties(&sim);
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
+            PartitionMode::Drop,
+            90 * SECOND,
+        );
+        sim.run_seconds(3);
+        assert_eq!(sim.leader(), Some(leader), "seed {seed}");
+        sim.store.refused_controllers.push(third);
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        sim.run_seconds(5);
+        gone_and_kept(&mut sim, seed);
+    }
+}
+
+/// The leader is refused for so long that another leads. It hears the third alone, who is refused as well and hears
+/// the new leader. Fails (ran_twice) if knowing of all cancellations is enough to vouch.
+#[test]
+fn replaced_leader_stops_renewing_leases() {
+    let mut replaced = 0;
+    for seed in 0..4 {
+        let mut sim = busy(2320 + seed);
+        let (leader, follower, third) = parties(&sim);
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Controller(follower),
+            PartitionMode::Drop,
+            120 * SECOND,
+        );
+        for machine in sim.machine_names() {
+            sim.partition(
+                Endpoint::Controller(follower),
+                Endpoint::Agent(machine.clone()),
+                PartitionMode::Drop,
+                120 * SECOND,
+            );
+            sim.partition(
+                Endpoint::Controller(third),
+                Endpoint::Agent(machine),
+                PartitionMode::Drop,
+                120 * SECOND,
+            );
+        }
+        // New machines come to the new leader alone: their reports would show the old one its term.
+        for machine in 6..16 {
+            let machine = Endpoint::Agent(format!("n-{machine:06}"));
+            sim.partition(
+                Endpoint::Controller(leader),
+                machine,
+                PartitionMode::Drop,
+                120 * SECOND,
+            );
+        }
+        sim.store.refused_controllers.extend([leader, third]);
+        sim.run_seconds(12);
+        replaced += usize::from(sim.leader() == Some(follower));
+        for zone in ["a", "b", "a", "b"] {
+            sim.add_machine(zone, false);
+        }
+        sim.run_seconds(90);
+        sim.store.refused_controllers.clear();
+        sim.run_seconds(60);
+        assert_eq!(
+            sim.running_instances("req-1"),
+            5,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+    }
+    assert_eq!(replaced, 4);
+}
+
+/// Direct commands to the machines are lost, answers to their reports are not. Fails if an answer leaves a stop out
+/// because it was sent a moment ago.
+#[test]
+fn every_heartbeat_response_stops_cancelled_tasks() {
+    for seed in 0..16 {
+        let mut sim = busy(2340 + seed);
+        let (_, follower, _) = parties(&sim);
+        let until = sim.now + 120 * SECOND;
+        for machine in sim.machine_names() {
+            sim.faults
+                .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
+        }
+        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        // A heartbeat, a report, and what they take on their way.
+        sim.run_micros(2_900_000);
+        assert_eq!(
+            sim.running_instances("req-2") + sim.running_instances("req-3"),
+            0,
+            "seed {seed}: {}",
+            sim.dump()
+        );
+    }
+}
+
+/// A controller whose watch lags far behind takes the lead over, and the store is out before it has read
+/// anything: that its claim was carried out does not show it what was cancelled before. Fails (ran_cancelled) if
+/// agents are renewed as if it did.
+#[test]
+fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
+    let mut led = 0;
+    for seed in 0..12 {
+        let mut sim = busy(2360 + seed);
+        let (x, c, f) = parties(&sim);
+        for other in [x, c] {
+            sim.partition(
+                Endpoint::Controller(other),
+                Endpoint::Controller(f),
+                PartitionMode::Drop,
+                100 * SECOND,
+            );
+        }
+        sim.run_seconds(3);
+        sim.watch_delays.insert(c, 60 * SECOND);
+        sim.faults.store_read_delay = Some(StoreDelay {
+            controller: c,
+            delay: 60 * SECOND,
+        });
+        sim.run_seconds(1);
+        sim.store.refused_controllers.push(x);
+        sim.run_micros(SECOND / 10);
+        sim.cancel(f, "req-2");
+        sim.run_micros(SECOND / 5);
+        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        // After the first outage the old leader's key lives on for a while, so the record that the claim is
+        // conditional on has not changed.
+        sim.store.outage = true;
+        sim.run_seconds(7);
+        sim.crash_controller(x, 50_000);
+        sim.run_micros(1_300_000);
+        let now = sim.now;
+        sim.store.end_outage(now);
+        sim.store.refused_controllers = vec![f, x];
+        sim.run_micros(1_200_000);
+        led += usize::from(sim.leader() == Some(c));
+        sim.store.outage = true;
+        sim.run_seconds(DOWN_S);
+        end(&mut sim);
+    }
+    assert!(led > 8, "{led}");
+}
--- /dev/null
+++ b/tests/failure_scenarios/client_answers.rs
@@ -0,0 +1,93 @@
+//! What clients are told.
+
+use crate::simulation::{SECOND, job, simulation_with_leader};
+use rand::RngExt;
+use walnuttrestle::protocol::JobKind;
+
+#[test]
+fn cancellation_is_visible_on_all_controllers() {
+    let mut sim = simulation_with_leader(8, 2);
+    sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 100 * SECOND);
+    sim.run_seconds(6);
+    sim.cancel(0, "req-1");
+    sim.run_seconds(1);
+    for i in 0..sim.controller_count() {
+        sim.poll(i, "req-1");
+    }
+    sim.run_seconds(2);
+    let n = sim
+        .client_answers
+        .iter()
+        .filter(|answer| answer.state == "cancelled")
+        .count();
+    assert!(n >= 4, "{:?}", sim.client_answers);
+    sim.run_seconds(30);
+    assert!(sim.machines_running("req-1/0").is_empty());
+}
+
+#[test]
+fn cancel_racing_with_completion_has_one_outcome() {
+    for seed in 20..28 {
+        let mut sim = simulation_with_leader(seed, 2);
+        sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 4 * SECOND);
+        let dt = sim.rng.random_range(5_500_000..8_500_000);
+        sim.after(dt, |sim| sim.cancel_until_answered("req-1"));
+        sim.run_seconds(40);
+        for i in 0..sim.controller_count() {
+            sim.poll(i, "req-1");
+        }
+        sim.run_seconds(2);
+        assert!(["done", "cancelled"].contains(&sim.last_status("req-1").as_str()));
+    }
+}
+
+#[test]
+fn no_job_is_invented_or_forgotten() {
+    let mut sim = simulation_with_leader(16, 1);
+    sim.poll(0, "req-99");
+    sim.poll(1, "nonsense");
+    sim.run_seconds(1);
+    assert!(
+        sim.client_answers.iter().all(|answer| answer.status == 404),
+        "{:?}",
+        sim.client_answers
+    );
+    sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 2 * SECOND);
+    sim.run_seconds(20);
+    sim.submit(2, "req-1");
+    sim.run_seconds(1);
+    let last = sim.client_answers.last().unwrap();
+    assert_eq!((last.status, last.state.as_str()), (200, "done"));
+}
+
+#[test]
+fn clients_of_a_controller_refused_by_the_store_are_served_by_another() {
+    let mut sim = simulation_with_leader(36, 2);
+    sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
+    sim.run_seconds(10);
+    let f = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
+    sim.store.refused_controllers.push(f);
+    sim.run_seconds(3);
+    let from = sim.client_answers.len();
+    sim.declare_job("req-2", job(JobKind::Array, 1, 1.0), 2 * SECOND);
+    sim.submit(f, "req-2");
+    sim.poll(f, "req-1");
+    sim.poll(f, "req-99");
+    sim.cancel(f, "req-1");
+    sim.run_seconds(1);
+    let mut said: Vec<(u16, &str)> = sim.client_answers[from..]
+        .iter()
+        .map(|answer| (answer.status, answer.state.as_str()))
+        .collect();
+    said.sort_unstable();
+    assert_eq!(
+        said.iter().map(|s| s.0).collect::<Vec<_>>(),
+        [200, 200, 201, 404],
+        "{said:?}"
+    );
+    sim.run_seconds(40);
+    assert!(sim.machines_running("req-1/0").is_empty());
+    sim.poll(f, "req-2");
+    sim.run_seconds(1);
+    assert_eq!(sim.last_status("req-2"), "done");
+}
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,7 +1,7 @@
 //! One controller over real loopback sockets, with fakes of the key-value store and the cloud.
 
 mod settings;
-#[path = "../world/store.rs"]
+#[path = "../simulation/fake_store.rs"]
 mod store;
 mod submissions;
 
--- /dev/null
+++ b/tests/simulation/load_balancer.rs
@@ -0,0 +1,264 @@
+//! The load balancer between clients and controllers, and clients that use it, as the protocol describes both.
+
+use super::*;
+use std::collections::VecDeque;
+
+const PROBE_INTERVAL: u64 = SECOND;
+/// Health checks that are remembered for each backend.
+const PROBE_HISTORY: usize = 6;
+/// A backend that was removed stays out for this long, doubled with each recent removal.
+const REMOVAL_TIME: u64 = 3 * SECOND;
+const MAX_REMOVAL_TIME: u64 = 60 * SECOND;
+/// Removals count as recent for this long.
+const REMOVAL_MEMORY: u64 = 120 * SECOND;
+/// Connections to a removed backend are closed after this time.
+const CONNECTION_GRACE: u64 = 5 * SECOND;
+/// A backend gets its full share of new connections this long after it has become healthy.
+const RAMP_TIME: u64 = 10 * SECOND;
+/// A backend is skipped for `SKIP_TIME` after this many failed connections in a row.
+const MAX_FAILED_CONNECTIONS: u32 = 3;
+const SKIP_TIME: u64 = 3 * SECOND;
+const POLL_INTERVAL: u64 = 5 * SECOND;
+/// Clients wait this long for the answer to a poll.
+const POLL_TIMEOUT: u64 = 2 * SECOND;
+/// Clients wait this long for the answer to a submission.
+const SUBMIT_TIMEOUT: u64 = 5 * SECOND;
+/// A job counts as forgotten if no poll of it is answered for this long once all faults are over.
+const FORGOTTEN_AFTER: u64 = 75 * SECOND;
+
+/// The load balancer's view of a controller.
+#[derive(Default)]
+struct Backend {
+    healthy: bool,
+    was_ever_healthy: bool,
+    /// Results of the last health checks, the newest last.
+    probes: VecDeque<bool>,
+    removed_at: Vec<u64>,
+    /// Not healthy again before this time.
+    removed_until: u64,
+    /// When `healthy` last changed.
+    changed_at: u64,
+    /// Connections that failed in a row.
+    failed_connections: u32,
+    skipped_until: u64,
+}
+
+impl Backend {
+    fn record_probe(&mut self, passed: bool, now: u64) {
+        self.probes.push_back(passed);
+        if self.probes.len() > PROBE_HISTORY {
+            self.probes.pop_front();
+        }
+        if self.healthy && self.has_failed() {
+            self.remove(now);
+        } else if !self.healthy && self.has_recovered(passed) && now >= self.removed_until {
+            self.healthy = true;
+            self.was_ever_healthy = true;
+            self.changed_at = now;
+            self.probes.clear();
+        }
+    }
+
+    /// How many of the newest health checks had this result.
+    fn count_newest(&self, checks: usize, passed: bool) -> usize {
+        let newest = self.probes.iter().rev().take(checks);
+        newest.filter(|result| **result == passed).count()
+    }
+
+    fn has_failed(&self) -> bool {
+        self.count_newest(2, false) == 2 || self.count_newest(PROBE_HISTORY, false) >= 3
+    }
+
+    fn has_recovered(&self, passed: bool) -> bool {
+        self.count_newest(2, true) == 2 || (!self.was_ever_healthy && passed)
+    }
+
+    fn remove(&mut self, now: u64) {
+        self.healthy = false;
+        self.changed_at = now;
+        self.removed_at.retain(|at| now < at + REMOVAL_MEMORY);
+        let time = REMOVAL_TIME << self.removed_at.len().min(5);
+        self.removed_until = now + time.min(MAX_REMOVAL_TIME);
+        self.removed_at.push(now);
+    }
+}
+
+/// A client with one job and one connection.
+#[derive(Default)]
+struct BalancedClient {
+    controller: Option<usize>,
+    asked_at: u64,
+    answered_at: u64,
+    /// When the client was last told the job's state.
+    state_told_at: u64,
+    finished: bool,
+}
+
+#[derive(Default)]
+pub struct LoadBalancer {
+    backends: Vec<Backend>,
+    /// Clients by job.
+    clients: BTreeMap<String, BalancedClient>,
+    /// Since when all faults are over.
+    faults_over_at: Option<u64>,
+}
+
+impl LoadBalancer {
+    fn connection_count(&self, controller: usize) -> usize {
+        let clients = self.clients.values();
+        clients
+            .filter(|client| client.controller == Some(controller))
+            .count()
+    }
+}
+
+impl Simulation {
+    /// Starts the load balancer's health checks.
+    pub fn enable_load_balancer(&mut self) {
+        let count = self.controller_count();
+        self.load_balancer.backends = (0..count).map(|_| Backend::default()).collect();
+        self.probe_backends();
+    }
+
+    /// Declares that all faults are over: from now on every job has to stay known and to get its room.
+    pub fn declare_faults_over(&mut self) {
+        self.load_balancer.faults_over_at = Some(self.now);
+    }
+
+    pub(super) fn faults_are_over(&self) -> bool {
+        self.load_balancer.faults_over_at.is_some()
+    }
+
+    fn probe_backends(&mut self) {
+        for controller in 0..self.controller_count() {
+            let passed = self.health_status(controller) == 200;
+            let now = self.now;
+            let backend = &mut self.load_balancer.backends[controller];
+            backend.record_probe(passed, now);
+            if !backend.healthy && now >= backend.changed_at + CONNECTION_GRACE {
+                self.reset_connections(controller);
+            }
+        }
+        self.check_known_jobs();
+        self.after(PROBE_INTERVAL, Simulation::probe_backends);
+    }
+
+    /// Closes all connections to a controller.
+    pub(super) fn reset_connections(&mut self, controller: usize) {
+        for client in self.load_balancer.clients.values_mut() {
+            if client.controller == Some(controller) {
+                client.controller = None;
+            }
+        }
+    }
+
+    /// Opens a connection to the healthy controller with the fewest clients, if one accepts it.
+    fn connect(&mut self) -> Option<usize> {
+        let now = self.now;
+        let mut order: Vec<usize> = (0..self.controller_count()).collect();
+        order.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
+        for controller in order {
+            let backend = &self.load_balancer.backends[controller];
+            let share = (now - backend.changed_at) as f64 / RAMP_TIME as f64;
+            if !backend.healthy
+                || now < backend.skipped_until
+                || !self.rng.random_bool(share.clamp(0.1, 1.0))
+            {
+                continue;
+            }
+            let is_up = self.controller(controller).is_some();
+            let backend = &mut self.load_balancer.backends[controller];
+            if is_up {
+                backend.failed_connections = 0;
+                return Some(controller);
+            }
+            backend.failed_connections += 1;
+            if backend.failed_connections >= MAX_FAILED_CONNECTIONS {
+                backend.failed_connections = 0;
+                backend.skipped_until = now + SKIP_TIME;
+            }
+        }
+        None
+    }
+
+    /// Adds a client that submits a job and then polls it every five seconds, through the load balancer.
+    pub fn spawn_balanced_client(&mut self, job: &str, spec: JobSpec, run_time: u64) {
+        self.declare_job(job, spec, run_time);
+        self.load_balancer
+            .clients
+            .insert(job.into(), BalancedClient::default());
+        self.step_balanced_client(job.to_string());
+    }
+
+    fn step_balanced_client(&mut self, job: String) {
+        let truth = &self.jobs[&job];
+        let accepted = truth.accepted;
+        let finished = truth.is_finished_for_client() || truth.cancel_requested;
+        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        client.finished = finished;
+        if finished {
+            return;
+        }
+        let controller = match client.controller {
+            Some(controller) => Some(controller),
+            None => self.connect(),
+        };
+        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        client.controller = controller;
+        client.asked_at = self.now;
+        let timeout = match (controller, accepted) {
+            (Some(controller), true) => {
+                self.poll(controller, &job);
+                POLL_TIMEOUT
+            }
+            (Some(controller), false) => {
+                self.submit(controller, &job);
+                SUBMIT_TIMEOUT
+            }
+            (None, _) => POLL_TIMEOUT,
+        };
+        let asked = job.clone();
+        self.after(timeout, move |sim| sim.close_unanswered_connection(&asked));
+        let next = if accepted {
+            POLL_INTERVAL
+        } else {
+            timeout + SECOND
+        };
+        self.after(next, move |sim| sim.step_balanced_client(job));
+    }
+
+    fn close_unanswered_connection(&mut self, job: &str) {
+        if let Some(client) = self.load_balancer.clients.get_mut(job)
+            && client.answered_at < client.asked_at
+        {
+            client.controller = None;
+        }
+    }
+
+    /// A client got an answer; `with_state`: it tells the job's state.
+    pub(super) fn balanced_client_answered(&mut self, job: &str, with_state: bool) {
+        let now = self.now;
+        if let Some(client) = self.load_balancer.clients.get_mut(job) {
+            client.answered_at = now;
+            if with_state {
+                client.state_told_at = now;
+            }
+        }
+    }
+
+    /// Once all faults are over, every accepted job's client hears its state in time.
+    fn check_known_jobs(&mut self) {
+        let Some(faults_over_at) = self.load_balancer.faults_over_at else {
+            return;
+        };
+        let is_forgotten = |job: &str, client: &BalancedClient| {
+            let heard_at = client.state_told_at.max(faults_over_at);
+            !client.finished && self.jobs[job].accepted && self.now > heard_at + FORGOTTEN_AFTER
+        };
+        let mut clients = self.load_balancer.clients.iter();
+        if let Some((job, _)) = clients.find(|(job, client)| is_forgotten(job, client)) {
+            let details = format!("{job}: no question answered for 75 s");
+            self.report_violation("forgotten", details);
+        }
+    }
+}
--- /dev/null
+++ b/tests/simulation/violation_injection.rs
@@ -0,0 +1,91 @@
+//! A faulty scheduler for tests of the invariant checker: it does what no controller or agent may do.
+
+use super::*;
+
+impl Simulation {
+    /// Lets a controller send a start.
+    pub fn inject_start(&mut self, controller: usize, machine: &str, task: &str, attempt: u64) {
+        let commands = AgentCommands {
+            term: self.term(),
+            agent_epoch: self.agents[machine].agent_epoch,
+            commands: vec![Command::Start {
+                task: task.into(),
+                attempt,
+            }],
+        };
+        let index: usize = machine.trim_start_matches("n-").parse().unwrap();
+        let call = Call {
+            id: u64::MAX,
+            addr: network::agent_address(index).parse().unwrap(),
+            method: "POST",
+            path: "/orders".into(),
+            body: encode(&commands),
+            timeout: Micros(SECOND),
+        };
+        let incarnation = self.controllers[controller].incarnation;
+        self.send(controller, incarnation, call);
+    }
+
+    /// Lets a task run on a machine although no controller has started it.
+    pub fn inject_running_task(&mut self, machine: &str, key: fake_agent::TaskKey) {
+        let task = FakeTask {
+            phase: TaskPhase::Running,
+            exit_reason: None,
+            saved: false,
+            phase_ends_at: u64::MAX,
+        };
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        agent.tasks.insert(key, task);
+    }
+
+    /// Lets a client get an answer that no controller has sent.
+    pub fn inject_client_answer(
+        &mut self,
+        job: &str,
+        asked_at: u64,
+        request: ClientRequest,
+        status: u16,
+        state: &str,
+    ) {
+        let body = encode(&JobState {
+            id: job.into(),
+            status: state.into(),
+            done: None,
+            running: None,
+        });
+        self.client_answered(job.into(), asked_at, request, status, &body);
+    }
+
+    /// Empties the list of machine types in a controller's cache.
+    pub fn clear_machine_types(&mut self, controller: usize) {
+        if let Some(process) = self.controllers[controller].process.as_mut() {
+            process.cache.types = Some(Vec::new());
+        }
+    }
+
+    /// Sends a message with any body to a controller.
+    pub fn send_bytes(&mut self, controller: usize, internal: bool, path: &str, body: Vec<u8>) {
+        let pending = match path {
+            "/submissions" => PendingResponse::Invalid {
+                description: "bytes",
+                expected_status: 400,
+            },
+            _ => PendingResponse::AgentHeartbeat {
+                machine: "none".into(),
+                number: 0,
+            },
+        };
+        self.request_on(internal, controller, pending, "POST", path.into(), body);
+    }
+
+    /// The next heartbeat of a machine's agent.
+    pub fn heartbeat_of(&mut self, machine: &str) -> AgentHeartbeat {
+        let agent = self.agents.get_mut(machine).expect("a machine");
+        agent.heartbeat()
+    }
+
+    /// Lets a submission of a job that can never run be answered with this status.
+    pub fn inject_invalid_request_answer(&mut self, status: u16) {
+        self.check_invalid_request_answer("injected", 400, status);
+    }
+}
