--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -50,9 +50,9 @@
     fn command_candidates(&mut self, now: Micros) -> Vec<String> {
         let is_ready =
             |agent: &Agent| !agent.ordering && agent.order_again <= now && !agent.is_over();
-        let touched = std::mem::take(&mut self.touched);
+        let to_check = std::mem::take(&mut self.touched);
         if self.sweep_at > now {
-            return touched
+            return to_check
                 .into_iter()
                 .filter(|machine| self.agents.get(machine).is_some_and(is_ready))
                 .collect();
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -37,7 +37,7 @@
     pub needs_fence: bool,
 }
 
-/// Commands due to an agent. `heard`: cancellations that peers have told us of.
+/// Commands due to an agent. `heard`: cancellations that peers have reported to us.
 pub(super) fn due_commands(
     leader: &LeaderState,
     cache: &RecordCache,
