--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -48,8 +48,9 @@
 impl LeaderState {
     /// Machines to be checked for due commands: those that something happened to, or at intervals all.
     fn command_candidates(&mut self, now: Micros) -> Vec<String> {
-        let is_ready =
-            |agent: &Agent| !agent.ordering && agent.order_again <= now && !agent.is_over();
+        let is_ready = |agent: &Agent| {
+            !agent.commands_in_flight && agent.next_commands_at <= now && !agent.is_over()
+        };
         let to_check = std::mem::take(&mut self.touched);
         if self.sweep_at > now {
             return to_check
@@ -69,7 +70,7 @@
     fn keeps_too_many_attempts(&self, machine: &str, now: Micros) -> bool {
         // The length is compared first: counting looks each start up.
         let too_many = |agent: &Agent| {
-            agent.tasks.len() > MAX_KEPT_ATTEMPTS && agent.kept() > MAX_KEPT_ATTEMPTS
+            agent.tasks.len() > MAX_KEPT_ATTEMPTS && agent.retained_exits() > MAX_KEPT_ATTEMPTS
         };
         now.since(self.since) > KEPT_ATTEMPTS_FENCE_INTERVAL
             && self.agents.get(machine).is_some_and(too_many)
@@ -89,12 +90,12 @@
             return None;
         }
         let address = agent.address?;
-        agent.ordering = true;
+        agent.commands_in_flight = true;
         for key in &due.stops {
             agent.stops.insert(key.clone(), now);
         }
         for key in &due.starts {
-            start_under_term(agent, key.clone(), term).direct = true;
+            start_under_term(agent, key.clone(), term).in_flight = true;
         }
         let commands = AgentCommands {
             term,
@@ -122,7 +123,7 @@
     if agent.agent_epoch == 0 {
         return false;
     }
-    if !agent.hearing.hears() {
+    if !agent.reachability.receives() {
         return true;
     }
     let shows_term_soon = agent
@@ -148,8 +149,8 @@
     let Some(start) = agent.starts.get_mut(key) else {
         return;
     };
-    start.direct = false;
-    if !start.loose && !start.answered && start.answer_to.is_none() {
+    start.in_flight = false;
+    if !start.unresolved && !start.acknowledged && start.sent_with_response_to.is_none() {
         agent.starts.remove(key);
     }
 }
@@ -180,12 +181,12 @@
 
     /// The agent confirmed them.
     fn mark_executed(&self, agent: &mut Agent) {
-        self.update_starts(agent, |start| start.answered = true);
+        self.update_starts(agent, |start| start.acknowledged = true);
     }
 
     /// They may be carried out late, or have been.
     fn mark_unknown(&self, agent: &mut Agent) {
-        self.update_starts(agent, |start| start.loose = true);
+        self.update_starts(agent, |start| start.unresolved = true);
     }
 
     fn update_starts(&self, agent: &mut Agent, update: impl Fn(&mut DirectStart)) {
@@ -193,7 +194,7 @@
             let start = agent.starts.get_mut(key);
             if let Some(start) = start.filter(|start| start.term == self.term) {
                 update(start);
-                start.direct = false;
+                start.in_flight = false;
             }
         }
     }
@@ -246,7 +247,7 @@
         let due = due_commands(
             leader,
             &self.cache,
-            &self.peers.heard,
+            &self.peers.reported_cancellations,
             machine,
             clock.now,
             Delivery::HeartbeatResponse,
@@ -256,7 +257,7 @@
                 agent.stops.insert(key, clock.now);
             }
             for key in due.starts.into_iter().filter(|_| relayed) {
-                start_under_term(agent, key, leader.term).answer_to = Some(report.seq);
+                start_under_term(agent, key, leader.term).sent_with_response_to = Some(report.seq);
             }
         }
         due.commands
@@ -278,7 +279,7 @@
             let due = due_commands(
                 leader,
                 &self.cache,
-                &self.peers.heard,
+                &self.peers.reported_cancellations,
                 &machine,
                 now,
                 Delivery::Direct,
@@ -344,7 +345,7 @@
         let Some(agent) = leader.agents.get_mut(machine) else {
             return;
         };
-        agent.ordering = false;
+        agent.commands_in_flight = false;
         leader.touched.insert(machine.to_string());
         let sent = SentCommands {
             starts,
@@ -353,23 +354,23 @@
         };
         match CommandsResponse::parse(machine, outcome) {
             CommandsResponse::NotSent => {
-                agent.order_again = clock.now + COMMAND_RETRY;
+                agent.next_commands_at = clock.now + COMMAND_RETRY;
                 sent.mark_not_executed(agent);
             }
             CommandsResponse::Executed(report) => {
-                agent.hearing.answered(clock.now);
+                agent.reachability.on_commands_answered(clock.now);
                 sent.mark_executed(agent);
                 self.apply_heartbeat(clock, &report);
             }
             CommandsResponse::Rejected(report) => {
-                agent.hearing.answered(clock.now);
-                agent.order_again = clock.now + REJECTED_RETRY;
+                agent.reachability.on_commands_answered(clock.now);
+                agent.next_commands_at = clock.now + REJECTED_RETRY;
                 sent.mark_not_executed(agent);
                 self.on_commands_rejected(clock, &report);
             }
             CommandsResponse::Unknown => {
-                agent.hearing.unanswered(clock.now);
-                agent.order_again = clock.now + retry_delay(agent, clock.now);
+                agent.reachability.on_commands_unanswered(clock.now);
+                agent.next_commands_at = clock.now + retry_delay(agent, clock.now);
                 sent.mark_unknown(agent);
             }
         }
@@ -393,7 +394,7 @@
 
 /// When direct commands without a response are sent again.
 fn retry_delay(agent: &Agent, now: Micros) -> Micros {
-    let unreachable_since = agent.hearing.suspected_since();
+    let unreachable_since = agent.reachability.suspected_since();
     if unreachable_since.is_some_and(|since| now.since(since) > LONG_UNREACHABLE) {
         UNREACHABLE_RETRY
     } else {
