--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -1,6 +1,8 @@
-//! Cost of passing cancellations to peers: a heartbeat and its response between two of three controllers, with 1,900
-//! machines and 1,000 cancellations a minute, with the store available (`calm`) and while it refuses one controller
-//! (`refused`); and of a heartbeat of the previous format for comparison. `cargo bench --bench heartbeats`; figures in `docs/measured/limits.md`.
+//! Cost of passing cancellations to peers: a heartbeat and its response between two of three controllers.
+//!
+//! There are 1,900 machines and 1,000 cancellations a minute, with the store available to both (`calm`) and while it
+//! refuses one of them (`refused`). A heartbeat of the previous format is measured for comparison.
+//! `cargo bench --bench heartbeats`; figures in `docs/measured/limits.md`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use lease_delegation::cancellations::{Heard, Log};
--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -1,7 +1,8 @@
-//! Exhaustive check of a small model of budget shares: holders that see grants late or never, a grantor that uses what
-//! it has not lent and is replaced by another, and clocks that differ. Times are relative to the present, so a model that
-//! runs forever has finitely many states. Each mechanism that the safety argument needs is also removed, and a violation
-//! must then be found.
+//! Exhaustive check of a small model of budget shares.
+//!
+//! Holders see grants late or never, a grantor uses what it has not lent and is replaced by another, and clocks differ.
+//! Times are relative to the present, so a model that runs forever has finitely many states. Each mechanism that the
+//! safety argument needs is also removed, and a violation must then be found.
 
 use admission_control::fair::Asked;
 use admission_control::parts::{Grant, Part, Rules, Want};
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -1,8 +1,8 @@
 //! Heartbeats between controllers, encoded with postcard.
 //!
-//! A heartbeat and its response are both a [`PeerHeartbeat`]. Postcard encodes fields by position and without names,
-//! so fields are never reordered, and each format (see [`mod@format`]) appends its fields to those of the formats before.
-//! The fields in the order in which they are sent:
+//! A heartbeat and its response are both a [`PeerHeartbeat`]. Postcard encodes fields by position and without names.
+//! Fields are therefore never reordered, and each format (see [`mod@format`]) appends its fields to the earlier ones.
+//! These are the fields in the order in which they are sent:
 //!
 //! | since format | fields |
 //! | --- | --- |
