--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -51,14 +51,14 @@
         let is_ready = |agent: &Agent| {
             !agent.commands_in_flight && agent.next_commands_at <= now && !agent.is_over()
         };
-        let to_check = std::mem::take(&mut self.touched);
-        if self.sweep_at > now {
+        let to_check = std::mem::take(&mut self.machines_to_check);
+        if self.next_full_check_at > now {
             return to_check
                 .into_iter()
                 .filter(|machine| self.agents.get(machine).is_some_and(is_ready))
                 .collect();
         }
-        self.sweep_at = now + FULL_CHECK_INTERVAL;
+        self.next_full_check_at = now + FULL_CHECK_INTERVAL;
         self.agents
             .iter()
             .filter(|(_, agent)| is_ready(agent))
@@ -287,7 +287,7 @@
             needs_fence |= due.needs_fence || leader.keeps_too_many_attempts(&machine, now);
             calls.extend(leader.prepare_direct_call(&machine, due, now));
         }
-        let next_full_check = leader.sweep_at;
+        let next_full_check = leader.next_full_check_at;
         for call in calls {
             self.call(
                 call.tag,
@@ -309,10 +309,10 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if leader.raising {
+        if leader.term_raise_pending {
             return;
         }
-        leader.raising = true;
+        leader.term_raise_pending = true;
         let record = LeaderRecord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
@@ -346,7 +346,7 @@
             return;
         };
         agent.commands_in_flight = false;
-        leader.touched.insert(machine.to_string());
+        leader.machines_to_check.insert(machine.to_string());
         let sent = SentCommands {
             starts,
             term,
--- a/src/agents/failure_history.rs
+++ b/src/agents/failure_history.rs
@@ -23,19 +23,19 @@
     /// Machines on which the job failed, and when last: it is not tried there again for a while.
     pub machines: BTreeMap<String, Micros>,
     /// Number of different machines on which it failed since a task of it last succeeded.
-    pub row: u32,
+    pub failed_machines: u32,
     /// The job is not tried before this, unless some of its tasks run.
-    pub again: Micros,
+    pub retry_at: Micros,
 }
 
 impl FailureHistory {
     /// Whether the job failed on so many machines in a row that it is at fault itself.
-    pub fn jobs_fault(&self) -> bool {
-        self.row > MAX_MACHINE_FAULTS
+    pub fn is_at_fault(&self) -> bool {
+        self.failed_machines > MAX_MACHINE_FAULTS
     }
 
     /// Whether the job has not failed for a while.
-    pub fn quiet(&self, now: Micros) -> bool {
+    pub fn has_not_failed_recently(&self, now: Micros) -> bool {
         self.machines
             .values()
             .all(|failed_at| now.since(*failed_at) > COOLDOWN)
@@ -46,9 +46,9 @@
     /// Times of the failures for which a machine may be at fault: not those of jobs that fail on any machine.
     fn attributed_failures<'a>(&'a self, agent: &'a Agent) -> impl Iterator<Item = Micros> + 'a {
         let is_jobs_fault = |job: &String| {
-            self.troubles
+            self.failure_histories
                 .get(job)
-                .is_some_and(FailureHistory::jobs_fault)
+                .is_some_and(FailureHistory::is_at_fault)
         };
         agent
             .errors
@@ -58,31 +58,31 @@
     }
 
     /// Whether tasks of several jobs failed in a row on a machine, so that the machine is at fault.
-    pub fn sick(&self, agent: &Agent, policy: &Policy) -> bool {
+    pub fn is_unhealthy(&self, agent: &Agent, policy: &Policy) -> bool {
         agent.errors.len() as f64 >= policy.sick_after
             && self.attributed_failures(agent).count() as f64 >= policy.sick_after
     }
 
     /// Whether a machine has been at fault for a while: by then jobs at fault are known, also to a new leader.
     pub fn stays_unhealthy(&self, agent: &Agent, policy: &Policy, now: Micros) -> bool {
-        self.sick(agent, policy)
+        self.is_unhealthy(agent, policy)
             && self
                 .attributed_failures(agent)
                 .any(|failed_at| now.since(failed_at) > UNHEALTHY_BEFORE_DELETION)
     }
 
     /// Whether a task failed recently on a machine, and the machine may be at fault.
-    pub fn suspect(&self, agent: &Agent, now: Micros) -> bool {
+    pub fn failed_recently(&self, agent: &Agent, now: Micros) -> bool {
         self.attributed_failures(agent)
             .any(|failed_at| now < failed_at + COOLDOWN)
     }
 
     /// Drops failures that are older than the time for which a machine is avoided.
-    pub fn forgive(&mut self, now: Micros) {
+    pub fn expire_failures(&mut self, now: Micros) {
         let is_recent = |failed_at: &Micros| now < *failed_at + AVOIDED;
-        self.troubles.retain(|_, history| {
+        self.failure_histories.retain(|_, history| {
             history.machines.retain(|_, failed_at| is_recent(failed_at));
-            !history.machines.is_empty() || now < history.again
+            !history.machines.is_empty() || now < history.retry_at
         });
         for agent in self.agents.values_mut() {
             agent.errors.retain(|error| is_recent(&error.at));
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -36,7 +36,8 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if clock.now >= leader.vouched.max(leader.last_confirmed_read) + staleness_bound {
+        if clock.now >= leader.peers_confirmed_at.max(leader.last_confirmed_read) + staleness_bound
+        {
             // A renewal could keep a task alive that has been cancelled meanwhile.
             self.refuse(conn, 503, "the state service is silent for too long");
             return;
@@ -140,10 +141,10 @@
         } else {
             agent.idle_since = None;
         }
-        leader.fleet.met(machine, report, clock.now);
+        leader.fleet.record_heartbeat(machine, report, clock.now);
         if let HeartbeatEffect::Changed(previous) = effect {
             leader.dirty = true;
-            leader.touched.insert(machine.clone());
+            leader.machines_to_check.insert(machine.clone());
             leader.apply_task_changes(&mut self.cache, clock, machine, &previous);
         }
         true
@@ -225,8 +226,8 @@
                     agent.errors.clear();
                     agent.running_since_error.clear();
                 }
-                if let Some(history) = self.troubles.get_mut(&task.job) {
-                    history.row = 0;
+                if let Some(history) = self.failure_histories.get_mut(&task.job) {
+                    history.failed_machines = 0;
                 }
                 if job.active() && !job.is_done(task.task) {
                     self.record_completion(job, clock, task);
@@ -234,8 +235,8 @@
             }
             Some(ExitReason::NoRoom) => {
                 log_task_failure(machine, task);
-                let history = self.troubles.entry(task.job.clone()).or_default();
-                history.again = history.again.max(clock.now + NO_ROOM_BACKOFF);
+                let history = self.failure_histories.entry(task.job.clone()).or_default();
+                history.retry_at = history.retry_at.max(clock.now + NO_ROOM_BACKOFF);
             }
             Some(ExitReason::Error) => {
                 log_task_failure(machine, task);
@@ -258,12 +259,12 @@
 
     /// Adds a failed task to the failure history of its job and of its machine.
     fn record_failure(&mut self, clock: Clock, machine: &str, task: &ReportedTask) {
-        let history = self.troubles.entry(task.job.clone()).or_default();
+        let history = self.failure_histories.entry(task.job.clone()).or_default();
         let earlier = history.machines.insert(machine.to_string(), clock.now);
-        history.row += u32::from(earlier.is_none());
-        if history.jobs_fault() {
-            let doublings = history.row.min(MAX_BACKOFF_DOUBLINGS);
-            history.again = clock.now + Micros::millis(JOB_FAULT_BACKOFF_MS << doublings);
+        history.failed_machines += u32::from(earlier.is_none());
+        if history.is_at_fault() {
+            let doublings = history.failed_machines.min(MAX_BACKOFF_DOUBLINGS);
+            history.retry_at = clock.now + Micros::millis(JOB_FAULT_BACKOFF_MS << doublings);
         }
         let Some(agent) = self.agents.get_mut(machine) else {
             return;
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -36,7 +36,7 @@
     /// Version of the leader record: the precondition of each of our transactions.
     pub version: u64,
     /// Version of the leader record when we acquired leadership. Writes of earlier leaders have lower versions.
-    pub entered: u64,
+    pub leadership_version: u64,
     /// When our present term began.
     pub since: Micros,
     /// When we acquired leadership; later terms of ours do not change it.
@@ -45,11 +45,11 @@
     pub last_confirmed_read: Micros,
     /// Start of the last round in which all peers confirmed that they know of no cancellation and no leader newer
     /// than we know.
-    pub vouched: Micros,
+    pub peers_confirmed_at: Micros,
     /// Whether a transaction that raises our term is in flight.
-    pub raising: bool,
+    pub term_raise_pending: bool,
     /// Grants by which peers may renew agent leases under our term.
-    pub rights: LeaseGrantor,
+    pub lease_grants: LeaseGrantor,
     /// Agents by machine name.
     pub agents: BTreeMap<String, Agent>,
     /// Machines and rental requests.
@@ -59,23 +59,23 @@
     /// Tasks to be stopped, by job and task number: grace period in seconds, and since when the stop is due.
     pub stopping: BTreeMap<String, BTreeMap<u32, (f64, Micros)>>,
     /// Gangs that lost a member, with the attempt concerned: the other members of that attempt are not started.
-    pub broken_gangs: BTreeMap<String, u64>,
+    pub incomplete_gangs: BTreeMap<String, u64>,
     /// Failure history by job.
-    pub troubles: BTreeMap<String, FailureHistory>,
+    pub failure_histories: BTreeMap<String, FailureHistory>,
     /// Whether something changed that the next scheduling pass has to take into account.
     pub dirty: bool,
     /// Machines that may be due commands.
-    pub touched: BTreeSet<String>,
+    pub machines_to_check: BTreeSet<String>,
     /// When all machines are next checked for due commands, above all for commands to be repeated.
-    pub sweep_at: Micros,
+    pub next_full_check_at: Micros,
     /// Whether the leases of all machines that never sent us a heartbeat have expired in the worst case.
-    pub strangers_over: bool,
+    pub unmet_leases_expired: bool,
     /// Machines whose leases followers renew for our term, by the followers' records.
     pub renewed: BTreeSet<String>,
     /// Per follower: the newest renewal record that we have seen.
     pub(super) last_seen_renewals: BTreeMap<String, LastSeenRenewal>,
     /// Since when most agents are served by peers and not by us; `Micros::FAR`: leadership is being transferred.
-    pub useless_since: Option<Micros>,
+    pub unable_to_serve_since: Option<Micros>,
     /// Machines on which capacity is reserved: for which job, and until when.
     pub reserved: BTreeMap<String, (String, Micros)>,
     /// Change counter of the cached renewal records when `renewed` was computed.
@@ -89,13 +89,13 @@
     /// When the last scheduling pass ran.
     pub last_pass: Micros,
     /// The largest demand of a job seen so far.
-    pub b_max: f64,
+    pub max_demand: f64,
     /// Number of starts decided so far.
     pub started: u64,
     /// Sequence number of each start, by job and task number.
-    pub order_of: BTreeMap<String, BTreeMap<u32, u64>>,
+    pub start_order: BTreeMap<String, BTreeMap<u32, u64>>,
     /// State kept from pass to pass.
-    pub kept: PassState,
+    pub pass_state: PassState,
 }
 
 impl LeaderState {
@@ -104,41 +104,41 @@
         LeaderState {
             term,
             version,
-            entered: version,
+            leadership_version: version,
             since: clock.now,
             led_since: clock.now,
             last_confirmed_read: Micros::ZERO,
-            vouched: Micros::ZERO,
-            raising: false,
-            rights: LeaseGrantor::default(),
+            peers_confirmed_at: Micros::ZERO,
+            term_raise_pending: false,
+            lease_grants: LeaseGrantor::default(),
             agents: BTreeMap::new(),
             fleet: Inventory::new(clock),
             edits: RecordWriter::default(),
             stopping: BTreeMap::new(),
-            broken_gangs: BTreeMap::new(),
-            troubles: BTreeMap::new(),
+            incomplete_gangs: BTreeMap::new(),
+            failure_histories: BTreeMap::new(),
             dirty: true,
-            touched: BTreeSet::new(),
-            sweep_at: clock.now,
-            strangers_over: false,
+            machines_to_check: BTreeSet::new(),
+            next_full_check_at: clock.now,
+            unmet_leases_expired: false,
             renewed: BTreeSet::new(),
             last_seen_renewals: BTreeMap::new(),
-            useless_since: None,
+            unable_to_serve_since: None,
             reserved: BTreeMap::new(),
             seen_renewals_revision: u64::MAX,
             next_lease_check: Micros::ZERO,
             recovery: Recovery::default(),
             fold_at: clock.now,
             last_pass: Micros::ZERO,
-            b_max: 0.0,
+            max_demand: 0.0,
             started: 0,
-            order_of: BTreeMap::new(),
-            kept: PassState::default(),
+            start_order: BTreeMap::new(),
+            pass_state: PassState::default(),
         }
     }
 
     /// What is known about a recorded attempt on its machine.
-    pub fn standing(&self, job: &str, entry: &TaskEntry) -> TaskLiveness {
+    pub fn attempt_liveness(&self, job: &str, entry: &TaskEntry) -> TaskLiveness {
         let Some(machine) = entry.machine() else {
             return TaskLiveness::Gone;
         };
@@ -154,37 +154,39 @@
                 entry.agent_epoch(),
             ),
             // It sent no heartbeat under our term, and no controller can still be renewing its lease.
-            None if self.strangers_over && !self.renewed.contains(machine) => TaskLiveness::Gone,
+            None if self.unmet_leases_expired && !self.renewed.contains(machine) => {
+                TaskLiveness::Gone
+            }
             None => TaskLiveness::Unknown,
         }
     }
 
     /// Whether a recorded attempt must be assumed to run on its machine. An attempt that was not started yet counts
     /// if the task is `wanted` and may be started, since its start may be sent at any moment.
-    pub fn presumed(&self, job: &str, entry: &TaskEntry, wanted: bool) -> bool {
-        let liveness = self.standing(job, entry);
-        liveness.may_be_running(|| wanted && self.wanted(job, entry))
+    pub fn may_be_running(&self, job: &str, entry: &TaskEntry, wanted: bool) -> bool {
+        let liveness = self.attempt_liveness(job, entry);
+        liveness.may_be_running(|| wanted && self.may_be_started(job, entry))
     }
 
     /// Whether a recorded attempt may be started: no stop of it is due, and its gang lost no member.
-    pub fn wanted(&self, job: &str, entry: &TaskEntry) -> bool {
+    pub fn may_be_started(&self, job: &str, entry: &TaskEntry) -> bool {
         let gang_complete = self
-            .broken_gangs
+            .incomplete_gangs
             .get(job)
             .is_none_or(|broken| *broken < entry.attempt());
-        gang_complete && self.stop_of(job, entry.task()).is_none()
+        gang_complete && self.due_stop(job, entry.task()).is_none()
     }
 
     /// Whether all reachable agents have had the time to send us a heartbeat. Until then we know only some of the
     /// machines: preemption and scale-out would make room that is already there.
-    pub fn learnt(&self, settings: &Settings, now: Micros) -> bool {
+    pub fn agents_known(&self, settings: &Settings, now: Micros) -> bool {
         let takeover = Micros::secs(settings.params.agents.report_s * TAKEOVER_REPORTS);
         self.term <= FIRST_TERM || now.since(self.led_since) >= takeover
     }
 
     /// Whether peers serve most of the agents, by their renewal records, and hardly any agent reaches us. False soon
     /// after a change of leader, so that leadership does not change in a circle.
-    pub fn cannot_serve(&self, settings: &Settings, now: Micros) -> bool {
+    pub fn peers_serve_most_agents(&self, settings: &Settings, now: Micros) -> bool {
         if self.renewed.is_empty() || now.since(self.led_since) < MIN_LEADERSHIP {
             return false;
         }
@@ -201,7 +203,7 @@
     }
 
     /// The due stop of a task: grace period in seconds, and since when it is due.
-    pub fn stop_of(&self, job: &str, task: u32) -> Option<(f64, Micros)> {
+    pub fn due_stop(&self, job: &str, task: u32) -> Option<(f64, Micros)> {
         self.stopping.get(job)?.get(&task).copied()
     }
 
@@ -215,7 +217,7 @@
 }
 
 /// Grace period in seconds of a stop that lets the task save a checkpoint; zero for jobs that save none.
-pub fn grace(job: &Job) -> f64 {
+pub fn stop_grace_s(job: &Job) -> f64 {
     /// Added to the time that saving takes, for the way of the command and a late timer.
     const SAVE_MARGIN_S: f64 = 1.0;
     let spec = &job.rec.spec;
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -85,7 +85,7 @@
 impl LeaderState {
     /// Marks the agent epochs whose lease has expired in the worst case as over; returns the time of the next check.
     /// `pledged`: peers may take our leadership for one that began then.
-    pub fn leases(
+    pub fn expire_leases(
         &mut self,
         settings: &Settings,
         cache: &RecordCache,
@@ -96,7 +96,7 @@
             return self.next_lease_check;
         }
         let bounds = LeaseBounds::new(settings, self.since.max(pledged));
-        self.see_renewals(cache);
+        self.update_renewed(cache);
         let mut next = self.expire_unmet_machines(bounds.earlier_terms_end, now);
         let mut expired = Vec::new();
         for (machine, agent) in &self.agents {
@@ -118,13 +118,13 @@
     /// Notes when the leases of machines that never sent us a heartbeat have expired; returns the time of the next
     /// check.
     fn expire_unmet_machines(&mut self, earlier_terms_end: Micros, now: Micros) -> Micros {
-        if self.strangers_over {
+        if self.unmet_leases_expired {
             return Micros::FAR;
         }
         if now < earlier_terms_end {
             return earlier_terms_end;
         }
-        self.strangers_over = true;
+        self.unmet_leases_expired = true;
         self.dirty = true;
         Micros::FAR
     }
@@ -144,7 +144,10 @@
             // A follower keeps the lease alive, and will record when it no longer does.
             return LeaseCheck::MayHold(now + RENEWED_LEASE_RECHECK);
         }
-        match self.rights.recheck_at(end.0, now.0, &bounds.grant_bounds()) {
+        match self
+            .lease_grants
+            .recheck_at(end.0, now.0, &bounds.grant_bounds())
+        {
             None => LeaseCheck::Expired,
             // A peer may have renewed it by a grant of ours, and has not reported that yet.
             Some(recheck_at) => LeaseCheck::MayHold(Micros(recheck_at)),
@@ -164,7 +167,7 @@
     }
 
     /// Recomputes which machines followers renew if a renewal record has changed.
-    pub fn see_renewals(&mut self, cache: &RecordCache) {
+    pub fn update_renewed(&mut self, cache: &RecordCache) {
         if self.seen_renewals_revision == cache.renewals_generation {
             return;
         }
@@ -203,7 +206,7 @@
                 last_seen.at = now;
             } else if now.since(last_seen.at)
                 > RECORD_REFRESH_INTERVAL.times(MISSED_RENEWAL_RECORDS)
-                && !self.raising
+                && !self.term_raise_pending
             {
                 log::info!("delegated renewals revoked follower={node} reason=no_record");
                 last_seen.at = now;
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -145,7 +145,7 @@
             self.stop(task, NO_GRACE, cancelled && self.renews_lease());
             return;
         }
-        let Some((grace_s, _)) = self.leader.stop_of(&task.job, task.task) else {
+        let Some((grace_s, _)) = self.leader.due_stop(&task.job, task.task) else {
             return;
         };
         // A task that is saving already needs no further stop, unless it is to exit at once.
@@ -173,7 +173,7 @@
     }
 
     fn start_if_due(&mut self, id: &str, job: &Job, entry: &TaskEntry) {
-        let liveness = self.leader.standing(id, entry);
+        let liveness = self.leader.attempt_liveness(id, entry);
         if !matches!(liveness, TaskLiveness::NotStarted | TaskLiveness::Unknown) {
             return;
         }
@@ -181,8 +181,10 @@
         let attempt = entry.attempt();
         // A record that we cannot read may say that the job is cancelled.
         let readable = !self.cache.is_unreadable(id);
-        let wanted =
-            job.active() && readable && !self.is_cancelled(id) && self.leader.wanted(id, entry);
+        let wanted = job.active()
+            && readable
+            && !self.is_cancelled(id)
+            && self.leader.may_be_started(id, entry);
         let may_start = self.now < self.leader.last_confirmed_read + MAX_START_STALENESS;
         if wanted && may_start && !self.leader.edits.placing(id, task) {
             self.due.starts.push((id.to_string(), task, attempt));
--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -28,7 +28,7 @@
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        leader.leases(&self.settings, &self.cache, pledged, clock.now)
+        leader.expire_leases(&self.settings, &self.cache, pledged, clock.now)
     }
 
     /// Runs a scheduling pass if one is due and may be made; returns when to try again.
@@ -67,11 +67,11 @@
         for id in changed {
             leader.dirty = true;
             let job = self.cache.jobs.get(&id);
-            leader.kept.backlog.update(&id, job);
+            leader.pass_state.backlog.update(&id, job);
             let Some(job) = job else { continue };
             for machine in job.entries().filter_map(TaskEntry::machine) {
-                if !leader.touched.contains(machine) {
-                    leader.touched.insert(machine.to_string());
+                if !leader.machines_to_check.contains(machine) {
+                    leader.machines_to_check.insert(machine.to_string());
                 }
             }
         }
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -50,7 +50,7 @@
     /// The same machines with the capacity that this pass has left.
     pub rooms: &'a [Host],
     /// All reachable agents have had the time to send us a heartbeat.
-    pub learnt: bool,
+    pub agents_known: bool,
 }
 
 impl<'a> FleetSnapshot<'a> {
@@ -61,7 +61,7 @@
 }
 
 /// Assigns ids to the names of all machine types and zones, also of those on offer.
-pub fn name_zones(leader: &LeaderState, cache: &RecordCache, names: &mut NameTable) {
+pub fn assign_name_ids(leader: &LeaderState, cache: &RecordCache, names: &mut NameTable) {
     for machine_type in cache.types.iter().flatten() {
         names.id(&machine_type.name);
         for zone in &machine_type.zones {
@@ -92,7 +92,7 @@
     let capacity_missing = !unmet.is_empty();
     let may_scale_out =
         snapshot.leader.fleet.listed_once && snapshot.cache.initial_machines.is_some();
-    let requests = if may_scale_out && capacity_missing && snapshot.learnt {
+    let requests = if may_scale_out && capacity_missing && snapshot.agents_known {
         plan_scale_out(snapshot, names, &silent_zones, source, unmet)
     } else {
         BTreeMap::new()
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -235,7 +235,7 @@
     }
 
     /// Queues the rent requests and deletions of a plan.
-    pub fn apply_fleet(&mut self, plan: ScalingPlan) {
+    pub fn apply_scaling_plan(&mut self, plan: ScalingPlan) {
         let Some(leader) = &mut self.leader else {
             return;
         };
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -145,7 +145,7 @@
     }
 
     /// Records that the agent of a machine has sent a heartbeat; adopts a machine that we did not know.
-    pub fn met(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+    pub fn record_heartbeat(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
         let Some(machine) = self.machines.get_mut(name) else {
             self.adopt(name, report, now);
             return;
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -120,7 +120,7 @@
         if !host.is_some_and(|host| snapshot.rooms[host].is_empty()) {
             return None;
         }
-        if leader.sick(agent, snapshot.policy) {
+        if leader.is_unhealthy(agent, snapshot.policy) {
             return leader
                 .stays_unhealthy(agent, snapshot.policy, now)
                 .then_some(DeletionReason::TasksFail);
@@ -205,7 +205,7 @@
             }
             for entry in job.entries() {
                 if let Some(machine) = entry.machine()
-                    && leader.presumed(id, entry, false)
+                    && leader.may_be_running(id, entry, false)
                     && self.leader_age > lease
                 {
                     deletions.push(MachineDeletion {
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -82,8 +82,8 @@
             );
             // Followers may go on under the old term as long as after a takeover.
             leader.since = clock.now;
-            leader.strangers_over = false;
-            leader.sweep_at = clock.now;
+            leader.unmet_leases_expired = false;
+            leader.next_full_check_at = clock.now;
         }
         leader.term = granted.term;
         leader.version = granted.version;
@@ -130,7 +130,7 @@
             self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
         }
         if let Some(leader) = &mut self.leader {
-            leader.raising = false;
+            leader.term_raise_pending = false;
         }
     }
 
@@ -145,7 +145,7 @@
             self.transferred_at = Some(clock.now);
             self.step_down("other controllers reach the agents");
         } else if let Some(leader) = &mut self.leader {
-            leader.useless_since = None;
+            leader.unable_to_serve_since = None;
         }
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -217,16 +217,16 @@
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        leader.see_renewals(&self.cache);
-        if !leader.cannot_serve(&self.settings, now) || !leader.caught_up(&self.cache) {
-            leader.useless_since = None;
+        leader.update_renewed(&self.cache);
+        if !leader.peers_serve_most_agents(&self.settings, now) || !leader.caught_up(&self.cache) {
+            leader.unable_to_serve_since = None;
             return now + TRANSFER_CHECK_INTERVAL;
         }
-        let useless_since = *leader.useless_since.get_or_insert(now);
-        if now < useless_since + TRANSFER_DELAY {
-            return useless_since + TRANSFER_DELAY;
+        let unable_to_serve_since = *leader.unable_to_serve_since.get_or_insert(now);
+        if now < unable_to_serve_since + TRANSFER_DELAY {
+            return unable_to_serve_since + TRANSFER_DELAY;
         }
-        leader.useless_since = Some(Micros::FAR);
+        leader.unable_to_serve_since = Some(Micros::FAR);
         log::info!(
             "transferring leadership term={} reason=agents_reach_peers",
             leader.term
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -69,7 +69,9 @@
                 && let Some(cached_job) = self.cache.jobs.get(&job)
             {
                 let machines = cached_job.entries().filter_map(|entry| entry.machine());
-                leader.touched.extend(machines.map(str::to_string));
+                leader
+                    .machines_to_check
+                    .extend(machines.map(str::to_string));
             }
             self.peers.cancellation_log.append(&job, version);
         }
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -41,7 +41,7 @@
             && !store_available
         {
             extension.right = Some(term);
-            let grants = &mut leader.rights;
+            let grants = &mut leader.lease_grants;
             grants.give(&sender, sender_extension.run, clock.now.0);
         }
         if extension.quiet && !sender_has_records {
@@ -111,7 +111,7 @@
         if let (Some(leader), Some(covered_until)) =
             (&mut self.leader, self.peers.coverage.all_covered_until())
         {
-            leader.vouched = Micros(covered_until);
+            leader.peers_confirmed_at = Micros(covered_until);
         }
     }
 }
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -65,7 +65,7 @@
             .leader
             .as_ref()
             .filter(|leader| {
-                let confirmed = leader.vouched.max(leader.last_confirmed_read);
+                let confirmed = leader.peers_confirmed_at.max(leader.last_confirmed_read);
                 clock.now < confirmed + staleness_bound
             })
             .map(|leader| leader.term);
@@ -217,7 +217,7 @@
         let grant = &mut self.peers.renewal_grant;
         grant.on_response(extension.right, extension.run, sent.0);
         if let Some(leader) = &mut self.leader {
-            leader.rights.on_use_report(
+            leader.lease_grants.on_use_report(
                 node,
                 extension.run,
                 sent.0,
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -237,6 +237,6 @@
     /// Whether the cache contains everything that earlier leaders wrote. The versions of job records alone do not show
     /// that, because a placement batch changes none of them.
     pub fn caught_up(&self, cache: &RecordCache) -> bool {
-        cache.revision >= self.entered && !cache.has_unreadable_batch()
+        cache.revision >= self.leadership_version && !cache.has_unreadable_batch()
     }
 }
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -1,6 +1,6 @@
 //! Carries out the decision of a pass: turns it into record changes, stop commands and reservations.
 
-use crate::agents::leader_state::{LeaderState, grace};
+use crate::agents::leader_state::{LeaderState, stop_grace_s};
 use crate::cloud::autoscaler::ScalingPlan;
 use crate::controller::Controller;
 use crate::protocol::records::TaskEntry;
@@ -26,8 +26,8 @@
             return;
         };
         let now = clock.now;
-        leader.forgive(now);
-        let mut state = std::mem::take(&mut leader.kept);
+        leader.expire_failures(now);
+        let mut state = std::mem::take(&mut leader.pass_state);
         let inputs = PassInputs {
             leader,
             cache: &self.cache,
@@ -40,9 +40,9 @@
             let consistent = state.backlog.check_consistency(self.cache.jobs.iter());
             debug_assert_eq!(consistent, Ok(()));
         }
-        leader.kept = state;
+        leader.pass_state = state;
         let scaling = leader.apply_decision(decision, &self.cache, now);
-        self.apply_fleet(scaling);
+        self.apply_scaling_plan(scaling);
     }
 }
 
@@ -63,7 +63,7 @@
             decision.machine_count,
         );
         let findings = decision.findings;
-        self.b_max = decision.largest_demand;
+        self.max_demand = decision.largest_demand;
         // A full pass may have left startable tasks behind, and a job in backoff needs another pass.
         self.dirty |= findings.has_backoff || decision.starts.len() >= PLACES;
         let event = self
@@ -72,9 +72,9 @@
         if let Some(event) = event {
             log::info!("{event}");
         }
-        let broken_gangs = findings.broken_gangs.into_iter();
-        self.broken_gangs
-            .extend(broken_gangs.map(|gang| (gang.job, gang.attempt)));
+        let incomplete_gangs = findings.incomplete_gangs.into_iter();
+        self.incomplete_gangs
+            .extend(incomplete_gangs.map(|gang| (gang.job, gang.attempt)));
         self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
@@ -117,7 +117,7 @@
             job.rec.spec.image
         );
         self.started += 1;
-        let start_orders = self.order_of.entry(start.job.clone()).or_default();
+        let start_orders = self.start_order.entry(start.job.clone()).or_default();
         start_orders.insert(start.task, self.started);
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
@@ -151,7 +151,7 @@
         for TaskStop { job, task, grace_s } in stops {
             let entry = cache.jobs.get(&job).and_then(|job| job.entry(task));
             if let Some(machine) = entry.and_then(TaskEntry::machine) {
-                self.touched.insert(machine.to_string());
+                self.machines_to_check.insert(machine.to_string());
             }
             let requested = self.stopping.entry(job).or_default();
             requested.entry(task).or_insert((grace_s, now));
@@ -168,9 +168,9 @@
     /// Drops what is kept about jobs that are no longer in the cache.
     fn forget_ended_jobs(&mut self, cache: &RecordCache) {
         let jobs = &cache.jobs;
-        self.broken_gangs.retain(|id, _| jobs.contains_key(id));
-        if self.order_of.len() > MAX_START_ORDERS {
-            self.order_of.retain(|id, _| jobs.contains_key(id));
+        self.incomplete_gangs.retain(|id, _| jobs.contains_key(id));
+        if self.start_order.len() > MAX_START_ORDERS {
+            self.start_order.retain(|id, _| jobs.contains_key(id));
         }
     }
 }
@@ -184,7 +184,7 @@
             continue;
         };
         log::info!("task preempted job={id} task={task}");
-        let grace_s = grace(job);
+        let grace_s = stop_grace_s(job);
         let tasks = tasks_stopped_with(&job.rec.spec, task);
         stops.extend(tasks.map(|task| TaskStop {
             job: id.clone(),
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -160,7 +160,7 @@
     fn unplaced_jobs_to_inspect(&self) -> impl Iterator<Item = (&'a str, Slot)> + use<'s, 'a> {
         let leader = self.leader;
         let mut ids: BTreeSet<&str> = leader.edits.jobs().collect();
-        ids.extend(leader.troubles.keys().map(String::as_str));
+        ids.extend(leader.failure_histories.keys().map(String::as_str));
         ids.extend(leader.reserved.values().map(|(job, _)| job.as_str()));
         let backlog = self.context.backlog;
         let find_unplaced = move |id: &str| {
@@ -220,7 +220,7 @@
             pending_placements: leader.edits.places(id).collect(),
             in_flight: leader.edits.in_flight(id),
             stops: leader.stopping.get(id),
-            start_order: leader.order_of.get(id),
+            start_order: leader.start_order.get(id),
             guaranteed: self.context.guaranteed(queued),
             priority: self.context.lifted.of(id, job),
         }
@@ -239,7 +239,7 @@
     /// Takes note of a gang that has lost a member, and stops the other members at once, unless one of
     /// them is saving a checkpoint.
     fn add_broken_gang(&mut self, id: &str, tally: &AttemptTally) {
-        self.snapshot.findings.broken_gangs.push(BrokenGang {
+        self.snapshot.findings.incomplete_gangs.push(BrokenGang {
             job: id.to_string(),
             attempt: tally.latest_attempt,
         });
@@ -256,8 +256,8 @@
         let queued = inspected.queued;
         let spec = inspected.spec();
         // The retry backoff of a failing job does not apply while tasks of it are running.
-        let failures = self.leader.troubles.get(inspected.id);
-        let in_backoff = failures.is_some_and(|failures| failures.again > self.clock.now)
+        let failures = self.leader.failure_histories.get(inspected.id);
+        let in_backoff = failures.is_some_and(|failures| failures.retry_at > self.clock.now)
             && !tally.is_running
             && queued.unfinished == queued.tasks;
         // Replicas of a service may be placed while others are being written: if they had to wait, jobs
@@ -290,7 +290,7 @@
                 .queue_entry(inspected.id, inspected.job, inspected.queued, tasks);
         entry.present = tally.present;
         entry.lost = lost as u32;
-        if let Some(failures) = self.leader.troubles.get(inspected.id) {
+        if let Some(failures) = self.leader.failure_histories.get(inspected.id) {
             let machines = failures.machines.keys();
             let host_table = &self.snapshot.host_table;
             entry.shape.avoid = machines
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -1,7 +1,7 @@
 //! The recorded and pending attempts of a job: whether each still runs, and the resources that it takes.
 
 use super::{InspectedJob, SnapshotBuilder};
-use crate::agents::leader_state::grace;
+use crate::agents::leader_state::stop_grace_s;
 use crate::protocol::agent_api::{ExitReason, TaskPhase};
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{JobKind, Micros};
@@ -92,7 +92,7 @@
         let active = inspected.queued.active;
         let LocatedAttempt { liveness, host } = self.locate(inspected.id, attempt, machine);
         let presumed =
-            liveness.may_be_running(|| active && self.leader.wanted(inspected.id, attempt));
+            liveness.may_be_running(|| active && self.leader.may_be_started(inspected.id, attempt));
         if is_recorded {
             tally.add_recorded(task, liveness, presumed);
         }
@@ -136,7 +136,7 @@
                 attempt.attempt(),
                 attempt.agent_epoch(),
             ),
-            None => self.leader.standing(id, attempt),
+            None => self.leader.attempt_liveness(id, attempt),
         };
         LocatedAttempt { liveness, host }
     }
@@ -172,7 +172,7 @@
     /// for that is left. A gang stops as a whole.
     fn save_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
         let spec = inspected.spec();
-        let grace_s = grace(inspected.job);
+        let grace_s = stop_grace_s(inspected.job);
         let reclaimed_at = self.snapshot.host_table.agents[host].preemption_at;
         let saved_at = self.clock.now + Micros::secs(spec.save_s);
         if grace_s > 0.0 && reclaimed_at.is_some_and(|at| at > saved_at) {
--- a/src/scheduling/cluster_snapshot/startable.rs
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -21,10 +21,10 @@
                 || leader.edits.finishing(inspected.id, task)
         };
         let mut tasks = unfinished_tasks(inspected.job, is_taken);
-        let failures = leader.troubles.get(inspected.id);
+        let failures = leader.failure_histories.get(inspected.id);
         let is_failing = failures.is_some_and(|failures| {
-            let recovered = tally.is_running && failures.quiet(self.clock.now);
-            failures.jobs_fault() && !recovered
+            let recovered = tally.is_running && failures.has_not_failed_recently(self.clock.now);
+            failures.is_at_fault() && !recovered
         });
         if inspected.kind() == JobKind::Array && is_failing {
             // One task shows whether the job still fails. A hundred would take a hundred places, and as
--- a/src/scheduling/findings.rs
+++ b/src/scheduling/findings.rs
@@ -43,7 +43,7 @@
     /// Tasks to stop.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
-    pub broken_gangs: Vec<BrokenGang>,
+    pub incomplete_gangs: Vec<BrokenGang>,
     /// A job waits for its retry backoff, so another pass is needed.
     pub has_backoff: bool,
     /// Tasks that have lost their machine and are waiting for a new one.
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -103,8 +103,8 @@
         && agent.preemption_at.is_none()
         && agent.reachability.receives()
         && !leader.fleet.leaving(name)
-        && !leader.sick(agent, inputs.policy)
-        && !leader.suspect(agent, now)
+        && !leader.is_unhealthy(agent, inputs.policy)
+        && !leader.failed_recently(agent, now)
 }
 
 /// By machine: the images in its cache, as numbers. An entry is valid while the images on record for
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -126,12 +126,12 @@
     state.refresh(cache);
     let host_table = HostTable::build(inputs, &mut state.backlog.names, &mut state.images);
     let quotas = state.team_quotas(inputs.settings);
-    autoscaler::name_zones(leader, cache, &mut state.backlog.names);
+    autoscaler::assign_name_ids(leader, cache, &mut state.backlog.names);
     let queue_demand = state.backlog.largest_demand(host_table.typical_host());
-    let largest_demand = leader.b_max.max(queue_demand);
+    let largest_demand = leader.max_demand.max(queue_demand);
     let context = scheduling_context(inputs, &state.backlog);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
-    let knows_agents = leader.learnt(inputs.settings, inputs.clock.now);
+    let knows_agents = leader.agents_known(inputs.settings, inputs.clock.now);
     prepare_snapshot(&mut snapshot, knows_agents);
     let ClusterSnapshot {
         mut host_table,
@@ -216,7 +216,7 @@
             clock: inputs.clock,
             hosts: self.host_table,
             rooms: self.capacity,
-            learnt: self.knows_agents,
+            agents_known: self.knows_agents,
         };
         autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.lacks)
     }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -41,9 +41,9 @@
         w.update(&report(2, 2), shown);
     }
     let cache = RecordCache::default();
-    l.leases(&s, &cache, Micros::ZERO, shown + Micros::millis(1));
+    l.expire_leases(&s, &cache, Micros::ZERO, shown + Micros::millis(1));
     assert!(l.agents.values().all(|w| !w.is_over()));
-    l.leases(
+    l.expire_leases(
         &s,
         &cache,
         Micros::ZERO,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -41,7 +41,7 @@
 fn queued(sim: &Simulation) -> usize {
     let leads = sim.leader().and_then(|i| sim.controller(i));
     let leader = leads.and_then(|n| n.leader.as_ref());
-    leader.map_or(0, |l| l.kept.backlog.queued())
+    leader.map_or(0, |l| l.pass_state.backlog.queued())
 }
 
 /// Jobs begin in the order in which they came, but for those that came at about the same time: the
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -180,7 +180,7 @@
             ..clock
         };
         let mut leader = LeaderState::new(rng.random_range(1..3), 1, elected_at);
-        leader.strangers_over = rng.random_bool(0.5);
+        leader.unmet_leases_expired = rng.random_bool(0.5);
         let mut cache = RecordCache::default();
         cache.put(TYPES, to_value(&machine_types()), 1);
         let mut cluster = RandomCluster {
@@ -308,7 +308,9 @@
             .or_insert_with(|| Agent::new(&heartbeat));
         agent.update(&heartbeat, now);
         agent.answered = Some(now);
-        self.leader.fleet.met(&machine, &heartbeat, now);
+        self.leader
+            .fleet
+            .record_heartbeat(&machine, &heartbeat, now);
     }
 
     /// A random change: of a job, of an agent, or of what the leader knows about a job.
@@ -337,10 +339,10 @@
             7 => {
                 let failures = FailureHistory {
                     machines: BTreeMap::from([(machine, now)]),
-                    row: self.rng.random_range(1..5),
-                    again: Micros::millis(self.rng.random_range(999_000..1_002_000)),
+                    failed_machines: self.rng.random_range(1..5),
+                    retry_at: Micros::millis(self.rng.random_range(999_000..1_002_000)),
                 };
-                self.leader.troubles.insert(id, failures);
+                self.leader.failure_histories.insert(id, failures);
             }
             _ => self.reserve(machine, id),
         }
@@ -376,7 +378,10 @@
         assert_eq!(findings.cleanable_jobs, expected.cleanable_jobs, "{step}");
         assert_eq!(findings.done_tasks, expected.done_tasks, "{step}");
         assert_eq!(findings.stops, expected.stops, "{step}");
-        assert_eq!(findings.broken_gangs, expected.broken_gangs, "{step}");
+        assert_eq!(
+            findings.incomplete_gangs, expected.incomplete_gangs,
+            "{step}"
+        );
         if self.is_unlimited {
             assert_eq!(unplaced, expected.unplaced, "{step}");
         }
@@ -386,7 +391,7 @@
     /// Applies a decision, in part: some starts are on record, some are being written, some are lost.
     fn apply(&mut self, decision: PassDecision) {
         let now = self.clock.now;
-        self.leader.b_max = decision.largest_demand;
+        self.leader.max_demand = decision.largest_demand;
         for Reservation { machine, job } in decision.reservations {
             self.reserve(machine, job);
         }
@@ -417,7 +422,11 @@
     fn apply_start(&mut self, start: TaskStart) {
         let now = self.clock.now;
         self.leader.started += 1;
-        let order = self.leader.order_of.entry(start.job.clone()).or_default();
+        let order = self
+            .leader
+            .start_order
+            .entry(start.job.clone())
+            .or_default();
         order.insert(start.task, self.leader.started);
         let entry = TaskEntry::new(
             start.task,
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use walnuttrestle::agents::failure_history::FailureHistory;
-use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, grace};
+use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, stop_grace_s};
 use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Clock;
 use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
@@ -63,7 +63,7 @@
     /// Tasks to stop for other reasons than preemption.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
-    pub broken_gangs: Vec<BrokenGang>,
+    pub incomplete_gangs: Vec<BrokenGang>,
 }
 
 /// The machines. All lists are in the same order.
@@ -170,7 +170,7 @@
             host.reserved = None;
         }
     }
-    if !leader.learnt(settings, now) {
+    if !leader.agents_known(settings, now) {
         preemptible.clear();
     }
     let class = |id: &str| cache.jobs[id].rec.spec.class.as_str();
@@ -187,7 +187,7 @@
         let spec = &job.rec.spec;
         spec.tasks as f64 * placement::size(&typical_host, &placement::need(spec))
     });
-    let largest_demand = demands.fold(leader.b_max, f64::max);
+    let largest_demand = demands.fold(leader.max_demand, f64::max);
     decision.largest_demand = largest_demand;
     let plan = pass(
         &entries,
@@ -246,8 +246,8 @@
             && agent.preemption_at.is_none()
             && agent.reachability.receives()
             && !leader.fleet.leaving(name)
-            && !leader.sick(agent, policy)
-            && !leader.suspect(agent, now);
+            && !leader.is_unhealthy(agent, policy)
+            && !leader.failed_recently(agent, now);
         let total = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
         host_table
             .index
@@ -330,8 +330,8 @@
         let Some(machine) = attempt.machine() else {
             continue;
         };
-        let liveness = leader.standing(id, attempt);
-        if !leader.presumed(id, attempt, job.active()) {
+        let liveness = leader.attempt_liveness(id, attempt);
+        if !leader.may_be_running(id, attempt, job.active()) {
             lost += 1;
             if liveness == TaskLiveness::Ended(ExitReason::Done) && job.active() && !in_flight {
                 gang_is_done = spec.kind == JobKind::Gang;
@@ -353,7 +353,7 @@
                 let host = &mut host_table.hosts[index];
                 host.take(&requirements.need);
                 host.gets(requirements.image);
-                if leader.stop_of(id, attempt.task()).is_some() {
+                if leader.due_stop(id, attempt.task()).is_some() {
                     placement::add(&mut host.leaving, &requirements.need);
                 }
                 // The spot instance is about to be reclaimed: a task that can save does so now, a gang
@@ -362,7 +362,7 @@
                     .agents
                     .get(machine)
                     .and_then(|agent| agent.preemption_at);
-                let grace_s = grace(job);
+                let grace_s = stop_grace_s(job);
                 if grace_s > 0.0
                     && reclaimed_at.is_some_and(|at| at > now + Micros::secs(spec.save_s))
                     && liveness == TaskLiveness::Present(TaskPhase::Running)
@@ -383,9 +383,9 @@
                     && job.active()
                     && pending.is_empty()
                     && !in_flight
-                    && leader.stop_of(id, attempt.task()).is_none()
+                    && leader.due_stop(id, attempt.task()).is_none()
                 {
-                    let orders = leader.order_of.get(id);
+                    let orders = leader.start_order.get(id);
                     let order = orders.and_then(|orders| orders.get(&attempt.task()));
                     preemptible.push(PreemptibleTask {
                         job: id,
@@ -435,7 +435,7 @@
     }
     if spec.kind == JobKind::Gang && !present.is_empty() {
         if lost > 0 {
-            decision.broken_gangs.push(BrokenGang {
+            decision.incomplete_gangs.push(BrokenGang {
                 job: id.to_string(),
                 attempt: latest_attempt,
             });
@@ -453,8 +453,8 @@
         return None;
     }
     // The retry backoff of a failing job does not apply while tasks of it are running.
-    let failures = leader.troubles.get(id);
-    let in_backoff = failures.is_some_and(|failures| failures.again > now)
+    let failures = leader.failure_histories.get(id);
+    let in_backoff = failures.is_some_and(|failures| failures.retry_at > now)
         && !is_running
         && job.done_count() == 0;
     // Replicas of a service may be placed while others are being written: if they had to wait, jobs that
@@ -477,8 +477,9 @@
         return None;
     }
     let mut tasks = startable(leader, id, job, 2 * MAX_PLACEMENTS);
-    let is_failing =
-        |failures: &FailureHistory| failures.jobs_fault() && !(is_running && failures.quiet(now));
+    let is_failing = |failures: &FailureHistory| {
+        failures.is_at_fault() && !(is_running && failures.has_not_failed_recently(now))
+    };
     if spec.kind == JobKind::Array && failures.is_some_and(is_failing) {
         tasks.truncate(usize::from(present.is_empty()));
     }
@@ -489,7 +490,7 @@
     // or its gang does.
     let is_displaced = |task: &&u32| {
         job.entry(**task).is_some_and(|entry| {
-            let liveness = leader.standing(id, entry);
+            let liveness = leader.attempt_liveness(id, entry);
             let displaced = matches!(
                 liveness,
                 TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
@@ -599,8 +600,8 @@
     let mut tasks = Vec::new();
     let is_occupied = |entry: &TaskEntry| {
         // A task that was reported as done is about to be recorded so.
-        leader.presumed(id, entry, true)
-            || leader.standing(id, entry) == TaskLiveness::Ended(ExitReason::Done)
+        leader.may_be_running(id, entry, true)
+            || leader.attempt_liveness(id, entry) == TaskLiveness::Ended(ExitReason::Done)
     };
     for first in (0..spec.tasks).step_by(CHUNK as usize) {
         let chunk = job.chunk_of(first);
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -141,7 +141,7 @@
         leader.last_confirmed_read,
         leader.dirty,
         leader.edits,
-        leader.touched,
+        leader.machines_to_check,
         leader.stopping
     )?;
     for (machine, agent) in &leader.agents {
@@ -159,7 +159,11 @@
     for (id, job) in &cache.jobs {
         writeln!(out, "  {id}: {:?} {:?}", job.rec.stage, job.rec.first)?;
         for entry in job.entries() {
-            writeln!(out, "    {entry:?} {:?}", leader.standing(id, entry))?;
+            writeln!(
+                out,
+                "    {entry:?} {:?}",
+                leader.attempt_liveness(id, entry)
+            )?;
         }
     }
     Ok(())
