--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, HeartbeatExtension, MOST_CANCELLATIONS, PeerHeartbeat,
+    CancellationCursor, CancellationUpdate, LeaseDelegationStatus, MOST_CANCELLATIONS,
+    PeerHeartbeat,
 };
 
 /// Cancellations between two heartbeats.
@@ -28,7 +29,7 @@
         format,
         asks: 30_000,
         epoch: 4,
-        more: Some(HeartbeatExtension {
+        more: Some(LeaseDelegationStatus {
             run: u64::MAX / 3,
             right: None,
             used_ago: None,
@@ -65,7 +66,7 @@
         .batch(from, complete, MOST_CANCELLATIONS)
         .unwrap_or_default();
     let response = PeerHeartbeat {
-        news: Some(CancellationNews {
+        news: Some(CancellationUpdate {
             lead: 12,
             from: batch.from,
             next: batch.next,
@@ -104,7 +105,7 @@
     let bytes_a_second = |bytes: usize| bytes as f64 * 4.0 / 0.7;
     group.bench_function("format before", |bencher| {
         bencher.iter(|| {
-            let bytes = heartbeat(format::RIGHTS).encode();
+            let bytes = heartbeat(format::LEASE_DELEGATION).encode();
             PeerHeartbeat::decode(&bytes).is_ok()
         })
     });
@@ -122,7 +123,7 @@
             )
         });
     }
-    let known = postcard::to_stdvec(&heartbeat(format::RIGHTS))
+    let known = postcard::to_stdvec(&heartbeat(format::LEASE_DELEGATION))
         .unwrap_or_default()
         .len();
     println!(
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -17,7 +17,8 @@
 use walnuttrestle::protocol::codec::to_value;
 use walnuttrestle::protocol::key_value_api::{Item, ItemPage};
 use walnuttrestle::protocol::records::{
-    BASE, JobRecord, JobStage, LEAD, LeaderRecord, TYPES, TaskChunk, TaskEntry, job_key,
+    BASELINE_MACHINES_KEY, JobRecord, JobStage, LEADER_KEY, LeaderRecord, MACHINE_TYPES_KEY,
+    TaskChunk, TaskEntry, job_key,
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::scheduling::job_queue::JobQueue;
@@ -157,8 +158,8 @@
         .into_iter()
         .map(|(id, rec)| (job_key(&id), to_value(&rec)))
         .chain([
-            (TYPES.to_string(), to_value(&machine_types())),
-            (BASE.to_string(), to_value(&1u64)),
+            (MACHINE_TYPES_KEY.to_string(), to_value(&machine_types())),
+            (BASELINE_MACHINES_KEY.to_string(), to_value(&1u64)),
         ])
         .map(|(key, value)| Item {
             key,
@@ -172,7 +173,7 @@
         term: 1,
     };
     items.push(Item {
-        key: LEAD.into(),
+        key: LEADER_KEY.into(),
         value: to_value(&leader_record),
         version: 2,
     });
--- a/crates/admission-control/benches/admission.rs
+++ b/crates/admission-control/benches/admission.rs
@@ -1,12 +1,12 @@
 //! Cost of a submission with 10, 100 and 10,000 lanes: pushing it, and popping one in its turn; and cost of a refusal.
 
-use admission_control::lanes::Lanes;
+use admission_control::lanes::FairQueue;
 use admission_control::refusal::Refusals;
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn admission(criterion: &mut Criterion) {
     for pairs in [10u32, 100, 10_000] {
-        let mut queue: Lanes<u32, u32, u32> = Lanes::new(50_000);
+        let mut queue: FairQueue<u32, u32, u32> = FairQueue::new(50_000);
         for number in 0..40_000 {
             queue.push(number % pairs / 10, 1.0, number % 10, 0, number);
         }
--- a/crates/admission-control/src/fair.rs
+++ b/crates/admission-control/src/fair.rs
@@ -8,14 +8,14 @@
 
 /// What one party demands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asked {
+pub struct Demand {
     /// Demanded amount, in the unit of the total. A negative one counts as 0.
     pub amount: f64,
     /// Weight of the party, above 0.
     pub weight: f64,
 }
 
-impl Asked {
+impl Demand {
     fn amount(&self) -> f64 {
         self.amount.max(0.0)
     }
@@ -30,13 +30,13 @@
 }
 
 /// Divides `total` among the demands and returns the shares in the same order.
-pub fn shares(total: f64, demands: &[Asked]) -> Vec<f64> {
+pub fn shares(total: f64, demands: &[Demand]) -> Vec<f64> {
     // The smallest demands by weight are served first. What they leave of their even share goes to the others.
     let mut order: Vec<usize> = (0..demands.len()).collect();
     let level = |index: &usize| demands[*index].amount_per_weight();
     order.sort_by(|first, second| level(first).total_cmp(&level(second)));
     let mut left = total.max(0.0);
-    let mut weight_left: f64 = demands.iter().map(Asked::weight).sum();
+    let mut weight_left: f64 = demands.iter().map(Demand::weight).sum();
     let mut shares = vec![0.0; demands.len()];
     for index in order {
         let demand = &demands[index];
--- a/crates/admission-control/src/fair/tests.rs
+++ b/crates/admission-control/src/fair/tests.rs
@@ -10,8 +10,8 @@
 fn shares_are_max_min() {
     for seed in 0..3_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let demands: Vec<Asked> = (0..rng.random_range(1..9))
-            .map(|_| Asked {
+        let demands: Vec<Demand> = (0..rng.random_range(1..9))
+            .map(|_| Demand {
                 amount: rng.random_range(0.0..50.0),
                 weight: rng.random_range(0.1..5.0),
             })
--- a/crates/admission-control/src/lanes.rs
+++ b/crates/admission-control/src/lanes.rs
@@ -105,7 +105,7 @@
 
 /// The queue. `K` identifies teams, `C` classes.
 #[derive(Debug)]
-pub struct Lanes<K, C, T> {
+pub struct FairQueue<K, C, T> {
     teams: BTreeMap<K, Team<C, T>>,
     /// Teams that are not empty, in the order of their turns.
     turns: TurnOrder<K>,
@@ -121,19 +121,19 @@
 
 /// Result of pushing an entry.
 #[derive(Debug, PartialEq)]
-pub enum Taken<T> {
+pub enum PushOutcome<T> {
     /// The entry is queued, and none was evicted.
-    Waits(Ticket),
+    Queued(Ticket),
     /// The entry is queued, and the second field was evicted for it.
-    Instead(Ticket, T),
+    Evicted(Ticket, T),
     /// The entry itself would be the last of the longest lane, so it is returned.
-    Refused(T),
+    Rejected(T),
 }
 
-impl<K: Ord + Clone, C: Ord + Clone, T> Lanes<K, C, T> {
+impl<K: Ord + Clone, C: Ord + Clone, T> FairQueue<K, C, T> {
     /// Creates a queue of at most `capacity` entries.
-    pub fn new(capacity: usize) -> Lanes<K, C, T> {
-        Lanes {
+    pub fn new(capacity: usize) -> FairQueue<K, C, T> {
+        FairQueue {
             teams: BTreeMap::new(),
             turns: TurnOrder::new(),
             loads: BTreeSet::new(),
@@ -174,19 +174,26 @@
 
     /// Queues an entry, and evicts one if the queue is full. `weight` is the team's, above 0; `first` is when the
     /// client first tried to get this entry in.
-    pub fn push(&mut self, team: K, weight: f64, class: C, first: Micros, entry: T) -> Taken<T> {
+    pub fn push(
+        &mut self,
+        team: K,
+        weight: f64,
+        class: C,
+        first: Micros,
+        entry: T,
+    ) -> PushOutcome<T> {
         self.arrivals += 1;
         let ticket = (first, self.arrivals);
         if self.len < self.capacity {
             self.back(team, weight, class, ticket, entry);
-            return Taken::Waits(ticket);
+            return PushOutcome::Queued(ticket);
         }
         match self.evict_for(&team, &class, ticket) {
             Some(evicted) => {
                 self.back(team, weight, class, ticket, entry);
-                Taken::Instead(ticket, evicted)
+                PushOutcome::Evicted(ticket, evicted)
             }
-            None => Taken::Refused(entry),
+            None => PushOutcome::Rejected(entry),
         }
     }
 
--- a/crates/admission-control/src/lanes/tests.rs
+++ b/crates/admission-control/src/lanes/tests.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-type Queue = Lanes<&'static str, u32, u64>;
+type Queue = FairQueue<&'static str, u32, u64>;
 
 /// Pops entries; returns how many of them each lane had.
 fn pop_counts(queue: &mut Queue, entries: usize) -> BTreeMap<(&'static str, u32), usize> {
@@ -37,13 +37,13 @@
     let mut refused = 0;
     for n in 0..2_000 {
         match queue.push("red", 1.0, 1, n, n) {
-            Taken::Refused(_) => refused += 1,
-            Taken::Instead(..) => panic!("the flood must not evict other entries"),
-            Taken::Waits(_) => {}
+            PushOutcome::Rejected(_) => refused += 1,
+            PushOutcome::Evicted(..) => panic!("the flood must not evict other entries"),
+            PushOutcome::Queued(_) => {}
         }
         if n % 100 == 0 {
             let outcome = queue.push("red", 1.0, 2, n, n);
-            assert!(!matches!(outcome, Taken::Refused(_)), "at {n}");
+            assert!(!matches!(outcome, PushOutcome::Rejected(_)), "at {n}");
         }
         if n % 20 == 0 {
             queue.pop();
@@ -65,12 +65,12 @@
     }
     assert!(matches!(
         queue.push("red", 1.0, 1, 40, 40),
-        Taken::Refused(40)
+        PushOutcome::Rejected(40)
     ));
     // An entry that was tried earlier takes the place of the last one.
     assert!(matches!(
         queue.push("red", 1.0, 1, 5, 5),
-        Taken::Instead(_, 30)
+        PushOutcome::Evicted(_, 30)
     ));
     let order: Vec<u64> = std::iter::from_fn(|| queue.pop().map(|(.., entry)| entry)).collect();
     assert_eq!(order, [5, 10, 20]);
@@ -81,15 +81,15 @@
 fn counts_stay_exact_and_empty_lanes_are_removed() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut queue: Lanes<u32, u32, u64> = Lanes::new(40);
+        let mut queue: FairQueue<u32, u32, u64> = FairQueue::new(40);
         let mut queued: Vec<(u32, u32, Ticket)> = Vec::new();
         for n in 0..2_000u64 {
             let (team, class) = (rng.random_range(0..60), rng.random_range(0..60));
             match rng.random_range(0..4) {
                 0 | 1 => match queue.push(team, 1.0, class, rng.random_range(0..n + 1), n) {
-                    Taken::Waits(ticket) => queued.push((team, class, ticket)),
-                    Taken::Instead(ticket, _) => queued.push((team, class, ticket)),
-                    Taken::Refused(_) => {}
+                    PushOutcome::Queued(ticket) => queued.push((team, class, ticket)),
+                    PushOutcome::Evicted(ticket, _) => queued.push((team, class, ticket)),
+                    PushOutcome::Rejected(_) => {}
                 },
                 2 if !queued.is_empty() => {
                     let index = rng.random_range(0..queued.len());
--- a/crates/admission-control/src/parts.rs
+++ b/crates/admission-control/src/parts.rs
@@ -11,17 +11,17 @@
 //! grantor needs only the newest grant, and so does a holder that restarts.
 
 use crate::Micros;
-use crate::fair::{Asked, shares};
+use crate::fair::{Demand, shares};
 use std::collections::BTreeMap;
 
 /// An amount in thousandths. It is an integer, so that all controllers compute exactly the same amounts.
-pub type Milli = u64;
+pub type Thousandths = u64;
 
 /// A holder's share of one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Part {
     /// Amount that the holder may use.
-    pub amount: Milli,
+    pub amount: Thousandths,
     /// Time of day at which the share expires.
     pub until: Micros,
     /// Number of the grant.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Rules {
     /// The total, which the shares in use never exceed.
-    pub whole: Milli,
+    pub whole: Thousandths,
     /// Time until a grant expires.
     pub life: Micros,
     /// Bound on the difference between the time of day of two clocks, plus the delay of timers.
@@ -53,11 +53,11 @@
 
 /// A holder's request for a share.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Want {
+pub struct ShareRequest {
     /// Name of the holder.
     pub holder: String,
     /// Requested amount.
-    pub amount: Milli,
+    pub amount: Thousandths,
     /// Weight of the holder, above 0.
     pub weight: f64,
     /// Number of the newest grant that the holder has acknowledged: it uses no earlier one any more.
@@ -69,12 +69,12 @@
 
 impl InUse {
     /// Returns the most that a holder may be using.
-    fn bound(&self, holder: &str) -> Milli {
+    fn bound(&self, holder: &str) -> Thousandths {
         largest(self.0.get(holder).into_iter().flatten())
     }
 
     /// Returns the most that all holders together may be using.
-    fn total(&self) -> Milli {
+    fn total(&self) -> Thousandths {
         self.0.values().map(|parts| largest(parts.iter())).sum()
     }
 
@@ -93,7 +93,7 @@
 
 impl Grant {
     /// Returns what a holder may use at this time of day by its own clock.
-    pub fn part(&self, holder: &str, wall: Micros, rules: &Rules) -> Milli {
+    pub fn part(&self, holder: &str, wall: Micros, rules: &Rules) -> Thousandths {
         let part = self.parts.get(holder);
         let usable = part.filter(|part| wall + rules.apart < part.until);
         usable.map_or(0, |part| part.amount)
@@ -102,7 +102,7 @@
     /// Returns the most that all holders together may be using at this time of day by the grantor's clock, whichever
     /// grants they have seen. The grantor may use the rest of the total. `seen` returns the number of the newest grant
     /// that a holder has acknowledged.
-    pub fn lent(&self, wall: Micros, rules: &Rules, seen: impl Fn(&str) -> u64) -> Milli {
+    pub fn lent(&self, wall: Micros, rules: &Rules, seen: impl Fn(&str) -> u64) -> Thousandths {
         let bound = |holder: &String| largest(self.usable_parts(holder, seen(holder), wall, rules));
         self.holders().map(bound).sum()
     }
@@ -112,7 +112,7 @@
     /// The total is divided by weighted max-min fairness among the requests of the holders and `own`, the grantor's
     /// demand. The grantor's share is not granted, since it uses whatever is not lent. If some holders may still be
     /// using more than their new shares, the others get only what is free until that has expired.
-    pub fn next(&self, wall: Micros, own: Asked, wants: &[Want], rules: &Rules) -> Grant {
+    pub fn next(&self, wall: Micros, own: Demand, wants: &[ShareRequest], rules: &Rules) -> Grant {
         let epoch = self.epoch + 1;
         let until = wall + rules.life;
         let in_use = self.in_use(wall, wants, rules);
@@ -134,7 +134,7 @@
     }
 
     /// Returns the shares that holders may still be using.
-    fn in_use(&self, wall: Micros, wants: &[Want], rules: &Rules) -> InUse {
+    fn in_use(&self, wall: Micros, wants: &[ShareRequest], rules: &Rules) -> InUse {
         let mut in_use = BTreeMap::new();
         for holder in self.holders() {
             let want = wants.iter().find(|want| want.holder == *holder);
@@ -174,16 +174,21 @@
 }
 
 /// Returns the amounts to grant, in the order of the requests.
-fn granted_amounts(in_use: &InUse, own: Asked, wants: &[Want], rules: &Rules) -> Vec<Milli> {
+fn granted_amounts(
+    in_use: &InUse,
+    own: Demand,
+    wants: &[ShareRequest],
+    rules: &Rules,
+) -> Vec<Thousandths> {
     let fair_amounts = fair_amounts(own, wants, rules);
     let free = rules.whole.saturating_sub(in_use.total());
     // What a holder gets beyond its bound comes out of what is free.
-    let increases: Vec<Milli> = wants
+    let increases: Vec<Thousandths> = wants
         .iter()
         .zip(&fair_amounts)
         .map(|(want, fair)| fair.saturating_sub(in_use.bound(&want.holder)))
         .collect();
-    let total_increase: Milli = increases.iter().sum();
+    let total_increase: Thousandths = increases.iter().sum();
     let mut amounts = Vec::with_capacity(wants.len());
     for ((want, fair), increase) in wants.iter().zip(fair_amounts).zip(increases) {
         let kept = fair.min(in_use.bound(&want.holder));
@@ -193,25 +198,32 @@
 }
 
 /// Divides the total among the holders and the grantor; returns the holders' amounts, followed by the grantor's.
-fn fair_amounts(own: Asked, wants: &[Want], rules: &Rules) -> Vec<Milli> {
-    let demands = wants.iter().map(|want| Asked {
+fn fair_amounts(own: Demand, wants: &[ShareRequest], rules: &Rules) -> Vec<Thousandths> {
+    let demands = wants.iter().map(|want| Demand {
         amount: want.amount as f64,
         weight: want.weight,
     });
-    let demands: Vec<Asked> = demands.chain([own]).collect();
+    let demands: Vec<Demand> = demands.chain([own]).collect();
     let shares = shares(rules.whole as f64, &demands);
-    shares.into_iter().map(|share| share as Milli).collect()
+    shares
+        .into_iter()
+        .map(|share| share as Thousandths)
+        .collect()
 }
 
 /// Scales an increase down, if all of them together exceed what is free.
-fn scaled_increase(increase: Milli, total_increase: Milli, free: Milli) -> Milli {
+fn scaled_increase(
+    increase: Thousandths,
+    total_increase: Thousandths,
+    free: Thousandths,
+) -> Thousandths {
     if total_increase <= free {
         return increase;
     }
-    (u128::from(increase) * u128::from(free) / u128::from(total_increase)) as Milli
+    (u128::from(increase) * u128::from(free) / u128::from(total_increase)) as Thousandths
 }
 
-fn largest<'parts>(parts: impl Iterator<Item = &'parts Part>) -> Milli {
+fn largest<'parts>(parts: impl Iterator<Item = &'parts Part>) -> Thousandths {
     parts.map(|part| part.amount).max().unwrap_or(0)
 }
 
--- a/crates/admission-control/src/parts/tests.rs
+++ b/crates/admission-control/src/parts/tests.rs
@@ -11,13 +11,13 @@
 };
 
 /// A grantor that demands nothing.
-const NO_DEMAND: Asked = Asked {
+const NO_DEMAND: Demand = Demand {
     amount: 0.0,
     weight: 1.0,
 };
 
-fn want(holder: &str, amount: Milli) -> Want {
-    Want {
+fn want(holder: &str, amount: Thousandths) -> ShareRequest {
+    ShareRequest {
         holder: holder.into(),
         amount,
         weight: 1.0,
@@ -48,7 +48,7 @@
     let fourth = third.next(11_100_000, NO_DEMAND, &wants, &RULES);
     assert_eq!(fourth.part("c", 11_100_001, &RULES), 45_000);
     // A holder that acknowledges a newer grant frees what the earlier one allowed.
-    let acknowledged = Want {
+    let acknowledged = ShareRequest {
         seen: 2,
         ..want("a", 0)
     };
@@ -78,7 +78,7 @@
                     let amount = |rng: &mut ChaCha8Rng| rng.random_range(0..60) * 1_000;
                     let requests = rng.random_range(1..5);
                     let wants = holders.iter().take(requests);
-                    let wants: Vec<Want> =
+                    let wants: Vec<ShareRequest> =
                         wants.map(|holder| want(holder, amount(&mut rng))).collect();
                     newest = newest.next(wall(now, 4), NO_DEMAND, &wants, &RULES);
                 }
@@ -88,7 +88,7 @@
             let used = |(index, holder): (usize, &&str)| {
                 seen[index].part(holder, wall(now, index), &RULES)
             };
-            let sum: Milli = holders.iter().enumerate().map(used).sum();
+            let sum: Thousandths = holders.iter().enumerate().map(used).sum();
             assert!(sum <= RULES.whole, "seed {seed}: {sum}");
             almost_full += usize::from(sum * 10 > RULES.whole * 8);
         }
--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -4,9 +4,9 @@
 //! Times are relative to the present, so a model that runs forever has finitely many states. Each mechanism that the
 //! safety argument needs is also removed, and a violation must then be found.
 
-use admission_control::fair::Asked;
-use admission_control::parts::{Grant, Part, Rules, Want};
-use model_checker::{Model, Seen, explore};
+use admission_control::fair::Demand;
+use admission_control::parts::{Grant, Part, Rules, ShareRequest};
+use model_checker::{CheckResult, Model, explore};
 use std::collections::BTreeMap;
 
 const HOLDERS: [&str; 3] = ["a", "b", "c"];
@@ -75,7 +75,7 @@
         let holders = HOLDERS.iter().zip(wants).zip(acknowledged);
         let wants = holders
             .take(self.holders)
-            .map(|((holder, amount), epoch)| Want {
+            .map(|((holder, amount), epoch)| ShareRequest {
                 holder: holder.to_string(),
                 amount,
                 weight: 1.0,
@@ -84,8 +84,8 @@
                     _ => *epoch,
                 },
             });
-        let wants: Vec<Want> = wants.collect();
-        let own = Asked {
+        let wants: Vec<ShareRequest> = wants.collect();
+        let own = Demand {
             amount: 1.0,
             weight: 1.0,
         };
@@ -117,7 +117,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         vec![State {
             granted: false,
             newest: Grant::default(),
@@ -173,7 +173,7 @@
         steps
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let rules = match self.without {
             Without::ClockBound => Rules {
                 apart: 0,
@@ -205,7 +205,7 @@
     }
 
     /// Renumbers the epochs: only their order matters.
-    fn fold(&self, mut state: State) -> State {
+    fn canonical(&self, mut state: State) -> State {
         fn for_each_epoch(state: &mut State, mut change: impl FnMut(&mut u64)) {
             let grants = [&mut state.newest, &mut state.stale];
             for grant in grants.into_iter().chain(&mut state.seen) {
@@ -244,7 +244,7 @@
     }
 }
 
-fn check(without: Without, clock_offsets: [i64; 4], model: BudgetShares) -> Seen<Step> {
+fn check(without: Without, clock_offsets: [i64; 4], model: BudgetShares) -> CheckResult<Step> {
     let model = BudgetShares {
         without,
         clock_offsets,
@@ -262,8 +262,12 @@
     ];
     for (clock_offsets, model) in models {
         let result = check(Without::Nothing, clock_offsets, model);
-        assert!(matches!(result, Seen::All { .. }), "{}", result.story());
-        println!("{clock_offsets:?}: {}", result.story());
+        assert!(
+            matches!(result, CheckResult::Verified { .. }),
+            "{}",
+            result.describe()
+        );
+        println!("{clock_offsets:?}: {}", result.describe());
     }
 }
 
@@ -276,7 +280,11 @@
         (Without::Acknowledgement, [0, 0, 0, 0], model(2, true, 3, 0)),
     ] {
         let result = check(without, clock_offsets, model);
-        assert!(matches!(result, Seen::Broken { .. }), "{}", result.story());
-        println!("{}", result.story());
+        assert!(
+            matches!(result, CheckResult::Violation { .. }),
+            "{}",
+            result.describe()
+        );
+        println!("{}", result.describe());
     }
 }
--- a/crates/lease-delegation/tests/cancellation_model.rs
+++ b/crates/lease-delegation/tests/cancellation_model.rs
@@ -8,7 +8,7 @@
 use lease_delegation::Time;
 use lease_delegation::cancellations::{CancellationLog, LogBatch, ReportedCancellations};
 use lease_delegation::peer_coverage::{PeerCoverage, PeerKnowledge, PeerResponse};
-use model_checker::{Model, Seen, explore};
+use model_checker::{CheckResult, Model, explore};
 
 const LEASE: Time = 2;
 const STALENESS_BOUND: Time = 1;
@@ -340,7 +340,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         let mut coverage = PeerCoverage::new(2, 0);
         coverage.extend(F, START);
         let t_covered_until = if self.reachable == Reachable::F {
@@ -389,7 +389,7 @@
         steps.into_iter().filter_map(successor).collect()
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         if state.now > state.renewed_at + LEASE {
             return None;
         }
@@ -429,13 +429,13 @@
     ] {
         let max_states = if exhaustive { 2_000_000 } else { 200_000 };
         let seen = explore(&model(Omission::Nothing, 5, crashes, reachable), max_states);
-        println!("{reachable:?}, crashes {crashes}: {}", seen.story());
+        println!("{reachable:?}, crashes {crashes}: {}", seen.describe());
         let passed = match seen {
-            Seen::All { .. } => true,
-            Seen::TooMany { .. } => !exhaustive,
-            Seen::Broken { .. } => false,
+            CheckResult::Verified { .. } => true,
+            CheckResult::LimitReached { .. } => !exhaustive,
+            CheckResult::Violation { .. } => false,
         };
-        assert!(passed, "{}", seen.story());
+        assert!(passed, "{}", seen.describe());
     }
 }
 
@@ -452,9 +452,9 @@
     ] {
         let seen = explore(&model(omission, 6, crashes, reachable), 1_000_000);
         assert!(
-            matches!(seen, Seen::Broken { .. }),
+            matches!(seen, CheckResult::Violation { .. }),
             "{omission:?}: {}",
-            seen.story()
+            seen.describe()
         );
     }
 }
--- a/crates/lease-delegation/tests/delegation_model/main.rs
+++ b/crates/lease-delegation/tests/delegation_model/main.rs
@@ -12,7 +12,7 @@
 use lease_delegation::lease_grantor::{LeaseBounds, LeaseGrantor};
 use lease_delegation::peer_coverage::{PeerCoverage, PeerKnowledge, PeerResponse};
 use lease_delegation::silence_pledges::SilencePledges;
-use model_checker::{Model, Seen, explore};
+use model_checker::{CheckResult, Model, explore};
 use state::{ControllerA, ControllerB, Leadership, RequestOfA, RequestOfB, Response, State};
 
 const LEASE: Time = 2;
@@ -359,7 +359,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         let a = ControllerA {
             store_reachable: false,
             run: 1,
@@ -420,7 +420,7 @@
         steps.into_iter().filter_map(successor).collect()
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         if state.expired {
             return None;
         }
@@ -463,13 +463,13 @@
             b_crashes,
         );
         let seen = explore(&model, 1_500_000);
-        println!("{}", seen.story());
+        println!("{}", seen.describe());
         let passed = match seen {
-            Seen::All { .. } => true,
-            Seen::TooMany { .. } => a_crashes,
-            Seen::Broken { .. } => false,
+            CheckResult::Verified { .. } => true,
+            CheckResult::LimitReached { .. } => a_crashes,
+            CheckResult::Violation { .. } => false,
         };
-        assert!(passed, "{}", seen.story());
+        assert!(passed, "{}", seen.describe());
     }
 }
 
@@ -487,9 +487,9 @@
         let model = model(omission, 9, store_changes, a_crashes, b_crashes);
         let seen = explore(&model, 2_000_000);
         assert!(
-            matches!(seen, Seen::Broken { .. }),
+            matches!(seen, CheckResult::Violation { .. }),
             "{omission:?}: {}",
-            seen.story()
+            seen.describe()
         );
     }
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -5,7 +5,7 @@
 //! which steps are possible in a state and which property must hold; the checker knows nothing of what is modelled.
 //!
 //! All states are kept in memory, so models have to be small. States that differ only in the names of
-//! interchangeable parties should be mapped to one of them by [`Model::fold`].
+//! interchangeable parties should be mapped to one of them by [`Model::canonical`].
 
 #![deny(missing_docs)]
 
@@ -22,57 +22,59 @@
     type Step: Clone + Debug;
 
     /// Returns the initial states.
-    fn start(&self) -> Vec<Self::State>;
+    fn initial_states(&self) -> Vec<Self::State>;
     /// Returns the steps that are possible in a state, each with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
     /// Describes the property that a state violates, if any.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    fn violation(&self, state: &Self::State) -> Option<String>;
     /// Returns the representative of all states that are equivalent to this one.
-    fn fold(&self, state: Self::State) -> Self::State {
+    fn canonical(&self, state: Self::State) -> Self::State {
         state
     }
 }
 
 /// Result of a check.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Seen<S> {
+pub enum CheckResult<S> {
     /// All reachable states were visited, and none violates a property.
-    All {
+    Verified {
         /// Number of states.
         states: usize,
         /// Number of steps to the state that is furthest from the initial ones.
         depth: usize,
     },
     /// The limit was reached; no visited state violates a property.
-    TooMany {
+    LimitReached {
         /// Number of visited states.
         states: usize,
     },
     /// A state violates a property.
-    Broken {
+    Violation {
         /// The property, as described by the model.
         what: String,
         /// A shortest path to the state.
-        story: Vec<S>,
+        path: Vec<S>,
         /// Number of visited states.
         states: usize,
     },
 }
 
-impl<S: Debug> Seen<S> {
+impl<S: Debug> CheckResult<S> {
     /// Formats the result for people; the path to a violation has one line per step.
-    pub fn story(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Seen::Broken { what, story, .. } => {
-                let steps = story.iter().enumerate();
+            CheckResult::Violation { what, path, .. } => {
+                let steps = path.iter().enumerate();
                 let mut lines: Vec<String> = steps
                     .map(|(index, step)| format!("{}. {step:?}", index + 1))
                     .collect();
                 lines.push(what.clone());
                 lines.join("\n")
             }
-            Seen::All { states, depth } => format!("{states} states, {depth} steps, none broken"),
-            Seen::TooMany { states } => format!("{states} states, and more"),
+            CheckResult::Verified { states, depth } => {
+                format!("{states} states, {depth} steps, none broken")
+            }
+            CheckResult::LimitReached { states } => format!("{states} states, and more"),
         }
     }
 }
@@ -104,8 +106,12 @@
 
 impl<M: Model> Explorer<'_, M> {
     /// Visits a state unless it is known; returns a result if the check ends here.
-    fn visit(&mut self, state: M::State, origin: Option<Origin<M::Step>>) -> Option<Seen<M::Step>> {
-        let state = self.model.fold(state);
+    fn visit(
+        &mut self,
+        state: M::State,
+        origin: Option<Origin<M::Step>>,
+    ) -> Option<CheckResult<M::Step>> {
+        let state = self.model.canonical(state);
         if self.known.contains_key(&state) {
             return None;
         }
@@ -114,15 +120,15 @@
             .map_or(0, |origin| self.visits[origin.previous].depth + 1);
         let index = self.visits.len();
         self.visits.push(Visit { origin, depth });
-        if let Some(what) = self.model.broken(&state) {
-            return Some(Seen::Broken {
+        if let Some(what) = self.model.violation(&state) {
+            return Some(CheckResult::Violation {
                 what,
-                story: self.path_to(index),
+                path: self.path_to(index),
                 states: self.visits.len(),
             });
         }
         if self.visits.len() >= self.max_states {
-            return Some(Seen::TooMany {
+            return Some(CheckResult::LimitReached {
                 states: self.max_states,
             });
         }
@@ -132,7 +138,7 @@
     }
 
     /// Visits all states that one step leads to.
-    fn follow_steps(&mut self, previous: usize, state: &M::State) -> Option<Seen<M::Step>> {
+    fn follow_steps(&mut self, previous: usize, state: &M::State) -> Option<CheckResult<M::Step>> {
         for (step, next) in self.model.steps(state) {
             let origin = Origin { previous, step };
             let result = self.visit(next, Some(origin));
@@ -156,7 +162,7 @@
 }
 
 /// Checks a model, visiting at most `max_states` states.
-pub fn explore<M: Model>(model: &M, max_states: usize) -> Seen<M::Step> {
+pub fn explore<M: Model>(model: &M, max_states: usize) -> CheckResult<M::Step> {
     let mut explorer = Explorer {
         model,
         max_states,
@@ -164,7 +170,7 @@
         visits: Vec::new(),
         frontier: VecDeque::new(),
     };
-    for state in model.start() {
+    for state in model.initial_states() {
         if let Some(result) = explorer.visit(state, None) {
             return result;
         }
@@ -174,7 +180,7 @@
             return result;
         }
     }
-    Seen::All {
+    CheckResult::Verified {
         states: explorer.visits.len(),
         depth: explorer.visits.last().map_or(0, |visit| visit.depth),
     }
--- a/crates/model-checker/src/tests.rs
+++ b/crates/model-checker/src/tests.rs
@@ -12,7 +12,7 @@
     type State = (u32, u32);
     type Step = &'static str;
 
-    fn start(&self) -> Vec<(u32, u32)> {
+    fn initial_states(&self) -> Vec<(u32, u32)> {
         vec![(0, 0)]
     }
 
@@ -29,7 +29,7 @@
         ]
     }
 
-    fn broken(&self, &(_, large): &(u32, u32)) -> Option<String> {
+    fn violation(&self, &(_, large): &(u32, u32)) -> Option<String> {
         (large == self.forbidden).then(|| format!("{large} litres"))
     }
 }
@@ -37,11 +37,15 @@
 #[test]
 fn the_path_to_a_violation_is_a_shortest_one() {
     let result = explore(&Buckets { forbidden: 4 }, 1_000);
-    let Seen::Broken { story, .. } = &result else {
-        panic!("{}", result.story());
+    let CheckResult::Violation { path, .. } = &result else {
+        panic!("{}", result.describe());
     };
-    assert_eq!(story.len(), 6);
-    assert!(result.story().ends_with("4 litres"), "{}", result.story());
+    assert_eq!(path.len(), 6);
+    assert!(
+        result.describe().ends_with("4 litres"),
+        "{}",
+        result.describe()
+    );
 }
 
 #[test]
@@ -49,13 +53,13 @@
     let result = explore(&Buckets { forbidden: 9 }, 1_000);
     assert_eq!(
         result,
-        Seen::All {
+        CheckResult::Verified {
             states: 16,
             depth: 7
         }
     );
     assert_eq!(
         explore(&Buckets { forbidden: 9 }, 10),
-        Seen::TooMany { states: 10 }
+        CheckResult::LimitReached { states: 10 }
     );
 }
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -8,7 +8,7 @@
 use crate::protocol::agent_api::{AgentCommands, AgentHeartbeat, Command};
 use crate::protocol::codec::encode;
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{LEAD, LeaderRecord};
+use crate::protocol::records::{LEADER_KEY, LeaderRecord};
 use crate::protocol::{Clock, Micros};
 use crate::state::agent::{Agent, AttemptKey, DirectStart, parse_agent_heartbeat};
 use crate::state::store_client::{RequestPriority, StoreRequest};
@@ -319,8 +319,8 @@
             term: leader.term + 1,
         };
         let transaction = Transaction {
-            conds: vec![VersionCondition::new(LEAD, leader.version)],
-            changes: vec![Change::put(LEAD, &record, None)],
+            conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
+            changes: vec![Change::put(LEADER_KEY, &record, None)],
         };
         self.store.ask(
             RequestPriority::Urgent,
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -9,7 +9,7 @@
 use crate::protocol::settings::Team;
 use crate::protocol::{Clock, JobSpec, Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
-use admission_control::lanes::{Taken, Ticket};
+use admission_control::lanes::{PushOutcome, Ticket};
 
 /// A submission that is not written within this time is refused; its client waits 5 s.
 const SUBMISSION_TIMEOUT: Micros = Micros::millis(4000);
@@ -104,12 +104,12 @@
             .queue
             .push(team, weight, class, first_attempt.0, id.clone())
         {
-            Taken::Waits(ticket) => ticket,
-            Taken::Instead(ticket, displaced) => {
+            PushOutcome::Queued(ticket) => ticket,
+            PushOutcome::Evicted(ticket, displaced) => {
                 self.refuse_acceptance(clock, &displaced);
                 ticket
             }
-            Taken::Refused(_) => {
+            PushOutcome::Rejected(_) => {
                 let retry_after = self.record_refusal(clock, &id, first_attempt, &spec);
                 self.refuse_until(conn, QUEUE_FULL, retry_after);
                 return;
@@ -203,7 +203,7 @@
         let api = &mut self.client_api;
         let mut ids = Vec::new();
         let mut changes = Vec::new();
-        let mut conds = Vec::new();
+        let mut conditions = Vec::new();
         while ids.len() < limit
             && let Some((team, class, ticket, id)) = api.queue.pop()
         {
@@ -218,7 +218,7 @@
             acceptance.stage = AcceptanceStage::InFlight(ticket);
             let key = job_key(&id);
             changes.push(Change::put(&key, &acceptance.record, None));
-            conds.push(VersionCondition::new(&key, 0));
+            conditions.push(VersionCondition::new(&key, 0));
             ids.push(id);
             if acceptance.write_alone {
                 break;
@@ -231,7 +231,10 @@
         self.store.ask(
             RequestPriority::Normal,
             StoreRequestPurpose::AcceptJobs(ids),
-            StoreRequest::Transaction(Transaction { conds, changes }),
+            StoreRequest::Transaction(Transaction {
+                conditions,
+                changes,
+            }),
         );
     }
 
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -6,7 +6,7 @@
 use crate::protocol::Clock;
 use crate::protocol::job::valid_id;
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{BUNDLED, JobRecord, JobStage, job_key};
+use crate::protocol::records::{JobRecord, JobStage, NEWEST_PLACEMENT_BATCH_KEY, job_key};
 use crate::state::record_cache::{Job, JobLookup};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
@@ -49,9 +49,12 @@
         let version = job.version;
         // The entries written here must include what placement batches hold at this moment, or the job would look as
         // if none of its tasks were anywhere.
-        let bundled = VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
+        let bundled = VersionCondition::new(
+            NEWEST_PLACEMENT_BATCH_KEY,
+            self.cache.placement_batches.head(),
+        );
         Transaction {
-            conds: vec![VersionCondition::new(&key, version), bundled],
+            conditions: vec![VersionCondition::new(&key, version), bundled],
             changes: vec![Change::put(&key, &record, None)],
         }
     }
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -10,7 +10,7 @@
 use crate::protocol::records::{JobRecord, JobStage, job_key};
 use crate::protocol::{Clock, Micros};
 use crate::state::record_cache::{Job, JobLookup};
-use admission_control::lanes::Lanes;
+use admission_control::lanes::FairQueue;
 use admission_control::refusal::Refusals;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     /// Submitted jobs whose records are not known to be written, by job id.
     pub(super) acceptances: BTreeMap<String, PendingAcceptance>,
     /// Ids of those that wait to be written, by team and class.
-    pub(super) queue: Lanes<String, String, String>,
+    pub(super) queue: FairQueue<String, String, String>,
     /// Ids of those that are queued again later, by that time.
     pub(super) retries: BTreeSet<(Micros, String)>,
     /// First attempts of refused submissions.
@@ -62,7 +62,7 @@
     fn default() -> ClientApi {
         ClientApi {
             acceptances: BTreeMap::new(),
-            queue: Lanes::new(1),
+            queue: FairQueue::new(1),
             retries: BTreeSet::new(),
             refusals: Refusals::new(REMEMBERED_REFUSALS),
             refusal_rate: RefusalRate::default(),
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -7,7 +7,7 @@
 use crate::protocol::codec::json_len;
 use crate::protocol::format::PIPELINES;
 use crate::protocol::job::parse;
-use crate::protocol::records::CHUNK;
+use crate::protocol::records::TASKS_PER_CHUNK;
 use crate::protocol::{Clock, JobKind, JobSpec, Settings};
 use crate::scheduling::placement;
 use crate::state::record_cache::JobLookup;
@@ -25,8 +25,8 @@
 /// together, else for a part of them.
 fn task_entries_bytes(spec: &JobSpec) -> usize {
     let max_entries = match spec.kind {
-        JobKind::Array => CHUNK / ARRAY_CHUNK_DIVISOR,
-        JobKind::Gang | JobKind::Service => CHUNK,
+        JobKind::Array => TASKS_PER_CHUNK / ARRAY_CHUNK_DIVISOR,
+        JobKind::Gang | JobKind::Service => TASKS_PER_CHUNK,
     };
     RECORD_OVERHEAD_BYTES + spec.tasks.min(max_entries) as usize * TASK_ENTRY_BYTES
 }
@@ -42,7 +42,9 @@
         .as_ref()
         .is_none_or(|names| names.contains(&machine_type.name));
     let capacity = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
-    zone_allowed && type_allowed && placement::slots(&capacity, &placement::need(spec)) > 0
+    zone_allowed
+        && type_allowed
+        && placement::slots(&capacity, &placement::task_resources(spec)) > 0
 }
 
 /// Why a job can never run; `None` if it can.
@@ -169,7 +171,7 @@
     fn record_too_large(&self, spec: &JobSpec) -> bool {
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
-            && spec.tasks.div_ceil(CHUNK) as usize > limits.least_txn_ops();
+            && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.least_txn_ops();
         gang_too_wide || json_len(spec) + task_entries_bytes(spec) > limits.least_value_bytes()
     }
 
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -8,7 +8,7 @@
 };
 use crate::protocol::codec::{decode, encode};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{BASE, LEAD, TYPES};
+use crate::protocol::records::{BASELINE_MACHINES_KEY, LEADER_KEY, MACHINE_TYPES_KEY};
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
@@ -153,8 +153,12 @@
             return;
         };
         let transaction = Transaction {
-            conds: vec![VersionCondition::new(LEAD, leader.version)],
-            changes: vec![Change::put(TYPES, &MachineTypes { types }, None)],
+            conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
+            changes: vec![Change::put(
+                MACHINE_TYPES_KEY,
+                &MachineTypes { types },
+                None,
+            )],
         };
         self.store.ask(
             RequestPriority::Urgent,
@@ -191,11 +195,11 @@
         };
         let base = leader.fleet.machines.len().max(listed) as u64;
         let transaction = Transaction {
-            conds: vec![
-                VersionCondition::new(LEAD, leader.version),
-                VersionCondition::new(BASE, NO_VERSION),
+            conditions: vec![
+                VersionCondition::new(LEADER_KEY, leader.version),
+                VersionCondition::new(BASELINE_MACHINES_KEY, NO_VERSION),
             ],
-            changes: vec![Change::put(BASE, &base, None)],
+            changes: vec![Change::put(BASELINE_MACHINES_KEY, &base, None)],
         };
         self.store.ask(
             RequestPriority::Normal,
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -13,7 +13,7 @@
     /// All of the job's tasks have to be placed, or none.
     pub gang: bool,
     /// Jobs with the same number may use the same machines.
-    pub reach: u32,
+    pub feasibility_class: u32,
     /// Resources of one task.
     pub need: &'a Resources,
     /// Which machines the job may use.
@@ -33,14 +33,14 @@
 /// Demands of one class may be placed on the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct DemandClass {
-    reach: u32,
+    feasibility_class: u32,
     zones: Option<Vec<u32>>,
 }
 
 impl CapacityDemand<'_> {
     pub(super) fn class(&self) -> DemandClass {
         DemandClass {
-            reach: self.reach,
+            feasibility_class: self.feasibility_class,
             zones: self.zones.clone(),
         }
     }
--- a/src/cloud/instance_offer.rs
+++ b/src/cloud/instance_offer.rs
@@ -68,7 +68,8 @@
     ) -> Option<ChosenOffer<'a>> {
         let mut best: Option<(OfferRank, ChosenOffer<'a>)> = None;
         for machine_type in self.types {
-            let tasks_per_machine = slots(&capacity(machine_type), &placement::need(spec));
+            let tasks_per_machine =
+                slots(&capacity(machine_type), &placement::task_resources(spec));
             if tasks_per_machine == 0 {
                 continue;
             }
@@ -101,7 +102,7 @@
         let machine_type = offer.machine_type;
         let price = if !offer.spot {
             machine_type.price
-        } else if spec.saves() {
+        } else if spec.saves_checkpoints() {
             // A job with checkpoints loses little when the cloud takes its machine.
             machine_type.spot_price
         } else {
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -56,7 +56,7 @@
         return tasks;
     };
     let candidates = hosts.candidates("", demand.need, demand.allow);
-    let placed = placement::gang(
+    let placed = placement::place_gang(
         hosts,
         candidates.into_iter(),
         "",
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -6,7 +6,7 @@
 use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL};
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{LEAD, LIVE};
+use crate::protocol::records::{LEADER_KEY, LEADER_LEASE_KEY};
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
@@ -111,8 +111,8 @@
             return;
         };
         let transaction = Transaction {
-            conds: vec![VersionCondition::new(LEAD, leader.version)],
-            changes: vec![Change::put(LIVE, &self.settings.node, Some(id))],
+            conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
+            changes: vec![Change::put(LEADER_LEASE_KEY, &self.settings.node, Some(id))],
         };
         self.store.ask(
             RequestPriority::Urgent,
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -4,7 +4,7 @@
 use crate::policy::Policy;
 use crate::protocol::{Clock, Micros, Settings};
 use crate::transport::NetworkEvent;
-use crate::transport::net::{Handle, Listeners, Net};
+use crate::transport::net::{Handle, Listeners, NetworkThread};
 use crossbeam_channel::{Receiver, TryRecvError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -60,8 +60,9 @@
     let (event_sender, events) = crossbeam_channel::unbounded();
     let controller_thread = std::thread::current();
     let sockets = settings.params.limits.sockets;
-    let (net, commands) = Net::new(listeners, event_sender, controller_thread, sockets, started)
-        .map_err(RuntimeError::Net)?;
+    let (net, commands) =
+        NetworkThread::new(listeners, event_sender, controller_thread, sockets, started)
+            .map_err(RuntimeError::Net)?;
     std::thread::Builder::new()
         .name("network".into())
         .spawn(move || net.run())
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -3,7 +3,7 @@
 //! Each controller has a fixed share; the shares of controllers that are not heard are used by the others. Half of
 //! the leader's share of the write budget is lent when a follower requests more than its own share: the leader
 //! grants parts of it in proportion to what the controllers request. Grants are recorded (`wt/parts`, format
-//! `PARTS`), so that the parts never add up to more than the whole (`crates/admission-control`, `parts`). The leader
+//! `BUDGET_SHARES`), so that the parts never add up to more than the whole (`crates/admission-control`, `parts`). The leader
 //! uses what it does not lend. Grants expire; while no controller requests a part, nothing is written and the
 //! fixed shares apply.
 
@@ -12,15 +12,15 @@
 use crate::leadership::peers::PeerStatus;
 use crate::messages::StoreRequestPurpose;
 use crate::protocol::Clock;
-use crate::protocol::format::PARTS as GRANT_FORMAT;
+use crate::protocol::format::BUDGET_SHARES as GRANT_FORMAT;
 use crate::protocol::key_value_api::Change;
 use crate::protocol::key_value_api::Transaction;
 use crate::protocol::key_value_api::VersionCondition;
-use crate::protocol::records::{BudgetSharesRecord, LEAD, PARTS};
+use crate::protocol::records::{BUDGET_SHARES_KEY, BudgetSharesRecord, LEADER_KEY};
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
-use admission_control::fair::Asked;
-use admission_control::parts::{Grant, Milli, Rules, Want};
+use admission_control::fair::Demand;
+use admission_control::parts::{Grant, Rules, ShareRequest, Thousandths};
 use std::collections::BTreeMap;
 
 /// Share of the store's request and write budgets, as fractions.
@@ -110,9 +110,9 @@
 }
 
 /// A controller's fixed share of the write budget.
-fn fixed_writes(settings: &Settings, leads: bool) -> Milli {
+fn fixed_writes(settings: &Settings, leads: bool) -> Thousandths {
     let share = Share::of(Membership::complete(settings.peers.len(), leads));
-    (share.writes * settings.params.state.least_write_rps() * MILLI) as Milli
+    (share.writes * settings.params.state.least_write_rps() * MILLI) as Thousandths
 }
 
 fn grant_rules(settings: &Settings) -> Rules {
@@ -141,7 +141,7 @@
     /// Writes per second that a grant adds to the fixed share; negative for a leader that lends.
     granted_writes: f64,
     /// What this controller requests beyond its fixed share.
-    requested_writes: Milli,
+    requested_writes: Thousandths,
     next_grant_at: Micros,
     grant_in_flight: bool,
     /// Per peer: the epoch of the newest grant that it has reported. Records outlive the peer's process, so the
@@ -178,7 +178,7 @@
     }
 
     /// What this controller requests beyond its fixed share, in thousandths of writes per second.
-    pub fn requested_writes(&self) -> Milli {
+    pub fn requested_writes(&self) -> Thousandths {
         self.requested_writes
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// The rate of writes that this controller could use beyond what it has without a grant.
-    fn wanted_writes(&mut self, clock: Clock) -> Milli {
+    fn wanted_writes(&mut self, clock: Clock) -> Thousandths {
         let job_writes = self.due_job_writes(clock.now).count;
         let queued =
             (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
@@ -265,7 +265,7 @@
             Some(_) => fixed_writes(&self.settings, true) - lendable,
             None => fixed_writes(&self.settings, false),
         };
-        (wanted as Milli).saturating_sub(own).min(lendable)
+        (wanted as Thousandths).saturating_sub(own).min(lendable)
     }
 
     /// Updates what this controller requests; a leader also writes the grant that is due. Returns when to check
@@ -300,7 +300,7 @@
         if requests.iter().all(|request| request.amount == 0) {
             return None;
         }
-        let own_request = Asked {
+        let own_request = Demand {
             amount: self.budget.requested_writes as f64,
             weight: fixed_writes(&self.settings, true) as f64,
         };
@@ -310,23 +310,27 @@
         let next = current.next(clock.wall.0, own_request, &requests, &rules);
         log::debug!("budget granted epoch={} parts={:?}", next.epoch, next.parts);
         Some(Transaction {
-            conds: vec![
-                VersionCondition::new(LEAD, leader.version),
-                VersionCondition::new(PARTS, *version),
+            conditions: vec![
+                VersionCondition::new(LEADER_KEY, leader.version),
+                VersionCondition::new(BUDGET_SHARES_KEY, *version),
             ],
-            changes: vec![Change::put(PARTS, &BudgetSharesRecord::of(&next), None)],
+            changes: vec![Change::put(
+                BUDGET_SHARES_KEY,
+                &BudgetSharesRecord::of(&next),
+                None,
+            )],
         })
     }
 
     /// What peers request. A peer that is not heard, or whose format has no grants, receives none.
-    fn peer_requests(&self, clock: Clock) -> Vec<Want> {
+    fn peer_requests(&self, clock: Clock) -> Vec<ShareRequest> {
         let weight = fixed_writes(&self.settings, false) as f64;
         let peers = self.settings.peers.iter();
         peers
             .filter(|peer| self.cache.format_of(&peer.node).0 >= GRANT_FORMAT)
             .filter_map(|peer| {
                 let status = self.recent_status(clock, &peer.node)?;
-                Some(Want {
+                Some(ShareRequest {
                     holder: peer.node.clone(),
                     amount: status.requested_writes,
                     weight,
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{LEAD, RenewalsRecord, renew_key};
+use crate::protocol::records::{LEADER_KEY, RenewalsRecord, renewals_key};
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
@@ -68,10 +68,10 @@
         while parts.len() < stored_parts.len() {
             parts.push(empty.clone());
         }
-        let mut conditions = vec![VersionCondition::new(LEAD, leadership.record_version)];
+        let mut conditions = vec![VersionCondition::new(LEADER_KEY, leadership.record_version)];
         let mut changes = Vec::new();
         for (index, part) in parts.iter().enumerate() {
-            let key = renew_key(&self.settings.node, index);
+            let key = renewals_key(&self.settings.node, index);
             let stored = stored_parts.get(index).copied().flatten();
             let stored_is_empty = stored.is_some_and(|(record, _)| record.is_empty());
             if index > 0 && part.is_empty() && stored_is_empty {
@@ -85,7 +85,7 @@
         RecordWrite {
             machines: named,
             transaction: Transaction {
-                conds: conditions,
+                conditions: conditions,
                 changes,
             },
         }
@@ -105,7 +105,7 @@
         match (&response, &request) {
             (StoreResponse::Committed(revision), StoreRequest::Transaction(transaction)) => {
                 self.apply_own_commit(transaction, *revision);
-                if transaction.conds[0].version == self.renewals.leadership.record_version {
+                if transaction.conditions[0].version == self.renewals.leadership.record_version {
                     self.on_renewals_recorded(clock, machines, *revision, sent);
                 }
                 self.answer_recorded(clock, unanswered);
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -6,7 +6,7 @@
 use crate::protocol::Clock;
 use crate::protocol::key_value_api::VersionCondition;
 use crate::protocol::key_value_api::{Change, Transaction};
-use crate::protocol::records::{LEAD, LIVE, LeaderRecord};
+use crate::protocol::records::{LEADER_KEY, LEADER_LEASE_KEY, LeaderRecord};
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use rand::RngExt;
@@ -232,9 +232,9 @@
             leader.term
         );
         let transaction = Transaction {
-            conds: vec![VersionCondition::new(LEAD, leader.version)],
+            conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
             changes: vec![Change::Delete {
-                key: LIVE.to_string(),
+                key: LEADER_LEASE_KEY.to_string(),
             }],
         };
         self.store.ask(
@@ -258,13 +258,16 @@
             term: term + 1,
         };
         let transaction = Transaction {
-            conds: vec![
-                VersionCondition::new(LEAD, version),
-                VersionCondition::new(LIVE, self.cache.leader_lease_version.unwrap_or(0)),
+            conditions: vec![
+                VersionCondition::new(LEADER_KEY, version),
+                VersionCondition::new(
+                    LEADER_LEASE_KEY,
+                    self.cache.leader_lease_version.unwrap_or(0),
+                ),
             ],
             changes: vec![
-                Change::put(LEAD, &record, None),
-                Change::put(LIVE, &self.settings.node, self.leader_lease.id),
+                Change::put(LEADER_KEY, &record, None),
+                Change::put(LEADER_LEASE_KEY, &self.settings.node, self.leader_lease.id),
             ],
         };
         self.store.ask(
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -67,7 +67,7 @@
         }
         let key = format_key(&self.settings.node);
         Some(Transaction {
-            conds: vec![VersionCondition::new(&key, version)],
+            conditions: vec![VersionCondition::new(&key, version)],
             changes: vec![Change::put(&key, &format::NEWEST, None)],
         })
     }
@@ -82,7 +82,7 @@
         // The record is not deleted: its version would be reused, and a delayed first write could then succeed.
         let key = format_key(downgrade.node);
         let transaction = Transaction {
-            conds: vec![VersionCondition::new(&key, downgrade.record_version)],
+            conditions: vec![VersionCondition::new(&key, downgrade.record_version)],
             changes: vec![Change::put(&key, &older, None)],
         };
         self.format_rollout_logged = false;
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use crate::protocol::Clock;
-use crate::protocol::peer_messages::{CancellationCursor, CancellationNews, MOST_CANCELLATIONS};
+use crate::protocol::peer_messages::{CancellationCursor, CancellationUpdate, MOST_CANCELLATIONS};
 use crate::state::record_cache::RecordCache;
 use lease_delegation::cancellations::ReportedCancellations;
 
@@ -22,12 +22,12 @@
         &mut self,
         clock: Clock,
         cursor: &CancellationCursor,
-    ) -> Option<CancellationNews> {
+    ) -> Option<CancellationUpdate> {
         self.log_cancellations();
         let from = cursor.from(self.incarnation);
         let log = &self.peers.cancellation_log;
         let batch = log.batch(from, cursor.complete, MOST_CANCELLATIONS)?;
-        Some(CancellationNews {
+        Some(CancellationUpdate {
             lead: self.leader_record_version(),
             from: batch.from,
             next: batch.next,
@@ -53,7 +53,7 @@
         clock: Clock,
         peer: usize,
         run: u64,
-        news: &CancellationNews,
+        news: &CancellationUpdate,
     ) -> bool {
         let reported = &mut self.peers.reported_cancellations;
         let applied = reported.apply(peer, run, &news.batch(), clock.now.0);
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -3,7 +3,7 @@
 use super::{ObservedRun, silence_pledges_enabled};
 use crate::controller::Controller;
 use crate::messages::PendingCall;
-use crate::protocol::peer_messages::{CancellationCursor, HeartbeatExtension, PeerHeartbeat};
+use crate::protocol::peer_messages::{CancellationCursor, LeaseDelegationStatus, PeerHeartbeat};
 use crate::protocol::{Clock, Micros, format};
 use crate::transport::Outcome;
 use lease_delegation::peer_coverage::{PeerKnowledge, PeerResponse};
@@ -74,7 +74,7 @@
             .last_leader_sighting
             .as_ref()
             .map(|sighting| clock.now.since(sighting.at).0 / 1000);
-        let extension = HeartbeatExtension {
+        let extension = LeaseDelegationStatus {
             run: self.incarnation,
             right: None,
             used_ago: self.peers.renewal_grant.use_age(clock.now.0),
@@ -203,7 +203,7 @@
         clock: Clock,
         peer: usize,
         sent: Micros,
-        extension: HeartbeatExtension,
+        extension: LeaseDelegationStatus,
     ) {
         let node = &self.settings.peers[peer].node;
         let last_run = &mut self.peers.links[peer].last_run;
--- a/src/protocol/agent_api.rs
+++ b/src/protocol/agent_api.rs
@@ -35,10 +35,10 @@
     Stopped,
     /// Gang task: another task of the gang is gone.
     #[serde(rename = "mates_gone")]
-    Peers,
+    GangMemberGone,
     /// Gang task: the gang was not complete within `gang_wait_s`.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// Failed by itself.
     #[serde(rename = "error")]
     Error,
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -13,13 +13,13 @@
 pub const PIPELINES: u32 = 2;
 /// One record may hold placements of many jobs (`records::PlacementBatch`). A controller that does not read it
 /// would consider running tasks lost.
-pub const BUNDLES: u32 = 3;
+pub const PLACEMENT_BATCHES: u32 = 3;
 /// The shares of the write budget are stored (`records::BudgetSharesRecord`), and heartbeats carry requests for
 /// them. A controller that does not read them keeps its fixed share, which is never lent.
-pub const PARTS: u32 = 4;
-/// Heartbeats carry the fields of `peer_messages::HeartbeatExtension` (crates/lease-delegation). Records are
+pub const BUDGET_SHARES: u32 = 4;
+/// Heartbeats carry the fields of `peer_messages::LeaseDelegationStatus` (crates/lease-delegation). Records are
 /// unchanged. A controller that does not read this format neither grants nor receives lease delegations.
-pub const RIGHTS: u32 = 5;
+pub const LEASE_DELEGATION: u32 = 5;
 /// Heartbeats carry cancellations (crates/lease-delegation). Records are unchanged. A controller that does not read
 /// this format receives no cancellations; it vouches by the revision of the newest cancellation that it knows.
 pub const CANCELLATIONS: u32 = 6;
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -4,7 +4,7 @@
 
 mod submission;
 
-pub use submission::{MAX_TASKS, Malformed, parse, valid_id};
+pub use submission::{InvalidSubmission, MAX_TASKS, parse, valid_id};
 
 use serde::{Deserialize, Serialize};
 
@@ -104,12 +104,12 @@
 
 impl JobSpec {
     /// Returns whether tasks save checkpoints, so that a stop loses little progress.
-    pub fn saves(&self) -> bool {
+    pub fn saves_checkpoints(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 
     /// Returns whether tasks start one by one and the zones of started tasks limit the zones of the others.
-    pub fn zoned(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.kind != JobKind::Gang && (self.one_zone || self.spread)
     }
 
--- a/src/protocol/job/submission.rs
+++ b/src/protocol/job/submission.rs
@@ -20,7 +20,7 @@
 
 /// Why a submission is malformed.
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum Malformed {
+pub enum InvalidSubmission {
     /// The body is not exactly one MessagePack value.
     #[error("not MessagePack")]
     NotMsgPack,
@@ -44,11 +44,11 @@
 /// # Errors
 ///
 /// Reports the first field, in the order of the checks below, that is missing or invalid.
-pub fn parse(body: &[u8]) -> Result<(String, JobSpec), Malformed> {
+pub fn parse(body: &[u8]) -> Result<(String, JobSpec), InvalidSubmission> {
     let fields = Fields::parse(body)?;
     let id = fields.text("id")?;
     if !valid_id(&id) {
-        return Err(Malformed::Field("id"));
+        return Err(InvalidSubmission::Field("id"));
     }
     let tasks = fields.task_count("sheets")?;
     let types = fields.machine_types("presses")?;
@@ -84,16 +84,16 @@
 struct Fields(Vec<(Value, Value)>);
 
 impl Fields {
-    fn parse(body: &[u8]) -> Result<Fields, Malformed> {
+    fn parse(body: &[u8]) -> Result<Fields, InvalidSubmission> {
         let mut rest = body;
         let value = rmpv::decode::read_value_with_max_depth(&mut rest, MAX_DEPTH)
-            .map_err(|_| Malformed::NotMsgPack)?;
+            .map_err(|_| InvalidSubmission::NotMsgPack)?;
         if !rest.is_empty() {
-            return Err(Malformed::NotMsgPack);
+            return Err(InvalidSubmission::NotMsgPack);
         }
         match value {
             Value::Map(fields) => Ok(Fields(fields)),
-            _ => Err(Malformed::NotMap),
+            _ => Err(InvalidSubmission::NotMap),
         }
     }
 
@@ -105,8 +105,8 @@
     fn optional<T>(
         &self,
         name: &'static str,
-        read: impl Fn(&Fields, &'static str) -> Result<T, Malformed>,
-    ) -> Result<Option<T>, Malformed> {
+        read: impl Fn(&Fields, &'static str) -> Result<T, InvalidSubmission>,
+    ) -> Result<Option<T>, InvalidSubmission> {
         match self.get(name) {
             None => Ok(None),
             Some(_) => read(self, name).map(Some),
@@ -114,73 +114,73 @@
     }
 
     /// Reads a string that is not empty.
-    fn text(&self, name: &'static str) -> Result<String, Malformed> {
+    fn text(&self, name: &'static str) -> Result<String, InvalidSubmission> {
         match self.get(name).and_then(Value::as_str) {
             Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text.to_string()),
-            _ => Err(Malformed::Field(name)),
+            _ => Err(InvalidSubmission::Field(name)),
         }
     }
 
     /// Reads a number between 0 and [`MAX_AMOUNT`].
-    fn amount(&self, name: &'static str) -> Result<f64, Malformed> {
+    fn amount(&self, name: &'static str) -> Result<f64, InvalidSubmission> {
         match self.get(name).and_then(Value::as_f64) {
             Some(amount) if amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount) => {
                 Ok(amount)
             }
-            _ => Err(Malformed::Field(name)),
+            _ => Err(InvalidSubmission::Field(name)),
         }
     }
 
-    fn flag(&self, name: &'static str) -> Result<bool, Malformed> {
+    fn flag(&self, name: &'static str) -> Result<bool, InvalidSubmission> {
         self.get(name)
             .and_then(Value::as_bool)
-            .ok_or(Malformed::Field(name))
+            .ok_or(InvalidSubmission::Field(name))
     }
 
     /// Reads an enum variant from its wire name.
-    fn variant<T: DeserializeOwned>(&self, name: &'static str) -> Result<T, Malformed> {
+    fn variant<T: DeserializeOwned>(&self, name: &'static str) -> Result<T, InvalidSubmission> {
         self.get(name)
             .filter(|value| value.is_str())
             .and_then(from_value)
-            .ok_or(Malformed::Field(name))
+            .ok_or(InvalidSubmission::Field(name))
     }
 
     /// Reads a number of tasks between 1 and [`MAX_TASKS`].
-    fn task_count(&self, name: &'static str) -> Result<u32, Malformed> {
+    fn task_count(&self, name: &'static str) -> Result<u32, InvalidSubmission> {
         let count = self.get(name).and_then(Value::as_u64);
         count
             .filter(|count| (1..=MAX_TASKS).contains(count))
             .and_then(|count| u32::try_from(count).ok())
-            .ok_or(Malformed::Field(name))
+            .ok_or(InvalidSubmission::Field(name))
     }
 
     /// Reads the allowed machine types; a missing list allows all, an empty one is invalid.
-    fn machine_types(&self, name: &'static str) -> Result<Option<Vec<String>>, Malformed> {
+    fn machine_types(&self, name: &'static str) -> Result<Option<Vec<String>>, InvalidSubmission> {
         let types = match self.get(name) {
             None => return Ok(None),
             Some(Value::Array(types)) if !types.is_empty() && types.len() <= MAX_MACHINE_TYPES => {
                 types
             }
-            Some(_) => return Err(Malformed::Field(name)),
+            Some(_) => return Err(InvalidSubmission::Field(name)),
         };
         let types = types.iter().map(|value| value.as_str().map(str::to_string));
         let types: Option<Vec<String>> = types.collect();
-        types.map(Some).ok_or(Malformed::Field(name))
+        types.map(Some).ok_or(InvalidSubmission::Field(name))
     }
 
     /// Reads a list of job ids, sorts it and removes duplicates; a missing list is empty.
-    fn job_ids(&self, name: &'static str) -> Result<Vec<String>, Malformed> {
+    fn job_ids(&self, name: &'static str) -> Result<Vec<String>, InvalidSubmission> {
         let values = match self.get(name) {
             None => return Ok(Vec::new()),
             Some(Value::Array(values)) => values,
-            Some(_) => return Err(Malformed::Field(name)),
+            Some(_) => return Err(InvalidSubmission::Field(name)),
         };
         let valid = |value: &Value| {
             let id = value.as_str().filter(|id| valid_id(id))?;
             Some(id.to_string())
         };
         let ids: Option<Vec<String>> = values.iter().map(valid).collect();
-        let mut ids = ids.ok_or(Malformed::Field(name))?;
+        let mut ids = ids.ok_or(InvalidSubmission::Field(name))?;
         ids.sort_unstable();
         ids.dedup();
         Ok(ids)
--- a/src/protocol/key_value_api.rs
+++ b/src/protocol/key_value_api.rs
@@ -43,7 +43,7 @@
 pub struct Transaction {
     /// Conditions, all of which must hold.
     #[serde(rename = "if")]
-    pub conds: Vec<VersionCondition>,
+    pub conditions: Vec<VersionCondition>,
     /// Changes, which all get the same revision.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -8,8 +8,8 @@
 //! | --- | --- |
 //! | `FIRST` | `node`, `leading`, `leader_silent_ms`, `newest`, `served` |
 //! | `PIPELINES` | `format` |
-//! | `PARTS` | `asks`, `epoch` |
-//! | `RIGHTS` | `more`, `record_summary` |
+//! | `BUDGET_SHARES` | `asks`, `epoch` |
+//! | `LEASE_DELEGATION` | `more`, `record_summary` |
 //! | `CANCELLATIONS` | `knows`, `news` |
 //!
 //! A receiver that reads only an older format ignores the fields that it does not know.
@@ -68,9 +68,9 @@
     /// Number of the newest grant of budget shares that the sender has seen; 0: none.
     #[serde(skip)]
     pub epoch: u64,
-    /// Lease delegation; `None` if the sender's format is older than `RIGHTS`.
+    /// Lease delegation; `None` if the sender's format is older than `LEASE_DELEGATION`.
     #[serde(skip)]
-    pub more: Option<HeartbeatExtension>,
+    pub more: Option<LeaseDelegationStatus>,
     /// Only in a response to a peer that has not read the records.
     #[serde(skip)]
     pub record_summary: Option<RecordSummary>,
@@ -79,7 +79,7 @@
     pub knows: Option<CancellationCursor>,
     /// Only in a response: cancellations that the requesting peer does not know yet.
     #[serde(skip)]
-    pub news: Option<CancellationNews>,
+    pub news: Option<CancellationUpdate>,
 }
 
 /// Which cancellations a controller knows when it asks a peer for more.
@@ -122,7 +122,7 @@
 
 /// A batch of the sender's cancellation log, and what the sender knows of its other peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CancellationNews {
+pub struct CancellationUpdate {
     /// Version of the leader's record in the sender's cache; 0: it knows none.
     pub lead: u64,
     /// Number of the first log entry of the batch.
@@ -138,7 +138,7 @@
     pub known: Vec<(String, u64)>,
 }
 
-impl CancellationNews {
+impl CancellationUpdate {
     /// Returns the batch of the sender's log.
     pub fn batch(&self) -> LogBatch {
         LogBatch {
@@ -167,13 +167,13 @@
     pub revision: u64,
     /// Cancelled jobs that may still have tasks on machines.
     pub cancelled: Vec<String>,
-    /// See [`CancellationNews::known`].
+    /// See [`CancellationUpdate::known`].
     pub known: Vec<(String, u64)>,
 }
 
-/// Lease delegation in a heartbeat, since format `RIGHTS`.
+/// Lease delegation in a heartbeat, since format `LEASE_DELEGATION`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HeartbeatExtension {
+pub struct LeaseDelegationStatus {
     /// Incarnation of the sender: which run of its process this is.
     pub run: u64,
     /// Only in a response: the requesting peer may renew agents' leases under this term of the sender.
@@ -185,15 +185,15 @@
     pub quiet: bool,
 }
 
-/// The fields that format `PARTS` appends.
+/// The fields that format `BUDGET_SHARES` appends.
 type BudgetFields = (u64, u64);
-/// The fields that format `RIGHTS` appends.
-type DelegationFields = (HeartbeatExtension, Option<RecordSummary>);
+/// The fields that format `LEASE_DELEGATION` appends.
+type DelegationFields = (LeaseDelegationStatus, Option<RecordSummary>);
 /// The fields that format `CANCELLATIONS` appends.
-type CancellationFields = (Option<CancellationCursor>, Option<CancellationNews>);
+type CancellationFields = (Option<CancellationCursor>, Option<CancellationUpdate>);
 
 impl PeerHeartbeat {
-    /// Encodes the heartbeat. The fields of `RIGHTS` and `CANCELLATIONS` are left out if `more` is `None`.
+    /// Encodes the heartbeat. The fields of `LEASE_DELEGATION` and `CANCELLATIONS` are left out if `more` is `None`.
     pub fn encode(&self) -> Vec<u8> {
         // Encoding into memory does not fail for these types.
         self.try_encode().unwrap_or_default()
@@ -239,11 +239,11 @@
         &mut self,
         reader: &mut FieldReader<'_>,
     ) -> Result<(), InvalidPeerHeartbeat> {
-        if self.format >= format::PARTS {
+        if self.format >= format::BUDGET_SHARES {
             let fields: BudgetFields = reader.take()?;
             (self.asks, self.epoch) = fields;
         }
-        if self.format >= format::RIGHTS {
+        if self.format >= format::LEASE_DELEGATION {
             let (more, record_summary): DelegationFields = reader.take()?;
             self.more = Some(more);
             self.record_summary = record_summary;
@@ -280,10 +280,10 @@
         Ok(stated)
     }
 
-    /// Checks that nothing follows the last field. Versions before format `PARTS` did not check it, and a newer
+    /// Checks that nothing follows the last field. Versions before format `BUDGET_SHARES` did not check it, and a newer
     /// format than ours may append fields.
     fn finish(self) -> Result<(), InvalidPeerHeartbeat> {
-        let is_checked = (format::PARTS..=format::NEWEST).contains(&self.format);
+        let is_checked = (format::BUDGET_SHARES..=format::NEWEST).contains(&self.format);
         if is_checked && !self.rest.is_empty() {
             return Err(InvalidPeerHeartbeat::TooLong(self.rest.len()));
         }
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -2,17 +2,17 @@
 //!
 //! | key | constant or function | content |
 //! | --- | --- | --- |
-//! | `wt/lead` | [`LEAD`] | [`LeaderRecord`] |
-//! | `wt/live` | [`LIVE`] | name of the leader; attached to its lease |
-//! | `wt/types` | [`TYPES`] | `cloud_api::MachineTypes` |
-//! | `wt/base` | [`BASE`] | number of machines |
+//! | `wt/lead` | [`LEADER_KEY`] | [`LeaderRecord`] |
+//! | `wt/live` | [`LEADER_LEASE_KEY`] | name of the leader; attached to its lease |
+//! | `wt/types` | [`MACHINE_TYPES_KEY`] | `cloud_api::MachineTypes` |
+//! | `wt/base` | [`BASELINE_MACHINES_KEY`] | number of machines |
 //! | `wt/j/{job}` | [`job_key`] | [`JobRecord`] |
 //! | `wt/t/{job}/{number}` | [`chunk_key`] | [`TaskChunk`] |
-//! | `wt/b/{number}` | [`bundle_key`] | [`PlacementBatch`] |
-//! | `wt/bundled` | [`BUNDLED`] | number of the newest placement batch |
-//! | `wt/r/{node}`, `wt/r/{node}/{number}` | [`renew_key`] | [`RenewalsRecord`] |
+//! | `wt/b/{number}` | [`placement_batch_key`] | [`PlacementBatch`] |
+//! | `wt/bundled` | [`NEWEST_PLACEMENT_BATCH_KEY`] | number of the newest placement batch |
+//! | `wt/r/{node}`, `wt/r/{node}/{number}` | [`renewals_key`] | [`RenewalsRecord`] |
 //! | `wt/f/{node}` | [`format_key`] | a number of [`format`](super::format) |
-//! | `wt/parts` | [`PARTS`] | [`BudgetSharesRecord`] |
+//! | `wt/parts` | [`BUDGET_SHARES_KEY`] | [`BudgetSharesRecord`] |
 //!
 //! Values are stored as MessagePack with short field names, since the store limits their size.
 
@@ -21,69 +21,69 @@
 mod renewals;
 
 pub use budget_shares::BudgetSharesRecord;
-pub use jobs::{CHUNK, JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry};
+pub use jobs::{JobRecord, JobStage, PlacementBatch, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
 pub use renewals::RenewalsRecord;
 
 use serde::{Deserialize, Serialize};
 
 /// Prefix of all our keys.
-pub const ROOT: &str = "wt/";
+pub const KEY_PREFIX: &str = "wt/";
 /// Key of the leader's record. Its version fences every write of the leader.
-pub const LEAD: &str = "wt/lead";
+pub const LEADER_KEY: &str = "wt/lead";
 /// Key that is attached to the leader's lease and vanishes when the lease expires.
-pub const LIVE: &str = "wt/live";
+pub const LEADER_LEASE_KEY: &str = "wt/live";
 /// Key of the machine types that the cloud listed last.
-pub const TYPES: &str = "wt/types";
+pub const MACHINE_TYPES_KEY: &str = "wt/types";
 /// Key of the number of machines that were up before we rented any.
-pub const BASE: &str = "wt/base";
+pub const BASELINE_MACHINES_KEY: &str = "wt/base";
 /// Prefix of job records.
-pub const JOBS: &str = "wt/j/";
+pub const JOBS_PREFIX: &str = "wt/j/";
 /// Prefix of the further chunks of large jobs.
-pub const CHUNKS: &str = "wt/t/";
+pub const CHUNKS_PREFIX: &str = "wt/t/";
 /// Prefix of the machines whose leases a follower renews.
-pub const RENEWALS: &str = "wt/r/";
+pub const RENEWALS_PREFIX: &str = "wt/r/";
 /// Prefix of the newest format that each controller reads.
-pub const FORMATS: &str = "wt/f/";
-/// Prefix of placement batches (format `BUNDLES`). It sorts before [`JOBS`], so a listing returns batches first.
-pub const BUNDLES: &str = "wt/b/";
+pub const FORMATS_PREFIX: &str = "wt/f/";
+/// Prefix of placement batches (format `PLACEMENT_BATCHES`). It sorts before [`JOBS_PREFIX`], so a listing returns batches first.
+pub const PLACEMENT_BATCHES_PREFIX: &str = "wt/b/";
 /// Key that is rewritten with every placement batch, so that its version shows whether one was written since.
-pub const BUNDLED: &str = "wt/bundled";
-/// Key of the shares of the write budget (format `PARTS`).
-pub const PARTS: &str = "wt/parts";
+pub const NEWEST_PLACEMENT_BATCH_KEY: &str = "wt/bundled";
+/// Key of the shares of the write budget (format `BUDGET_SHARES`).
+pub const BUDGET_SHARES_KEY: &str = "wt/parts";
 
 /// Returns the key of a job.
 pub fn job_key(id: &str) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 /// Returns the key of chunk `number` of a job, from 1 upwards; chunk 0 is part of the job's own record.
 pub fn chunk_key(id: &str, number: u32) -> String {
-    format!("{CHUNKS}{id}/{number}")
+    format!("{CHUNKS_PREFIX}{id}/{number}")
 }
 
 /// Returns the key of placement batch `number`.
-pub fn bundle_key(number: u32) -> String {
-    format!("{BUNDLES}{number}")
+pub fn placement_batch_key(number: u32) -> String {
+    format!("{PLACEMENT_BATCHES_PREFIX}{number}")
 }
 
 /// Returns the number of the placement batch with this key; `None` if the key is not one of a batch.
-pub fn bundle_number(key: &str) -> Option<u32> {
-    key.strip_prefix(BUNDLES)?.parse().ok()
+pub fn placement_batch_number(key: &str) -> Option<u32> {
+    key.strip_prefix(PLACEMENT_BATCHES_PREFIX)?.parse().ok()
 }
 
 /// Returns the key of the newest format that a controller reads.
 pub fn format_key(node: &str) -> String {
-    format!("{FORMATS}{node}")
+    format!("{FORMATS_PREFIX}{node}")
 }
 
 /// Returns the key of record `number` of a follower's renewals.
 ///
 /// A controller of the first version writes only record 0. As a leader it takes the further records for those of
 /// further followers, with the same effect.
-pub fn renew_key(node: &str, number: usize) -> String {
+pub fn renewals_key(node: &str, number: usize) -> String {
     match number {
-        0 => format!("{RENEWALS}{node}"),
-        further => format!("{RENEWALS}{node}/{further}"),
+        0 => format!("{RENEWALS_PREFIX}{node}"),
+        further => format!("{RENEWALS_PREFIX}{node}/{further}"),
     }
 }
 
--- a/src/protocol/records/jobs.rs
+++ b/src/protocol/records/jobs.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Number of tasks in one chunk: few enough for one value of the store, and for done marks in a `u64`.
-pub const CHUNK: u32 = 48;
+pub const TASKS_PER_CHUNK: u32 = 48;
 
 /// Lifecycle stage of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,13 +113,13 @@
     }
 }
 
-/// The state of up to [`CHUNK`] consecutive tasks.
+/// The state of up to [`TASKS_PER_CHUNK`] consecutive tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskChunk {
     /// Tasks that were started and are not done, in the order of their numbers.
     #[serde(rename = "e", default)]
     pub entries: Vec<TaskEntry>,
-    /// Done marks: bit `task % CHUNK` is set if the task is done.
+    /// Done marks: bit `task % TASKS_PER_CHUNK` is set if the task is done.
     #[serde(rename = "d", default)]
     pub done: u64,
 }
@@ -130,7 +130,7 @@
     }
 
     fn done_mark(task: u32) -> u64 {
-        1 << (task % CHUNK)
+        1 << (task % TASKS_PER_CHUNK)
     }
 
     /// Returns the entry of a task, if it has one.
@@ -174,7 +174,7 @@
     /// Time of day at which the job was done or cancelled; 0 before.
     #[serde(rename = "end", default)]
     pub end: Micros,
-    /// Chunk 0: the tasks 0 to `CHUNK` - 1.
+    /// Chunk 0: the tasks 0 to `TASKS_PER_CHUNK` - 1.
     #[serde(rename = "c", default)]
     pub first: TaskChunk,
     /// The job is over and none of its tasks is on a machine, whatever placement batches still contain.
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -10,9 +10,11 @@
 use crate::controller::Controller;
 use crate::messages::StoreRequestPurpose;
 use crate::protocol::codec::json_len;
-use crate::protocol::format::BUNDLES;
+use crate::protocol::format::PLACEMENT_BATCHES;
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{BUNDLED, LEAD, PlacementBatch, TaskEntry, bundle_key, job_key};
+use crate::protocol::records::{
+    LEADER_KEY, NEWEST_PLACEMENT_BATCH_KEY, PlacementBatch, TaskEntry, job_key, placement_batch_key,
+};
 use crate::protocol::{Clock, JobKind, Micros};
 use crate::records::pending_write::PendingWrite;
 use crate::records::record_update::{RecordUpdate, WriteLimits};
@@ -122,12 +124,15 @@
         };
         let in_flight = leader.edits.batches_in_flight();
         let number = self.cache.placement_batches.free_number(&in_flight);
-        let key = bundle_key(number);
+        let key = placement_batch_key(number);
         // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried
         // out after that, so the newest batch is a condition, too.
-        let newest = VersionCondition::new(BUNDLED, self.cache.placement_batches.head());
+        let newest = VersionCondition::new(
+            NEWEST_PLACEMENT_BATCH_KEY,
+            self.cache.placement_batches.head(),
+        );
         let mut conditions = vec![
-            VersionCondition::new(LEAD, leader.version),
+            VersionCondition::new(LEADER_KEY, leader.version),
             VersionCondition::new(&key, 0),
             newest,
         ];
@@ -143,10 +148,10 @@
         log::info!("placement batch written batch={number} tasks={tasks} jobs={jobs}");
         conditions.extend(draft.conditions);
         let transaction = Transaction {
-            conds: conditions,
+            conditions: conditions,
             changes: vec![
                 Change::put(&key, &draft.batch, None),
-                Change::put(BUNDLED, &number, None),
+                Change::put(NEWEST_PLACEMENT_BATCH_KEY, &number, None),
             ],
         };
         let mut ids = Vec::new();
@@ -164,7 +169,10 @@
         let Some(leader) = &self.leader else {
             return false;
         };
-        if !self.all_peers_read(BUNDLES) || leader.edits.batch_rejected || limits.max_changes < 2 {
+        if !self.all_peers_read(PLACEMENT_BATCHES)
+            || leader.edits.batch_rejected
+            || limits.max_changes < 2
+        {
             return false;
         }
         // One batch at a time: each has the one before it as a condition.
@@ -189,7 +197,7 @@
             Some(_) => {}
         }
         // A controller that has been downgraded does not see batches: then everything is merged at once.
-        let merge_all = !self.all_peers_read(BUNDLES);
+        let merge_all = !self.all_peers_read(PLACEMENT_BATCHES);
         let share = (self.store.write_rate() * MERGE_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
@@ -223,10 +231,10 @@
 
 /// The transaction that deletes a batch with this version.
 fn deletion(number: u32, version: u64, leader_version: u64) -> Transaction {
-    let key = bundle_key(number);
+    let key = placement_batch_key(number);
     Transaction {
-        conds: vec![
-            VersionCondition::new(LEAD, leader_version),
+        conditions: vec![
+            VersionCondition::new(LEADER_KEY, leader_version),
             VersionCondition::new(&key, version),
         ],
         changes: vec![Change::Delete { key }],
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -3,7 +3,9 @@
 use crate::api::client_api::put_job;
 use crate::protocol::codec::json_len;
 use crate::protocol::key_value_api::{Change, VersionCondition};
-use crate::protocol::records::{CHUNK, JobRecord, JobStage, TaskChunk, TaskEntry, chunk_key};
+use crate::protocol::records::{
+    JobRecord, JobStage, TASKS_PER_CHUNK, TaskChunk, TaskEntry, chunk_key,
+};
 use crate::protocol::{Clock, JobKind};
 use crate::records::pending_write::PendingWrite;
 use crate::state::record_cache::Job;
@@ -77,7 +79,9 @@
             job,
             record: job.rec.clone(),
             chunks: BTreeMap::new(),
-            batched_chunks: batched.map(|place| place.task() / CHUNK).collect(),
+            batched_chunks: batched
+                .map(|place| place.task() / TASKS_PER_CHUNK)
+                .collect(),
             // One change is reserved for the job's own record.
             max_chunks: limits.max_changes.saturating_sub(1).max(1),
             max_value_bytes: limits.max_value_bytes,
@@ -122,21 +126,21 @@
 
     /// Includes the chunk of a task; returns false if the transaction cannot take another one.
     fn open_chunk(&mut self, task: u32) -> bool {
-        let number = task / CHUNK;
+        let number = task / TASKS_PER_CHUNK;
         if number == 0 || self.chunks.contains_key(&number) {
             return true;
         }
         if self.chunks.len() >= self.max_chunks && !self.is_indivisible() {
             return false;
         }
-        let recorded = self.job.chunk_of(number * CHUNK).cloned();
+        let recorded = self.job.chunk_of(number * TASKS_PER_CHUNK).cloned();
         self.chunks.insert(number, recorded.unwrap_or_default());
         true
     }
 
     /// The chunk of a task, which must have been opened.
     fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
-        match self.chunks.get_mut(&(task / CHUNK)) {
+        match self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => chunk,
             None => &mut self.record.first,
         }
@@ -187,7 +191,7 @@
 
     /// Bytes of the value that holds a task.
     fn value_bytes(&self, task: u32) -> usize {
-        match self.chunks.get(&(task / CHUNK)) {
+        match self.chunks.get(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => json_len(chunk),
             None => json_len(&self.record),
         }
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -6,7 +6,9 @@
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
-use crate::protocol::records::{BUNDLED, LEAD, TaskEntry, bundle_number, job_key};
+use crate::protocol::records::{
+    LEADER_KEY, NEWEST_PLACEMENT_BATCH_KEY, TaskEntry, job_key, placement_batch_number,
+};
 use crate::protocol::{Clock, Micros};
 pub use crate::records::pending_write::PendingWrite;
 use crate::records::record_update::{RecordUpdate, WriteLimits};
@@ -121,7 +123,7 @@
         let writes = self.writes_in_flight.values();
         let changes = writes.flat_map(|write| &write.transaction.changes);
         let batch_number = |change: &Change| match change {
-            Change::Put { put, .. } => bundle_number(put),
+            Change::Put { put, .. } => placement_batch_number(put),
             Change::Delete { .. } => None,
         };
         changes.filter_map(batch_number).collect()
@@ -220,7 +222,7 @@
         max_changes: usize,
         limits: WriteLimits,
     ) -> Option<(u64, Transaction)> {
-        let mut conditions = vec![VersionCondition::new(LEAD, leader_version)];
+        let mut conditions = vec![VersionCondition::new(LEADER_KEY, leader_version)];
         let mut changes = Vec::new();
         let mut jobs = Vec::new();
         for id in due_jobs {
@@ -252,7 +254,7 @@
             return None;
         }
         let transaction = Transaction {
-            conds: conditions,
+            conditions: conditions,
             changes,
         };
         let write_id = self.begin_write(jobs, transaction.clone());
@@ -262,8 +264,8 @@
     /// The store has rejected a transaction: makes later ones smaller. What was rejected decides, not what else is in
     /// flight.
     fn on_rejected(&mut self, transaction: &Transaction) {
-        let mut conditions = transaction.conds.iter();
-        if conditions.any(|c| bundle_number(&c.key).is_some()) {
+        let mut conditions = transaction.conditions.iter();
+        if conditions.any(|c| placement_batch_number(&c.key).is_some()) {
             self.batch_rejected = true;
         } else {
             let halved = transaction.changes.len() / 2;
@@ -275,7 +277,7 @@
 impl WriteInFlight {
     /// Whether the store may still carry out the transaction: its conditions hold according to the cache.
     fn may_be_carried_out(&self, leader_version: u64, cache: &RecordCache) -> bool {
-        leader_version == self.transaction.conds[0].version
+        leader_version == self.transaction.conditions[0].version
             && self.batch_is_unwritten(cache)
             && self.jobs.iter().all(|id| self.job_is_unchanged(id, cache))
     }
@@ -283,10 +285,11 @@
     /// A placement batch changes no record of a job: only its own record shows whether it was written.
     fn batch_is_unwritten(&self, cache: &RecordCache) -> bool {
         let batches = &cache.placement_batches;
-        self.transaction.conds.iter().all(|condition| {
-            let number = bundle_number(&condition.key);
+        self.transaction.conditions.iter().all(|condition| {
+            let number = placement_batch_number(&condition.key);
             number.is_none_or(|n| batches.version(n) == condition.version)
-                && (condition.key != BUNDLED || batches.head() == condition.version)
+                && (condition.key != NEWEST_PLACEMENT_BATCH_KEY
+                    || batches.head() == condition.version)
         })
     }
 
@@ -295,7 +298,7 @@
             return false;
         };
         let key = job_key(id);
-        let condition = self.transaction.conds.iter().find(|c| c.key == key);
+        let condition = self.transaction.conditions.iter().find(|c| c.key == key);
         condition.is_none_or(|c| c.version == job.version)
     }
 }
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{Clock, JobKind, Micros};
-use crate::scheduling::backfill::PLACES;
+use crate::scheduling::backfill::MAX_PLACEMENTS;
 use crate::scheduling::findings::{TaskRef, TaskStop, tasks_stopped_with};
 use crate::scheduling::pass::{PassDecision, PassInputs, Reservation, TaskStart, decide};
 use crate::state::record_cache::{Job, RecordCache};
@@ -65,7 +65,7 @@
         let findings = decision.findings;
         self.max_demand = decision.largest_demand;
         // A full pass may have left startable tasks behind, and a job in backoff needs another pass.
-        self.dirty |= findings.has_backoff || decision.starts.len() >= PLACES;
+        self.dirty |= findings.has_backoff || decision.starts.len() >= MAX_PLACEMENTS;
         let event = self
             .recovery
             .observe(now, findings.lost_tasks, findings.placed_tasks);
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -15,9 +15,9 @@
 mod wide_arrays;
 
 pub use plan::{SchedulingPlan, TaskPlacement, UnmetDemand};
-pub use preemptible_task::{PreemptibleTask, spare};
+pub use preemptible_task::{PreemptibleTask, mark_exempt_tasks};
 pub use queue_entry::{QueueCandidate, QueueEntry};
-pub use start::far_tasks;
+pub use start::max_startable_tasks;
 
 use crate::protocol::JobKind;
 use crate::scheduling::capacity_index::{CapacityIndex, InfeasibleRequests};
@@ -29,11 +29,9 @@
 
 /// A pass ends when it has placed this many tasks. A gang may exceed it.
 pub const MAX_PLACEMENTS: usize = 128;
-pub use MAX_PLACEMENTS as PLACES;
 
 /// A pass that continues with wide arrays places no more tasks than this.
 pub const MAX_PLACEMENTS_WITH_WIDE_ARRAYS: usize = 2 * MAX_PLACEMENTS;
-pub use MAX_PLACEMENTS_WITH_WIDE_ARRAYS as WIDE_MOST;
 
 /// Number of blocked jobs for which a pass looks for tasks to preempt, in queue order: the work of a pass
 /// must not grow with the length of the queue times the size of the cluster.
@@ -71,7 +69,7 @@
 ///
 /// `active`: in the order of `Recovery::order`. `largest_demand`: Bmax of the paper, the largest demand of
 /// any job seen so far, including all jobs of this pass, in typical machines.
-pub fn pass<'a>(
+pub fn run_pass<'a>(
     active: &[QueueEntry<'a>],
     pending: &PendingJobs<'a>,
     hosts: &mut CapacityIndex,
@@ -81,7 +79,7 @@
 ) -> SchedulingPlan<'a> {
     let checkpointing_singles = preemptible
         .iter()
-        .filter(|task| task.single && task.saves)
+        .filter(|task| task.stops_alone && task.saves)
         .collect();
     let mut pass = SchedulingPass {
         active,
@@ -93,7 +91,7 @@
         quotas,
         largest_demand: largest_demand.max(MIN_LARGEST_DEMAND),
         preemption_attempts_left: MAX_PREEMPTION_ATTEMPTS,
-        infeasible: vec![InfeasibleRequests::default(); pending.reaches()],
+        infeasible: vec![InfeasibleRequests::default(); pending.feasibility_classes()],
         refused_requests: Vec::new(),
         wide_array_budget: WIDE_ARRAY_BUDGET,
         deferred_wide_arrays: Vec::new(),
@@ -107,20 +105,20 @@
 impl<'p, 'a> SchedulingPass<'p, 'a> {
     /// Whether the pass has placed its limit of tasks.
     fn is_full(&self) -> bool {
-        self.plan.places.len() >= MAX_PLACEMENTS
+        self.plan.placements.len() >= MAX_PLACEMENTS
     }
 
     /// B/Bmax of the paper: the job's demand in proportion to the largest one.
     fn demand_ratio(&self, entry: &QueueEntry<'_>) -> f64 {
-        let task_size = placement::size(&self.typical_host, &entry.shape.need);
+        let task_size = placement::dominant_share(&self.typical_host, &entry.requirements.need);
         entry.spec.tasks as f64 * task_size / self.largest_demand
     }
 
     /// Kind of a job.
     fn kind_of(&self, candidate: QueueCandidate<'a>) -> JobKind {
         match candidate {
-            QueueCandidate::Near(index) => self.active[index].spec.kind,
-            QueueCandidate::PendingJobs(summary) => self.pending.form_of(summary).kind,
+            QueueCandidate::Active(index) => self.active[index].spec.kind,
+            QueueCandidate::Pending(summary) => self.pending.profile_of(summary).kind,
         }
     }
 
@@ -134,9 +132,9 @@
         'p: 'e,
     {
         match candidate {
-            QueueCandidate::Near(index) => Some(&self.active[index]),
-            QueueCandidate::PendingJobs(summary) => {
-                *built = self.pending.item(summary);
+            QueueCandidate::Active(index) => Some(&self.active[index]),
+            QueueCandidate::Pending(summary) => {
+                *built = self.pending.queue_entry(summary);
                 built.as_ref()
             }
         }
--- a/src/scheduling/backfill/plan.rs
+++ b/src/scheduling/backfill/plan.rs
@@ -28,11 +28,11 @@
 #[derive(Debug, Default)]
 pub struct SchedulingPlan<'a> {
     /// Tasks to start.
-    pub places: Vec<TaskPlacement>,
+    pub placements: Vec<TaskPlacement>,
     /// Tasks to preempt: job id and task number.
-    pub stops: Vec<(String, u32)>,
+    pub preemptions: Vec<(String, u32)>,
     /// Machines on which tasks are preempted, each with the job it is reserved for.
-    pub reserved: Vec<(usize, String)>,
+    pub reservations: Vec<(usize, String)>,
     /// Demand that no machine could meet, in the order in which the pass met it.
-    pub lacks: Vec<UnmetDemand<'a>>,
+    pub unmet_demands: Vec<UnmetDemand<'a>>,
 }
--- a/src/scheduling/backfill/preempt.rs
+++ b/src/scheduling/backfill/preempt.rs
@@ -66,9 +66,9 @@
     /// Whether a blocked job fits into its team's guarantee.
     fn is_guaranteed(&self, blocked: &BlockedJob<'a>) -> bool {
         match blocked.candidate {
-            QueueCandidate::Near(index) => self.active[index].guaranteed,
-            QueueCandidate::PendingJobs(summary) => {
-                let team = self.pending.form_of(summary).team;
+            QueueCandidate::Active(index) => self.active[index].guaranteed,
+            QueueCandidate::Pending(summary) => {
+                let team = self.pending.profile_of(summary).team;
                 self.pending.guaranteed(team, blocked.position)
             }
         }
@@ -77,12 +77,12 @@
     /// What decides which tasks may be preempted for a blocked job.
     fn preemption_request(&self, blocked: &BlockedJob<'a>, guaranteed: bool) -> PreemptionRequest {
         let summary = match blocked.candidate {
-            QueueCandidate::Near(index) => {
+            QueueCandidate::Active(index) => {
                 return PreemptionRequest::of(&self.active[index], blocked.at_head);
             }
-            QueueCandidate::PendingJobs(summary) => summary,
+            QueueCandidate::Pending(summary) => summary,
         };
-        let profile = self.pending.form_of(summary);
+        let profile = self.pending.profile_of(summary);
         let (_, id) = blocked.position;
         PreemptionRequest {
             kind: profile.kind,
--- a/src/scheduling/backfill/preemptible_task.rs
+++ b/src/scheduling/backfill/preemptible_task.rs
@@ -19,7 +19,7 @@
     /// Resources that the task holds.
     pub need: Resources,
     /// Sequence number of its start; a later start has a larger one.
-    pub order: u64,
+    pub start_order: u64,
     /// The task started ahead of an earlier job that was blocked.
     pub backfilled: bool,
     /// Highest priority of its job and of the jobs that depend on it.
@@ -31,21 +31,21 @@
     /// Team, as a number of the `NameTable`.
     pub team: u32,
     /// The task runs beyond its team's guarantee.
-    pub surplus: bool,
+    pub beyond_guarantee: bool,
     /// Stopping the task stops no other task of its job.
-    pub single: bool,
+    pub stops_alone: bool,
     /// Class of its job, as a number of the `NameTable`.
     pub class: u32,
     /// Its class uses so little of the cluster that a job's waiting time alone does not preempt it.
-    pub spared: bool,
+    pub exempt: bool,
 }
 
 /// Marks the tasks of classes that use little of the cluster.
 ///
 /// `class_shares`: by class, the sum of its tasks' dominant shares of the whole cluster.
-pub fn spare(tasks: &mut [PreemptibleTask<'_>], class_shares: &HashMap<u32, f64>) {
+pub fn mark_exempt_tasks(tasks: &mut [PreemptibleTask<'_>], class_shares: &HashMap<u32, f64>) {
     for task in tasks {
         let share = class_shares.get(&task.class);
-        task.spared = share.is_none_or(|share| *share <= EXEMPT_CLASS_SHARE);
+        task.exempt = share.is_none_or(|share| *share <= EXEMPT_CLASS_SHARE);
     }
 }
--- a/src/scheduling/backfill/queue_entry.rs
+++ b/src/scheduling/backfill/queue_entry.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::{JobSpec, Micros, Priority};
 use crate::scheduling::job_queue::JobSummary;
-use crate::scheduling::pending_jobs::{BackfillOrder, QueuePosition, rank};
+use crate::scheduling::pending_jobs::{BackfillOrder, QueuePosition};
 use crate::scheduling::placement::{TaskRequirements, ZoneLimits};
 
 /// A job with tasks to start.
@@ -15,14 +15,14 @@
     /// The job as it was submitted.
     pub spec: &'a JobSpec,
     /// Resources and constraints of one task.
-    pub shape: TaskRequirements,
+    pub requirements: TaskRequirements,
     /// Team, as a number of the `NameTable`.
     pub team: u32,
     /// Jobs with the same number have the same constraints, so what is infeasible for one of them is
     /// infeasible for the others.
-    pub reach: u32,
+    pub feasibility_class: u32,
     /// Number of tasks that have lost their machine.
-    pub lost: u32,
+    pub lost_tasks: u32,
     /// Tasks that may start. A gang starts all of them or none.
     pub tasks: Vec<u32>,
     /// Locations of the tasks that are presumed to run: the zone, and the index of the machine if it is
@@ -58,7 +58,7 @@
 
     /// Position of the job in the order of backfilling.
     pub(super) fn backfill_order(&self) -> BackfillOrder<'a> {
-        rank(self.starved, self.estimate_s, self.position())
+        BackfillOrder::new(self.starved, self.estimate_s, self.position())
     }
 }
 
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QueueCandidate<'a> {
     /// Index into the active jobs of the pass.
-    Near(usize),
+    Active(usize),
     /// A pending job: nothing of it is placed or being written.
-    PendingJobs(&'a JobSummary),
+    Pending(&'a JobSummary),
 }
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -39,10 +39,10 @@
         };
         let pending = [service, other].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
-            Recovery::first(entry) || pending.is_none_or(|first| entry.position() < first)
+            Recovery::is_urgent(entry) || pending.is_none_or(|first| entry.position() < first)
         };
         if let Some((index, entry)) = self.active.next_if(active_is_next) {
-            return Some((QueueCandidate::Near(index), entry.position()));
+            return Some((QueueCandidate::Active(index), entry.position()));
         }
         let position = pending?;
         let row = if Some(position) == service {
@@ -50,7 +50,7 @@
         } else {
             self.others.next()
         };
-        row.map(|(position, summary)| (QueueCandidate::PendingJobs(summary), position))
+        row.map(|(position, summary)| (QueueCandidate::Pending(summary), position))
     }
 }
 
@@ -72,14 +72,14 @@
         let active = self.active;
         let pending = self.pending.peek().map(|(order, _)| *order);
         let deferred_is_next = |index: &usize| {
-            pending.is_none_or(|pending| active[*index].backfill_order().order(&pending).is_lt())
+            pending.is_none_or(|pending| active[*index].backfill_order().compare(&pending).is_lt())
         };
         if let Some(index) = self.deferred.next_if(deferred_is_next) {
             let order = active[index].backfill_order();
-            return Some((QueueCandidate::Near(index), order));
+            return Some((QueueCandidate::Active(index), order));
         }
         let (order, summary) = self.pending.next()?;
-        Some((QueueCandidate::PendingJobs(summary), order))
+        Some((QueueCandidate::Pending(summary), order))
     }
 }
 
@@ -104,13 +104,13 @@
                 break;
             };
             if blocked.is_some()
-                && let QueueCandidate::Near(index) = candidate
+                && let QueueCandidate::Active(index) = candidate
                 && self.active[index].spec.kind != JobKind::Service
             {
                 deferred.push(index);
                 continue;
             }
-            let placed_before = self.plan.places.len();
+            let placed_before = self.plan.placements.len();
             let unplaced = self.start_candidate(candidate, false);
             if unplaced == 0 {
                 continue;
@@ -118,7 +118,7 @@
             self.record_unmet_demand(candidate, unplaced);
             let kind = self.kind_of(candidate);
             // Each task of an array starts by itself, wherever the others run.
-            let nothing_placed = self.plan.places.len() == placed_before;
+            let nothing_placed = self.plan.placements.len() == placed_before;
             if nothing_placed || kind == JobKind::Array {
                 self.preempt_for(&BlockedJob {
                     candidate,
@@ -169,7 +169,7 @@
             of: candidate,
             tasks,
         };
-        self.plan.lacks.push(demand);
+        self.plan.unmet_demands.push(demand);
     }
 }
 
@@ -185,8 +185,8 @@
 > {
     ArrivalOrder {
         active: active.iter().enumerate().peekable(),
-        services: pending.replicas().peekable(),
-        others: pending.others().peekable(),
+        services: pending.services().peekable(),
+        others: pending.batch_jobs().peekable(),
     }
 }
 
@@ -202,10 +202,10 @@
     } = blockage;
     deferred.sort_by(|left, right| {
         let right = active[*right].backfill_order();
-        active[*left].backfill_order().order(&right)
+        active[*left].backfill_order().compare(&right)
     });
     let behind = pending
-        .backfilled()
+        .in_backfill_order()
         .filter(move |(order, _)| order.at > position);
     BackfillMerge {
         active,
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -10,11 +10,13 @@
 use crate::scheduling::preemption::find_image_holder;
 
 /// Number of tasks of a pending job that one pass would start at most.
-pub fn far_tasks(gang: bool, summary: &JobSummary) -> u32 {
+pub fn max_startable_tasks(gang: bool, summary: &JobSummary) -> u32 {
     if gang {
-        summary.left
+        summary.unfinished
     } else {
-        summary.left.min(MAX_PLACEMENTS_WITH_WIDE_ARRAYS as u32)
+        summary
+            .unfinished
+            .min(MAX_PLACEMENTS_WITH_WIDE_ARRAYS as u32)
     }
 }
 
@@ -27,20 +29,20 @@
         backfilled: bool,
     ) -> u32 {
         match candidate {
-            QueueCandidate::Near(index) => {
+            QueueCandidate::Active(index) => {
                 let active = self.active;
                 self.start_job(candidate, &active[index], backfilled)
             }
-            QueueCandidate::PendingJobs(summary) => self.start_pending(summary, backfilled),
+            QueueCandidate::Pending(summary) => self.start_pending(summary, backfilled),
         }
     }
 
     /// Starts the tasks of a pending job that fit, as `start_candidate` does. Builds the queue entry only if
     /// a machine may have room.
     fn start_pending(&mut self, summary: &'a JobSummary, backfilled: bool) -> u32 {
-        let profile = self.pending.form_of(summary);
+        let profile = self.pending.profile_of(summary);
         let gang = profile.kind == JobKind::Gang;
-        let requested = far_tasks(gang, summary);
+        let requested = max_startable_tasks(gang, summary);
         let permitted = self.quotas.slots(profile.team, &summary.need);
         let permitted = permitted.min(requested);
         if permitted == 0 || (gang && permitted < requested) {
@@ -48,7 +50,7 @@
         }
         // Tasks of arrays and services look for a machine one by one.
         let at_once = if gang { requested } else { 1 };
-        let infeasible = &mut self.infeasible[profile.reach as usize];
+        let infeasible = &mut self.infeasible[profile.feasibility_class as usize];
         let mut no_room = infeasible.covers(&summary.need, at_once);
         if !no_room && !self.hosts.has_room(&summary.need, &profile.allow) {
             infeasible.add(&summary.need, 1);
@@ -59,13 +61,13 @@
         if no_room && !may_be_wide {
             return permitted;
         }
-        let Some(entry) = self.pending.item(summary) else {
+        let Some(entry) = self.pending.queue_entry(summary) else {
             return 0;
         };
-        let candidate = QueueCandidate::PendingJobs(summary);
+        let candidate = QueueCandidate::Pending(summary);
         let unplaced = self.start_job(candidate, &entry, backfilled);
         if gang && unplaced > 0 {
-            self.infeasible[profile.reach as usize].add(&summary.need, requested);
+            self.infeasible[profile.feasibility_class as usize].add(&summary.need, requested);
         }
         unplaced
     }
@@ -78,7 +80,7 @@
         backfilled: bool,
     ) -> u32 {
         let requested = entry.tasks.len() as u32;
-        let permitted = self.quotas.slots(entry.team, &entry.shape.need);
+        let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
         let permitted = permitted.min(requested);
         if wide_arrays::is_wide(entry) {
             return self.start_wide_array(candidate, entry, permitted, backfilled);
@@ -94,10 +96,10 @@
 
     /// Starts all `members` of a gang or none. Returns the number of members that found no machine.
     fn start_gang(&mut self, entry: &QueueEntry<'_>, members: u32, backfilled: bool) -> u32 {
-        let requirements = &entry.shape;
+        let requirements = &entry.requirements;
         let demand_ratio = self.demand_ratio(entry);
         let candidates = self.candidates(entry);
-        let chosen = placement::gang(
+        let chosen = placement::place_gang(
             self.hosts,
             candidates.into_iter(),
             entry.id,
@@ -122,7 +124,7 @@
         tasks: &[u32],
         backfilled: bool,
     ) -> u32 {
-        let requirements = &entry.shape;
+        let requirements = &entry.requirements;
         let service = entry.spec.kind == JobKind::Service;
         let mut zones = entry.zone_limits();
         let runs_on = |host: usize| entry.present.iter().any(|(_, at)| *at == Some(host));
@@ -177,8 +179,10 @@
             return false;
         };
         let host = victim.host;
-        self.plan.stops.push((victim.job.to_string(), victim.task));
-        self.plan.reserved.push((host, entry.id.to_string()));
+        self.plan
+            .preemptions
+            .push((victim.job.to_string(), victim.task));
+        self.plan.reservations.push((host, entry.id.to_string()));
         self.hosts.reserve(host, entry.id);
         zones.occupy(self.hosts[host].zone);
         true
@@ -187,7 +191,7 @@
     /// Number of machines reserved for the job that are full now and have room once stopping tasks have
     /// ended. Machines that the job's own tasks have filled do not count.
     fn count_hosts_being_cleared(&self, entry: &QueueEntry<'_>) -> usize {
-        let need = &entry.shape.need;
+        let need = &entry.requirements.need;
         let being_cleared = |host: &&Host| {
             host.reserved.as_deref() == Some(entry.id)
                 && slots(&host.free, need) == 0
@@ -198,18 +202,18 @@
 
     /// Machines that accept a task of the job.
     pub(super) fn candidates(&self, entry: &QueueEntry<'_>) -> Vec<usize> {
-        let requirements = &entry.shape;
+        let requirements = &entry.requirements;
         self.hosts
             .candidates(entry.id, &requirements.need, &requirements.allow)
     }
 
     /// Starts one task on a machine.
     fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
-        let requirements = &entry.shape;
+        let requirements = &entry.requirements;
         self.hosts.take(host, &requirements.need);
         self.quotas.take(entry.team, &requirements.need);
-        self.hosts.gets(host, requirements.image);
-        self.plan.places.push(TaskPlacement {
+        self.hosts.add_image(host, requirements.image);
+        self.plan.placements.push(TaskPlacement {
             job: entry.id.to_string(),
             task,
             host,
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -31,8 +31,8 @@
         id: "req-2",
         at: Micros::ZERO,
         spec,
-        lost: 0,
-        shape: TaskRequirements {
+        lost_tasks: 0,
+        requirements: TaskRequirements {
             need: [1.0; 3],
             allow: Arc::new(PlacementConstraints {
                 machine_types: None,
@@ -44,7 +44,7 @@
             avoid: Vec::new(),
         },
         team: 0,
-        reach: 0,
+        feasibility_class: 0,
         tasks: vec![0],
         present: Vec::new(),
         fetch_s,
@@ -63,16 +63,16 @@
         task: 3,
         host: 1,
         need: [1.0; 3],
-        order: 1,
+        start_order: 1,
         backfilled: false,
         priority,
         saves: true,
         save_s: 3.0,
         team: 0,
-        surplus: false,
-        single: true,
+        beyond_guarantee: false,
+        stops_alone: true,
         class: 0,
-        spared: false,
+        exempt: false,
     }
 }
 
@@ -93,24 +93,24 @@
     let context = SchedulingContext {
         backlog: &backlog,
         jobs: &BTreeMap::new(),
-        within: Default::default(),
-        lifted: InheritedPriorities::default(),
+        guarantees: Default::default(),
+        inherited_priorities: InheritedPriorities::default(),
         fetch_rate: 1.0,
-        wall: Micros::ZERO,
+        wall_clock: Micros::ZERO,
     };
     let pending = PendingJobs::new(&context, [].into_iter());
     let mut index = CapacityIndex::new(hosts.to_vec());
     let mut quotas = QuotaTracker::default();
-    let mut plan = pass(entries, &pending, &mut index, preemptible, &mut quotas, 1.0);
-    let lacks = plan.lacks.drain(..).map(|demand| UnmetDemand {
-        of: QueueCandidate::Near(0),
+    let mut plan = run_pass(entries, &pending, &mut index, preemptible, &mut quotas, 1.0);
+    let unmet_demands = plan.unmet_demands.drain(..).map(|demand| UnmetDemand {
+        of: QueueCandidate::Active(0),
         tasks: demand.tasks,
     });
     SchedulingPlan {
-        lacks: lacks.collect(),
-        places: plan.places,
-        stops: plan.stops,
-        reserved: plan.reserved,
+        unmet_demands: unmet_demands.collect(),
+        placements: plan.placements,
+        preemptions: plan.preemptions,
+        reservations: plan.reservations,
     }
 }
 
@@ -124,24 +124,26 @@
     let hosts = || [host(4.0, &[]), host(0.0, &[IMAGE])];
     let low = [preemptible(Priority::Low)];
     let plan = run(entry(&service, 20.0), &hosts(), &low);
-    assert_eq!(plan.stops, [("req-1".to_string(), 3)]);
-    assert_eq!(plan.reserved, [(1, "req-2".to_string())]);
-    assert!(plan.places.is_empty() && plan.lacks.is_empty());
+    assert_eq!(plan.preemptions, [("req-1".to_string(), 3)]);
+    assert_eq!(plan.reservations, [(1, "req-2".to_string())]);
+    assert!(plan.placements.is_empty() && plan.unmet_demands.is_empty());
     // While the checkpoint is written nothing else is stopped, and the replica waits.
     let mut clearing = hosts();
     clearing[1].reserved = Some("req-2".into());
     clearing[1].leaving = [1.0; 3];
     let plan = run(entry(&service, 20.0), &clearing, &low);
-    assert!(plan.stops.is_empty() && plan.places.is_empty() && plan.lacks.is_empty());
+    assert!(
+        plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
+    );
     // Then the replica starts there.
     clearing[1].free = [1.0; 3];
     let plan = run(entry(&service, 20.0), &clearing, &[]);
-    assert_eq!(plan.places[0].host, 1);
+    assert_eq!(plan.placements[0].host, 1);
     // Neither with a short fetch nor for a task of the same priority is anything stopped.
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
         let tasks = [preemptible(priority)];
         let plan = run(entry(&service, fetch_s), &hosts(), &tasks);
-        assert!(plan.stops.is_empty() && plan.places[0].host == 0);
+        assert!(plan.preemptions.is_empty() && plan.placements[0].host == 0);
     }
 }
 
@@ -157,7 +159,7 @@
     };
     let hosts: Vec<Host> = (0..60).map(|_| host(4.0, &[])).collect();
     let count = |plan: &SchedulingPlan<'_>, id: &str| {
-        let placements = plan.places.iter();
+        let placements = plan.placements.iter();
         placements.filter(|placement| placement.job == id).count()
     };
     let queue = [job("req-1", 128), job("req-2", 128), job("req-3", 20)];
@@ -189,21 +191,25 @@
         .map(|number| PreemptibleTask {
             task: number as u32,
             host: number % 4,
-            order: number as u64,
+            start_order: number as u64,
             team: 1,
-            surplus: true,
+            beyond_guarantee: true,
             ..preemptible(Priority::Low)
         })
         .collect();
     let plan = run(waiting(6, true), &hosts, &guests);
-    assert_eq!((plan.stops.len(), plan.reserved.len()), (6, 2));
-    assert!(run(waiting(6, false), &hosts, &guests).stops.is_empty());
+    assert_eq!((plan.preemptions.len(), plan.reservations.len()), (6, 2));
+    assert!(
+        run(waiting(6, false), &hosts, &guests)
+            .preemptions
+            .is_empty()
+    );
     // One machine is reserved and full of the job's tasks; on another two guests are about to stop.
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
     hosts[1].leaving = [2.0; 3];
     let plan = run(waiting(6, true), &hosts, &guests);
-    assert_eq!((plan.stops.len(), plan.reserved.len()), (4, 1));
+    assert_eq!((plan.preemptions.len(), plan.reservations.len()), (4, 1));
 }
 
 #[test]
@@ -222,13 +228,13 @@
         ..entry(&gang, 1.0)
     };
     let stops = |entry, task: &PreemptibleTask<'static>| {
-        run(entry, &full, std::slice::from_ref(task)).stops
+        run(entry, &full, std::slice::from_ref(task)).preemptions
     };
     assert!(stops(waiting(false), &array).is_empty());
     assert_eq!(stops(waiting(true), &array), [("req-1".to_string(), 3)]);
     // Neither a task of an exempt class, nor one of the same priority, nor a member of a gang.
     let exempt = PreemptibleTask {
-        spared: true,
+        exempt: true,
         ..array.clone()
     };
     let equal = PreemptibleTask {
@@ -236,7 +242,7 @@
         ..array.clone()
     };
     let member = PreemptibleTask {
-        single: false,
+        stops_alone: false,
         ..array.clone()
     };
     for task in [exempt, equal, member] {
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -68,7 +68,7 @@
     /// becomes free ahead of all other jobs for as long as it runs. It is at least one task, so that an
     /// array of which nothing runs can begin.
     fn wide_array_room(&self, entry: &QueueEntry<'_>) -> WideArrayRoom {
-        let need = &entry.shape.need;
+        let need = &entry.requirements.need;
         let candidates = self.candidates(entry);
         let free = candidates
             .into_iter()
@@ -89,8 +89,8 @@
                 continue;
             };
             let rest = &entry.tasks[deferred.started as usize..];
-            let permitted = self.quotas.slots(entry.team, &entry.shape.need);
-            let placed = self.plan.places.len();
+            let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
+            let placed = self.plan.placements.len();
             let left_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
             let tasks = permitted.min(left_in_pass).min(rest.len() as u32);
             self.start_each(entry, &rest[..tasks as usize], deferred.backfilled);
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -123,8 +123,8 @@
     }
 
     /// Records that a machine will fetch an image.
-    pub fn gets(&mut self, host: usize, image: u32) {
-        self.hosts[host].gets(image);
+    pub fn add_image(&mut self, host: usize, image: u32) {
+        self.hosts[host].add_image(image);
     }
 
     /// Reserves a machine for a job.
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -14,7 +14,7 @@
 use crate::scheduling::job_queue::{QueueState, QueuedJob, Slot};
 use crate::scheduling::pass::PassInputs;
 use crate::scheduling::pending_jobs::SchedulingContext;
-use crate::scheduling::placement::{Resources, add};
+use crate::scheduling::placement::{Resources, add_resources};
 use crate::scheduling::quota::QuotaTracker;
 use crate::state::agent::TaskLiveness;
 use crate::state::record_cache::Job;
@@ -109,7 +109,7 @@
     ) -> SnapshotBuilder<'s, 'a> {
         let mut cluster_total = [0.0; 3];
         for host in &host_table.hosts {
-            add(&mut cluster_total, &host.total);
+            add_resources(&mut cluster_total, &host.total);
         }
         SnapshotBuilder {
             leader: inputs.leader,
@@ -222,7 +222,7 @@
             stops: leader.stopping.get(id),
             start_order: leader.start_order.get(id),
             guaranteed: self.context.guaranteed(queued),
-            priority: self.context.lifted.of(id, job),
+            priority: self.context.inherited_priorities.of(id, job),
         }
     }
 
@@ -268,7 +268,7 @@
             return true;
         }
         // Zone constraints cannot be checked against tasks whose zones are unknown.
-        spec.zoned() && tally.has_unknown_zone
+        spec.has_zone_constraint() && tally.has_unknown_zone
     }
 
     /// The queue entry of a job, if it has tasks to start.
@@ -289,11 +289,11 @@
             self.context
                 .queue_entry(inspected.id, inspected.job, inspected.queued, tasks);
         entry.present = tally.present;
-        entry.lost = lost as u32;
+        entry.lost_tasks = lost as u32;
         if let Some(failures) = self.leader.failure_histories.get(inspected.id) {
             let machines = failures.machines.keys();
             let host_table = &self.snapshot.host_table;
-            entry.shape.avoid = machines
+            entry.requirements.avoid = machines
                 .filter_map(|machine| host_table.find(machine))
                 .collect();
         }
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{JobKind, Micros};
 use crate::scheduling::backfill::PreemptibleTask;
 use crate::scheduling::findings::{TaskRef, tasks_stopped_with};
-use crate::scheduling::placement::{add, size};
+use crate::scheduling::placement::{add_resources, dominant_share};
 use crate::state::agent::TaskLiveness;
 
 /// Number of a zone that is not known.
@@ -52,7 +52,7 @@
         // A task that was stopped or has failed does not count as displaced.
         let displaced = matches!(
             liveness,
-            TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
+            TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::GangMemberGone)
         );
         if displaced {
             self.displaced.push(task);
@@ -122,7 +122,8 @@
         let need = &inspected.queued.need;
         let class = inspected.profile.class;
         self.snapshot.quotas.take(inspected.profile.team, need);
-        *self.snapshot.usage_by_class.entry(class).or_default() += size(&self.cluster_total, need);
+        *self.snapshot.usage_by_class.entry(class).or_default() +=
+            dominant_share(&self.cluster_total, need);
     }
 
     /// Finds out whether an attempt runs, with a single lookup of its machine.
@@ -153,9 +154,9 @@
         let need = &inspected.queued.need;
         let host = &mut self.snapshot.host_table.hosts[host_index];
         host.take(need);
-        host.gets(inspected.queued.image);
+        host.add_image(inspected.queued.image);
         if inspected.is_stopping(task) {
-            add(&mut host.leaving, need);
+            add_resources(&mut host.leaving, need);
         }
         let zone = host.zone;
         if liveness == TaskLiveness::Present(TaskPhase::Running) {
@@ -202,15 +203,15 @@
         task,
         host,
         need: inspected.queued.need,
-        order: order.copied().unwrap_or(0),
+        start_order: order.copied().unwrap_or(0),
         backfilled: attempt.backfilled(),
         priority: inspected.priority,
-        saves: stops_alone && spec.saves(),
+        saves: stops_alone && spec.saves_checkpoints(),
         save_s: spec.save_s,
         team: inspected.profile.team,
-        surplus: !inspected.guaranteed,
-        single: spec.kind == JobKind::Array,
+        beyond_guarantee: !inspected.guaranteed,
+        stops_alone: spec.kind == JobKind::Array,
         class: inspected.profile.class,
-        spared: false,
+        exempt: false,
     }
 }
--- a/src/scheduling/cluster_snapshot/startable.rs
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -3,8 +3,8 @@
 use super::attempts::AttemptTally;
 use super::{InspectedJob, SnapshotBuilder};
 use crate::protocol::JobKind;
-use crate::protocol::records::CHUNK;
-use crate::scheduling::backfill::WIDE_MOST;
+use crate::protocol::records::TASKS_PER_CHUNK;
+use crate::scheduling::backfill::MAX_PLACEMENTS_WITH_WIDE_ARRAYS;
 use crate::state::record_cache::Job;
 
 impl<'a> SnapshotBuilder<'_, 'a> {
@@ -41,14 +41,14 @@
     let spec = &job.rec.spec;
     let limit = match spec.kind {
         JobKind::Gang => spec.tasks as usize,
-        JobKind::Array | JobKind::Service => WIDE_MOST,
+        JobKind::Array | JobKind::Service => MAX_PLACEMENTS_WITH_WIDE_ARRAYS,
     };
     let mut tasks = Vec::new();
-    for chunk in 0..spec.tasks.div_ceil(CHUNK) {
-        let first = chunk * CHUNK;
+    for chunk in 0..spec.tasks.div_ceil(TASKS_PER_CHUNK) {
+        let first = chunk * TASKS_PER_CHUNK;
         let done = job.chunk_of(first).map_or(0, |chunk| chunk.done);
-        let chunk_tasks = first..spec.tasks.min(first + CHUNK);
-        let is_open = |task: &u32| done & (1 << (task % CHUNK)) == 0 && !is_taken(*task);
+        let chunk_tasks = first..spec.tasks.min(first + TASKS_PER_CHUNK);
+        let is_open = |task: &u32| done & (1 << (task % TASKS_PER_CHUNK)) == 0 && !is_taken(*task);
         tasks.extend(chunk_tasks.filter(is_open).take(limit - tasks.len()));
         if tasks.len() >= limit {
             break;
--- a/src/scheduling/job_profile.rs
+++ b/src/scheduling/job_profile.rs
@@ -24,7 +24,7 @@
     pub zoned: bool,
     /// Number of everything besides amounts that the search for free resources depends on: jobs with
     /// the same number fit on the same machines.
-    pub reach: u32,
+    pub feasibility_class: u32,
 }
 
 /// What the search for free resources depends on besides amounts.
@@ -72,9 +72,9 @@
             class: names.id(&spec.class),
             priority: spec.priority,
             allow: constraints,
-            saves: spec.saves(),
-            zoned: spec.zoned(),
-            reach: *self.feasibility_classes.entry(class).or_insert(next_class),
+            saves: spec.saves_checkpoints(),
+            zoned: spec.has_zone_constraint(),
+            feasibility_class: *self.feasibility_classes.entry(class).or_insert(next_class),
         }
     }
 
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -11,7 +11,9 @@
 
 use crate::protocol::{JobKind, Micros};
 use crate::scheduling::job_profile::ProfileTable;
-use crate::scheduling::placement::{NameTable, Resources, TaskRequirements, need, size};
+use crate::scheduling::placement::{
+    NameTable, Resources, TaskRequirements, dominant_share, task_resources,
+};
 use crate::state::record_cache::Job;
 use foldhash::HashMap;
 use std::cmp::Ordering;
@@ -39,7 +41,7 @@
     /// Resources that one task needs.
     pub need: Resources,
     /// Number of tasks that are not done.
-    pub left: u32,
+    pub unfinished: u32,
 }
 
 /// An estimated run time in seconds, with a total order.
@@ -108,7 +110,7 @@
             slot,
             profile: self.profile,
             need: self.need,
-            left: self.unfinished,
+            unfinished: self.unfinished,
         }
     }
 
@@ -119,7 +121,7 @@
 
     /// Its demand, in machines of the typical size.
     fn demand(&self, typical_host: &Resources) -> f64 {
-        f64::from(self.tasks) * size(typical_host, &self.need)
+        f64::from(self.tasks) * dominant_share(typical_host, &self.need)
     }
 }
 
@@ -227,7 +229,7 @@
             accepted_at: job.rec.at,
             released_at: job.released_at,
             estimate: Estimate(spec.estimate_s),
-            need: need(spec),
+            need: task_resources(spec),
             profile,
             image: self.names.id(&spec.image),
             tasks: spec.tasks,
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -1,5 +1,5 @@
 //! One scheduling pass: takes a snapshot of the cluster and the queue, runs the pure algorithm of
-//! `backfill::pass` on it, and returns the decision. `decide` changes nothing but the state that is
+//! `backfill::run_pass` on it, and returns the decision. `decide` changes nothing but the state that is
 //! cached between passes; `apply_decision` carries the decision out.
 
 use crate::agents::leader_state::LeaderState;
@@ -109,7 +109,7 @@
         let mut quotas = QuotaTracker::default();
         for team in &settings.params.teams {
             let team_id = self.backlog.names.id(&team.name);
-            quotas.limit(team_id, [limit(team.cpus_max), limit(team.gpus_max)]);
+            quotas.set_limit(team_id, [limit(team.cpus_max), limit(team.gpus_max)]);
         }
         quotas
     }
@@ -144,7 +144,7 @@
     } = snapshot;
     let mut capacity = CapacityIndex::new(std::mem::take(&mut host_table.hosts));
     let pending = PendingJobs::new(&context, inspected.into_iter());
-    let plan = backfill::pass(
+    let plan = backfill::run_pass(
         &entries,
         &pending,
         &mut capacity,
@@ -162,10 +162,10 @@
     };
     let scaling = placed.scaling_plan(inputs, &context.backlog.names, unplaced);
     let decision = PassDecision {
-        starts: task_starts(plan.places, &host_table, &capacity, cache),
-        preemptions: task_refs(plan.stops),
-        reservations: reservations(plan.reserved, &host_table),
-        unplaced_jobs: plan.lacks.len(),
+        starts: task_starts(plan.placements, &host_table, &capacity, cache),
+        preemptions: task_refs(plan.preemptions),
+        reservations: reservations(plan.reservations, &host_table),
+        unplaced_jobs: plan.unmet_demands.len(),
         largest_demand,
         findings,
         scaling,
@@ -206,7 +206,7 @@
             zones: &zones,
         };
         if let Some(unplaced) = unplaced {
-            unplaced.extend(demand.unplaced_jobs(&self.plan.lacks));
+            unplaced.extend(demand.unplaced_jobs(&self.plan.unmet_demands));
         }
         let fleet_snapshot = autoscaler::FleetSnapshot {
             leader: inputs.leader,
@@ -218,7 +218,7 @@
             rooms: self.capacity,
             agents_known: self.knows_agents,
         };
-        autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.lacks)
+        autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.unmet_demands)
     }
 }
 
@@ -231,10 +231,10 @@
     SchedulingContext {
         backlog,
         jobs: &inputs.cache.jobs,
-        within: backlog.guarantee_window(&inputs.settings.params.teams),
-        lifted: InheritedPriorities::new(inputs.cache),
+        guarantees: backlog.guarantee_window(&inputs.settings.params.teams),
+        inherited_priorities: InheritedPriorities::new(inputs.cache),
         fetch_rate: slowest_fetch.max(MIN_FETCH_RATE),
-        wall: inputs.clock.wall,
+        wall_clock: inputs.clock.wall,
     }
 }
 
@@ -253,7 +253,7 @@
     if !knows_agents {
         snapshot.preemptible.clear();
     }
-    backfill::spare(&mut snapshot.preemptible, &snapshot.usage_by_class);
+    backfill::mark_exempt_tasks(&mut snapshot.preemptible, &snapshot.usage_by_class);
 }
 
 /// The numbers of all zones in which machines are offered, sorted.
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -2,7 +2,7 @@
 //! task.
 
 use crate::protocol::{JobKind, Micros, Priority};
-use crate::scheduling::backfill::{QueueEntry, far_tasks};
+use crate::scheduling::backfill::{QueueEntry, max_startable_tasks};
 use crate::scheduling::job_queue::{
     Arrival, GuaranteeWindow, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
 };
@@ -31,20 +31,20 @@
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
     /// How far the guarantee of each team reaches.
-    pub within: GuaranteeWindow,
+    pub guarantees: GuaranteeWindow,
     /// Priorities of jobs that other jobs depend on.
-    pub lifted: InheritedPriorities<'a>,
+    pub inherited_priorities: InheritedPriorities<'a>,
     /// The slowest image fetch of any machine type, in GB a second.
     pub fetch_rate: f64,
     /// Wall-clock time.
-    pub wall: Micros,
+    pub wall_clock: Micros,
 }
 
 impl<'a> SchedulingContext<'a> {
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, queued: &QueuedJob) -> bool {
         let team = self.backlog.profile_of(queued).team;
-        self.within.covers(team, queued.accepted_at, &queued.id)
+        self.guarantees.covers(team, queued.accepted_at, &queued.id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -63,7 +63,7 @@
     }
 
     fn waited(&self, queued: &QueuedJob) -> Micros {
-        self.wall.since(queued.released_at)
+        self.wall_clock.since(queued.released_at)
     }
 
     /// The queue entry of a job with the given tasks to start. The caller fills in the tasks that are
@@ -81,15 +81,15 @@
             id,
             at: queued.accepted_at,
             spec,
-            shape: self.backlog.requirements(queued),
+            requirements: self.backlog.requirements(queued),
             team: profile.team,
-            reach: profile.reach,
-            lost: 0,
+            feasibility_class: profile.feasibility_class,
+            lost_tasks: 0,
             tasks,
             present: Vec::new(),
             fetch_s: spec.image_gb / self.fetch_rate,
             estimate_s: spec.estimate_s,
-            priority: self.lifted.of(id, job),
+            priority: self.inherited_priorities.of(id, job),
             guaranteed: self.guaranteed(queued),
             overdue: self.overdue(queued),
             aged: self.aged(queued),
@@ -116,18 +116,18 @@
     pub at: QueuePosition<'a>,
 }
 
-/// The sort key of a job.
-pub fn rank(starved: bool, estimate_s: f64, at: QueuePosition<'_>) -> BackfillOrder<'_> {
-    BackfillOrder {
-        starved,
-        estimate_s: if starved { 0.0 } else { estimate_s },
-        at,
+impl<'a> BackfillOrder<'a> {
+    /// The sort key of a job.
+    pub fn new(starved: bool, estimate_s: f64, at: QueuePosition<'a>) -> BackfillOrder<'a> {
+        BackfillOrder {
+            starved,
+            estimate_s: if starved { 0.0 } else { estimate_s },
+            at,
+        }
     }
-}
 
-impl BackfillOrder<'_> {
     /// Compares two jobs; the lesser one is backfilled first.
-    pub fn order(&self, other: &BackfillOrder<'_>) -> Ordering {
+    pub fn compare(&self, other: &BackfillOrder<'_>) -> Ordering {
         let starved_first = other.starved.cmp(&self.starved);
         let shorter_first = self.estimate_s.total_cmp(&other.estimate_s);
         starved_first
@@ -182,12 +182,12 @@
     }
 
     /// Services in order of arrival.
-    pub fn replicas(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
+    pub fn services(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
         self.in_order_of_arrival(self.context.backlog.services())
     }
 
     /// Gangs and arrays in order of arrival.
-    pub fn others(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
+    pub fn batch_jobs(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
         self.in_order_of_arrival(self.context.backlog.batch_jobs())
     }
 
@@ -201,33 +201,38 @@
 
     /// Gangs and arrays in the order in which they are backfilled: starved jobs by arrival, then the
     /// shortest first.
-    pub fn backfilled(&self) -> impl Iterator<Item = (BackfillOrder<'a>, &'a JobSummary)> + '_ {
+    pub fn in_backfill_order(
+        &self,
+    ) -> impl Iterator<Item = (BackfillOrder<'a>, &'a JobSummary)> + '_ {
         let starved = self
-            .others()
+            .batch_jobs()
             .filter(|(_, summary)| self.starved(summary))
-            .map(|(position, summary)| (rank(true, 0.0, position), summary));
+            .map(|(position, summary)| (BackfillOrder::new(true, 0.0, position), summary));
         let by_estimate = self.context.backlog.batch_by_estimate();
         let not_starved = by_estimate
             .filter(|(_, summary)| self.is_pending(summary) && !self.starved(summary))
             .map(|((estimate, arrival), summary)| {
-                (rank(false, estimate.0, position(arrival)), summary)
+                (
+                    BackfillOrder::new(false, estimate.0, position(arrival)),
+                    summary,
+                )
             });
         starved.chain(not_starved)
     }
 
     /// The profile of a job.
-    pub fn form_of(&self, summary: &JobSummary) -> &'a JobProfile {
+    pub fn profile_of(&self, summary: &JobSummary) -> &'a JobProfile {
         self.context.backlog.profile(summary.profile)
     }
 
     /// How many different searches for free resources there are. Profiles number them from 0.
-    pub fn reaches(&self) -> usize {
+    pub fn feasibility_classes(&self) -> usize {
         self.context.backlog.feasibility_classes()
     }
 
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, team: u32, (accepted_at, id): QueuePosition<'_>) -> bool {
-        self.context.within.covers(team, accepted_at, id)
+        self.context.guarantees.covers(team, accepted_at, id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -249,7 +254,9 @@
 
     /// The highest priority of a job and of the jobs that depend on it.
     pub fn priority(&self, profile: &JobProfile, id: &str) -> Priority {
-        self.context.lifted.highest(id, profile.priority)
+        self.context
+            .inherited_priorities
+            .highest(id, profile.priority)
     }
 
     /// The job with this id.
@@ -263,12 +270,12 @@
     }
 
     /// The queue entry of a job, with as many of its tasks as one pass would start.
-    pub fn item(&self, summary: &JobSummary) -> Option<QueueEntry<'a>> {
+    pub fn queue_entry(&self, summary: &JobSummary) -> Option<QueueEntry<'a>> {
         debug_assert!(self.is_pending(summary));
         let queued = self.queued_job(summary)?;
         let (id, job) = self.job(&queued.id)?;
-        let is_gang = self.form_of(summary).kind == JobKind::Gang;
-        let limit = far_tasks(is_gang, summary) as usize;
+        let is_gang = self.profile_of(summary).kind == JobKind::Gang;
+        let limit = max_startable_tasks(is_gang, summary) as usize;
         let unfinished = (0..job.rec.spec.tasks).filter(|task| !job.is_done(*task));
         let tasks = unfinished.take(limit).collect();
         Some(self.context.queue_entry(id, job, queued, tasks))
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -18,11 +18,13 @@
 mod resources;
 mod zone_limits;
 
-pub use gang::gang;
+pub use gang::place_gang;
 pub use host::{Host, PlacementConstraints, TaskRequirements, accepts_task};
 pub use host_picker::{HostPicker, weight};
 pub use name_table::NameTable;
-pub use resources::{RESOURCE_TOLERANCE, Resources, add, need, size, slots};
+pub use resources::{
+    RESOURCE_TOLERANCE, Resources, add_resources, dominant_share, slots, task_resources,
+};
 pub(crate) use zone_limits::ZoneLimits;
 
 #[cfg(test)]
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -8,7 +8,7 @@
 /// wants one zone. Returns the machine of each member.
 ///
 /// `candidates` have to include all machines that accept a task of the job `id`.
-pub fn gang(
+pub fn place_gang(
     hosts: &[Host],
     candidates: impl Iterator<Item = usize>,
     id: &str,
--- a/src/scheduling/placement/host.rs
+++ b/src/scheduling/placement/host.rs
@@ -1,7 +1,7 @@
 //! Machines, and what tasks require of them.
 
 use crate::protocol::JobSpec;
-use crate::scheduling::placement::{NameTable, RESOURCE_TOLERANCE, Resources, add};
+use crate::scheduling::placement::{NameTable, RESOURCE_TOLERANCE, Resources, add_resources};
 use std::sync::Arc;
 
 /// Conditions of a job on the machines that it may use. Names are numbers of the `NameTable`.
@@ -86,13 +86,13 @@
 
     /// Releases the resources of a task.
     pub fn release(&mut self, need: &Resources) {
-        add(&mut self.free, need);
+        add_resources(&mut self.free, need);
     }
 
     /// Free resources once the tasks that have been told to stop have ended.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free;
-        add(&mut free, &self.leaving);
+        add_resources(&mut free, &self.leaving);
         free
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Records that the machine will fetch an image.
-    pub fn gets(&mut self, image: u32) {
+    pub fn add_image(&mut self, image: u32) {
         if !self.has_image(image) {
             Arc::make_mut(&mut self.images).push(image);
         }
--- a/src/scheduling/placement/resources.rs
+++ b/src/scheduling/placement/resources.rs
@@ -12,12 +12,12 @@
 const MAX_SLOTS: f64 = 1e6;
 
 /// Resources that one task of the job needs.
-pub fn need(spec: &JobSpec) -> Resources {
+pub fn task_resources(spec: &JobSpec) -> Resources {
     [spec.cpus, spec.gpus, spec.memory_gb]
 }
 
 /// Adds `amounts` to `room`.
-pub fn add(room: &mut Resources, amounts: &Resources) {
+pub fn add_resources(room: &mut Resources, amounts: &Resources) {
     for (room, amount) in room.iter_mut().zip(amounts) {
         *room += amount;
     }
@@ -35,7 +35,7 @@
 }
 
 /// Dominant share of a task: its share of an empty machine on the scarcest resource.
-pub fn size(total: &Resources, need: &Resources) -> f64 {
+pub fn dominant_share(total: &Resources, need: &Resources) -> f64 {
     total
         .iter()
         .zip(need)
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -71,7 +71,7 @@
 impl Scenario {
     fn place(&self, host: &mut Host, tasks_in_zone: &mut [u32; 32]) {
         host.take(&self.requirements.need);
-        host.gets(IMAGE);
+        host.add_image(IMAGE);
         tasks_in_zone[host.zone as usize] += 1;
     }
 
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -78,15 +78,15 @@
     /// The job is within its team's guarantee and the task beyond that of another team. Single tasks lose
     /// little and are preempted at once; gangs stop as a whole, so only when nothing else has helped.
     fn is_owed_by(&self, task: &PreemptibleTask<'_>) -> bool {
-        let beyond_guarantee = task.surplus && task.team != self.team;
-        self.guaranteed && beyond_guarantee && (task.single || self.overdue)
+        let beyond_guarantee = task.beyond_guarantee && task.team != self.team;
+        self.guaranteed && beyond_guarantee && (task.stops_alone || self.overdue)
     }
 
     /// Under a flood of single tasks whole machines never become free by themselves: backfilled tasks of
     /// the next job take each slot that becomes free. A gang that has waited for long therefore preempts
     /// tasks that write no checkpoint, too.
     fn has_waited_too_long_for(&self, task: &PreemptibleTask<'_>) -> bool {
-        self.aged && task.single && !task.spared && task.priority < self.priority
+        self.aged && task.stops_alone && !task.exempt && task.priority < self.priority
     }
 }
 
@@ -100,12 +100,12 @@
     checkpointing_singles: &[&'t PreemptibleTask<'a>],
     zones: &ZoneLimits,
 ) -> Option<&'t PreemptibleTask<'a>> {
-    let requirements = &entry.shape;
+    let requirements = &entry.requirements;
     let suitable = |task: &&'t PreemptibleTask<'a>| {
         let host = &hosts[task.host];
         let free_without_task = || {
             let mut free = host.free;
-            placement::add(&mut free, &task.need);
+            placement::add_resources(&mut free, &task.need);
             free
         };
         let runs_here = |(_, at): &(u32, Option<usize>)| *at == Some(task.host);
@@ -124,7 +124,7 @@
         .iter()
         .copied()
         .filter(suitable)
-        .max_by_key(|task| task.order)
+        .max_by_key(|task| task.start_order)
 }
 
 /// Result of looking for tasks to preempt.
@@ -171,12 +171,12 @@
         stop_tasks_on(
             host,
             hosts[host].free,
-            &entry.shape.need,
+            &entry.requirements.need,
             tasks,
             &candidates,
             plan,
         );
-        plan.reserved.push((host, entry.id.to_string()));
+        plan.reservations.push((host, entry.id.to_string()));
     }
     PreemptionOutcome::Considered
 }
@@ -201,7 +201,7 @@
         // Only room that is free or becomes free counts, not a reserved machine that the job's own tasks
         // have filled. When such machines counted, a team's guarantee was restored at the rate of one
         // machine every twenty seconds.
-        tasks = tasks.saturating_sub(slots(&host.free_after_stops(), &entry.shape.need));
+        tasks = tasks.saturating_sub(slots(&host.free_after_stops(), &entry.requirements.need));
     }
     (tasks > 0).then_some(tasks)
 }
@@ -213,7 +213,7 @@
     preemptible: &'t [PreemptibleTask<'a>],
     plan: &SchedulingPlan<'_>,
 ) -> Vec<&'t PreemptibleTask<'a>> {
-    let reserved_in_pass = |host: usize| plan.reserved.iter().any(|(other, _)| *other == host);
+    let reserved_in_pass = |host: usize| plan.reservations.iter().any(|(other, _)| *other == host);
     preemptible
         .iter()
         .filter(|task| {
@@ -232,7 +232,7 @@
     plan: &SchedulingPlan<'_>,
 ) -> Vec<Host> {
     let mut cleared: Vec<Host> = hosts.to_vec();
-    for (host, _) in &plan.reserved {
+    for (host, _) in &plan.reservations {
         cleared[*host].open = false;
     }
     for task in candidates {
@@ -255,24 +255,24 @@
         .copied()
         .filter(|task| task.host == host)
         .collect();
-    here.sort_by_key(|task| Reverse(task.order));
+    here.sort_by_key(|task| Reverse(task.start_order));
     for task in here {
         if slots(&free, need) >= tasks {
             break;
         }
-        placement::add(&mut free, &task.need);
-        plan.stops.push((task.job.to_string(), task.task));
+        placement::add_resources(&mut free, &task.need);
+        plan.preemptions.push((task.job.to_string(), task.task));
     }
 }
 
 /// Machines on which all members of a gang fit once they are `cleared`; none if they do not fit.
 fn choose_hosts_for_gang(entry: &QueueEntry<'_>, members: u32, cleared: &[Host]) -> TasksByHost {
-    let placed = placement::gang(
+    let placed = placement::place_gang(
         cleared,
         0..cleared.len(),
         entry.id,
         entry.spec,
-        &entry.shape,
+        &entry.requirements,
         members,
         GANG_DEMAND_RATIO,
     );
@@ -291,7 +291,7 @@
     hosts: &[Host],
     cleared: &[Host],
 ) -> TasksByHost {
-    let need = entry.shape.need;
+    let need = entry.requirements.need;
     let array = entry.spec.kind == JobKind::Array;
     let reserved_with_room = |host: &&Host| {
         host.reserved.as_deref() == Some(entry.id) && slots(&host.free_after_stops(), &need) > 0
@@ -322,7 +322,7 @@
 /// Machines that accept a task once they are `cleared`: those on which the fewest GPUs have to be cleared
 /// first, and among equals those with the image.
 fn rank_by_cost(entry: &QueueEntry<'_>, hosts: &[Host], cleared: &[Host]) -> Vec<usize> {
-    let requirements = &entry.shape;
+    let requirements = &entry.requirements;
     let cost = |host: usize| {
         let cleared_gpus = (cleared[host].free[GPUS] - hosts[host].free[GPUS]).max(0.0);
         let fetches_image = !cleared[host].has_image(requirements.image);
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -23,7 +23,7 @@
 
 impl QuotaTracker {
     /// Sets the quota of a team: CPUs and GPUs.
-    pub fn limit(&mut self, team: u32, [cpus, gpus]: [f64; 2]) {
+    pub fn set_limit(&mut self, team: u32, [cpus, gpus]: [f64; 2]) {
         let index = team as usize;
         if self.by_team.len() <= index {
             self.by_team.resize(index + 1, UNLIMITED);
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -36,10 +36,10 @@
     capacity: &CapacityIndex,
 ) -> HashMap<&'p str, Vec<u32>> {
     let mut zones: HashMap<&str, Vec<u32>> = HashMap::new();
-    if plan.lacks.is_empty() {
+    if plan.unmet_demands.is_empty() {
         return zones;
     }
-    for placement in &plan.places {
+    for placement in &plan.placements {
         let zone = capacity[placement.host].zone;
         zones.entry(&placement.job).or_default().push(zone);
     }
@@ -70,7 +70,7 @@
         spec: &JobSpec,
         present: &[(u32, Option<usize>)],
     ) -> Option<Vec<u32>> {
-        if !spec.zoned() {
+        if !spec.has_zone_constraint() {
             return None;
         }
         let placed = self.placed_zones.get(id).into_iter().flatten();
@@ -96,9 +96,9 @@
         let entry = &self.entries[index];
         CapacityDemand {
             gang: entry.spec.kind == JobKind::Gang,
-            reach: entry.reach,
-            need: &entry.shape.need,
-            allow: &entry.shape.allow,
+            feasibility_class: entry.feasibility_class,
+            need: &entry.requirements.need,
+            allow: &entry.requirements.allow,
             zones: self.allowed_zones(entry.id, entry.spec, &entry.present),
         }
     }
@@ -107,10 +107,10 @@
 impl<'a> DemandSource<'a> for QueueDemand<'_, 'a> {
     fn need<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n> {
         let summary = match of {
-            QueueCandidate::Near(index) => return self.demand_of_entry(index),
-            QueueCandidate::PendingJobs(summary) => summary,
+            QueueCandidate::Active(index) => return self.demand_of_entry(index),
+            QueueCandidate::Pending(summary) => summary,
         };
-        let profile = self.pending.form_of(summary);
+        let profile = self.pending.profile_of(summary);
         let zoned_job = if profile.zoned {
             self.pending.job_of(summary)
         } else {
@@ -118,7 +118,7 @@
         };
         CapacityDemand {
             gang: profile.kind == JobKind::Gang,
-            reach: profile.reach,
+            feasibility_class: profile.feasibility_class,
             need: &summary.need,
             allow: &profile.allow,
             zones: zoned_job.and_then(|(id, job)| self.allowed_zones(id, &job.rec.spec, &[])),
@@ -127,8 +127,8 @@
 
     fn job(&self, of: QueueCandidate<'_>) -> Option<(&'a String, &'a Job)> {
         match of {
-            QueueCandidate::Near(index) => self.pending.job(self.entries[index].id),
-            QueueCandidate::PendingJobs(summary) => self.pending.job_of(summary),
+            QueueCandidate::Active(index) => self.pending.job(self.entries[index].id),
+            QueueCandidate::Pending(summary) => self.pending.job_of(summary),
         }
     }
 }
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -1,7 +1,7 @@
 //! Jobs as the record cache holds them.
 
 use crate::protocol::Micros;
-use crate::protocol::records::{CHUNK, JobRecord, JobStage, TaskChunk, TaskEntry};
+use crate::protocol::records::{JobRecord, JobStage, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
 use std::collections::BTreeMap;
 
 /// A further chunk of a large job.
@@ -43,7 +43,7 @@
 
     /// The chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
-        match task / CHUNK {
+        match task / TASKS_PER_CHUNK {
             0 => Some(&self.rec.first),
             number => self.chunks.get(&number).map(|stored| &stored.chunk),
         }
--- a/src/state/placement_batches.rs
+++ b/src/state/placement_batches.rs
@@ -1,7 +1,7 @@
 //! Cache of the placement batches: records that each hold the places of many jobs and are overlaid on the jobs' own
 //! records. See `records::PlacementBatch` for which of the two counts.
 
-use crate::protocol::records::{CHUNK, PlacementBatch, TaskChunk, TaskEntry};
+use crate::protocol::records::{PlacementBatch, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A batch and the version of its record.
@@ -69,7 +69,9 @@
 
     /// Numbers of the job's chunks that have places in batches.
     pub fn chunks(&self, id: &str) -> BTreeSet<u32> {
-        self.places_of(id).map(|p| p.task() / CHUNK).collect()
+        self.places_of(id)
+            .map(|p| p.task() / TASKS_PER_CHUNK)
+            .collect()
     }
 
     /// The lowest number that neither a batch nor `taken` has.
@@ -122,9 +124,9 @@
         chunk: &mut TaskChunk,
         effective: &mut Vec<TaskEntry>,
     ) {
-        effective.retain(|place| place.task() / CHUNK != number);
+        effective.retain(|place| place.task() / TASKS_PER_CHUNK != number);
         let places = self.places_of(id);
-        for place in places.filter(|p| p.task() / CHUNK == number) {
+        for place in places.filter(|p| p.task() / TASKS_PER_CHUNK == number) {
             overlay_place(chunk, place, effective);
         }
     }
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -8,8 +8,8 @@
 use crate::protocol::format;
 use crate::protocol::key_value_api::WatchResponse;
 use crate::protocol::records::{
-    BUNDLES, BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PlacementBatch, RENEWALS,
-    RenewalsRecord, TaskChunk, renew_key,
+    BudgetSharesRecord, JobRecord, JobStage, LeaderRecord, PLACEMENT_BATCHES_PREFIX,
+    PlacementBatch, RENEWALS_PREFIX, RenewalsRecord, TaskChunk, renewals_key,
 };
 use crate::state::cached_job::TaskChunks;
 pub use crate::state::cached_job::{FinishedJob, Job, JobLookup};
@@ -86,8 +86,11 @@
 
     /// Whether a placement batch cannot be read: it may hold placements of any job.
     pub fn has_unreadable_batch(&self) -> bool {
-        let first = self.unreadable.range(BUNDLES.to_string()..).next();
-        first.is_some_and(|(key, _)| key.starts_with(BUNDLES))
+        let first = self
+            .unreadable
+            .range(PLACEMENT_BATCHES_PREFIX.to_string()..)
+            .next();
+        first.is_some_and(|(key, _)| key.starts_with(PLACEMENT_BATCHES_PREFIX))
     }
 
     /// Whether a job is known to be cancelled.
@@ -150,8 +153,8 @@
     /// The parts of a follower's renewals; the result always has part 0, be it `None`.
     pub fn renewals_of(&self, node: &str) -> Vec<Option<&(RenewalsRecord, u64)>> {
         let part = |number: usize| {
-            let key = renew_key(node, number);
-            self.renewals.get(key.trim_start_matches(RENEWALS))
+            let key = renewals_key(node, number);
+            self.renewals.get(key.trim_start_matches(RENEWALS_PREFIX))
         };
         let further = (1..).map(part).take_while(Option::is_some);
         [part(0)].into_iter().chain(further).collect()
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -1,7 +1,9 @@
 //! Application of job records, chunks and placement batches, and what follows from them for dependent jobs.
 
 use super::RecordCache;
-use crate::protocol::records::{CHUNK, JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry};
+use crate::protocol::records::{
+    JobRecord, JobStage, PlacementBatch, TASKS_PER_CHUNK, TaskChunk, TaskEntry,
+};
 use crate::protocol::{JobKind, Micros};
 use crate::state::cached_job::{FinishedJob, Job, StoredChunk};
 use crate::state::placed_tasks::JobImage;
@@ -164,7 +166,7 @@
     }
 
     fn overlay_on_job(&mut self, id: &str, job: &mut Job, place: TaskEntry) {
-        let chunk = match place.task() / CHUNK {
+        let chunk = match place.task() / TASKS_PER_CHUNK {
             0 => &mut job.rec.first,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
--- a/src/state/record_cache/listing.rs
+++ b/src/state/record_cache/listing.rs
@@ -2,7 +2,9 @@
 
 use super::RecordCache;
 use crate::protocol::key_value_api::ItemPage;
-use crate::protocol::records::{FORMATS, JOBS, LEAD, LIVE, RENEWALS, bundle_key};
+use crate::protocol::records::{
+    FORMATS_PREFIX, JOBS_PREFIX, LEADER_KEY, LEADER_LEASE_KEY, RENEWALS_PREFIX, placement_batch_key,
+};
 use std::collections::BTreeSet;
 
 /// A listing in progress.
@@ -51,13 +53,19 @@
 
     /// Keys of the cached records that may be deleted from the store.
     fn deletable_keys(&self) -> impl Iterator<Item = String> {
-        let jobs = self.jobs.keys().map(|id| format!("{JOBS}{id}"));
-        let renewals = self.renewals.keys().map(|node| format!("{RENEWALS}{node}"));
-        let formats = self.formats.keys().map(|node| format!("{FORMATS}{node}"));
+        let jobs = self.jobs.keys().map(|id| format!("{JOBS_PREFIX}{id}"));
+        let renewals = self
+            .renewals
+            .keys()
+            .map(|node| format!("{RENEWALS_PREFIX}{node}"));
+        let formats = self
+            .formats
+            .keys()
+            .map(|node| format!("{FORMATS_PREFIX}{node}"));
         let batches = self.placement_batches.numbers();
         jobs.chain(renewals)
             .chain(formats)
-            .chain(batches.map(|(number, _)| bundle_key(number)))
-            .chain([LEAD.to_string(), LIVE.to_string()])
+            .chain(batches.map(|(number, _)| placement_batch_key(number)))
+            .chain([LEADER_KEY.to_string(), LEADER_LEASE_KEY.to_string()])
     }
 }
--- a/src/state/record_key.rs
+++ b/src/state/record_key.rs
@@ -1,8 +1,9 @@
 //! Classification of the key-value store's keys by the record that they hold.
 
 use crate::protocol::records::{
-    BASE, BUNDLED, BUNDLES, CHUNKS, FORMATS, JOBS, LEAD, LIVE, PARTS, RENEWALS, TYPES,
-    bundle_number,
+    BASELINE_MACHINES_KEY, BUDGET_SHARES_KEY, CHUNKS_PREFIX, FORMATS_PREFIX, JOBS_PREFIX,
+    LEADER_KEY, LEADER_LEASE_KEY, MACHINE_TYPES_KEY, NEWEST_PLACEMENT_BATCH_KEY,
+    PLACEMENT_BATCHES_PREFIX, RENEWALS_PREFIX, placement_batch_number,
 };
 
 /// A key of the store, by kind of record.
@@ -43,31 +44,31 @@
     /// Classifies a key.
     pub fn parse(key: &'a str) -> RecordKey<'a> {
         match key {
-            LEAD => return RecordKey::Leader,
-            LIVE => return RecordKey::LeaderLease,
-            TYPES => return RecordKey::MachineTypes,
-            BASE => return RecordKey::InitialMachines,
-            PARTS => return RecordKey::BudgetShares,
-            BUNDLED => return RecordKey::BatchHead,
+            LEADER_KEY => return RecordKey::Leader,
+            LEADER_LEASE_KEY => return RecordKey::LeaderLease,
+            MACHINE_TYPES_KEY => return RecordKey::MachineTypes,
+            BASELINE_MACHINES_KEY => return RecordKey::InitialMachines,
+            BUDGET_SHARES_KEY => return RecordKey::BudgetShares,
+            NEWEST_PLACEMENT_BATCH_KEY => return RecordKey::BatchHead,
             _ => {}
         }
-        if key.starts_with(BUNDLES) {
-            return RecordKey::Batch(bundle_number(key));
+        if key.starts_with(PLACEMENT_BATCHES_PREFIX) {
+            return RecordKey::Batch(placement_batch_number(key));
         }
-        if let Some(node) = key.strip_prefix(RENEWALS) {
+        if let Some(node) = key.strip_prefix(RENEWALS_PREFIX) {
             return RecordKey::Renewals(node);
         }
-        if let Some(node) = key.strip_prefix(FORMATS) {
+        if let Some(node) = key.strip_prefix(FORMATS_PREFIX) {
             return RecordKey::Format(node);
         }
-        if let Some(id) = key.strip_prefix(JOBS) {
+        if let Some(id) = key.strip_prefix(JOBS_PREFIX) {
             return RecordKey::Job(id);
         }
         Self::parse_chunk(key).unwrap_or(RecordKey::Unknown)
     }
 
     fn parse_chunk(key: &'a str) -> Option<RecordKey<'a>> {
-        let (job, number) = key.strip_prefix(CHUNKS)?.split_once('/')?;
+        let (job, number) = key.strip_prefix(CHUNKS_PREFIX)?.split_once('/')?;
         let number = number.parse().ok()?;
         Some(RecordKey::Chunk { job, number })
     }
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -344,7 +344,7 @@
     }
 
     fn of(request: &StoreRequest) -> HttpRequest {
-        let root = records::ROOT;
+        let root = records::KEY_PREFIX;
         match request {
             StoreRequest::Transaction(transaction) => {
                 HttpRequest::post("/multi".to_string(), encode(transaction))
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -57,7 +57,7 @@
 }
 
 /// The state of the network thread.
-pub struct Net {
+pub struct NetworkThread {
     connections: Connections,
     listeners: Listeners,
     commands: Receiver<Vec<NetworkCommand>>,
@@ -76,7 +76,7 @@
     started: Instant,
 }
 
-impl Net {
+impl NetworkThread {
     /// Prepares the network thread. `event_receiver` is unparked when events are sent; `sockets` is the limit of the
     /// process; times are counted from `started`.
     ///
@@ -89,7 +89,7 @@
         event_receiver: Thread,
         sockets: usize,
         started: Instant,
-    ) -> std::io::Result<(Net, Handle)> {
+    ) -> std::io::Result<(NetworkThread, Handle)> {
         let poll = Poll::new()?;
         let registry = poll.registry();
         let waker = Waker::new(registry, WAKER)?;
@@ -100,7 +100,7 @@
             Interest::READABLE,
         )?;
         let (command_sender, commands) = crossbeam_channel::unbounded();
-        let net = Net {
+        let net = NetworkThread {
             connections: Connections::new(poll, FIRST_CONNECTION),
             listeners,
             commands,
--- a/src/transport/net/calls.rs
+++ b/src/transport/net/calls.rs
@@ -1,6 +1,6 @@
 //! Making calls: connections to other processes, requests and responses.
 
-use super::Net;
+use super::NetworkThread;
 use super::connection::{ClientRole, Connection, Role};
 use crate::protocol::Micros;
 use crate::transport::http::{self, Message, Parsed};
@@ -13,7 +13,7 @@
 /// Initial buffer for a request, apart from its body.
 const HEAD_CAPACITY: usize = 160;
 
-impl Net {
+impl NetworkThread {
     /// Makes a call, on a connection that was kept or on a new one.
     pub(super) fn call(&mut self, call: Call) {
         let now = self.now();
--- a/src/transport/net/listeners.rs
+++ b/src/transport/net/listeners.rs
@@ -1,6 +1,6 @@
 //! Serving requests: listening sockets, accepted connections, requests and responses.
 
-use super::Net;
+use super::NetworkThread;
 use super::connection::{Connection, Role, ServerRole};
 use crate::protocol::Micros;
 use crate::transport::http::{self, Parsed};
@@ -45,7 +45,7 @@
     }
 }
 
-impl Net {
+impl NetworkThread {
     /// Accepts all connections that wait at a listener.
     pub(super) fn accept(&mut self, internal: bool) {
         loop {
--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -2,7 +2,7 @@
 //! one task, two leaders, the view of the agent being the real one. A task that was given up as gone never comes
 //! to run there again. Each line that is taken out is missed.
 
-use model_checker::{Model, Seen, explore};
+use model_checker::{CheckResult, Model, explore};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::Micros;
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
@@ -161,7 +161,7 @@
     type State = State;
     type Step = Step;
 
-    fn start(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         vec![State {
             agent_epoch: 1,
             seq: 0,
@@ -281,7 +281,7 @@
         all
     }
 
-    fn broken(&self, s: &State) -> Option<String> {
+    fn violation(&self, s: &State) -> Option<String> {
         let runs = s.given_up && s.task == Some(false);
         runs.then(|| "given up, started elsewhere, and running here".to_string())
     }
@@ -297,9 +297,9 @@
         2_000_000,
     );
     assert!(
-        matches!(all, Seen::All { states, .. } if states > 10_000),
+        matches!(all, CheckResult::Verified { states, .. } if states > 10_000),
         "{}",
-        all.story()
+        all.describe()
     );
 }
 
@@ -312,7 +312,10 @@
             most: MOST,
         };
         let seen = explore(&small, 2_000_000);
-        stories.insert(format!("{line:?}"), matches!(seen, Seen::Broken { .. }));
+        stories.insert(
+            format!("{line:?}"),
+            matches!(seen, CheckResult::Violation { .. }),
+        );
     }
     assert!(stories.values().all(|missed| *missed), "{stories:?}");
 }
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -4,8 +4,8 @@
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::job::valid_id;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, HeartbeatExtension, InvalidPeerHeartbeat, LogPosition,
-    MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
+    CancellationCursor, CancellationUpdate, InvalidPeerHeartbeat, LeaseDelegationStatus,
+    LogPosition, MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
 use walnuttrestle::protocol::records::LeaderRecord;
 
@@ -21,7 +21,7 @@
         format: format::NEWEST,
         asks: 30_000,
         epoch: 4,
-        more: Some(HeartbeatExtension {
+        more: Some(LeaseDelegationStatus {
             run: 77,
             right: Some(7),
             used_ago: None,
@@ -41,7 +41,7 @@
             complete: 400,
             heard: LogPosition { run: 78, next: 3 },
         }),
-        news: Some(CancellationNews {
+        news: Some(CancellationUpdate {
             lead: 12,
             from: 3,
             next: 3 + jobs as u64,
@@ -65,16 +65,19 @@
 fn a_heartbeat_of_the_previous_format_has_no_cancellations() {
     let ours = heartbeat(3);
     let bytes = postcard::to_stdvec(&ours).unwrap();
-    let bytes = postcard::to_extend(&(format::RIGHTS, 30_000u64, 4u64), bytes).unwrap();
+    let bytes = postcard::to_extend(&(format::LEASE_DELEGATION, 30_000u64, 4u64), bytes).unwrap();
     let bytes = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), bytes).unwrap();
     let decoded = PeerHeartbeat::decode(&bytes).unwrap();
-    assert_eq!((decoded.format, decoded.more), (format::RIGHTS, ours.more));
+    assert_eq!(
+        (decoded.format, decoded.more),
+        (format::LEASE_DELEGATION, ours.more)
+    );
     assert_eq!((decoded.knows, decoded.news), (None, None));
     // A version of that format finds its fields in ours at the same place.
     let encoded = ours.encode();
     let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
-    let (more, record_summary): (HeartbeatExtension, Option<RecordSummary>) =
+    let (more, record_summary): (LeaseDelegationStatus, Option<RecordSummary>) =
         postcard::from_bytes(rest).unwrap();
     assert_eq!(
         (Some(more), record_summary),
@@ -95,7 +98,7 @@
 
 #[test]
 fn a_heartbeat_with_one_invalid_field_is_rejected_as_a_whole() {
-    let decode_changed = |change: fn(&mut CancellationNews)| {
+    let decode_changed = |change: fn(&mut CancellationUpdate)| {
         let mut heartbeat = heartbeat(2);
         heartbeat.news.iter_mut().for_each(change);
         PeerHeartbeat::decode(&heartbeat.encode())
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -15,7 +15,7 @@
 use walnuttrestle::protocol::cloud_api::{MachinePage, MachineType, MachineTypes};
 use walnuttrestle::protocol::codec::{decode, encode};
 use walnuttrestle::transport::http::{self, Parsed};
-use walnuttrestle::transport::net::{Listeners, Net};
+use walnuttrestle::transport::net::{Listeners, NetworkThread};
 use walnuttrestle::transport::{NetworkCommand, NetworkEvent};
 
 /// Time limit for everything that a test waits for.
@@ -41,7 +41,8 @@
     let listeners = Listeners::bind(services.store, services.cloud).unwrap();
     let (sender, events) = crossbeam_channel::unbounded();
     let started = Instant::now();
-    let (net, handle) = Net::new(listeners, sender, std::thread::current(), 200, started).unwrap();
+    let (net, handle) =
+        NetworkThread::new(listeners, sender, std::thread::current(), 200, started).unwrap();
     std::thread::spawn(move || net.run());
     std::thread::spawn(move || {
         let mut fake_store = store::FakeStore::default();
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -14,7 +14,9 @@
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
 use walnuttrestle::protocol::cloud_api::{MachineType, MachineTypes};
 use walnuttrestle::protocol::codec::to_value;
-use walnuttrestle::protocol::records::{JobRecord, JobStage, TYPES, TaskChunk, TaskEntry};
+use walnuttrestle::protocol::records::{
+    JobRecord, JobStage, MACHINE_TYPES_KEY, TaskChunk, TaskEntry,
+};
 use walnuttrestle::protocol::settings::Team;
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority, Settings};
 use walnuttrestle::records::record_writer::PendingWrite;
@@ -145,7 +147,7 @@
     let reasons = [
         ExitReason::Done,
         ExitReason::Error,
-        ExitReason::Peers,
+        ExitReason::GangMemberGone,
         ExitReason::Stopped,
     ];
     let is_exited = phase == TaskPhase::Exited;
@@ -182,7 +184,7 @@
         let mut leader = LeaderState::new(rng.random_range(1..3), 1, elected_at);
         leader.unmet_leases_expired = rng.random_bool(0.5);
         let mut cache = RecordCache::default();
-        cache.put(TYPES, to_value(&machine_types()), 1);
+        cache.put(MACHINE_TYPES_KEY, to_value(&machine_types()), 1);
         let mut cluster = RandomCluster {
             rng,
             settings,
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -13,7 +13,7 @@
 use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Clock;
 use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
-use walnuttrestle::protocol::records::{CHUNK, TaskEntry};
+use walnuttrestle::protocol::records::{TASKS_PER_CHUNK, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
 use walnuttrestle::scheduling::findings::{BrokenGang, TaskRef, TaskStop};
@@ -140,7 +140,7 @@
     let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_RATE);
     let mut cluster_total = [0.0; 3];
     for host in &host_table.hosts {
-        placement::add(&mut cluster_total, &host.total);
+        placement::add_resources(&mut cluster_total, &host.total);
     }
     let mut usage_by_class: HashMap<&str, f64> = HashMap::new();
     for (id, job) in &cache.jobs {
@@ -162,7 +162,8 @@
         entries.extend(entry);
     }
     add_unrecorded_tasks(leader, cache, &mut host_table, &mut quotas);
-    let is_urgent = |entry: &QueueEntry<'_>| entry.lost > 0 && entry.spec.kind == JobKind::Service;
+    let is_urgent =
+        |entry: &QueueEntry<'_>| entry.lost_tasks > 0 && entry.spec.kind == JobKind::Service;
     entries.sort_by_key(|entry| (!is_urgent(entry), entry.at, entry.id));
     for host in &mut host_table.hosts {
         let reserved = host.reserved.as_deref();
@@ -176,7 +177,7 @@
     let class = |id: &str| cache.jobs[id].rec.spec.class.as_str();
     for task in &mut preemptible {
         let usage = usage_by_class.get(class(task.job)).copied().unwrap_or(0.0);
-        task.spared = usage <= SPARED_FRACTION;
+        task.exempt = usage <= SPARED_FRACTION;
     }
     let typical_host = host_table.hosts.first().map_or([1.0; 3], |host| host.total);
     let queued = cache
@@ -185,7 +186,8 @@
         .filter(|job| job.active() && !job.waits());
     let demands = queued.map(|job| {
         let spec = &job.rec.spec;
-        spec.tasks as f64 * placement::size(&typical_host, &placement::need(spec))
+        spec.tasks as f64
+            * placement::dominant_share(&typical_host, &placement::task_resources(spec))
     });
     let largest_demand = demands.fold(leader.max_demand, f64::max);
     decision.largest_demand = largest_demand;
@@ -306,9 +308,9 @@
     let now = clock.now;
     let spec = &job.rec.spec;
     let requirements = TaskRequirements {
-        need: placement::need(spec),
+        need: placement::task_resources(spec),
         allow: Arc::new(PlacementConstraints::of(spec, names)),
-        saves: spec.saves(),
+        saves: spec.saves_checkpoints(),
         image: names.id(&spec.image),
         avoid: Vec::new(),
     };
@@ -352,9 +354,9 @@
             Some(index) => {
                 let host = &mut host_table.hosts[index];
                 host.take(&requirements.need);
-                host.gets(requirements.image);
+                host.add_image(requirements.image);
                 if leader.due_stop(id, attempt.task()).is_some() {
-                    placement::add(&mut host.leaving, &requirements.need);
+                    placement::add_resources(&mut host.leaving, &requirements.need);
                 }
                 // The spot instance is about to be reclaimed: a task that can save does so now, a gang
                 // as a whole.
@@ -392,16 +394,16 @@
                         task: attempt.task(),
                         host: index,
                         need: requirements.need,
-                        order: order.copied().unwrap_or(0),
+                        start_order: order.copied().unwrap_or(0),
                         backfilled: attempt.backfilled(),
                         priority,
-                        saves: stops_alone && spec.saves(),
+                        saves: stops_alone && spec.saves_checkpoints(),
                         save_s: spec.save_s,
                         team,
-                        surplus: !guaranteed,
-                        single: spec.kind == JobKind::Array,
+                        beyond_guarantee: !guaranteed,
+                        stops_alone: spec.kind == JobKind::Array,
                         class: 0,
-                        spared: false,
+                        exempt: false,
                     });
                 }
                 host.zone
@@ -419,7 +421,7 @@
             *gpus -= spec.gpus;
         }
         *usage_by_class.entry(&spec.class).or_default() +=
-            placement::size(cluster_total, &requirements.need);
+            placement::dominant_share(cluster_total, &requirements.need);
         present.push((zone, host_index));
     }
     if !job.active() {
@@ -493,7 +495,7 @@
             let liveness = leader.attempt_liveness(id, entry);
             let displaced = matches!(
                 liveness,
-                TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::Peers)
+                TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::GangMemberGone)
             );
             entry.machine().is_some() && displaced
         })
@@ -502,11 +504,11 @@
     Some(QueueEntry {
         id,
         at: job.rec.at,
-        lost: lost as u32,
+        lost_tasks: lost as u32,
         spec,
-        shape: requirements,
+        requirements: requirements,
         team,
-        reach: 0,
+        feasibility_class: 0,
         tasks,
         present,
         fetch_s: spec.image_gb / fetch_rate,
@@ -603,9 +605,9 @@
         leader.may_be_running(id, entry, true)
             || leader.attempt_liveness(id, entry) == TaskLiveness::Ended(ExitReason::Done)
     };
-    for first in (0..spec.tasks).step_by(CHUNK as usize) {
+    for first in (0..spec.tasks).step_by(TASKS_PER_CHUNK as usize) {
         let chunk = job.chunk_of(first);
-        for task in first..spec.tasks.min(first + CHUNK) {
+        for task in first..spec.tasks.min(first + TASKS_PER_CHUNK) {
             let is_free = match chunk {
                 None => true,
                 Some(chunk) => !chunk.is_done(task) && !chunk.entry(task).is_some_and(is_occupied),
@@ -640,12 +642,12 @@
 
 /// Takes the resources of one task of a job.
 fn take(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
-    host.take(&entry.shape.need);
+    host.take(&entry.requirements.need);
     if let Some([cpus, gpus]) = quotas.get_mut(&entry.spec.team) {
         *cpus -= entry.spec.cpus;
         *gpus -= entry.spec.gpus;
     }
-    host.gets(entry.shape.image);
+    host.add_image(entry.requirements.image);
 }
 
 /// Places what fits, in order. `largest_demand` is that of any job so far, these jobs included.
@@ -664,7 +666,7 @@
     let mut later: Vec<&QueueEntry<'_>> = Vec::new();
     let typical_host = hosts.first().map_or([1.0; 3], |host| host.total);
     let demand_ratio = |entry: &QueueEntry<'_>| {
-        let size = placement::size(&typical_host, &entry.shape.need);
+        let size = placement::dominant_share(&typical_host, &entry.requirements.need);
         entry.spec.tasks as f64 * size / largest_demand.max(MIN_LARGEST_DEMAND)
     };
     let mut attempts = MAX_PREEMPTION_ATTEMPTS;
@@ -766,8 +768,8 @@
             return 0;
         }
         let all_hosts = 0..hosts.len();
-        let requirements = &entry.shape;
-        let found = placement::gang(
+        let requirements = &entry.requirements;
+        let found = placement::place_gang(
             hosts,
             all_hosts,
             entry.id,
@@ -794,7 +796,7 @@
         && !spec.one_zone
         && !spec.spread
         && wanted as usize >= MAX_PLACEMENTS;
-    let (need, constraints) = (&entry.shape.need, &entry.shape.allow);
+    let (need, constraints) = (&entry.requirements.need, &entry.requirements.allow);
     let free: u32 = if is_wide {
         hosts
             .iter()
@@ -848,7 +850,7 @@
     plan: &mut SchedulingPlan,
 ) -> u32 {
     let spec = entry.spec;
-    let need = &entry.shape.need;
+    let need = &entry.requirements.need;
     let is_service = spec.kind == JobKind::Service;
     let mut zones: Vec<u32> = entry.present.iter().map(|(zone, _)| *zone).collect();
     let most_per_zone = spec.tasks.div_ceil(2) as usize;
@@ -857,7 +859,7 @@
         hosts,
         0..hosts.len(),
         entry.id,
-        &entry.shape,
+        &entry.requirements,
         demand_ratio,
         is_service,
         has_task,
@@ -871,7 +873,7 @@
         let Some(host) = picker.pick(hosts, fits_zone) else {
             return (tasks.len() - index) as u32;
         };
-        if is_service && !hosts[host].has_image(entry.shape.image) {
+        if is_service && !hosts[host].has_image(entry.requirements.image) {
             let is_being_cleared = |host: &&Host| {
                 host.reserved.as_deref() == Some(entry.id)
                     && slots(&host.free, need) == 0
@@ -926,19 +928,22 @@
         let host = &hosts[task.host];
         let free_afterwards = || {
             let mut free = host.free;
-            placement::add(&mut free, &task.need);
+            placement::add_resources(&mut free, &task.need);
             free
         };
-        task.single
+        task.stops_alone
             && task.saves
             && task.priority < entry.priority
             && entry.fetch_s > 2.0 * (task.save_s + STOP_S)
             && host.open
             && host.reserved.is_none()
-            && host.has_image(entry.shape.image)
-            && slots(&free_afterwards(), &entry.shape.need) > 0
-            && entry.shape.allow.permit(host.kind, host.zone, host.spot)
-            && !entry.shape.avoid.contains(&task.host)
+            && host.has_image(entry.requirements.image)
+            && slots(&free_afterwards(), &entry.requirements.need) > 0
+            && entry
+                .requirements
+                .allow
+                .permit(host.kind, host.zone, host.spot)
+            && !entry.requirements.avoid.contains(&task.host)
             && entry
                 .present
                 .iter()
@@ -946,7 +951,7 @@
             && fits_zone(host.zone)
     };
     let candidates = preemptible.iter().filter(serves);
-    candidates.max_by_key(|task| task.order)
+    candidates.max_by_key(|task| task.start_order)
 }
 
 /// If a blocked job fits once other tasks are gone, preempts those in its place, latest start first:
@@ -965,7 +970,7 @@
     let is_service = entry.spec.kind == JobKind::Service;
     let is_gang = entry.spec.kind == JobKind::Gang;
     let is_array = entry.spec.kind == JobKind::Array;
-    let need = entry.shape.need;
+    let need = entry.requirements.need;
     let is_reserved = |host: &&Host| host.reserved.as_deref() == Some(entry.id);
     let holds_any = hosts.iter().any(|host| is_reserved(&host));
     if (is_gang || !entry.guaranteed) && holds_any {
@@ -985,9 +990,10 @@
         let yields_to_priority = is_lower && (task.saves || is_service) && !is_array;
         // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
         // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
-        let is_surplus = task.surplus && task.team != entry.team && (task.single || entry.overdue);
+        let is_surplus =
+            task.beyond_guarantee && task.team != entry.team && (task.stops_alone || entry.overdue);
         let yields_to_guarantee = entry.guaranteed && is_surplus;
-        let yields_to_age = is_gang && entry.aged && task.single && !task.spared && is_lower;
+        let yields_to_age = is_gang && entry.aged && task.stops_alone && !task.exempt && is_lower;
         let yields_to_top = is_top && is_gang && task.backfilled;
         let yields = yields_to_top || yields_to_priority || yields_to_guarantee || yields_to_age;
         let is_free = hosts[task.host].reserved.is_none()
@@ -1008,8 +1014,8 @@
     let mut tasks_by_host: BTreeMap<usize, u32> = BTreeMap::new();
     if is_gang && short > 1 {
         let all_hosts = 0..cleared.len();
-        let requirements = &entry.shape;
-        let found = placement::gang(
+        let requirements = &entry.requirements;
+        let found = placement::place_gang(
             &cleared,
             all_hosts,
             entry.id,
@@ -1040,12 +1046,12 @@
                 !is_apart && !is_crowded
             };
             let gpus_lost = |host: usize| (cleared[host].free[1] - hosts[host].free[1]).max(0.0);
-            let lacks_image = |host: usize| !cleared[host].has_image(entry.shape.image);
+            let lacks_image = |host: usize| !cleared[host].has_image(entry.requirements.image);
             let best = (0..cleared.len())
                 .filter(|host| {
                     !tasks_by_host.contains_key(host)
                         && fits_zone(&cleared[*host])
-                        && accepts_task(&cleared[*host], entry.id, &need, &entry.shape.allow)
+                        && accepts_task(&cleared[*host], entry.id, &need, &entry.requirements.allow)
                 })
                 .min_by(|one, other| {
                     (gpus_lost(*one), lacks_image(*one))
@@ -1064,12 +1070,12 @@
         let mut free = hosts[host].free;
         let on_host = victims.iter().filter(|victim| victim.host == host);
         let mut on_host: Vec<&&PreemptibleTask<'_>> = on_host.collect();
-        on_host.sort_by_key(|victim| std::cmp::Reverse(victim.order));
+        on_host.sort_by_key(|victim| std::cmp::Reverse(victim.start_order));
         for victim in on_host {
             if slots(&free, &need) >= count {
                 break;
             }
-            placement::add(&mut free, &victim.need);
+            placement::add_resources(&mut free, &victim.need);
             plan.preemptions.push(task_ref(victim));
         }
         plan.reservations.push((host, entry.id.to_string()));
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -5,7 +5,8 @@
 use walnuttrestle::protocol::codec::to_value;
 use walnuttrestle::protocol::key_value_api::{Item, ItemPage};
 use walnuttrestle::protocol::records::{
-    JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry, bundle_key, chunk_key, job_key,
+    JobRecord, JobStage, PlacementBatch, TaskChunk, TaskEntry, chunk_key, job_key,
+    placement_batch_key,
 };
 use walnuttrestle::protocol::{JobKind, Micros};
 use walnuttrestle::state::record_cache::{Job, JobLookup, RecordCache};
@@ -49,7 +50,7 @@
     };
     let keys = [
         (
-            bundle_key(0),
+            placement_batch_key(0),
             to_value(&bundle(vec![entry(0, 2), entry(49, 1), entry(50, 2)])),
             9,
         ),
@@ -91,7 +92,7 @@
     watched.put_chunk("req-1", 1, folded, 11);
     assert_eq!(places(&watched), expected);
     assert!(watched.is_batch_superseded(0));
-    watched.delete(&bundle_key(0), 12);
+    watched.delete(&placement_batch_key(0), 12);
     assert_eq!(places(&watched), expected);
 }
 
@@ -100,7 +101,11 @@
 fn cancelled_job_keeps_its_batched_placements_until_cleanup() {
     let mut m = RecordCache::default();
     m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
-    m.put(&bundle_key(4), to_value(&bundle(vec![entry(0, 2)])), 5);
+    m.put(
+        &placement_batch_key(4),
+        to_value(&bundle(vec![entry(0, 2)])),
+        5,
+    );
     m.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
     assert_eq!(places(&m), [(0, 2)]);
     let cleaned = JobRecord {
@@ -146,8 +151,8 @@
     assert!(m.is_unreadable("req-1"));
     m.put(&key, active, 8);
     assert!(!m.is_unreadable("req-1"));
-    m.put(&bundle_key(4), "spoilt".into(), 9);
+    m.put(&placement_batch_key(4), "spoilt".into(), 9);
     assert!(m.has_unreadable_batch());
-    m.delete(&bundle_key(4), 10);
+    m.delete(&placement_batch_key(4), 10);
     assert!(!m.has_unreadable_batch());
 }
--- a/tests/simulation/agent_behavior.rs
+++ b/tests/simulation/agent_behavior.rs
@@ -122,7 +122,9 @@
             TaskPhase::Fetching if fails => agent.exit_task(key, ExitReason::Error, false),
             TaskPhase::Fetching => self.finish_fetch(machine, key, &truth, index),
             // Other members have exited while this machine hung.
-            TaskPhase::Running if !gang_is_whole => agent.exit_task(key, ExitReason::Peers, false),
+            TaskPhase::Running if !gang_is_whole => {
+                agent.exit_task(key, ExitReason::GangMemberGone, false)
+            }
             TaskPhase::Running => {
                 agent.exit_task(key, ExitReason::Done, false);
                 self.jobs.get_mut(job).unwrap().done.insert(index);
@@ -268,7 +270,7 @@
                 agent.exit_task(&member.key, ExitReason::Done, false);
                 self.jobs.get_mut(job).unwrap().done.insert(index);
             } else {
-                agent.exit_task(&member.key, ExitReason::Peers, false);
+                agent.exit_task(&member.key, ExitReason::GangMemberGone, false);
             }
         }
     }
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -186,7 +186,7 @@
             Change::Delete { .. } => false,
         };
         if transaction.changes.len() > limits.txn_ops
-            || transaction.conds.len() > limits.txn_ops * CONDITIONS_PER_CHANGE
+            || transaction.conditions.len() > limits.txn_ops * CONDITIONS_PER_CHANGE
             || transaction.changes.iter().any(is_too_long)
         {
             self.rejected_for_size += 1;
@@ -320,7 +320,7 @@
         }
         let version_of = |key: &str| self.keys.get(key).map_or(0, |stored| stored.version);
         let failed: Vec<String> = transaction
-            .conds
+            .conditions
             .iter()
             .filter(|condition| version_of(&condition.key) != condition.version)
             .map(|condition| condition.key.clone())
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -97,8 +97,8 @@
     let causes = [
         ExitReason::Done,
         ExitReason::Stopped,
-        ExitReason::Peers,
-        ExitReason::Alone,
+        ExitReason::GangMemberGone,
+        ExitReason::GangIncomplete,
         ExitReason::Error,
         ExitReason::NoRoom,
         ExitReason::Busy,
@@ -143,7 +143,7 @@
         ("sheets", list([running, stopped])),
     ]);
     let stopped = TaskStatus {
-        why: Some(ExitReason::Peers),
+        why: Some(ExitReason::GangMemberGone),
         saved: Some(true),
         ..task_status(TaskPhase::Exited)
     };
--- a/tests/wire_compatibility/key_value_api.rs
+++ b/tests/wire_compatibility/key_value_api.rs
@@ -26,7 +26,7 @@
         lease: None,
     };
     let live = Change::Put {
-        put: records::LIVE.into(),
+        put: records::LEADER_LEASE_KEY.into(),
         value: "kernel-1".into(),
         lease: Some(91),
     };
@@ -34,7 +34,10 @@
         key: records::chunk_key("req-17", 1),
     };
     Transaction {
-        conds: vec![condition(records::LEAD, 412), condition(records::LIVE, 0)],
+        conditions: vec![
+            condition(records::LEADER_KEY, 412),
+            condition(records::LEADER_LEASE_KEY, 0),
+        ],
         changes: vec![job, live, delete],
     }
 }
--- a/tests/wire_compatibility/peer_heartbeats.rs
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::fixtures::{Fixtures, hex, strings};
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationNews, HeartbeatExtension, LogPosition, PeerHeartbeat,
+    CancellationCursor, CancellationUpdate, LeaseDelegationStatus, LogPosition, PeerHeartbeat,
     RecordSummary,
 };
 use walnuttrestle::protocol::records::LeaderRecord;
@@ -18,15 +18,19 @@
         newest: Some(412),
         served: true,
         format: number,
-        asks: if since(format::PARTS) { 30_000 } else { 0 },
-        epoch: if since(format::PARTS) { 4 } else { 0 },
-        more: since(format::RIGHTS).then_some(HeartbeatExtension {
+        asks: if since(format::BUDGET_SHARES) {
+            30_000
+        } else {
+            0
+        },
+        epoch: if since(format::BUDGET_SHARES) { 4 } else { 0 },
+        more: since(format::LEASE_DELEGATION).then_some(LeaseDelegationStatus {
             run: 77,
             right: Some(7),
             used_ago: Some(1_500_000),
             quiet: true,
         }),
-        record_summary: since(format::RIGHTS).then(|| RecordSummary {
+        record_summary: since(format::LEASE_DELEGATION).then(|| RecordSummary {
             lead: LeaderRecord {
                 node: "kernel-0".into(),
                 incarnation: 3,
@@ -40,7 +44,7 @@
             complete: 400,
             heard: LogPosition { run: 78, next: 3 },
         }),
-        news: since(format::CANCELLATIONS).then(|| CancellationNews {
+        news: since(format::CANCELLATIONS).then(|| CancellationUpdate {
             lead: 12,
             from: 3,
             next: 5,
@@ -61,7 +65,7 @@
         record_summary: None,
         knows: None,
         news: None,
-        more: (number >= format::RIGHTS).then(HeartbeatExtension::default),
+        more: (number >= format::LEASE_DELEGATION).then(LeaseDelegationStatus::default),
         ..heartbeat(number)
     }
 }
@@ -71,9 +75,9 @@
     match number {
         // The format, no requested budget share, and no grant seen.
         format::FIRST => &[1, 0, 0],
-        format::PIPELINES | format::BUNDLES => &[0, 0],
+        format::PIPELINES | format::PLACEMENT_BATCHES => &[0, 0],
         // Neither `knows` nor `news`.
-        format::RIGHTS => &[0, 0],
+        format::LEASE_DELEGATION => &[0, 0],
         _ => &[],
     }
 }
--- a/tests/wire_compatibility/records.rs
+++ b/tests/wire_compatibility/records.rs
@@ -18,30 +18,30 @@
 fn record_keys_keep_their_bytes() {
     let mut fixtures = Fixtures::open("record_keys.hex");
     let keys = [
-        ("root", records::ROOT.to_string()),
-        ("lead", records::LEAD.to_string()),
-        ("live", records::LIVE.to_string()),
-        ("types", records::TYPES.to_string()),
-        ("base", records::BASE.to_string()),
-        ("jobs", records::JOBS.to_string()),
-        ("chunks", records::CHUNKS.to_string()),
-        ("renewals", records::RENEWALS.to_string()),
-        ("formats", records::FORMATS.to_string()),
-        ("bundles", records::BUNDLES.to_string()),
-        ("bundled", records::BUNDLED.to_string()),
-        ("parts", records::PARTS.to_string()),
+        ("root", records::KEY_PREFIX.to_string()),
+        ("lead", records::LEADER_KEY.to_string()),
+        ("live", records::LEADER_LEASE_KEY.to_string()),
+        ("types", records::MACHINE_TYPES_KEY.to_string()),
+        ("base", records::BASELINE_MACHINES_KEY.to_string()),
+        ("jobs", records::JOBS_PREFIX.to_string()),
+        ("chunks", records::CHUNKS_PREFIX.to_string()),
+        ("renewals", records::RENEWALS_PREFIX.to_string()),
+        ("formats", records::FORMATS_PREFIX.to_string()),
+        ("bundles", records::PLACEMENT_BATCHES_PREFIX.to_string()),
+        ("bundled", records::NEWEST_PLACEMENT_BATCH_KEY.to_string()),
+        ("parts", records::BUDGET_SHARES_KEY.to_string()),
         ("job", records::job_key("req-17")),
         ("chunk", records::chunk_key("req-17", 3)),
-        ("bundle", records::bundle_key(12)),
+        ("bundle", records::placement_batch_key(12)),
         ("format", records::format_key("kernel-1")),
-        ("renewal_part_0", records::renew_key("kernel-1", 0)),
-        ("renewal_part_2", records::renew_key("kernel-1", 2)),
+        ("renewal_part_0", records::renewals_key("kernel-1", 0)),
+        ("renewal_part_2", records::renewals_key("kernel-1", 2)),
     ];
     for (name, key) in keys {
         fixtures.written(name, key.as_bytes());
     }
-    assert_eq!(records::bundle_number("wt/b/12"), Some(12));
-    assert_eq!(records::CHUNK, 48);
+    assert_eq!(records::placement_batch_number("wt/b/12"), Some(12));
+    assert_eq!(records::TASKS_PER_CHUNK, 48);
     fixtures.finish();
 }
 
