--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -178,7 +178,7 @@
         job: &'a Job,
         queued: &'a QueuedJob,
     ) -> Option<QueueEntry<'a>> {
-        if queued.state == QueueState::Needs {
+        if queued.state == QueueState::AwaitingDependencies {
             // None of its tasks starts before the jobs that it depends on are recorded as done, so it
             // takes no resources and no position in the queue, and blocks no other job.
             return None;
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueState {
     /// Depends on jobs that are not done: not in the queue.
-    Needs,
+    AwaitingDependencies,
     /// In the queue, and none of its tasks is placed on record.
     Queued,
     /// A task of it is placed on record, whether or not the job has ended.
@@ -114,7 +114,7 @@
 
     /// Whether the job counts towards its team's guarantee.
     fn counts_for_team(&self) -> bool {
-        self.active && self.state != QueueState::Needs
+        self.active && self.state != QueueState::AwaitingDependencies
     }
 
     /// Its demand, in machines of the typical size.
@@ -205,7 +205,7 @@
             team_jobs.remove(&arrival);
         }
         match queued.state {
-            QueueState::Needs => {}
+            QueueState::AwaitingDependencies => {}
             QueueState::Placed => {
                 self.placed.remove(id);
             }
@@ -256,7 +256,7 @@
             team_jobs.insert(arrival.clone(), slot);
         }
         match queued.state {
-            QueueState::Needs => {}
+            QueueState::AwaitingDependencies => {}
             QueueState::Placed => {
                 self.placed.insert(queued.id.clone(), slot);
             }
@@ -362,7 +362,7 @@
 
 fn queue_state(job: &Job) -> QueueState {
     if job.active() && job.waits() {
-        return QueueState::Needs;
+        return QueueState::AwaitingDependencies;
     }
     let is_placed = job.entries().any(|entry| entry.machine().is_some());
     if job.active() && !is_placed {
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -52,7 +52,7 @@
 
 /// A recovery that is in progress.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct RecoveryWave {
+struct OngoingRecovery {
     started_at: Micros,
     /// The largest number of tasks that were lost at the same time.
     peak: usize,
@@ -98,7 +98,7 @@
 /// Tracks whether a recovery is in progress.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    wave: Option<RecoveryWave>,
+    ongoing: Option<OngoingRecovery>,
 }
 
 impl Recovery {
@@ -111,12 +111,12 @@
         placed_tasks: usize,
     ) -> Option<RecoveryEvent> {
         let lost = lost_tasks.total();
-        let Some(wave) = &mut self.wave else {
+        let Some(ongoing) = &mut self.ongoing else {
             let fraction = (placed_tasks as f64 * MIN_LOST_FRACTION) as usize;
             if lost < MIN_LOST_TASKS.max(fraction) {
                 return None;
             }
-            self.wave = Some(RecoveryWave {
+            self.ongoing = Some(OngoingRecovery {
                 started_at: now,
                 peak: lost,
             });
@@ -124,15 +124,15 @@
         };
         if lost == 0 {
             let finished = RecoveryEvent::Finished {
-                peak: wave.peak,
-                duration: now.since(wave.started_at),
+                peak: ongoing.peak,
+                duration: now.since(ongoing.started_at),
             };
-            self.wave = None;
+            self.ongoing = None;
             return Some(finished);
         }
         // A second loss joins the recovery.
-        let has_grown = lost > wave.peak;
-        wave.peak = wave.peak.max(lost);
+        let has_grown = lost > ongoing.peak;
+        ongoing.peak = ongoing.peak.max(lost);
         has_grown.then_some(RecoveryEvent::Grown { lost })
     }
 
--- a/src/scheduling/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -18,7 +18,7 @@
     let mut recovery = Recovery::default();
     assert_eq!(recovery.observe(at(1), lost(3, 12), 100), None);
     assert_eq!(recovery.observe(at(2), lost(10, 20), 4_000), None);
-    assert!(recovery.wave.is_none());
+    assert!(recovery.ongoing.is_none());
 }
 
 #[test]
@@ -27,10 +27,10 @@
     assert_eq!(recovery.observe(at(2), lost(10, 20), 4_000), None);
     let started = recovery.observe(at(3), lost(10, 80), 4_000);
     assert_eq!(started, Some(RecoveryEvent::Started(lost(10, 80))));
-    assert!(recovery.wave.is_some());
+    assert!(recovery.ongoing.is_some());
     // It continues while any task is lost.
     assert_eq!(recovery.observe(at(4), lost(0, 1), 4_000), None);
-    assert!(recovery.wave.is_some());
+    assert!(recovery.ongoing.is_some());
     // A second loss is reported.
     let second = recovery.observe(at(5), lost(100, 20), 4_000);
     assert_eq!(second, Some(RecoveryEvent::Grown { lost: 120 }));
@@ -40,7 +40,7 @@
         duration: at(6),
     };
     assert_eq!(finished, Some(expected));
-    assert!(recovery.wave.is_none());
+    assert!(recovery.ongoing.is_none());
 }
 
 #[test]
