--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -1,5 +1,5 @@
-//! Clients who ask at all nodes within milliseconds, who repeat submissions and call jobs off at the moment of their end:
-//! no node answers something older than what any node has told (docs/meetings.md).
+//! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion:
+//! no controller answers with a state older than one that any controller has told (docs/meetings.md).
 
 mod simulation;
 
@@ -8,14 +8,14 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// Followers and the leader in turn.
+/// A controller by seed: followers and the leader in turn.
 fn node_of(sim: &Simulation, seed: u64) -> usize {
     (sim.leader().expect("a leader") + seed as usize % 3) % 3
 }
 
-/// An acceptance is carried out at once, and its answer takes a second; meanwhile the job is accepted and called off
-/// through another node, and its client asks the first one again, whose copy lags. Fails (went_back: pending after
-/// cancelled) if whoever joined the acceptance on its way is told what was written.
+/// An acceptance is committed at once, and its answer takes a second; meanwhile the job is accepted and cancelled through
+/// another controller, and its client asks the first one again, whose cache lags. Fails (went_back: pending after
+/// cancelled) if a request that joins the pending acceptance is answered with the state that was written.
 #[test]
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
@@ -49,15 +49,15 @@
     }
 }
 
-/// A job was accepted while a machine type was on offer; a node whose copy lags knows the types of later. Fails
-/// (forgotten: 422) without a look at the records before the refusal.
+/// A job was accepted while a machine type was offered; a controller whose cache lags knows only later types. Fails
+/// (forgotten: 422) without a read of the records before the refusal.
 #[test]
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
         let a = node_of(&sim, seed);
         let b = (a + 1) % 3;
-        // A reading of all records has shown the types; the watch has not shown the job yet.
+        // A listing of all records has shown the types; the watch has not shown the job yet.
         let large = JobSpec {
             types: Some(vec!["box".into()]),
             ..job(JobKind::Array, 2, 1.0)
@@ -82,8 +82,8 @@
     }
 }
 
-/// Close looks at every node after each acceptance, end and cancellation, while the store is slow, loses answers,
-/// refuses one, and the lead changes.
+/// Clients poll every controller after each acceptance, completion and cancellation, while the store is slow, loses
+/// answers, refuses one controller, and the leader changes.
 #[test]
 fn rapid_polls_never_return_an_older_state() {
     for seed in 0..32 {
@@ -144,8 +144,8 @@
     }
 }
 
-/// A cancellation, questions and repeated submissions meet the end of a job's last task, with no other trouble. The job
-/// is done or cancelled, and every node says the same for good.
+/// A cancellation, polls and repeated submissions race with the completion of a job's last task, without other faults. The
+/// job is done or cancelled, and every controller reports the same from then on.
 #[test]
 fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
@@ -175,8 +175,8 @@
     assert!(done > 10 && cancelled > 10, "{done} {cancelled}");
 }
 
-/// Of every kind of transaction, acceptance, cancellation, places, ends, the lead and what hangs on it, some are carried
-/// out at once and only the answer is lost, while other nodes read what they wrote.
+/// Of every kind of transaction (acceptance, cancellation, placement, completion, leadership) some are committed at once
+/// and only the answer is lost, while other controllers read what was written.
 #[test]
 fn lost_transaction_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -200,7 +200,7 @@
                 match step % 3 {
                     0 => sim.crash_controller(leader, 60_000),
                     1 => {
-                        // Followers renew, and put it on record.
+                        // Followers renew leases and write that on record.
                         for machine in sim.machine_names().into_iter().take(3) {
                             sim.partition(
                                 Endpoint::Controller(leader),
@@ -232,8 +232,8 @@
     }
 }
 
-/// Clients send what must be refused, repeat what is accepted, cancel what is done and ask about what nobody submitted,
-/// while the lead changes and one node has just started.
+/// Clients send invalid requests, repeat accepted submissions, cancel completed jobs and poll unknown ones, while the leader
+/// changes and one controller has just started.
 #[test]
 fn invalid_requests_are_refused_alike_by_every_controller() {
     for seed in 0..12 {
@@ -256,9 +256,9 @@
     }
 }
 
-/// Thousands of questions a minute at every node: polls, repeated submissions of what runs, and submissions that can never
-/// run. One look at the records serves many; what is left of the budget is the leader's and the acceptances'.
-/// Fails if each kind of question may look when it likes.
+/// Thousands of requests a minute at every controller: polls, repeated submissions of running jobs, and submissions that
+/// can never run. One read of the records serves many; the rest of the budget is left to the leader and to acceptances.
+/// Fails if each kind of request reads on its own.
 #[test]
 fn thousands_of_polls_a_minute_share_their_store_reads() {
     let mut sim = simulation_with_leader(4220, 5);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Broken records, messages and reports are refused as a whole, and nobody falls over them.
+//! Corrupt records, messages and heartbeats are rejected as a whole and crash no controller.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use walnuttrestle::protocol::agent_api::AgentHeartbeat;
 use walnuttrestle::protocol::codec::encode;
 
-/// A body with some bytes changed, or cut short.
+/// A body with some bytes changed, or truncated.
 fn bent(sim: &mut Simulation, body: &[u8]) -> Vec<u8> {
     let mut body = body.to_vec();
     for _ in 0..sim.rng.random_range(1..4) {
@@ -32,7 +32,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 3, 1.0), 40 * SECOND);
         sim.run_seconds(8);
-        // A machine of which nobody else speaks, so that a report of it that can still be read is no lie about others.
+        // A machine that exists nowhere else, so that a readable heartbeat of it is no lie about other machines.
         let report = AgentHeartbeat {
             machine: "n-000900".into(),
             address: "10.1.4.100:9000".into(),
@@ -61,8 +61,7 @@
     }
 }
 
-/// A report of which one task cannot be read: were the rest believed, that task would look as if it were not there, and
-/// be started elsewhere.
+/// A heartbeat with one unreadable task: were the rest accepted, that task would look absent and be started elsewhere.
 #[test]
 fn heartbeat_with_an_invalid_task_is_rejected_as_a_whole() {
     let mut sim = simulation_with_leader(6010, 4);
@@ -77,7 +76,7 @@
         let mut report = sim.heartbeat_of(&machine);
         let spoilt = report.tasks.iter_mut().find(|t| t.task == "req-1/0");
         spoilt.expect("its task").task = "req-1".into();
-        // Its machine is about to go, so it would be started elsewhere.
+        // Its machine is about to be preempted, so it would be started elsewhere.
         report.notice_s = Some(30.0);
         sim.send_bytes(leader, false, "/hello", encode(&report));
         sim.run_seconds(2);
@@ -91,7 +90,8 @@
     );
 }
 
-/// The record of a job cannot be read by anybody: it is not forgotten, nothing of it is started again, and all others go on.
+/// No controller can read a job's record: the job is not forgotten, none of its tasks is started again, and all other
+/// jobs continue.
 #[test]
 fn job_with_an_unreadable_record_is_not_forgotten() {
     for seed in 0..6 {
@@ -106,7 +106,7 @@
             .find(|k| k.ends_with("req-1"));
         sim.store.corrupt(&key.expect("its record"));
         if seed % 2 == 0 {
-            // Those that start now have never read it.
+            // Controllers that start now have never read it.
             (0..3).for_each(|i| sim.crash_controller(i, 200_000));
         }
         sim.run_seconds(15);
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -1,5 +1,5 @@
-//! A follower that renews leases for a leader out of reach is bound as the leader itself is (docs/safety.md, line 14). The
-//! cloud is out of reach, too: else the machines would be returned in time (line 17).
+//! A follower that renews leases for an unreachable leader is bound by the same limits as the leader (docs/safety.md, line
+//! 14). The cloud is out of reach, too: otherwise the machines would be deleted in time (line 17).
 
 mod simulation;
 
@@ -8,8 +8,8 @@
 };
 use walnuttrestle::protocol::JobKind;
 
-/// A world in which a follower alone reaches half of the machines, and renews them on record; no cloud. The leader has the
-/// other half, or it would give the lead away. With it: that follower, and another controller.
+/// A simulation in which only a follower reaches half of the machines and renews their leases on record, without a cloud.
+/// The leader has the other half, or it would hand over leadership. Returns that follower and the third controller, too.
 fn renewed(seed: u64) -> (Simulation, usize, usize) {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -27,7 +27,7 @@
             );
         }
     }
-    // It cannot hand reports on either.
+    // The follower cannot forward heartbeats either.
     sim.partition(
         Endpoint::Controller(leader),
         Endpoint::Controller(follower),
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! The tests' checker itself: fed with a fault, it reports it.
+//! Tests of the invariant checker: it reports injected violations.
 
 mod simulation;
 
@@ -9,7 +9,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// Plays the story on; the rule that the checker reports.
+/// Runs the simulation; returns the rule whose violation was reported.
 fn reported(mut sim: Simulation, seconds: u64) -> String {
     let seen = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
     let text = match seen {
@@ -19,7 +19,7 @@
     text.split(' ').next().unwrap_or_default().to_string()
 }
 
-/// A world with a job whose tasks run.
+/// A simulation with a job whose tasks run.
 fn running(seed: u64, spec: JobSpec) -> Simulation {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", spec, 300 * SECOND);
@@ -40,7 +40,7 @@
     assert_eq!(sim.last_status("req-1"), "cancelled");
     start(&mut sim);
     assert_eq!(reported(sim, 1), "started_cancelled");
-    // One that was in flight when its client was told is none.
+    // A start that was in flight when the client was told is no violation.
     let mut sim = running(3901, job(JobKind::Array, 2, 1.0));
     sim.command_delay = Some(3 * SECOND);
     start(&mut sim);
@@ -58,14 +58,14 @@
             .pop_first()
             .expect("a machine");
         sim.cancel_until_answered("req-1");
-        // The machine stands still, and the leader does not return it.
+        // The machine hangs, and the leader does not delete it.
         sim.cloud_unavailable = true;
         sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 40 * SECOND;
         let dt = if lease_over { LEASE_S + 2 } else { 2 };
         sim.run_seconds(dt);
         let key = ("req-1/0".to_string(), 1);
         if lease_over {
-            // An agent whose clock stood still, too, would not know that its lease is over.
+            // An agent whose clock was stopped, too, would not know that its lease has expired.
             assert!(sim.agents[&machine].tasks.is_empty());
             sim.inject_running_task(&machine, key);
         }
@@ -84,7 +84,7 @@
 
 #[test]
 fn answer_older_than_a_previous_answer_is_reported() {
-    // What was told first, what is answered to which question afterwards, and the rule.
+    // First state told, later request with its answer, and the violated rule.
     let cases = [
         ("pending", ClientRequest::Poll, 404, "", "forgotten"),
         ("pending", ClientRequest::Cancel, 404, "", "forgotten"),
@@ -120,7 +120,7 @@
             "{first}, then {request:?} {status} {state}"
         );
     }
-    // A question that was asked before may be answered with what held then.
+    // A request sent before may be answered with the state of that time.
     let mut sim = running(3921, job(JobKind::Array, 2, 1.0));
     let asked = sim.now;
     sim.cancel_until_answered("req-1");
@@ -135,7 +135,7 @@
         team: "red".into(),
         ..job(JobKind::Array, tasks, 2.0)
     };
-    // All controllers stand still, so nobody starts it.
+    // All controllers are paused, so the job is not started.
     let mut sim = simulation_with_leader(3930, 4);
     sim.spawn_client("req-1", red(2), 300 * SECOND);
     while !sim.jobs["req-1"].accepted {
@@ -147,7 +147,7 @@
     sim.enable_load_balancer();
     sim.declare_faults_over();
     assert_eq!(reported(sim, 100), "left_waiting");
-    // What its team's limit holds back is none, nor what finds no room.
+    // A job held back by its quota or without room is not starving.
     let mut sim = simulation_with_leader(3931, 4);
     sim.enable_load_balancer();
     sim.no_capacity = true;
@@ -214,7 +214,7 @@
         sim.inject_invalid_request_answer(status);
         assert_eq!(reported(sim, 1), rule);
     }
-    // Many of them, and none is accepted; each is refused alike by every node.
+    // Many invalid requests: none is accepted, and each is refused alike by every controller.
     let mut sim = simulation_with_leader(3951, 2);
     for _ in 0..300 {
         sim.send_invalid_request();
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -1,5 +1,5 @@
-//! Every accepted job runs or stays known: clients ask through a load balancer, any faults mix, then all is calm.
-//! And the largest jobs begin.
+//! Every accepted job runs or stays visible: clients poll through a load balancer, faults mix at random, then end. Largest
+//! jobs start in time, too.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// Clients come through a load balancer.
+/// A simulation whose clients use a load balancer.
 fn balanced(seed: u64, machines: usize) -> Simulation {
     let mut sim = simulation_with_leader(seed, machines);
     sim.enable_load_balancer();
@@ -16,7 +16,7 @@
     sim
 }
 
-/// One of the operators' faults, from now on; all are over after `most` microseconds.
+/// Starts one random fault; it is over after at most `most` microseconds.
 fn trouble(sim: &mut Simulation, most: u64) {
     let dt = sim.rng.random_range(2 * SECOND..most);
     let i = sim.rng.random_range(0..3);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Many faults at once; returns the world when it is calm, with its jobs.
+/// Runs many random faults at once; returns the simulation with its jobs when all faults are over.
 fn night(seed: u64) -> Simulation {
     let mut sim = balanced(seed, 6);
     sim.spawn_balanced_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -122,8 +122,8 @@
     sim
 }
 
-/// Fails if a job stays unknown for 75 s once all is calm, if one that was accepted does not run although there is
-/// room, or if any rule of PROTOCOL is broken on the way.
+/// Fails if a job stays unknown for 75 s after all faults, if an accepted job does not run although there is room, or if
+/// any rule of PROTOCOL is violated.
 fn a_night_ends_well(seed: u64) {
     let mut sim = night(seed);
     sim.run_seconds(150);
@@ -158,7 +158,7 @@
     }
 }
 
-/// When all tasks of a job were there at once for the first time, after its submission; none: never.
+/// When all tasks of a job first ran at the same time, after its submission; `None`: never.
 fn begun(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
     let tasks = sim.jobs[id].spec.tasks;
     let first = |t: u32| {
@@ -173,7 +173,7 @@
         .try_fold(0, |max, t| Some(max.max(t?)))
 }
 
-/// What fills the fleet in a story of the largest.
+/// The smaller jobs that fill the fleet.
 #[derive(Debug, Clone, Copy)]
 enum Small {
     /// Gangs of one machine, of the same rank.
@@ -184,7 +184,7 @@
     BehindGuests,
 }
 
-/// Twelve full machines, smaller jobs coming all the time, nothing to rent. How long the large job waits.
+/// How long a large job waits on twelve full machines, with smaller jobs submitted all the time and nothing to rent.
 fn waits(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
     let mut sim = balanced(seed, 12);
     sim.no_capacity = true;
@@ -207,7 +207,7 @@
         sim.spawn_client("req-70", guest, 30 * SECOND);
         sim.run_seconds(3);
     }
-    // More than the fleet can take, and it goes on like that.
+    // More than the fleet can take, continuously.
     for n in 0..14 {
         gangs(&mut sim, n, (10 + n % 7) * SECOND);
     }
@@ -234,8 +234,8 @@
     None
 }
 
-/// Fails if the widest gang, service or array of a class waits for more than four minutes while smaller jobs of the
-/// same rank go on coming.
+/// Fails if the widest gang, service or array of a class waits for more than four minutes while smaller jobs of the same
+/// priority are submitted continuously.
 #[test]
 fn largest_job_starts_within_four_minutes_despite_smaller_jobs() {
     let of = |kind, tasks, gpus, priority| JobSpec {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Stories at the size that the operators have announced: half as many machines again as their fleets, and
-//! controllers that start again within a fraction of a second.
+//! Fleets of the announced size: half as many machines again as the operators' fleets have today, and controllers that
+//! restart within a fraction of a second.
 
 mod simulation;
 
@@ -29,7 +29,7 @@
 fn all_agents_arriving_in_one_second_are_served() {
     let mut sim = full(1);
     sim.call_counts = CallCounts::default();
-    // All are with the leader; its process goes, and that of one peer.
+    // All agents report to the leader; its process ends, and that of one peer.
     let leader = sim.leader().expect("a leader");
     let left = (leader + 1) % 3;
     sim.crash_controller(leader, 60 * SECOND);
@@ -46,7 +46,7 @@
         sim.agents.values().all(|x| x.agent_epoch == 1),
         "no lease ran out"
     );
-    // The records once, signs of life, barriers of polls; each agent is told the term once at the most.
+    // One listing of the records, heartbeats, barriers of polls; each agent is told the term at most once.
     assert!(
         sim.call_counts.store_requests < 30 * 60,
         "{:?}",
@@ -60,8 +60,8 @@
     );
 }
 
-/// Each run of a process has its share of the budget saved up when it starts; a storm must not spend it anew
-/// with every run.
+/// Each incarnation starts with a full share of the write budget; a restart storm must not spend it anew with every
+/// incarnation.
 #[test]
 fn restart_storm_stays_within_the_store_budget() {
     for every in [150_000, 400_000, 1_000_000] {
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -1,5 +1,5 @@
-//! What comes late and meets a number that has come again, and copies that meet whoever never saw the original
-//! (docs/meetings.md, "Every transaction, carried out late").
+//! Messages that arrive after their version number was used again, and duplicates that reach a controller which never saw
+//! the original (docs/meetings.md, "Every transaction, carried out late").
 
 mod simulation;
 
@@ -11,8 +11,8 @@
 use walnuttrestle::protocol::format::NEWEST;
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A controller starts with the new version, the first write of its format's number gets no answer, and it goes back to
-/// the old version; the write comes after that. Fails if the number was deleted: its version is 0 again then.
+/// A controller starts with the new version, the first write of its format number gets no answer, and it is rolled back;
+/// the write is carried out after that. Fails if the number was deleted: its version is 0 again then.
 #[test]
 fn format_number_does_not_return_after_a_rollback() {
     let mut went_back = 0;
@@ -61,8 +61,8 @@
     assert_eq!(went_back, 6);
 }
 
-/// A bundle gets no answer, is written again or another way, is spent and deleted, and is then carried out late. Fails in
-/// the end only together with other lines; what it holds never counts again, and it is deleted once more.
+/// A placement batch gets no answer, is written again or differently, is merged and deleted, and is then carried out late.
+/// Removing one guard alone does not make this test fail; the late batch never counts, and it is deleted again.
 #[test]
 fn late_placement_batch_with_a_reused_number_has_no_effect() {
     let mut bundles = 0;
@@ -119,8 +119,8 @@
     assert!(bundles > 20, "{bundles}");
 }
 
-/// What controllers told and asked one another comes again, seconds to a lease later, while the lead changes, the state
-/// service is out and jobs are cancelled. A copy may make things later, never sooner.
+/// Messages between controllers are duplicated, seconds to a lease later, while the leader changes, the store is out and
+/// jobs are cancelled. A duplicate may delay an action, but must not bring it forward.
 #[test]
 fn duplicate_peer_heartbeats_prove_nothing() {
     for seed in 0..32 {
@@ -178,8 +178,9 @@
     }
 }
 
-/// A follower renews machines that a cut keeps from the leader, and copies of reports come to it whose originals went to
-/// the leader before the cut. It names a dead machine a lease longer at most; nothing runs twice, and the team's limit holds.
+/// A follower renews machines that a partition separates from the leader, and gets duplicates of heartbeats whose
+/// originals went to the leader before. It reports a dead machine alive for at most one more lease; nothing runs twice,
+/// and the quota holds.
 #[test]
 fn duplicates_to_a_renewing_follower_without_the_original_are_harmless() {
     for seed in 0..32 {
@@ -205,7 +206,7 @@
                 30 * SECOND,
             );
         }
-        // One dies, one goes silent, in the first seconds of the cut.
+        // One machine dies and one goes silent in the first seconds of the partition.
         let at = sim.rng.random_range(0..4 * SECOND);
         sim.after(at, move |sim| {
             let until = sim.now + 25 * SECOND;
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! When a leader takes leases for run out.
+//! When a leader considers leases expired.
 
 use walnuttrestle::agents::leader_state::LeaderState;
 use walnuttrestle::protocol::Clock;
@@ -7,8 +7,8 @@
 use walnuttrestle::state::agent::Agent;
 use walnuttrestle::state::record_cache::RecordCache;
 
-/// After a cut the answer to a direct command may be the first that shows an agent's new session, while
-/// our last answer to it was to the old one, a lease ago and longer.
+/// After a partition the answer to a direct command may be the first message that shows an agent's new epoch, while our
+/// last heartbeat response went to the previous epoch, more than a lease ago.
 #[test]
 fn epoch_learned_from_a_command_answer_has_its_own_lease() {
     let example = include_str!("../examples/settings.toml");
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,20 +1,20 @@
-//! Stories about long queues: many more jobs wait than there is room, and then something fails. The
-//! world's checker asserts the rules after every step, and every pass compares the kept queue with one
-//! made anew (debug builds); `in_turn` asserts that what waited alike started in order.
+//! Long queues: many more jobs wait than there is room for, and then something fails. The simulation checks the rules
+//! after every step, debug builds compare the kept queue with a new one in every pass, and `in_turn` asserts that
+//! equal jobs started in order.
 
 mod simulation;
 
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job};
 use walnuttrestle::protocol::{JobKind, Priority};
 
-/// Machines of the world; each holds eight of the tasks below.
+/// Number of machines; each has room for eight of the tasks below.
 const MACHINES: usize = 4;
 
 fn id(n: usize) -> String {
     format!("req-{n:06}")
 }
 
-/// A world that rents no more, in which `n` arrays of two tasks each come within `s` seconds.
+/// A simulation that rents no more machines, in which `n` arrays of two tasks each are submitted within `s` seconds.
 fn flooded(seed: u64, n: usize, s: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
     sim.no_capacity = true;
@@ -37,15 +37,15 @@
     sim.jobs.values().filter(|j| j.accepted).count()
 }
 
-/// The queue of whoever leads: all that waits, and what a walk over it says.
+/// The leader's queue: its length, and the length found by a walk over it.
 fn queued(sim: &Simulation) -> usize {
     let leads = sim.leader().and_then(|i| sim.controller(i));
     let leader = leads.and_then(|n| n.leader.as_ref());
     leader.map_or(0, |l| l.kept.backlog.queued())
 }
 
-/// Jobs begin in the order in which they came, but for those that came at about the same time: the
-/// clients of up to `apart` jobs may have submitted theirs again meanwhile.
+/// Asserts that jobs started in the order of their submission, except for jobs submitted at about the same time: up to
+/// `apart` clients may have repeated their submissions meanwhile.
 fn in_turn(sim: &Simulation, apart: usize) {
     let mut first: Vec<(u64, usize)> = Vec::new();
     for b in &sim.task_starts {
@@ -145,7 +145,7 @@
     assert_eq!(queued(&sim), 0);
 }
 
-/// Nothing of a team at its limit is in anybody's way, and when the limit frees the oldest goes first.
+/// A team at its quota does not block other teams, and when room frees its oldest job starts first.
 #[test]
 fn team_at_its_quota_waits_without_blocking_others() {
     let mut sim = Simulation::with_write_rate(5, 3, MACHINES, 200.0);
@@ -172,7 +172,7 @@
     assert!(done(&sim, 0..150) > 50, "{}", done(&sim, 0..150));
 }
 
-/// The job at the top wants more than there is; all that fits goes on past it, for as long as it waits.
+/// The first job needs more than there is; all jobs that fit pass it, for as long as it waits.
 #[test]
 fn gang_that_cannot_fit_blocks_no_other_job() {
     let mut sim = Simulation::with_write_rate(6, 3, MACHINES, 200.0);
@@ -188,7 +188,7 @@
     assert!(sim.machines_running("req-100000/0").is_empty());
 }
 
-/// The first version leads in between and knows nothing of a kept queue.
+/// The first version leads in between and knows no kept queue.
 #[test]
 fn first_version_leader_handles_a_queue_of_hundreds() {
     let mut sim = flooded(7, 300, 6);
@@ -211,8 +211,8 @@
     in_turn(&sim, 60);
 }
 
-/// One class asks for many times what the store takes; another for a job every three seconds, on
-/// whichever controller. Returns when each of the latter was accepted, in seconds.
+/// One class submits many times what the store takes; another submits a job every three seconds, to any controller.
+/// Returns the time to acceptance of each of the latter, in seconds.
 fn beside_a_flood(seed: u64, trouble: impl FnOnce(&mut Simulation) + 'static) -> Vec<f64> {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 12.0);
     sim.no_capacity = true;
@@ -259,18 +259,18 @@
         );
     });
     let late = took.iter().filter(|s| **s > 4.0).count();
-    // Nothing can be durable while nobody leads or the store is out of reach.
+    // No job can become durable without a leader or with the store out of reach.
     assert!(late <= 3 && took.iter().all(|s| *s < 15.0), "{took:?}");
 }
 
-/// What the controllers take of the store's changes in all, a second.
+/// Changes a second that the controllers may write, in total.
 fn taken(sim: &Simulation) -> f64 {
     let nodes = (0..sim.controller_count()).filter_map(|i| sim.controller(i));
     nodes.map(|n| n.store.write_rate()).sum()
 }
 
-/// A load balancer may send everybody to one controller, which has a sixth of the budget. Told of what it
-/// is asked for, the leader gives it what the others do not need; at no moment is more given than there is.
+/// A load balancer may send all clients to one controller, which has a sixth of the budget. Told of its demand, the leader
+/// grants it what the others do not need; the sum of all grants never exceeds the budget.
 #[test]
 fn all_clients_at_one_follower_are_served() {
     let mut sim = Simulation::with_write_rate(21, 3, MACHINES, 30.0);
@@ -298,14 +298,13 @@
     let after = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
     assert!(after > 1.6 * before, "{before} to {after}");
     assert!(most <= 30.0, "{most} changes a second given of 30");
-    // Nobody asks any more: it goes back.
+    // Without demand the grant is returned.
     sim.run_seconds(75);
     let calm = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
     assert!(calm < 1.3 * before, "{calm}");
 }
 
-/// Grants end by themselves; a new leader gives on from what is on record, and a controller of an older
-/// version keeps its fixed part.
+/// Grants expire; a new leader continues from the records, and a controller of an older version keeps its fixed share.
 #[test]
 fn write_shares_hold_across_leader_changes_and_a_rollback() {
     let mut sim = Simulation::with_write_rate(22, 3, MACHINES, 30.0);
@@ -329,7 +328,7 @@
         let i = sim.leader().expect("a leader");
         sim.set_first_version((i + 1) % 3, round == 1);
         sim.crash_controller((i + round) % 3, 3 * SECOND);
-        // Silent ones leave what they have to the others; all three are there again by the end.
+        // Silent controllers leave their shares to the others; all three are back by the end.
         sim.run_seconds(12);
         assert!(taken(&sim) <= 30.0, "round {round}: {}", taken(&sim));
         assert!(epoch(&sim) >= last, "{} after {last}", epoch(&sim));
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -1,6 +1,6 @@
-//! Two or three faults that overlap, set apart by the protocol's own spans, and calm after them. The checker holds the
-//! rules all along; then every job is known, and of each class, each team and each class's largest at least half are
-//! served. `SEEDS_FROM` and `SEEDS` choose other seeds: `SEEDS_FROM=17 SEEDS=1 cargo test --test random_fault_pairs` plays one again.
+//! Two or three overlapping faults, with offsets about the protocol's own timeouts, and quiet after them. The rules are
+//! checked all along; then every job is visible, and of each class, each team and each class's largest jobs at least half
+//! are served. `SEEDS_FROM=17 SEEDS=1 cargo test --test random_fault_pairs` repeats one seed.
 
 mod simulation;
 
@@ -14,10 +14,10 @@
 
 const TROUBLES: usize = 25;
 
-/// A job's id, its class, and whether it is the largest of it.
+/// A job's id, its class, and whether it is the largest of its class.
 type Asked = (String, &'static str, bool);
 
-/// A time about one of the protocol's spans: a claim, a report, a lease, a cancellation.
+/// A random time about one of the protocol's timeouts: election, heartbeat, lease, cancellation.
 fn span(sim: &mut Simulation) -> u64 {
     let of = [
         SECOND / 20,
@@ -29,7 +29,7 @@
     sim.rng.random_range(about / 2..about * 3 / 2)
 }
 
-/// One trouble, for about so long.
+/// Starts one fault for about this long.
 fn trouble(sim: &mut Simulation, which: usize, dt: u64) {
     let leader = sim.leader().unwrap_or(0);
     let i = if sim.rng.random_bool(0.6) {
@@ -143,7 +143,7 @@
             sim.after(dt, |sim| sim.faults.max_link_delay = 0);
         }
         23 => {
-            // Machines die, and new ones are up within two seconds, with work at once.
+            // Machines die, and new ones are up within two seconds and get work at once.
             sim.machine_boot_time = sim.rng.random_range(SECOND / 5..2 * SECOND);
             for m in some {
                 sim.failed_machines.insert(m.clone());
@@ -151,7 +151,7 @@
             }
         }
         _ => {
-            // The lead changes again and again.
+            // The leader changes again and again.
             for k in 0..10 {
                 sim.after(k * 3 * SECOND, move |sim| {
                     let leader = sim.leader().unwrap_or(0);
@@ -171,7 +171,7 @@
     }
 }
 
-/// What clients ask for: class, size, and how long it runs.
+/// Submits jobs of all classes and sizes.
 fn jobs(sim: &mut Simulation) -> Vec<Asked> {
     let of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
         class: class.into(),
@@ -262,7 +262,7 @@
     sim.faults.clear();
     sim.declare_faults_over();
     sim.run_seconds(200);
-    // Jobs that their clients called off are no longer among those that have to be served.
+    // Jobs cancelled by their clients do not have to be served.
     let ids: Vec<Asked> = ids
         .into_iter()
         .filter(|(id, ..)| !sim.jobs[id].cancel_requested)
@@ -301,7 +301,7 @@
     for n in 0..4 {
         let id = format!("req-{}", 200 + n);
         let there = sim.running_instances(&id);
-        // A question that was on its way when it was told may be answered with what held before.
+        // A request that was in flight when the state was told may be answered with the earlier state.
         let told = sim.jobs[&id].cancellation_seen_at.is_some();
         assert!(told && there == 0, "seed {seed}: {id}, {there} there");
     }
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -1,4 +1,4 @@
-//! The copy of the records: listings, watches, bundles laid over jobs, and what is newly cancelled.
+//! The cache of the records: listings, watches, placement batches applied to jobs, and new cancellations.
 
 mod simulation;
 
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// A listing brings bundles before jobs, a watch after them; both come to the same.
+/// A listing delivers batches before jobs, a watch after them; both give the same placements.
 #[test]
 fn listing_and_watch_apply_placement_batches_alike() {
     let job = record(JobStage::Active, vec![entry(0, 1), entry(1, 1)]);
@@ -78,7 +78,7 @@
     assert_eq!(places(&watched), expected);
     assert_eq!(watched.placed("n-2").count(), 2);
     assert!(!watched.is_spent(0));
-    // The job's own records hold the places: the bundle is spent, and may go.
+    // The job's own records hold the placements: the batch is obsolete and may be deleted.
     watched.put_job(
         "req-1",
         record(JobStage::Active, vec![entry(0, 2), entry(1, 1)]),
@@ -95,7 +95,7 @@
     assert_eq!(places(&watched), expected);
 }
 
-/// Whoever cancels may not have seen the bundle; and a bundle outlives the cleaning.
+/// A canceller may not have seen the batch, and a batch may outlive the cleanup.
 #[test]
 fn cancelled_job_keeps_its_batched_placements_until_cleanup() {
     let mut m = RecordCache::default();
@@ -112,7 +112,7 @@
     assert!(m.is_spent(4));
 }
 
-/// A cancellation is told once, whatever comes after it: the cleaning, a rereading, or an older record.
+/// A cancellation is returned once, whatever follows it: the cleanup, a new listing, or an older record.
 #[test]
 fn new_cancellation_is_returned_once() {
     let mut m = RecordCache::default();
@@ -131,7 +131,7 @@
     assert!(m.take_cancelled().is_empty() && m.is_done("req-2") && m.is_cancelled("req-1"));
 }
 
-/// A record that cannot be read holds until a newer one or its deletion: an older one that comes late says nothing.
+/// An unreadable record stands until a newer one or its deletion: an older one that arrives late has no effect.
 #[test]
 fn unreadable_record_is_kept_until_a_newer_version() {
     let (mut m, key) = (RecordCache::default(), job_key("req-1"));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,6 +1,5 @@
-//! Stories about many tasks that are lost at once, and the order in which they come back. The world's
-//! checker asserts the rules of PROTOCOL after every step; `in_order` asserts that nobody comes back
-//! ahead of another because their machines came back sooner.
+//! Recovery from mass losses: many tasks are lost at once, and `in_order` asserts that no job recovers ahead of another
+//! because its machines came back sooner. The simulation checks the rules of PROTOCOL after every step.
 
 mod simulation;
 
@@ -14,7 +13,7 @@
 const ARRAYS: usize = 8;
 const GANGS: usize = 4;
 
-/// Changes a second of the store: a change for each job would take seconds.
+/// Write limit of the store, in changes a second: one change for each job would take seconds.
 const WRITE_RPS: f64 = 12.0;
 
 fn id(n: usize) -> String {
@@ -31,8 +30,8 @@
     sim
 }
 
-/// A world in which services, arrays and gangs fill most of the machines, accepted one after the
-/// other: services and others by turns, so that no kind is older than another.
+/// A simulation in which services, arrays and gangs fill most of the machines. They are accepted in turns, so that no
+/// kind is older than another.
 fn busy(seed: u64, machines: usize) -> Simulation {
     let mut sim = started(seed, machines, WRITE_RPS);
     fill(&mut sim);
@@ -61,8 +60,8 @@
     task.split('/').next().unwrap()
 }
 
-/// Tasks that had begun before `since` and began again after it, by the machine they were on, with
-/// the time of their return.
+/// Tasks that had started before `since` and started again after it, by the machine they were on, each with the time of
+/// its second start.
 fn returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut on: BTreeMap<&str, &str> = BTreeMap::new();
     let mut lost: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
@@ -77,8 +76,8 @@
     lost
 }
 
-/// Of two jobs of one kind that lost tasks on one machine, the one accepted first is not back later
-/// than the other by more than a pass, a write and a fetch; and replicas do not wait for others.
+/// Asserts the order of recovery: of two jobs of one kind that lost tasks on one machine, the one accepted first is not
+/// back later than the other by more than a pass, a write and a fetch; and replicas do not wait for others.
 fn in_order(sim: &Simulation, since: u64) {
     let slack = 4 * SECOND;
     let mut compared = 0;
@@ -102,7 +101,7 @@
     assert!(compared > 10, "hardly anything was lost: {compared}");
 }
 
-/// All replicas run, and no other job is left behind.
+/// Asserts that all replicas run, and that every other job runs or is done.
 fn all_there(sim: &Simulation) {
     for (id, truth) in &sim.jobs {
         match truth.spec.kind {
@@ -132,7 +131,7 @@
     sim.agents.values().map(of).collect()
 }
 
-/// Cuts a zone off from everything, its controllers included.
+/// Partitions a zone from everything outside it, its controllers included.
 fn cut_off(sim: &mut Simulation, zone: &str, dt: u64) {
     let of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     let machines = machines(sim);
@@ -180,7 +179,7 @@
     }
 }
 
-/// Whether the leader's copy has ever held a bundle: the stories must not pass without one.
+/// Whether the leader's cache has ever held a placement batch: the tests must not pass without one.
 fn bundled(sim: &Simulation) -> bool {
     sim.store.contains_key("wt/bundled")
 }
@@ -196,8 +195,7 @@
     assert!(bundled(&sim), "places went one by one");
 }
 
-/// Whatever `trouble` does to a busy world, and however long it lets it run: what was lost `after` its
-/// beginning is back in order.
+/// Applies `trouble` to a busy simulation and asserts that what was lost `after` its beginning recovers in order.
 fn comes_back(
     seeds: Range<u64>,
     machines: usize,
@@ -234,7 +232,7 @@
 #[test]
 fn returning_zone_during_replacement_recovers_in_order() {
     comes_back(30..34, 10, LEASE_S * SECOND, |sim, seed| {
-        // Leases of 10 s end, replacements take 5 s to boot: the cut ends in between.
+        // Leases of 10 s expire and replacements take 5 s to boot: the partition ends in between.
         let dt = (LEASE_S + 4 + seed % 4) * SECOND;
         for (m, _) in machines(sim).iter().filter(|(_, z)| z == "b") {
             for i in 0..3 {
@@ -271,7 +269,7 @@
     });
 }
 
-/// Until the first bundle is written, and no longer.
+/// Runs until the first placement batch is written, and no longer.
 fn run_until_bundled(sim: &mut Simulation, step: u64) {
     let since = sim.now;
     while !bundled(sim) {
@@ -300,7 +298,7 @@
     sim.run_seconds(200);
     assert!(bundled(&sim));
     assert_eq!(sim.store.count_keys_under("wt/b/"), 0, "bundles are left");
-    // A controller that reads the records only now sees the same.
+    // A controller that lists the records only now sees the same.
     let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
     sim.run_seconds(30);
@@ -347,7 +345,7 @@
 fn takeover_prefers_machines_with_cached_images() {
     let mut sim = started(90, 12, 60.0);
     let mut led: BTreeSet<usize> = sim.leader().into_iter().collect();
-    // Six images, one to a machine of the zone; twice as many machines are there.
+    // Six images, one for each machine of the zone; there are twice as many machines.
     for n in 0..6 {
         let mut spec = job(JobKind::Array, 8, 1.0);
         spec.image = format!("img-{n}");
@@ -365,7 +363,7 @@
         .iter()
         .map(|(m, x)| (m.clone(), x.cached_images.clone()))
         .collect();
-    // Whoever leads next has followed the records and has never met a machine.
+    // The next leader has followed the records and has not heard from any machine.
     led.iter()
         .for_each(|i| sim.crash_controller(*i, 60 * SECOND));
     sim.run_seconds(24);
@@ -390,7 +388,7 @@
 fn new_leader_with_a_stale_cache_starts_nothing_twice() {
     for seed in 100..106 {
         let mut sim = started(seed, 12, WRITE_RPS);
-        // Nobody polls: a poll would have the copies catch up.
+        // No client polls: a poll would make the caches catch up.
         for n in 0..24 {
             sim.declare_job(&id(n), job(JobKind::Service, 2, 1.0), 0);
             while !sim.jobs[&id(n)].accepted {
