--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -1,6 +1,6 @@
-//! Every state of a small model of sessions, message numbers, copies that come again and a takeover: one agent,
-//! one task, two leaders, the view of the agent being the real one. A task that was given up as gone never comes
-//! to run there again. Each line that is taken out is missed.
+//! Explores every state of a small model of agent epochs, message numbers, duplicates and a takeover: one agent, one task,
+//! two leaders, and the real `Agent` as the leader's view. A task that was given up as gone never runs there again. The
+//! removal of any one rule is detected.
 
 use model_checker::{Model, Seen, explore};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,16 +8,16 @@
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
 use walnuttrestle::state::agent::{Agent, DirectStart, TaskLiveness};
 
-/// How often the agent says something: its messages are all that makes the model large.
+/// Number of heartbeats that the agent sends: they alone make the model large.
 const MOST: u64 = 6;
 
-/// What an agent says: session, number, highest term, and the attempt if it is there (true: it has ended).
+/// A heartbeat: epoch, number, highest term, and the attempt if it is present (true: it has ended).
 type Said = (u64, u64, u64, Option<bool>);
 
-/// A start that was sent: term and session it was sent with.
+/// A start that was sent: its term and epoch.
 type Sent = (u64, u64);
 
-/// A start as the leader remembers it: awaits an answer, answered, loose, and its term.
+/// A start as the leader remembers it: awaits an answer, answered, loose (may still arrive), and its term.
 type JobLookup = (bool, bool, bool, u64);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -95,7 +95,7 @@
     }
 }
 
-/// The real view of what was said last, with the start that is remembered.
+/// The real view after a heartbeat, with the start that is remembered.
 fn agent((said, known): &(Said, Option<JobLookup>)) -> Agent {
     let r = report(*said);
     let mut w = Agent::new(&r);
@@ -258,7 +258,7 @@
                 }
             });
         }
-        // One that nobody has started is given up with its job, or with its gang.
+        // An attempt that no leader has started is given up with its job, or with its gang.
         let gone = matches!(
             standing,
             TaskLiveness::Gone | TaskLiveness::Ended(_) | TaskLiveness::NotStarted
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -1,5 +1,5 @@
-//! The gap: the store refuses the leader alone, another controller confirms cancellations, then the state
-//! service is down for all, for longer than a cancellation has, while agents report to the old leader.
+//! The store refuses only the leader, another controller confirms cancellations, then the store is out for all, for longer
+//! than the cancellation deadline, while agents still report to the old leader.
 
 mod simulation;
 
@@ -10,18 +10,18 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// How long the leader is refused before the store is down for all.
+/// How long only the leader is refused before the store is out for all.
 const ALONE: u64 = 2 * SECOND;
-/// How long it is down then.
+/// Duration of the outage in seconds.
 const DOWN_S: u64 = CANCEL_DEADLINE_S + 12;
 
-/// The leader, who confirms, and the third.
+/// The leader and the two followers.
 fn parties(sim: &Simulation) -> (usize, usize, usize) {
     let leader = sim.leader().expect("a leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
-/// A world with replicas that should live on, and arrays that are to be cancelled.
+/// A simulation with replicas that have to survive, and arrays that are to be cancelled.
 fn busy(seed: u64) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
@@ -37,7 +37,7 @@
     sim
 }
 
-/// The leader alone is refused; what `tell` does then happens half-way to the outage, and a moment before it.
+/// Refuses only the leader; calls `tell` half-way to the outage and again shortly before it.
 fn gap(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
     let (leader, ..) = parties(sim);
     sim.store.refused_controllers.push(leader);
@@ -56,7 +56,7 @@
     sim.run_seconds(40);
 }
 
-/// Nothing of what was cancelled is there; the outage passes, and all else is kept.
+/// Asserts that cancelled jobs have no task; then the outage passes, and all other tasks have survived.
 fn gone_and_kept(sim: &mut Simulation, seed: u64) {
     let there = sim.running_instances("req-2") + sim.running_instances("req-3");
     assert_eq!(there, 0, "seed {seed}: {}", sim.dump());
@@ -76,8 +76,8 @@
     }
 }
 
-/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all agents 18 s after
-/// its last read, and every task dies with its lease. Fails as well if it goes on without knowing them.
+/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all leases 18 s after its last
+/// read, and every task dies with its lease. Fails as well if it continues without knowing of them.
 #[test]
 fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
     for seed in 0..12 {
@@ -87,7 +87,7 @@
         for id in ["req-2", "req-3"] {
             assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
         }
-        // A heartbeat later, and what messages take.
+        // One heartbeat interval and the latency of messages.
         sim.run_micros(900_000);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
@@ -110,14 +110,14 @@
     }
 }
 
-/// The clients of the old leader: it hands their requests on to whoever is served.
+/// Clients of the old leader: it forwards their requests to a controller that the store serves.
 #[test]
 fn cancellation_forwarded_by_the_old_leader_is_enforced() {
     for seed in 0..8 {
         let mut sim = busy(2020 + seed);
         let (leader, ..) = parties(&sim);
         sim.store.refused_controllers.push(leader);
-        // It has to notice first.
+        // The leader has to notice the refusal first.
         sim.run_seconds(3);
         sim.cancel(leader, "req-2");
         sim.run_micros(SECOND / 5);
@@ -136,7 +136,7 @@
     }
 }
 
-/// Each of the others confirms one.
+/// Each follower confirms one cancellation.
 #[test]
 fn cancellations_confirmed_by_both_followers_are_enforced() {
     for seed in 0..8 {
@@ -150,8 +150,8 @@
     }
 }
 
-/// Whoever has confirmed ends at once, or a while later; it stays away, or is back in a moment and knows nothing. Then
-/// nobody can tell what it has told its clients, and no agent may be renewed for long.
+/// The confirming controller crashes at once or later; it stays down, or returns at once without its memory. Then no
+/// controller knows what it has told its clients, and no lease may be renewed for long.
 #[test]
 fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
     for seed in 0..8 {
@@ -177,7 +177,7 @@
     }
 }
 
-/// The two cannot talk to one another, in both directions or in one; the third passes on what both know.
+/// The leader and the confirming follower cannot exchange messages, in both directions or in one; the third relays them.
 #[test]
 fn third_controller_relays_cancellations() {
     for seed in 0..8 {
@@ -203,7 +203,7 @@
     }
 }
 
-/// The leader hears neither of the others: it cannot know what they have told, and lets its agents go in time.
+/// The leader hears neither follower: it cannot know what they have confirmed, and stops renewing leases in time.
 #[test]
 fn isolated_leader_stops_renewing_leases_in_time() {
     for seed in 0..8 {
@@ -235,8 +235,7 @@
     }
 }
 
-/// The store carries a cancellation out and the answer is lost, or comes seconds late: nobody is told, or
-/// in time.
+/// The store commits a cancellation and the answer is lost or comes seconds late: the client is told in time or not at all.
 #[test]
 fn lost_or_late_cancellation_answer_is_handled() {
     for seed in 0..8 {
@@ -268,8 +267,7 @@
     }
 }
 
-/// Starts that the leader has sent, without an answer yet, when its machines stand still: they go on within their
-/// leases, or later.
+/// Starts are sent and not answered yet when their machines hang; the machines continue within their leases, or later.
 #[test]
 fn start_delayed_by_a_hung_machine_runs_no_cancelled_task() {
     for seed in 0..8 {
@@ -295,8 +293,8 @@
     }
 }
 
-/// A start gets no answer, and comes after all else, long after its job was cancelled. With the store out, no
-/// higher term can fence it. Fails (ran_cancelled) if the agent is renewed all the same.
+/// A start gets no answer and arrives after everything else, long after its job was cancelled. With the store out, no higher
+/// term can fence it. Fails (ran_cancelled) if the agent's lease is renewed all the same.
 #[test]
 fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
     for seed in 0..8 {
@@ -318,8 +316,8 @@
     }
 }
 
-/// Starts of a job that is placed and recorded, and not yet carried out, when the leader hears that it is cancelled.
-/// Fails if it still sends them.
+/// Starts of a job that is placed and recorded are still unsent when the leader hears that the job is cancelled. Fails if
+/// it still sends them.
 #[test]
 fn job_known_to_be_cancelled_is_not_started() {
     for seed in 0..12 {
@@ -347,7 +345,7 @@
     }
 }
 
-/// One gap after the other, with a leader of whatever name.
+/// One outage after the other, each with whichever controller leads.
 #[test]
 fn two_store_outages_in_a_row_are_survived() {
     for seed in 0..6 {
@@ -374,8 +372,8 @@
     }
 }
 
-/// Who does not know the new format is told nothing and vouches as before: no rule breaks, and the agents go
-/// in time.
+/// Controllers that do not know the new format are told nothing and confirm as before: no rule is violated, and leases
+/// expire in time.
 #[test]
 fn first_version_controllers_among_ours_break_no_invariant() {
     for seed in 0..4 {
@@ -411,8 +409,8 @@
     }
 }
 
-/// Agents that come to the others meanwhile: they renew by right, and stop what is cancelled as well, also the third
-/// that has only heard of it.
+/// Agents move to the followers meanwhile: these renew leases under the delegated right and stop cancelled tasks as well,
+/// also the third controller, which has only heard of the cancellation.
 #[test]
 fn agents_that_change_controllers_stop_cancelled_tasks() {
     for seed in 0..12 {
@@ -421,7 +419,7 @@
         let hearsay = seed % 2 == 1;
         if hearsay {
             sim.store.refused_controllers.push(third);
-            // The leader does not hear of it, and cannot stop anything itself.
+            // The leader does not hear of the cancellation and cannot stop the task itself.
             sim.partition(
                 Endpoint::Controller(leader),
                 Endpoint::Controller(follower),
@@ -435,7 +433,7 @@
             let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
             let agent = Endpoint::Agent(m);
             if hearsay {
-                // Its way to whoever is left, from the beginning.
+                // Its link to the remaining controllers, from the beginning.
                 sim.partition(
                     Endpoint::Controller(leader),
                     agent.clone(),
@@ -467,7 +465,7 @@
     }
 }
 
-/// Tasks that were told to stop, and save, when their job is cancelled.
+/// Tasks that are saving after a stop when their job is cancelled.
 #[test]
 fn cancelled_task_that_is_saving_ends_in_time() {
     for seed in 0..8 {
@@ -500,7 +498,7 @@
     }
 }
 
-/// Machines that stand still, or hear nothing, while it happens.
+/// Machines that hang or are deaf meanwhile.
 #[test]
 fn unreachable_machines_run_no_cancelled_task_past_the_deadline() {
     for seed in 0..8 {
@@ -531,14 +529,14 @@
     }
 }
 
-/// Whoever has confirmed starts again at once, while the store still serves it: it reads the records and
-/// vouches, with a log that begins anew. Fails if its log is taken for the one of its earlier run.
+/// The confirming controller restarts at once, while the store still serves it: it reads the records and confirms, with a
+/// new cancellation log. Fails if its log is taken for the log of its earlier incarnation.
 #[test]
 fn restarted_confirming_controller_relays_its_cancellations() {
     for seed in 0..12 {
         let mut sim = busy(2280 + seed);
         let (leader, follower, third) = parties(&sim);
-        // Only what F itself tells reaches the leader.
+        // Only messages of the follower itself reach the leader.
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(third),
@@ -577,7 +575,7 @@
         sim.run_micros(SECOND);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
         sim.store.outage = true;
-        // The third would tell it as well.
+        // The third controller would relay the cancellation as well.
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(third),
@@ -597,8 +595,8 @@
     }
 }
 
-/// The leader and the third are both refused, and the leader cannot talk to whoever confirms: it hears of it from the
-/// third, who knows it from hearsay as well.
+/// The leader and the third controller are both refused, and the leader cannot exchange messages with the confirming one: it
+/// hears of the cancellation from the third, which only knows it from a message as well.
 #[test]
 fn cancellations_learned_from_a_peer_are_relayed() {
     for seed in 0..8 {
@@ -619,8 +617,8 @@
     }
 }
 
-/// The leader is refused for so long that another leads. It hears the third alone, who is refused as well and hears
-/// the new leader. Fails (ran_twice) if knowing of all cancellations is enough to vouch.
+/// The leader is refused for so long that another leads. It hears only the third controller, which is refused as well and
+/// hears the new leader. Fails (ran_twice) if knowledge of all cancellations suffices to confirm.
 #[test]
 fn replaced_leader_stops_renewing_leases() {
     let mut replaced = 0;
@@ -647,7 +645,7 @@
                 120 * SECOND,
             );
         }
-        // New machines come to the new leader alone: their reports would show the old one its term.
+        // New machines report to the new leader only: their heartbeats would show the old leader its term.
         for machine in 6..16 {
             let machine = Endpoint::Agent(format!("n-{machine:06}"));
             sim.partition(
@@ -676,8 +674,8 @@
     assert_eq!(replaced, 4);
 }
 
-/// Direct commands to the machines are lost, answers to their reports are not. Fails if an answer leaves a stop out
-/// because it was sent a moment ago.
+/// Direct commands to machines are lost, heartbeat responses are not. Fails if a response omits a stop because it was sent
+/// a moment ago.
 #[test]
 fn every_heartbeat_response_stops_cancelled_tasks() {
     for seed in 0..16 {
@@ -689,7 +687,7 @@
                 .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
         gap(&mut sim, |sim, id| sim.cancel(follower, id));
-        // A heartbeat, a report, and what they take on their way.
+        // One heartbeat interval of controllers, one of agents, and the latency of messages.
         sim.run_micros(2_900_000);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
@@ -700,9 +698,8 @@
     }
 }
 
-/// A controller whose watch lags far behind takes the lead over, and the store is out before it has read
-/// anything: that its claim was carried out does not show it what was cancelled before. Fails (ran_cancelled) if
-/// agents are renewed as if it did.
+/// A controller whose watch lags far behind takes over, and the store is out before it has read anything: its committed
+/// claim does not prove that it knows what was cancelled before. Fails (ran_cancelled) if leases are renewed as if it did.
 #[test]
 fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
     let mut led = 0;
@@ -729,8 +726,8 @@
         sim.cancel(f, "req-2");
         sim.run_micros(SECOND / 5);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
-        // After the first outage the old leader's key lives on for a while, so the record that the claim is
-        // conditional on has not changed.
+        // After the first outage the old leader's key lives on for a while, so the record that the claim is conditional on
+        // has not changed.
         sim.store.outage = true;
         sim.run_seconds(7);
         sim.crash_controller(x, 50_000);
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -1,5 +1,5 @@
-//! Stories of the operators' bad nights (2026-12): jobs with mistakes, machines that hear nothing, copies of
-//! reports that come late, controllers that have nothing left but their agents.
+//! Degraded communication, after the operators' incidents of 2026-12: failing jobs, deaf machines, late duplicates of
+//! heartbeats, controllers that reach nothing but their agents.
 
 mod simulation;
 
@@ -10,8 +10,8 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// Fails if a machine is blamed for jobs that fail anywhere: it was emptied and returned once it had met two of
-/// them (inc-944e: 28 sound machines). Fails as well if all tasks of such a job are tried again and again.
+/// Fails if a machine is marked faulty for jobs that fail everywhere: it was drained and deleted once it had run two of them
+/// (inc-944e: 28 sound machines). Fails as well if all tasks of such a job are retried again and again.
 #[test]
 fn failing_jobs_do_not_mark_machines_faulty() {
     for seed in 0..6 {
@@ -32,7 +32,7 @@
         let tries = |sim: &Simulation| sim.failed_task_count();
         let before = tries(&sim);
         sim.run_seconds(60);
-        // Four jobs, each tried again after up to a minute, with one task.
+        // Four jobs, each retried with one task after up to a minute.
         assert!(tries(&sim) - before <= 16, "seed {seed}: {}", tries(&sim));
         for i in 0..4 {
             sim.cancel_until_answered(&format!("req-{i}"));
@@ -43,9 +43,9 @@
     }
 }
 
-/// Fails if a new leader starts all tasks of such jobs again, or returns machines that they have met. What has failed
-/// stays in the agents' reports until a higher term fences it, so the new leader learns it from them; until it has,
-/// no machine may be given up for it.
+/// Fails if a new leader starts all tasks of such jobs again, or deletes machines that have run them. Failed attempts stay in
+/// the agents' heartbeats until a higher term fences them, so the new leader learns of them there; until then it may give
+/// up no machine for them.
 #[test]
 fn takeover_does_not_restart_all_failing_tasks() {
     for seed in 0..6 {
@@ -70,14 +70,14 @@
     }
 }
 
-/// Where the replicas of a service are, by machine.
+/// The machines of a service's replicas.
 fn homes(sim: &Simulation, id: &str, tasks: u32) -> Vec<String> {
     let all = (0..tasks).flat_map(|t| sim.machines_running(&format!("{id}/{t}")));
     all.collect()
 }
 
-/// Fails if reports alone count as a sign that a machine can be used: what is placed there waits for a lease,
-/// again and again.
+/// Fails if heartbeats alone count as a sign that a machine can be used: tasks placed there would wait for a lease, again and
+/// again.
 #[test]
 fn deaf_machine_gets_no_new_task_until_it_recovers() {
     for seed in 0..8 {
@@ -88,14 +88,14 @@
         let deaf = homes(&sim, "req-1", 4)[0].clone();
         let until = sim.now + 28 * SECOND;
         sim.faults.drop_all_deliveries(&deaf, until);
-        // Its lease runs out by itself; a report or two later its replicas are elsewhere.
+        // Its lease expires by itself; a heartbeat or two later its replicas are elsewhere.
         sim.run_seconds(LEASE_S + 7);
         for task in 0..4 {
             let on = sim.machines_running(&format!("req-1/{task}"));
             assert_eq!(on.len(), 1, "seed {seed}: {}", sim.dump());
             assert!(!on.contains(&deaf), "seed {seed}");
         }
-        // Only the other three have room for these.
+        // Only the other three machines have room for these.
         for i in 2..8 {
             sim.spawn_client(&format!("req-{i}"), job(JobKind::Array, 3, 1.0), SECOND);
         }
@@ -105,7 +105,7 @@
             "seed {seed}"
         );
         sim.run_seconds(8);
-        // It hears again, and is needed: whole machines are wanted.
+        // It hears again and is needed: these jobs want whole machines.
         sim.spawn_client("req-20", job(JobKind::Array, 4, 4.0), 12 * SECOND);
         sim.spawn_client("req-21", job(JobKind::Array, 4, 4.0), 12 * SECOND);
         sim.run_seconds(9);
@@ -130,8 +130,8 @@
     assert_eq!(homes(&sim, "req-1", 2).len(), 2);
 }
 
-/// A rack, a whole zone, one controller only, one kind of message only: no rule is broken, and what runs in the
-/// end is what should.
+/// A rack, a whole zone, one controller only, one kind of message only: no rule is violated, and in the end everything runs
+/// that should.
 #[test]
 fn deaf_racks_and_zones_break_no_invariant() {
     let mut half = 0;
@@ -185,7 +185,7 @@
     assert!(half > 100);
 }
 
-/// Fails if what a dead machine said long ago, said again, counts as a sign of life.
+/// Fails if a duplicate of a dead machine's old heartbeat counts as a sign of life.
 #[test]
 fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive() {
     for seed in 0..8 {
@@ -199,7 +199,7 @@
         sim.run_seconds(20);
         let dead = homes(&sim, "req-1", 4)[0].clone();
         sim.agents.get_mut(&dead).unwrap().alive = false;
-        // A lease, and what it takes to place and start anew.
+        // One lease, and the time to place and start a task again.
         sim.run_seconds(LEASE_S + 6);
         assert_eq!(
             homes(&sim, "req-1", 4).len(),
@@ -210,15 +210,15 @@
     }
 }
 
-/// Fails if a report that a direct answer has overtaken is answered with our term although we do not count on it:
-/// its agent's lease is renewed, and taken for run out too early.
+/// Fails if a heartbeat that was overtaken by a command's answer is answered with our term although it is not counted: the
+/// agent's lease is renewed, but considered expired too early.
 #[test]
 fn overtaken_heartbeat_does_not_renew_a_lease_silently() {
     for seed in 0..80 {
         let mut sim = simulation_with_leader(900 + seed, 4);
         sim.faults.max_heartbeat_delay = 1_500_000;
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
-        // Starts all the time, so that answers to them overtake reports.
+        // Starts are sent all the time, so that their answers overtake heartbeats.
         for i in 0..40 {
             let dt = sim.rng.random_range(SECOND..30 * SECOND);
             sim.after(dt, move |sim| {
@@ -248,7 +248,7 @@
     }
 }
 
-/// Fails if an attempt that was stopped is forgotten by its agent while a copy of its start may still come.
+/// Fails if an agent forgets a stopped attempt while a duplicate of its start may still arrive.
 #[test]
 fn duplicate_commands_do_not_restart_a_task() {
     let mut stopped = 0;
@@ -272,7 +272,7 @@
         for i in 0..2 {
             sim.cancel_until_answered(&format!("req-{}", 10 + i));
         }
-        // A gang of a higher priority has some of them stopped, and started elsewhere later.
+        // A gang of a higher priority preempts some tasks, which start elsewhere later.
         let spec = JobSpec {
             priority: Priority::High,
             ..job(JobKind::Gang, 1, 8.0)
@@ -291,7 +291,7 @@
     assert!(stopped > 10, "{stopped}");
 }
 
-/// The store and the peers are out of a controller's reach, its agents are not.
+/// Partitions a controller from the store and its peers, but not from its agents.
 fn only_its_workers(sim: &mut Simulation, i: usize, dt: u64) {
     sim.partition(
         Endpoint::Controller(i),
@@ -309,8 +309,7 @@
     }
 }
 
-/// Fails if such a leader keeps its agents to itself as long as it may: others lead by then, and have no machine
-/// to start anything on.
+/// Fails if such a leader keeps its agents as long as it may: others lead by then, without a machine to start tasks on.
 #[test]
 fn leader_reaching_only_its_agents_releases_them_in_time() {
     for seed in 0..12 {
@@ -336,7 +335,7 @@
             99 * SECOND,
         );
         sim.run_seconds(6);
-        // Its client asks every 1 to 3 s, and may hear of it that much later.
+        // Its client polls every 1 to 3 s and may be told that much later.
         assert_eq!(
             sim.jobs["req-2"].done.len(),
             4,
@@ -353,7 +352,7 @@
     }
 }
 
-/// The same with everybody else out of reach for the agents as well: then they are kept.
+/// The agents reach no other controller either: then they are kept.
 #[test]
 fn only_reachable_leader_keeps_its_agents_as_long_as_allowed() {
     for seed in 0..6 {
@@ -385,7 +384,7 @@
     }
 }
 
-/// Any controller, flaps, a restart inside, a cancellation meanwhile: no rule is broken.
+/// Any controller, flapping links, a restart, a cancellation meanwhile: no rule is violated.
 #[test]
 fn controllers_reaching_only_agents_break_no_invariant() {
     for seed in 0..60 {
@@ -422,8 +421,8 @@
     }
 }
 
-/// Back within 20 to 500 ms, at any step of an election, one, two or all of them, with late copies of what they
-/// had asked before: jobs are done once, nobody is told anything that is not so.
+/// Controllers return within 20 to 500 ms, at any step of an election, one, two or all of them, with late duplicates of their
+/// earlier requests: jobs are done once, and no client is told a wrong state.
 #[test]
 fn quick_restarts_during_elections_break_no_invariant() {
     for seed in 0..80 {
@@ -440,7 +439,7 @@
             max_delay: 30 * SECOND,
         });
         for _ in 0..sim.rng.random_range(1..6) {
-            // A claim takes about 30 ms from the lease to the first command.
+            // An election takes about 30 ms from the lease to the first command.
             let at = sim.rng.random_range(0..6 * SECOND);
             let many = sim.rng.random_range(1..4);
             let back: Vec<u64> = (0..many)
@@ -472,8 +471,8 @@
     }
 }
 
-/// A zone with the leader in it, cut off from everything for 24 s. Fails if its agents are sent on, although there is
-/// nobody else for them: by the time they are back the leader may renew no more.
+/// A zone with the leader in it is partitioned from everything for 24 s. Fails if its agents are redirected although no other
+/// controller is reachable: by the time they are back the leader may no longer renew their leases.
 #[test]
 fn agents_in_a_partitioned_zone_are_not_redirected() {
     for seed in 0..6 {
@@ -488,7 +487,7 @@
         );
         let inside = |z: &str| z == zone;
         let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
-        // Other controllers of the zone are lost, so the leader is alone in it.
+        // The other controllers of the zone are lost, so the leader is alone in it.
         for j in (0..3).filter(|j| *j != leader) {
             sim.partition(
                 Endpoint::Controller(leader),
@@ -524,7 +523,7 @@
     }
 }
 
-/// Fails if a follower that renews a lease takes copies of old reports for signs of life.
+/// Fails if a follower that renews a lease takes duplicates of old heartbeats for signs of life.
 #[test]
 fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive_on_a_renewing_follower() {
     for seed in 0..6 {
@@ -533,7 +532,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(10);
         let leader = sim.leader().unwrap();
-        // One machine reaches only a controller that the leader does not.
+        // One machine reaches only a controller that the leader does not reach.
         let machine = homes(&sim, "req-1", 4)[0].clone();
         let (f, other) = ((leader + 1) % 3, (leader + 2) % 3);
         sim.partition(
@@ -578,7 +577,7 @@
     }
 }
 
-/// Fails if a copy that comes after its machine was returned brings it back.
+/// Fails if a duplicate that arrives after the deletion of its machine revives it.
 #[test]
 fn duplicate_heartbeats_do_not_revive_a_deleted_machine() {
     let mut sim = simulation_with_leader(1440, 3);
--- a/tests/failure_scenarios/job_dependencies.rs
+++ b/tests/failure_scenarios/job_dependencies.rs
@@ -1,9 +1,9 @@
-//! Jobs that wait for jobs.
+//! Jobs with dependencies.
 
 use crate::simulation::{SECOND, Simulation, after, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A pipeline of three steps and a diamond, each job handed to another controller.
+/// A pipeline of three steps and a diamond, each job submitted to another controller.
 #[test]
 fn jobs_wait_for_their_dependencies() {
     for seed in 100..106 {
@@ -31,7 +31,7 @@
         assert!(!sim.start_counts.keys().any(|t| t.starts_with("req-2")));
         sim.run_seconds(60);
         assert!((1..=4).all(|n| sim.job_done(&format!("req-{n}"))));
-        // One that comes when the others are over starts at once.
+        // A job submitted after its dependencies are done starts at once.
         sim.spawn_client(
             "req-5",
             after(&["req-4"], job(JobKind::Array, 1, 1.0)),
@@ -63,7 +63,7 @@
             .collect();
         assert_eq!(said, [422; 3], "{id}");
     }
-    // More names than a record can hold are refused whoever they are.
+    // More dependencies than a record can hold are refused, whatever their names.
     let many: Vec<String> = (0..900).map(|n| format!("req-{n:06}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     sim.declare_job("req-6", after(&many, job(JobKind::Array, 1, 1.0)), SECOND);
@@ -74,7 +74,7 @@
             .iter()
             .any(|answer| answer.job == "req-6" && answer.status == 400)
     );
-    // Nothing can be looked up while the store is out: no verdict then.
+    // With the store out nothing can be looked up: no verdict then.
     sim.store.outage = true;
     sim.run_seconds(4);
     sim.declare_job(
@@ -93,8 +93,7 @@
     assert!(answer.status == 503 && answer.at < before + 2 * SECOND);
 }
 
-/// A need is cancelled before, while and after the jobs behind it are submitted, on any controller,
-/// and with the leader gone.
+/// A dependency is cancelled before, while and after its dependents are submitted, on any controller, and without a leader.
 #[test]
 fn cancellation_cascades_to_dependents() {
     for seed in 120..128 {
@@ -137,7 +136,7 @@
                 "seed {seed}: req-{n}"
             );
         }
-        // Whoever asks again is told the same, after a restart of all, too.
+        // Repeated requests get the same answer, also after a restart of all controllers.
         for i in 0..3 {
             sim.crash_controller(i, 2 * SECOND);
         }
@@ -151,8 +150,7 @@
     }
 }
 
-/// The cancellation of a job in the middle races with its end; one of the two stands, for all jobs
-/// behind it.
+/// The cancellation of a job in the middle races with its completion; one of the two stands, for all its dependents.
 #[test]
 fn cancel_racing_with_done_in_a_pipeline_has_one_outcome() {
     let mut ends = std::collections::BTreeSet::new();
@@ -178,8 +176,8 @@
     assert_eq!(ends.len(), 2, "both ways are played: {ends:?}");
 }
 
-/// The leader is killed at every moment around the end of a job that others wait for, and the store
-/// is out around it, too.
+/// The leader is killed at every moment around the completion of a job that others depend on, and the store is out around
+/// it, too.
 #[test]
 fn dependents_are_released_despite_takeover_or_outage() {
     for step in 0..16 {
@@ -223,7 +221,7 @@
         team: "red".into(),
         ..spec
     };
-    // Red may use 12 GPUs: what waits must not count.
+    // Team red may use 12 GPUs: waiting jobs must not count.
     sim.spawn_client("req-1", red(job(JobKind::Array, 4, 1.0)), 30 * SECOND);
     sim.run_seconds(2);
     sim.spawn_client(
@@ -238,8 +236,7 @@
     sim.run_seconds(60);
     assert!(sim.job_done("req-2"));
 
-    // Green has 8 GPUs guaranteed and blue has all of them: what green has waiting must not stand in
-    // the way of what could run.
+    // Team green has 8 GPUs guaranteed and blue uses all of them: waiting jobs of green must not block runnable ones.
     let mut sim = simulation_with_leader(171, 2);
     sim.no_capacity = true;
     let green = |spec| JobSpec {
@@ -262,8 +259,8 @@
     assert!(sim.job_done("req-4"));
 }
 
-/// A new controller that the store refuses must not hand a pipeline to one of the old version,
-/// which would take the job without what it waits for.
+/// A new controller that the store refuses must not forward a pipeline to one of the old version, which would accept the job
+/// without its dependencies.
 #[test]
 fn pipeline_is_not_forwarded_to_the_first_version() {
     let mut sim = Simulation::with_first_version(177, 3, None);
@@ -292,8 +289,7 @@
     assert_eq!((answer("req-2"), answer("req-3")), (Some(503), Some(201)));
 }
 
-/// A job of low priority that one of high priority needs gives way to nobody below the latter, and
-/// others give way to it.
+/// A low-priority job that a high-priority job depends on is not preempted for jobs below the latter, and preempts others.
 #[test]
 fn dependency_inherits_the_priority_of_its_dependent() {
     use walnuttrestle::protocol::Priority;
--- a/tests/failure_scenarios/main.rs
+++ b/tests/failure_scenarios/main.rs
@@ -1,5 +1,4 @@
-//! Short stories about failures, against a world in memory whose checker asserts the rules of
-//! PROTOCOL after every step.
+//! Short failure scenarios in the simulation, which checks the rules of PROTOCOL after every step.
 
 #[path = "../simulation/mod.rs"]
 mod simulation;
@@ -13,7 +12,7 @@
 
 use simulation::{Endpoint, PartitionMode, Simulation};
 
-/// Cuts everything between the zones; the store stays reachable.
+/// Partitions the zones from each other; the store stays reachable.
 pub fn cut_zones(sim: &mut Simulation, dt: u64) {
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     for i in 0..3 {
@@ -42,7 +41,7 @@
     }
 }
 
-/// Who leads, and the two others.
+/// The leader and the two followers.
 pub fn parties(sim: &Simulation) -> (usize, usize, usize) {
     let leader = sim.leader().expect("a leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -1,4 +1,4 @@
-//! Cuts, crashes, hangs and takeovers.
+//! Partitions, crashes, hangs and takeovers.
 
 use crate::cut_from_workers;
 use crate::cut_zones;
@@ -70,7 +70,7 @@
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
     let leader = sim.leader().unwrap();
-    // The leader and the machines of its zone are cut off from all others, and live on inside.
+    // The leader and the machines of its zone are partitioned from all others, and continue inside.
     let inside: Vec<String> = sim
         .agents
         .values()
@@ -118,7 +118,7 @@
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(2);
-        // Whoever leads in calm times, the far zone's agents have one vain try only.
+        // Whichever controller leads without faults, the far zone's agents have one failed attempt only.
         for i in (0..2).filter(|i| i + seed as usize % 2 < 2) {
             sim.crash_controller(i, 3 * SECOND);
         }
@@ -161,7 +161,7 @@
             );
         }
         sim.run_seconds(40);
-        // Which of the others one hears first is luck.
+        // Which of the others a controller hears first is random.
         assert_eq!(
             (sim.leader(), sim.term()),
             (Some(leader), term),
@@ -208,7 +208,7 @@
     for x in sim.agents.values_mut().filter(|x| x.zone == "b") {
         x.alive = false;
     }
-    // The controller that renewed the leases goes, too.
+    // The controller that renewed the leases crashes, too.
     sim.crash_controller(1, 4 * SECOND);
     sim.run_seconds(120);
     for task in 0..4 {
@@ -257,7 +257,7 @@
     );
 }
 
-/// Luck of many kinds at once; every seed is a day of its own, and always the same one.
+/// Random faults of many kinds at once; each seed repeats its own run.
 #[test]
 fn overlapping_faults_break_no_invariant() {
     for seed in (100..240).chain([1159]) {
@@ -270,7 +270,7 @@
                 _ => (JobKind::Array, sim.rng.random_range(1..6)),
             };
             let mut spec = job(kind, n, [1.0, 2.0, 8.0][sim.rng.random_range(0..3usize)]);
-            // A service would keep its team's limit used up for good.
+            // A service would use up its team's quota for good.
             let red = kind != JobKind::Service && sim.rng.random_bool(0.4);
             spec.team = if red { "red" } else { "blue" }.into();
             spec.spread = kind != JobKind::Gang && sim.rng.random_bool(0.3);
@@ -381,8 +381,8 @@
     }
 }
 
-/// The leader loses its network, its successor crashes soon after, and the third is left alone: what
-/// runs goes on, what waits for it starts, and nothing runs twice.
+/// The leader loses its network, its successor crashes soon after, and the third controller is left alone: running tasks
+/// continue, waiting ones start, and nothing runs twice.
 #[test]
 fn partitioned_leader_and_crashed_successor_are_replaced() {
     for seed in 220..228 {
@@ -419,7 +419,7 @@
             sim.job_done("req-2") && sim.job_done("req-3"),
             "seed {seed}"
         );
-        // Two vain tries outlast a lease, so replicas may have been lost; they are all back.
+        // Two failed attempts outlast a lease, so replicas may have been lost; they are all back.
         assert!(
             (0..3).all(|t| sim.machines_running(&format!("req-1/{t}")).len() == 1),
             "seed {seed}"
@@ -427,7 +427,7 @@
     }
 }
 
-/// No leader lives long enough to be shown its term by any agent; each renews leases all the same.
+/// No leader lives long enough to show its term to any agent; each renews leases all the same.
 #[test]
 fn cancelled_tasks_end_in_time_under_short_leaderships() {
     for seed in 700..712 {
@@ -446,7 +446,7 @@
     }
 }
 
-/// Cuts that leave some links up, crossed with crashes and quick restarts, one within the other.
+/// Partitions that leave some links up, overlapping with crashes and quick restarts.
 #[test]
 fn partial_partitions_and_quick_restarts_break_no_invariant() {
     for seed in 800..900 {
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -1,4 +1,4 @@
-//! Jobs on machines: gangs, limits, guarantees, faults, notices.
+//! Placement: gangs, quotas, guarantees, machine faults, spot notices.
 
 use crate::simulation::{
     CallCounts, Endpoint, LEASE_S, PartitionMode, SECOND, Simulation, job, simulation_with_leader,
@@ -28,7 +28,7 @@
 
 #[test]
 fn gang_waiting_for_its_record_is_not_restarted() {
-    // A change takes two seconds: passes come and go before the second attempt is on record.
+    // A write takes two seconds: passes come and go before the second attempt is on record.
     let mut sim = Simulation::with_write_rate(33, 3, 2, 1.0);
     sim.run_seconds(20);
     let gangs: Vec<String> = (1..=4).map(|n| format!("req-{n}")).collect();
@@ -85,7 +85,7 @@
 fn gang_preempts_backfilled_tasks_after_they_save() {
     let mut sim = simulation_with_leader(14, 2);
     sim.cloud_unavailable = true;
-    // One machine is full for a while, so the gang must wait, and small ones pass it.
+    // One machine is full for a while, so the gang must wait, and small jobs pass it.
     sim.spawn_client("req-1", job(JobKind::Array, 8, 1.0), 25 * SECOND);
     sim.run_seconds(4);
     let mut wide = job(JobKind::Gang, 2, 8.0);
@@ -118,7 +118,7 @@
     assert!(sim.deleted_machines.contains("n-000001"));
 }
 
-/// What ran there before still completes, one task after the other; that proves nothing.
+/// Tasks that ran there before still complete, one after the other; that proves nothing.
 #[test]
 fn completions_of_old_tasks_do_not_clear_a_failing_machine() {
     let mut sim = simulation_with_leader(16, 2);
@@ -172,9 +172,9 @@
     );
     let tasks = 40 * 15 + 40 * 3 + 10 * 16;
     assert_eq!(sim.start_counts.values().sum::<u32>(), tasks);
-    // Accepted, placed, done: a change each at most. Without merging the ends it is 274.
+    // Accepted, placed, done: at most one change each. Without merging the completions it is 274.
     assert!(sim.call_counts.store_changes < 260, "{:?}", sim.call_counts);
-    // A start needs a call; one call carries all that is due on a machine.
+    // A start needs a call; one call carries all commands that are due on a machine.
     assert!(
         sim.call_counts.agent_commands < tasks as usize + 300,
         "{:?}",
@@ -235,7 +235,7 @@
     };
     sim.spawn_client("req-2", green(JobKind::Gang, 1, 6.0), 300 * SECOND);
     sim.spawn_client("req-3", green(JobKind::Array, 2, 1.0), 300 * SECOND);
-    // Another controller may be the quicker one.
+    // Another controller may win the election.
     sim.run_seconds(1);
     sim.spawn_client("req-4", green(JobKind::Array, 2, 1.0), 300 * SECOND);
     sim.run_seconds(40);
@@ -260,7 +260,7 @@
     let mut sim = simulation_with_leader(34, 3);
     let busy = ["n-000002", "n-000003"];
     sim.agents.get_mut("n-000001").unwrap().fails_tasks = true;
-    // The sick machine is the empty one, which looks best to a gang of whole machines.
+    // The faulty machine is the empty one, which looks best to a gang of whole machines.
     for (i, _) in busy.iter().enumerate() {
         sim.spawn_client(&format!("req-{i}"), job(JobKind::Service, 1, 1.0), 0);
     }
@@ -300,7 +300,7 @@
     sim.spawn_client("req-2", job(JobKind::Service, 1, 8.0), 0);
     sim.run_seconds(80);
     let first = sim.leader().unwrap();
-    // Its lead goes round once and comes back, in the same run of its process.
+    // Leadership alternates once and returns, within the same incarnation.
     sim.store.refused_controllers = vec![first];
     sim.run_seconds(15);
     sim.store.refused_controllers = (0..3).filter(|i| *i != first).collect();
--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -1,4 +1,4 @@
-//! The store is out; leases go on by vouching, by right and by pledge.
+//! Store outages: leases are renewed by peers' confirmations, under a delegated right, and by pledge.
 
 use crate::cut_from_workers;
 use crate::parties;
@@ -66,7 +66,7 @@
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
     sim.store.outage = true;
-    // What it has told its clients last, nobody can vouch for.
+    // No controller can confirm what it last told its clients.
     let other = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.crash_controller(other, 4 * SECOND);
     sim.run_seconds(45);
@@ -99,7 +99,7 @@
     );
 }
 
-/// The leader's process ends in an outage of the store; whoever is left keeps the agents alive.
+/// The leader crashes in a store outage; the remaining controllers keep the agents alive.
 fn leader_lost_in_an_outage(seed: u64, back: u64, pledges: bool) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     if pledges {
@@ -147,7 +147,7 @@
     }
 }
 
-/// It does not come back while the outage lasts: then the right ends, as nobody can tell that it is dead.
+/// The leader does not return during the outage: then the right expires, as no controller knows that it is dead.
 #[test]
 fn renewal_right_expires_while_the_leader_is_unknown() {
     let mut sim = leader_lost_in_an_outage(745, 200 * SECOND, false);
@@ -166,7 +166,7 @@
     assert_eq!(up(&sim), 5);
 }
 
-/// Others renew by right what the leader has lost sight of. It must not take those leases for run out.
+/// Others renew under the right what the leader has lost sight of. It must not consider those leases expired.
 #[test]
 fn leader_waits_for_leases_renewed_under_its_right() {
     for seed in 760..772 {
@@ -192,7 +192,7 @@
         }
         cut_from_workers(&mut sim, leader, &far, 60 * SECOND);
         sim.run_seconds(13);
-        // The store is back for the leader alone, which cannot return machines.
+        // The store is back for the leader alone, which cannot delete machines.
         sim.cloud_unavailable = true;
         sim.store.refused_controllers = vec![follower, third];
         let now = sim.now;
@@ -212,8 +212,8 @@
     }
 }
 
-/// One controller has pledged to tell nothing new, is then alone with the store, and clients cancel and
-/// machines come free there; the others go by its pledge.
+/// One controller has pledged to tell nothing new and is then alone with the store, where clients cancel and machines become
+/// free; the others rely on its pledge.
 #[test]
 fn pledge_is_kept_by_the_controller_alone_with_the_store() {
     for seed in 780..792 {
@@ -225,7 +225,7 @@
         let (leader, follower, third) = parties(&sim);
         sim.store.outage = true;
         sim.run_seconds(12);
-        // Some machines come to the one that will be alone, the others stay.
+        // Some machines report to the one that will be alone, the others stay.
         let names: Vec<String> = sim.agents.keys().cloned().collect();
         for i in [leader, third] {
             sim.partition(
@@ -262,7 +262,7 @@
     }
 }
 
-/// One after the other starts again in an outage; at no moment does nobody know the records.
+/// One controller after the other restarts in an outage; at every moment some controller knows the records.
 #[test]
 fn controllers_restarted_in_an_outage_recover_state_from_peers() {
     for seed in 950..970 {
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Two faults at once, as the operators have met them (docs/meetings.md), beyond the gap (tests/cancellation_during_store_outage.rs).
+//! Two faults at once, as operators have met them (docs/meetings.md), beyond tests/cancellation_during_store_outage.rs.
 
 mod simulation;
 
@@ -7,7 +7,7 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// A job whose tasks end one after the other.
+/// Submits a job whose tasks end one after the other.
 fn apart(sim: &mut Simulation, id: &str, kind: JobKind, tasks: u32, run: u64, apart: u64) {
     sim.spawn_client(id, job(kind, tasks, 1.0), run);
     if let Some(t) = sim.jobs.get_mut(id) {
@@ -84,9 +84,9 @@
     assert!(anew >= 6, "{anew}");
 }
 
-/// The leader is cut from the store and from its peers, while agents and clients still reach it; jobs are
-/// cancelled, and others run within their team's limit, through the new one. What it tells its clients may not be older
-/// than what others were told, and nothing runs beside what the new leader starts.
+/// The leader is partitioned from the store and its peers, while agents and clients still reach it; jobs are cancelled, and
+/// others run within their team's quota, through the new leader. The old leader may not tell its clients older states than
+/// were told elsewhere, and no task runs beside those that the new leader starts.
 #[test]
 fn old_leader_still_reached_by_agents_and_clients_breaks_no_invariant() {
     for seed in 0..24 {
@@ -129,7 +129,7 @@
                 for n in 1..6 {
                     sim.poll(leader, &format!("req-{n}"));
                 }
-                // Repeats of submissions and of the cancellation come to it as well.
+                // It gets repeated submissions and cancellations as well.
                 sim.submit(leader, "req-2");
                 if s > 30 {
                     sim.cancel(leader, "req-2");
@@ -151,8 +151,8 @@
     }
 }
 
-/// Tasks of two or three of a job end far apart, while the lead changes, once or again and again; answers of the state
-/// service are lost now and then. Fails if a job is called done too early or never.
+/// Two or three tasks of a job end far apart, while the leader changes, once or repeatedly; answers of the store are lost now
+/// and then. Fails if a job is called done too early or never.
 #[test]
 fn tasks_ending_far_apart_survive_leader_changes() {
     for seed in 0..32 {
@@ -197,8 +197,8 @@
     }
 }
 
-/// The store answers after seconds, then it refuses the leader alone, then everybody for longer than a
-/// cancellation has, while clients cancel and ask at every controller.
+/// The store answers after seconds, then refuses only the leader, then everyone for longer than the cancellation deadline,
+/// while clients cancel and poll at every controller.
 #[test]
 fn store_that_slows_then_refuses_one_then_all_breaks_no_invariant() {
     for seed in 0..24 {
@@ -257,8 +257,8 @@
     }
 }
 
-/// The leader ends while machines with long tasks cannot be reached, or do not hear the new leader's answer. They are
-/// presumed to run until it is proven that they do not; what was cancelled meanwhile is gone in time.
+/// The leader crashes while machines with long tasks are unreachable or do not hear the new leader's responses. Their tasks
+/// are presumed to run until proven gone; jobs cancelled meanwhile end in time.
 #[test]
 fn leader_crash_with_unreachable_machines_loses_no_long_task() {
     for seed in 0..32 {
@@ -314,8 +314,8 @@
     }
 }
 
-/// Controllers hand over and back, all end, one returns, also within a second; what they had asked before is carried
-/// out late or again.
+/// Leadership alternates, all controllers crash, one returns, also within a second; their earlier requests are carried out
+/// late or twice.
 #[test]
 fn alternating_leaders_then_a_full_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -425,8 +425,8 @@
     }
 }
 
-/// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of
-/// others, across changes of the leader.
+/// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of others,
+/// across leader changes.
 #[test]
 fn reordered_transactions_break_no_invariant() {
     for seed in 0..48 {
@@ -456,7 +456,7 @@
             });
         }
         if seed % 4 == 0 {
-            // A follower renews on record, with writes that come late.
+            // A follower renews leases on record, with delayed writes.
             let leader = sim.leader().unwrap_or(0);
             let follower = (leader + 1) % 3;
             sim.partition(
@@ -498,8 +498,8 @@
     }
 }
 
-/// A follower that renews machines for a leader which cannot reach them starts again within a second, or ends for
-/// good. Fails (ran_twice) if the first record of its new run names only who has come to that run.
+/// A follower that renews machines for a leader which cannot reach them restarts within a second, or crashes for good. Fails
+/// (ran_twice) if the first record of its new incarnation names only the machines that reported to that incarnation.
 #[test]
 fn restart_of_a_renewing_follower_breaks_no_invariant() {
     for seed in 0..24 {
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -1,4 +1,4 @@
-//! Meetings of the hunt page beyond those of tests/cancellation_during_store_outage.rs, tests/fault_combinations.rs and tests/answer_consistency.rs (docs/meetings.md).
+//! Further combinations of docs/meetings.md: quotas, cancellations, rentals and overload under faults.
 
 mod simulation;
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// Machines reach no controller while direct commands reach them and are answered. Those answers renew no lease, so nothing
-/// is started there; what is cancelled is stopped by command; what ran there runs on elsewhere, once. Fails if such
-/// an answer counts as a sign that the machine may have new work.
+/// Heartbeats of machines are lost while direct commands reach them and are answered. Those answers renew no lease, so no
+/// task is started there; cancelled tasks are stopped by command; the others run on elsewhere, once. Fails if such an
+/// answer counts as a sign that the machine may get new work.
 #[test]
 fn silent_machines_get_stops_and_no_starts() {
     let mut stopped = 0;
@@ -54,7 +54,7 @@
         silent
             .iter()
             .for_each(|m| sim.faults.silence_heartbeats(m, until));
-        // Work comes all the time.
+        // Jobs are submitted all the time.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
             sim.after(n * SECOND, move |sim| {
@@ -68,7 +68,7 @@
         sim.run_seconds(5);
         stopped += usize::from(sim.running_instances("req-2") == 0);
         sim.run_seconds(22);
-        // A report lasts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
+        // A heartbeat counts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
         let late =
             |b: &&simulation::TaskStart| silent.contains(&b.machine) && b.at > from + 9 * SECOND;
         let late: Vec<_> = sim.task_starts.iter().filter(late).collect();
@@ -91,8 +91,8 @@
     );
 }
 
-/// A team is at its limit; jobs of it are cancelled whose machines are cut off, hang or hear nothing, and the leader
-/// changes, once or again and again. What is not confirmed gone counts, to whoever leads.
+/// A team is at its quota; some of its jobs are cancelled whose machines are partitioned, hang or are deaf, and the leader
+/// changes, once or repeatedly. Tasks that are not confirmed gone count against the quota for every leader.
 #[test]
 fn quota_holds_while_cancelled_tasks_are_unconfirmed() {
     for seed in 0..48 {
@@ -320,8 +320,8 @@
     }
 }
 
-/// One-task jobs, four a second for two minutes, a quarter of them cancelled, at a small budget of changes; leaders change
-/// ten times in the same time, also inside an outage. Nothing starves, and what the store takes suffices.
+/// One-task jobs, four a second for two minutes, a quarter of them cancelled, with a small write budget; leaders change ten
+/// times in that time, also during an outage. No job starves, and the write budget suffices.
 #[test]
 fn four_jobs_a_second_survive_leader_changes() {
     for seed in 0..4 {
@@ -371,8 +371,8 @@
     }
 }
 
-/// A zone with agents and a controller is cut off for longer than a lease, or all controllers are away for longer; jobs are
-/// cancelled meanwhile.
+/// A zone with agents and a controller is partitioned for longer than a lease, or all controllers are down for longer; jobs
+/// are cancelled meanwhile.
 #[test]
 fn absence_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
@@ -583,7 +583,7 @@
         let mut sim = simulation_with_leader(5560 + seed, 2);
         sim.enable_load_balancer();
         sim.no_capacity = true;
-        // Fills both machines but for one GPU on each.
+        // Fills both machines except for one GPU on each.
         sim.spawn_client("req-1", job(JobKind::Service, 2, 7.0), 0);
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 2);
@@ -609,8 +609,8 @@
     }
 }
 
-/// Copies of reports come late, everywhere, while machines are lost and the lead changes; nothing is taken for alive or gone
-/// by what an old copy says.
+/// Duplicates of heartbeats arrive late everywhere, while machines are lost and the leader changes; an old duplicate proves
+/// neither life nor absence.
 #[test]
 fn duplicates_everywhere_keep_the_quota() {
     for seed in 0..24 {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -37,7 +37,7 @@
     sim.jobs.values().filter(|j| j.accepted).count()
 }
 
-/// The leader's queue: its length, and the length found by a walk over it.
+/// Length of the leader's queue; 0 without a leader.
 fn queued(sim: &Simulation) -> usize {
     let leads = sim.leader().and_then(|i| sim.controller(i));
     let leader = leads.and_then(|n| n.leader.as_ref());
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -101,7 +101,7 @@
     assert!(compared > 10, "hardly anything was lost: {compared}");
 }
 
-/// Asserts that all replicas run, and that every other job runs or is done.
+/// Asserts that all replicas run and that all other jobs are done.
 fn all_there(sim: &Simulation) {
     for (id, truth) in &sim.jobs {
         match truth.spec.kind {
