--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -9,293 +9,424 @@
 use walnuttrestle::state::agent::{Agent, DirectStart, TaskLiveness};
 
 /// Number of heartbeats that the agent sends: they alone make the model large.
-const MOST: u64 = 6;
+const MAX_HEARTBEATS: u64 = 6;
+/// More states than the model has.
+const MAX_STATES: usize = 2_000_000;
+const FIRST_EPOCH: u64 = 1;
+const FIRST_TERM: u64 = 1;
 
-/// A heartbeat: epoch, number, highest term, and the attempt if it is present (true: it has ended).
-type Said = (u64, u64, u64, Option<bool>);
+/// The attempt on the agent's machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+enum Attempt {
+    Running,
+    Ended,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Heartbeat {
+    agent_epoch: u64,
+    seq: u64,
+    /// The highest term that the agent has seen.
+    term: u64,
+    attempt: Option<Attempt>,
+}
 
-/// A start that was sent: its term and epoch.
-type Sent = (u64, u64);
+/// A start that was sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct SentStart {
+    term: u64,
+    agent_epoch: u64,
+}
+
+/// A start as the leader remembers it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct RememberedStart {
+    awaits_answer: bool,
+    answered: bool,
+    /// It may still arrive.
+    loose: bool,
+    term: u64,
+}
 
-/// A start as the leader remembers it: awaits an answer, answered, loose (may still arrive), and its term.
-type JobLookup = (bool, bool, bool, u64);
+/// What the leader knows of the agent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct LeaderView {
+    heartbeat: Heartbeat,
+    start: Option<RememberedStart>,
+}
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     agent_epoch: u64,
     seq: u64,
     term: u64,
-    task: Option<bool>,
-    /// All that was ever said or sent may come (again) at any time.
-    said: BTreeSet<Said>,
-    sent: BTreeSet<Sent>,
+    attempt: Option<Attempt>,
+    /// Heartbeats and starts that were sent; each may arrive at any time, also again.
+    heartbeats: BTreeSet<Heartbeat>,
+    starts: BTreeSet<SentStart>,
+    /// Term of the leader.
     leader: u64,
-    view: Option<(Said, Option<JobLookup>)>,
-    /// The attempt is on record there, or has been given up and is started elsewhere.
+    view: Option<LeaderView>,
+    /// The task has been given up here and may be started elsewhere.
     given_up: bool,
 }
 
+/// Steps of the model; what they hold only shows in the output of a failed test.
 #[derive(Debug, Clone, Copy)]
 #[allow(dead_code)]
 enum Step {
-    Reports,
-    Hears(Said),
-    ShowsTerm,
-    Starts,
-    CarriesOut(Sent, bool),
-    NoAnswer,
-    Ends,
-    NewSession,
+    HeartbeatSent,
+    HeartbeatReceived(Heartbeat),
+    TermShown,
+    StartSent,
+    StartExecuted { start: SentStart, answered: bool },
+    StartTimedOut,
+    AttemptEnded,
+    NewEpoch,
     Takeover,
-    GivesUp,
-    Forgets,
+    GivenUp,
+    Forgotten,
 }
 
+/// Rules that the argument rests on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Line {
-    /// (session, tally) orders what an agent sends.
-    Order,
-    /// An agent that has not shown our term proves nothing absent.
-    Term,
-    /// A start without an answer may come late.
-    Loose,
+enum Rule {
+    /// Epoch and number order an agent's messages.
+    MessageOrder,
+    /// An agent that has not seen our term proves nothing absent.
+    TermSeen,
+    /// A start without an answer may arrive late.
+    LooseStart,
     /// An attempt that ended is kept until fenced, though its start was answered.
-    Kept,
+    KeptUntilFenced,
 }
 
-struct Small {
-    without: Option<Line>,
-    /// How much the agent says.
-    most: u64,
+struct SessionModel {
+    /// The rule that the leader does not follow.
+    without: Option<Rule>,
 }
 
-fn report((agent_epoch, seq, term, task): Said) -> AgentHeartbeat {
-    let tasks = task.map(|ended| TaskStatus {
+fn agent_heartbeat(heartbeat: Heartbeat) -> AgentHeartbeat {
+    let status = |attempt| TaskStatus {
         task: "j/0".into(),
         attempt: 1,
-        phase: if ended {
-            TaskPhase::Exited
-        } else {
-            TaskPhase::Running
+        phase: match attempt {
+            Attempt::Ended => TaskPhase::Exited,
+            Attempt::Running => TaskPhase::Running,
         },
-        why: ended.then_some(ExitReason::Stopped),
+        why: (attempt == Attempt::Ended).then_some(ExitReason::Stopped),
         saved: None,
-    });
+    };
     AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
         kind: "box".into(),
         zone: "a".into(),
         spot: false,
-        agent_epoch,
-        seq,
-        term,
+        agent_epoch: heartbeat.agent_epoch,
+        seq: heartbeat.seq,
+        term: heartbeat.term,
         notice_s: None,
-        tasks: tasks.into_iter().collect(),
+        tasks: heartbeat.attempt.into_iter().map(status).collect(),
     }
 }
 
 /// The real view after a heartbeat, with the start that is remembered.
-fn agent((said, known): &(Said, Option<JobLookup>)) -> Agent {
-    let r = report(*said);
-    let mut w = Agent::new(&r);
-    w.update(&r, Micros::ZERO);
-    if let Some((direct, answered, loose, term)) = *known {
+fn real_view(view: &LeaderView) -> Agent {
+    let heartbeat = agent_heartbeat(view.heartbeat);
+    let mut agent = Agent::new(&heartbeat);
+    agent.update(&heartbeat, Micros::ZERO);
+    if let Some(start) = view.start {
         let start = DirectStart {
-            direct,
-            answered,
-            loose,
-            term,
+            direct: start.awaits_answer,
+            answered: start.answered,
+            loose: start.loose,
+            term: start.term,
             answer_to: None,
         };
-        w.starts.insert(("j".into(), 0, 1), start);
+        agent.starts.insert(("j".into(), 0, 1), start);
+    }
+    agent
+}
+
+/// Collects the steps from a state.
+struct Steps<'a> {
+    from: &'a State,
+    all: Vec<(Step, State)>,
+}
+
+impl Steps<'_> {
+    fn add(&mut self, step: Step, change: impl FnOnce(&mut State)) {
+        let mut next = self.from.clone();
+        change(&mut next);
+        self.all.push((step, next));
     }
-    w
 }
 
-impl Small {
-    fn without(&self, line: Line) -> bool {
-        self.without == Some(line)
+impl State {
+    fn send_heartbeat(&mut self) -> Heartbeat {
+        self.seq += 1;
+        let heartbeat = Heartbeat {
+            agent_epoch: self.agent_epoch,
+            seq: self.seq,
+            term: self.term,
+            attempt: self.attempt,
+        };
+        self.heartbeats.insert(heartbeat);
+        heartbeat
+    }
+
+    fn may_send_heartbeat(&self) -> bool {
+        self.seq < MAX_HEARTBEATS
     }
 
-    fn standing(&self, s: &State) -> TaskLiveness {
-        let Some(view) = &s.view else {
+    /// Whether the agent accepts a start.
+    fn accepts(&self, start: &SentStart) -> bool {
+        start.term >= self.term && start.agent_epoch == self.agent_epoch
+    }
+
+    fn execute(&mut self, start: &SentStart) {
+        if self.accepts(start) {
+            self.term = start.term;
+            self.attempt = self.attempt.or(Some(Attempt::Running));
+        }
+    }
+}
+
+impl SessionModel {
+    fn is_without(&self, rule: Rule) -> bool {
+        self.without == Some(rule)
+    }
+
+    fn liveness(&self, state: &State) -> TaskLiveness {
+        let Some(view) = &state.view else {
             return TaskLiveness::Unknown;
         };
-        let w = agent(view);
-        let ours = if self.without(Line::Term) {
-            w.term
+        let agent = real_view(view);
+        let term = if self.is_without(Rule::TermSeen) {
+            agent.term
         } else {
-            s.leader
+            state.leader
         };
-        w.standing(ours, "j", 0, 1, 1)
+        agent.standing(term, "j", 0, 1, 1)
     }
 
-    /// The leader takes in what was said.
-    fn hears(&self, s: &mut State, said: Said) {
-        let Some(view) = &s.view else {
-            s.view = Some((said, None));
+    /// The leader receives a heartbeat.
+    fn receive(&self, state: &mut State, heartbeat: Heartbeat) {
+        let Some(view) = &state.view else {
+            state.view = Some(LeaderView {
+                heartbeat,
+                start: None,
+            });
             return;
         };
-        let mut w = agent(view);
-        if self.without(Line::Order) {
-            (w.agent_epoch, w.seq) = (said.0, 0);
+        let mut agent = real_view(view);
+        if self.is_without(Rule::MessageOrder) {
+            (agent.agent_epoch, agent.seq) = (heartbeat.agent_epoch, 0);
         }
-        w.update(&report(said), Micros::ZERO);
-        if (w.agent_epoch, w.seq) == (said.0, said.1) {
-            let known = w.starts.values().next();
-            let known = known.map(|k| (k.direct, k.answered, k.loose, k.term));
-            s.view = Some((said, known));
+        agent.update(&agent_heartbeat(heartbeat), Micros::ZERO);
+        if (agent.agent_epoch, agent.seq) == (heartbeat.agent_epoch, heartbeat.seq) {
+            let start = agent.starts.values().next().map(|start| RememberedStart {
+                awaits_answer: start.direct,
+                answered: start.answered,
+                loose: start.loose,
+                term: start.term,
+            });
+            state.view = Some(LeaderView { heartbeat, start });
         }
     }
 
-    fn say(&self, s: &mut State) -> Said {
-        s.seq += 1;
-        let said = (s.agent_epoch, s.seq, s.term, s.task);
-        s.said.insert(said);
-        said
-    }
-}
-
-impl Model for Small {
-    type State = State;
-    type Step = Step;
-
-    fn start(&self) -> Vec<State> {
-        vec![State {
-            agent_epoch: 1,
-            seq: 0,
-            term: 1,
-            task: None,
-            said: BTreeSet::new(),
-            sent: BTreeSet::new(),
-            leader: 1,
-            view: None,
-            given_up: false,
-        }]
+    /// The start as the leader remembers it after an answer; `accepted`: the agent has executed it.
+    fn after_answer(start: RememberedStart, accepted: bool) -> Option<RememberedStart> {
+        let answered = accepted || start.answered;
+        (answered || start.loose).then_some(RememberedStart {
+            awaits_answer: false,
+            answered,
+            ..start
+        })
     }
 
-    fn steps(&self, s: &State) -> Vec<(Step, State)> {
-        let mut all = Vec::new();
-        let mut add = |step: Step, change: &dyn Fn(&mut State)| {
-            let mut next = s.clone();
-            change(&mut next);
-            all.push((step, next));
-        };
-        let may_say = s.seq < self.most;
-        if may_say {
-            add(Step::Reports, &|n| _ = self.say(n));
+    fn add_message_steps(&self, steps: &mut Steps) {
+        let state = steps.from;
+        if state.may_send_heartbeat() {
+            steps.add(Step::HeartbeatSent, |next| _ = next.send_heartbeat());
         }
-        for said in &s.said {
-            add(Step::Hears(*said), &|n| self.hears(n, *said));
+        for heartbeat in &state.heartbeats {
+            steps.add(Step::HeartbeatReceived(*heartbeat), |next| {
+                self.receive(next, *heartbeat)
+            });
         }
-        if s.task == Some(false) {
-            add(Step::Ends, &|n| n.task = Some(true));
+    }
+
+    fn add_failure_steps(&self, steps: &mut Steps) {
+        let state = steps.from;
+        if state.attempt == Some(Attempt::Running) {
+            steps.add(Step::AttemptEnded, |next| {
+                next.attempt = Some(Attempt::Ended)
+            });
         }
-        if s.agent_epoch == 1 {
-            add(Step::NewSession, &|n| (n.agent_epoch, n.task) = (2, None));
+        if state.agent_epoch == FIRST_EPOCH {
+            steps.add(Step::NewEpoch, |next| {
+                next.agent_epoch += 1;
+                next.attempt = None;
+            });
         }
-        if s.leader == 1 {
-            add(Step::Takeover, &|n| (n.leader, n.view) = (2, None));
+        if state.leader == FIRST_TERM {
+            steps.add(Step::Takeover, |next| {
+                next.leader += 1;
+                next.view = None;
+            });
         }
-        for sent in &s.sent {
-            let taken = sent.0 >= s.term && sent.1 == s.agent_epoch;
-            let carry = |n: &mut State| {
-                if taken {
-                    n.term = sent.0;
-                    n.task = n.task.or(Some(false));
-                }
-            };
-            add(Step::CarriesOut(*sent, false), &carry);
-            let awaited = |k: &JobLookup| k.0 && k.3 == sent.0 && sent.0 == s.leader;
-            let known = s.view.as_ref().and_then(|v| v.1);
-            if known.as_ref().is_some_and(awaited) && may_say {
-                add(Step::CarriesOut(*sent, true), &|n| {
-                    carry(n);
-                    if let Some((_, known)) = &mut n.view {
-                        *known = match (*known, taken) {
-                            (Some((_, _, loose, t)), true) => Some((false, true, loose, t)),
-                            (Some((_, true, loose, t)), _) => Some((false, true, loose, t)),
-                            (Some((_, _, true, t)), _) => Some((false, false, true, t)),
-                            _ => None,
-                        };
+    }
+
+    fn add_execution_steps(&self, steps: &mut Steps) {
+        let state = steps.from;
+        for sent in &state.starts {
+            let start = *sent;
+            let executed = |answered| Step::StartExecuted { start, answered };
+            steps.add(executed(false), |next| next.execute(&start));
+            let remembered = state.view.and_then(|view| view.start);
+            let is_awaited = remembered.is_some_and(|known| {
+                known.awaits_answer && known.term == start.term && start.term == state.leader
+            });
+            if is_awaited && state.may_send_heartbeat() {
+                steps.add(executed(true), |next| {
+                    let accepted = next.accepts(&start);
+                    next.execute(&start);
+                    if let Some(view) = &mut next.view {
+                        let known = view.start;
+                        view.start = known.and_then(|known| Self::after_answer(known, accepted));
                     }
-                    let said = self.say(n);
-                    self.hears(n, said);
+                    let answer = next.send_heartbeat();
+                    self.receive(next, answer);
                 });
             }
         }
-        let Some(view) = &s.view else {
-            return all;
-        };
-        let (said, known) = view;
-        let standing = self.standing(s);
-        if said.2 != s.leader && may_say && said.0 == s.agent_epoch {
-            add(Step::ShowsTerm, &|n| {
-                n.term = n.term.max(n.leader);
-                _ = self.say(n);
+    }
+
+    fn add_leader_steps(&self, steps: &mut Steps, view: &LeaderView) {
+        let state = steps.from;
+        let heartbeat = view.heartbeat;
+        let liveness = self.liveness(state);
+        let knows_term = heartbeat.term == state.leader;
+        let is_present_epoch = heartbeat.agent_epoch == state.agent_epoch;
+        if !knows_term && state.may_send_heartbeat() && is_present_epoch {
+            steps.add(Step::TermShown, |next| {
+                next.term = next.term.max(next.leader);
+                _ = next.send_heartbeat();
             });
         }
-        let waits = known.is_some_and(|k| k.0);
-        let unsure = matches!(standing, TaskLiveness::NotStarted | TaskLiveness::Unknown);
-        if said.2 == s.leader && said.0 == 1 && unsure && !s.given_up && !waits {
-            add(Step::Starts, &|n| {
-                n.sent.insert((n.leader, 1));
-                if let Some((_, known)) = &mut n.view {
-                    let before = known.filter(|k| k.3 == n.leader);
-                    let (answered, loose) = before.map_or((false, false), |k| (k.1, k.2));
-                    *known = Some((true, answered, loose, n.leader));
-                }
-            });
+        let awaits_answer = view.start.is_some_and(|start| start.awaits_answer);
+        let may_run_nowhere = matches!(liveness, TaskLiveness::NotStarted | TaskLiveness::Unknown);
+        if knows_term
+            && heartbeat.agent_epoch == FIRST_EPOCH
+            && may_run_nowhere
+            && !state.given_up
+            && !awaits_answer
+        {
+            steps.add(Step::StartSent, Self::send_start);
         }
-        if waits {
-            add(Step::NoAnswer, &|n| {
-                if let Some((_, Some(k))) = &mut n.view {
-                    (k.0, k.2) = (false, true);
-                    if self.without(Line::Loose) {
-                        (k.1, k.2) = (true, false);
-                    }
-                }
-            });
+        if awaits_answer {
+            steps.add(Step::StartTimedOut, |next| self.time_out_start(next));
         }
         // An attempt that no leader has started is given up with its job, or with its gang.
-        let gone = matches!(
-            standing,
+        let is_gone = matches!(
+            liveness,
             TaskLiveness::Gone | TaskLiveness::Ended(_) | TaskLiveness::NotStarted
         );
-        if !s.given_up && gone {
-            add(Step::GivesUp, &|n| n.given_up = true);
+        if !state.given_up && is_gone {
+            steps.add(Step::GivenUp, |next| next.given_up = true);
         }
-        let w = agent(view);
-        let kept = w.tasks.first().is_none_or(|t| {
-            let loose = w.has_loose(&t.job, t.task, t.attempt);
-            match self.without(Line::Kept) {
-                true => loose,
-                false => w.may_start_again(t),
-            }
+        let has_ended = heartbeat.attempt == Some(Attempt::Ended)
+            && state.attempt == Some(Attempt::Ended)
+            && knows_term;
+        if state.given_up && has_ended && is_present_epoch && !self.is_kept(view) {
+            steps.add(Step::Forgotten, |next| next.attempt = None);
+        }
+    }
+
+    fn send_start(state: &mut State) {
+        let term = state.leader;
+        state.starts.insert(SentStart {
+            term,
+            agent_epoch: FIRST_EPOCH,
         });
-        let ended = said.3 == Some(true) && s.task == Some(true) && said.2 == s.leader;
-        if s.given_up && ended && said.0 == s.agent_epoch && !kept {
-            add(Step::Forgets, &|n| n.task = None);
+        if let Some(view) = &mut state.view {
+            let earlier = view.start.filter(|start| start.term == term);
+            view.start = Some(RememberedStart {
+                awaits_answer: true,
+                answered: earlier.is_some_and(|start| start.answered),
+                loose: earlier.is_some_and(|start| start.loose),
+                term,
+            });
+        }
+    }
+
+    fn time_out_start(&self, state: &mut State) {
+        let Some(view) = &mut state.view else { return };
+        let Some(start) = &mut view.start else { return };
+        start.awaits_answer = false;
+        start.loose = true;
+        if self.is_without(Rule::LooseStart) {
+            start.answered = true;
+            start.loose = false;
         }
-        all
     }
 
-    fn broken(&self, s: &State) -> Option<String> {
-        let runs = s.given_up && s.task == Some(false);
+    /// Whether the leader lets the agent keep its ended attempt.
+    fn is_kept(&self, view: &LeaderView) -> bool {
+        let agent = real_view(view);
+        agent.tasks.first().is_none_or(|task| {
+            if self.is_without(Rule::KeptUntilFenced) {
+                agent.has_loose(&task.job, task.task, task.attempt)
+            } else {
+                agent.may_start_again(task)
+            }
+        })
+    }
+}
+
+impl Model for SessionModel {
+    type State = State;
+    type Step = Step;
+
+    fn start(&self) -> Vec<State> {
+        vec![State {
+            agent_epoch: FIRST_EPOCH,
+            seq: 0,
+            term: FIRST_TERM,
+            attempt: None,
+            heartbeats: BTreeSet::new(),
+            starts: BTreeSet::new(),
+            leader: FIRST_TERM,
+            view: None,
+            given_up: false,
+        }]
+    }
+
+    fn steps(&self, state: &State) -> Vec<(Step, State)> {
+        let mut steps = Steps {
+            from: state,
+            all: Vec::new(),
+        };
+        self.add_message_steps(&mut steps);
+        self.add_failure_steps(&mut steps);
+        self.add_execution_steps(&mut steps);
+        if let Some(view) = &state.view {
+            self.add_leader_steps(&mut steps, view);
+        }
+        steps.all
+    }
+
+    fn broken(&self, state: &State) -> Option<String> {
+        let runs = state.given_up && state.attempt == Some(Attempt::Running);
         runs.then(|| "given up, started elsewhere, and running here".to_string())
     }
 }
 
 #[test]
 fn task_presumed_gone_never_runs_there_again() {
-    let all = explore(
-        &Small {
-            without: None,
-            most: MOST,
-        },
-        2_000_000,
-    );
+    let all = explore(&SessionModel { without: None }, MAX_STATES);
     assert!(
         matches!(all, Seen::All { states, .. } if states > 10_000),
         "{}",
@@ -305,14 +436,19 @@
 
 #[test]
 fn removing_any_rule_of_the_model_is_detected() {
-    let mut stories = BTreeMap::new();
-    for line in [Line::Order, Line::Term, Line::Loose, Line::Kept] {
-        let small = Small {
-            without: Some(line),
-            most: MOST,
+    let rules = [
+        Rule::MessageOrder,
+        Rule::TermSeen,
+        Rule::LooseStart,
+        Rule::KeptUntilFenced,
+    ];
+    let mut detected = BTreeMap::new();
+    for rule in rules {
+        let model = SessionModel {
+            without: Some(rule),
         };
-        let seen = explore(&small, 2_000_000);
-        stories.insert(format!("{line:?}"), matches!(seen, Seen::Broken { .. }));
+        let seen = explore(&model, MAX_STATES);
+        detected.insert(format!("{rule:?}"), matches!(seen, Seen::Broken { .. }));
     }
-    assert!(stories.values().all(|missed| *missed), "{stories:?}");
+    assert!(detected.values().all(|found| *found), "{detected:?}");
 }
--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -9,7 +9,7 @@
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// A controller by seed: followers and the leader in turn.
-fn node_of(sim: &Simulation, seed: u64) -> usize {
+fn controller_for_seed(sim: &Simulation, seed: u64) -> usize {
     (sim.leader().expect("a leader") + seed as usize % 3) % 3
 }
 
@@ -20,7 +20,7 @@
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4000 + seed, 4);
-        let a = node_of(&sim, seed);
+        let a = controller_for_seed(&sim, seed);
         let b = (a + 1) % 3;
         sim.watch_delays.insert(a, 6 * SECOND);
         sim.faults.store_write_delay = Some(StoreDelay {
@@ -55,7 +55,7 @@
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
-        let a = node_of(&sim, seed);
+        let a = controller_for_seed(&sim, seed);
         let b = (a + 1) % 3;
         // A listing of all records has shown the types; the watch has not shown the job yet.
         let large = JobSpec {
@@ -92,7 +92,7 @@
         sim.faults.lost_write_answer_probability = [0.0, 0.2][seed as usize % 2];
         sim.faults.delayed_write_probability = [0.0, 0.1][seed as usize / 2 % 2];
         sim.store_delay = [0, 300_000][seed as usize / 4 % 2];
-        let f = node_of(&sim, 1);
+        let f = controller_for_seed(&sim, 1);
         match seed % 5 {
             0 => _ = sim.watch_delays.insert(f, 3 * SECOND),
             1 => sim.store.refused_controllers.push(f),
@@ -101,7 +101,7 @@
                 sim.crash_controller(leader, 50_000);
             }),
             3 => {
-                let (leader, dt) = (node_of(&sim, 0), 12 * SECOND);
+                let (leader, dt) = (controller_for_seed(&sim, 0), 12 * SECOND);
                 sim.partition(
                     Endpoint::Controller(leader),
                     Endpoint::Store,
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -9,7 +9,7 @@
 use walnuttrestle::protocol::codec::encode;
 
 /// A body with some bytes changed, or truncated.
-fn bent(sim: &mut Simulation, body: &[u8]) -> Vec<u8> {
+fn corrupted(sim: &mut Simulation, body: &[u8]) -> Vec<u8> {
     let mut body = body.to_vec();
     for _ in 0..sim.rng.random_range(1..4) {
         if body.is_empty() {
@@ -45,7 +45,7 @@
                 0 => (0..sim.rng.random_range(0..80))
                     .map(|_| sim.rng.random())
                     .collect(),
-                _ => bent(&mut sim, &report),
+                _ => corrupted(&mut sim, &report),
             };
             let path = ["/hello", "/heartbeat", "/user/submissions"][sim.rng.random_range(0..3)];
             sim.send_bytes(node, internal, path, body);
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -16,13 +16,13 @@
 const DOWN_S: u64 = CANCEL_DEADLINE_S + 12;
 
 /// The leader and the two followers.
-fn parties(sim: &Simulation) -> (usize, usize, usize) {
+fn controllers_by_role(sim: &Simulation) -> (usize, usize, usize) {
     let leader = sim.leader().expect("a leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
 /// A simulation with replicas that have to survive, and arrays that are to be cancelled.
-fn busy(seed: u64) -> Simulation {
+fn simulation_with_jobs(seed: u64) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
     for n in 2..5 {
@@ -38,8 +38,8 @@
 }
 
 /// Refuses only the leader; calls `tell` half-way to the outage and again shortly before it.
-fn gap(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
-    let (leader, ..) = parties(sim);
+fn isolate_leader_then_stop_store(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
+    let (leader, ..) = controllers_by_role(sim);
     sim.store.refused_controllers.push(leader);
     sim.run_micros(ALONE / 2);
     tell(sim, "req-2");
@@ -49,7 +49,7 @@
     sim.store.outage = true;
 }
 
-fn end(sim: &mut Simulation) {
+fn end_outage_and_run(sim: &mut Simulation) {
     let now = sim.now;
     sim.store.refused_controllers.clear();
     sim.store.end_outage(now);
@@ -57,15 +57,15 @@
 }
 
 /// Asserts that cancelled jobs have no task; then the outage passes, and all other tasks have survived.
-fn gone_and_kept(sim: &mut Simulation, seed: u64) {
+fn assert_cancelled_gone_and_others_survive(sim: &mut Simulation, seed: u64) {
     let there = sim.running_instances("req-2") + sim.running_instances("req-3");
     assert_eq!(there, 0, "seed {seed}: {}", sim.dump());
     sim.run_seconds(DOWN_S);
-    end(sim);
-    kept(sim, seed);
+    end_outage_and_run(sim);
+    assert_replicas_survived(sim, seed);
 }
 
-fn kept(sim: &Simulation, seed: u64) {
+fn assert_replicas_survived(sim: &Simulation, seed: u64) {
     for task in 0..5 {
         assert_eq!(
             sim.start_counts[&format!("req-1/{task}")],
@@ -81,9 +81,9 @@
 #[test]
 fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
     for seed in 0..12 {
-        let mut sim = busy(2000 + seed);
-        let (_, follower, _) = parties(&sim);
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        let mut sim = simulation_with_jobs(2000 + seed);
+        let (_, follower, _) = controllers_by_role(&sim);
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         for id in ["req-2", "req-3"] {
             assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
         }
@@ -102,8 +102,8 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        end(&mut sim);
-        kept(&sim, seed);
+        end_outage_and_run(&mut sim);
+        assert_replicas_survived(&sim, seed);
         sim.spawn_client("req-9", job(JobKind::Array, 2, 1.0), 2 * SECOND);
         sim.run_seconds(20);
         assert!(sim.job_done("req-9"), "seed {seed}: {}", sim.dump());
@@ -114,8 +114,8 @@
 #[test]
 fn cancellation_forwarded_by_the_old_leader_is_enforced() {
     for seed in 0..8 {
-        let mut sim = busy(2020 + seed);
-        let (leader, ..) = parties(&sim);
+        let mut sim = simulation_with_jobs(2020 + seed);
+        let (leader, ..) = controllers_by_role(&sim);
         sim.store.refused_controllers.push(leader);
         // The leader has to notice the refusal first.
         sim.run_seconds(3);
@@ -131,8 +131,8 @@
             sim.dump()
         );
         sim.run_seconds(DOWN_S);
-        end(&mut sim);
-        kept(&sim, seed);
+        end_outage_and_run(&mut sim);
+        assert_replicas_survived(&sim, seed);
     }
 }
 
@@ -140,13 +140,13 @@
 #[test]
 fn cancellations_confirmed_by_both_followers_are_enforced() {
     for seed in 0..8 {
-        let mut sim = busy(2040 + seed);
-        let (_, follower, third) = parties(&sim);
-        gap(&mut sim, |sim, id| {
+        let mut sim = simulation_with_jobs(2040 + seed);
+        let (_, follower, third) = controllers_by_role(&sim);
+        isolate_leader_then_stop_store(&mut sim, |sim, id| {
             sim.cancel(if id == "req-2" { follower } else { third }, id)
         });
         sim.run_seconds(3);
-        gone_and_kept(&mut sim, seed);
+        assert_cancelled_gone_and_others_survive(&mut sim, seed);
     }
 }
 
@@ -156,13 +156,13 @@
 fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
     for seed in 0..8 {
         for (after, back) in [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)] {
-            let mut sim = busy(2060 + seed);
-            let (_, follower, _) = parties(&sim);
-            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            let mut sim = simulation_with_jobs(2060 + seed);
+            let (_, follower, _) = controllers_by_role(&sim);
+            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_micros(after);
             sim.crash_controller(follower, back);
             sim.run_seconds(DOWN_S);
-            end(&mut sim);
+            end_outage_and_run(&mut sim);
             sim.run_seconds(40);
             for id in ["req-2", "req-3"] {
                 assert_eq!(sim.running_instances(id), 0, "seed {seed} {after} {back}");
@@ -182,8 +182,8 @@
 fn third_controller_relays_cancellations() {
     for seed in 0..8 {
         for how in 0..3 {
-            let mut sim = busy(2080 + seed);
-            let (leader, follower, _) = parties(&sim);
+            let mut sim = simulation_with_jobs(2080 + seed);
+            let (leader, follower, _) = controllers_by_role(&sim);
             let (from, to, until) = (
                 Endpoint::Controller(leader),
                 Endpoint::Controller(follower),
@@ -196,9 +196,9 @@
             }
             sim.run_seconds(4);
             assert_eq!(sim.leader(), Some(leader), "seed {seed} {how}");
-            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(4);
-            gone_and_kept(&mut sim, seed);
+            assert_cancelled_gone_and_others_survive(&mut sim, seed);
         }
     }
 }
@@ -207,8 +207,8 @@
 #[test]
 fn isolated_leader_stops_renewing_leases_in_time() {
     for seed in 0..8 {
-        let mut sim = busy(2100 + seed);
-        let (leader, follower, third) = parties(&sim);
+        let mut sim = simulation_with_jobs(2100 + seed);
+        let (leader, follower, third) = controllers_by_role(&sim);
         for other in [follower, third] {
             sim.partition(
                 Endpoint::Controller(leader),
@@ -217,14 +217,14 @@
                 DOWN_S * SECOND,
             );
         }
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(DOWN_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
             "seed {seed}"
         );
-        end(&mut sim);
+        end_outage_and_run(&mut sim);
         sim.run_seconds(20);
         assert_eq!(
             sim.running_instances("req-1"),
@@ -240,18 +240,18 @@
 fn lost_or_late_cancellation_answer_is_handled() {
     for seed in 0..8 {
         for late in [false, true] {
-            let mut sim = busy(2120 + seed);
-            let (_, follower, _) = parties(&sim);
+            let mut sim = simulation_with_jobs(2120 + seed);
+            let (_, follower, _) = controllers_by_role(&sim);
             if late {
                 sim.store_delay = 1_200_000;
             } else {
                 let until = sim.now + ALONE + SECOND / 2;
                 sim.lost_answers_from.push((Endpoint::Store, until));
             }
-            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(DOWN_S);
             sim.store_delay = 0;
-            end(&mut sim);
+            end_outage_and_run(&mut sim);
             for id in ["req-2", "req-3"] {
                 sim.cancel_until_answered(id);
             }
@@ -272,8 +272,8 @@
 fn start_delayed_by_a_hung_machine_runs_no_cancelled_task() {
     for seed in 0..8 {
         for hang in [6 * SECOND, 9 * SECOND, 20 * SECOND] {
-            let mut sim = busy(2140 + seed);
-            let (_, follower, _) = parties(&sim);
+            let mut sim = simulation_with_jobs(2140 + seed);
+            let (_, follower, _) = controllers_by_role(&sim);
             sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
             sim.command_delay = Some(300_000);
             sim.run_micros(900_000);
@@ -282,13 +282,13 @@
                 sim.agents.get_mut(&machine).unwrap().hung_until = until;
             }
             sim.command_delay = None;
-            gap(&mut sim, |sim, id| {
+            isolate_leader_then_stop_store(&mut sim, |sim, id| {
                 sim.cancel(follower, id);
                 sim.cancel(follower, "req-5");
             });
             sim.run_seconds(DOWN_S);
             assert_eq!(sim.running_instances("req-5"), 0, "seed {seed} {hang}");
-            end(&mut sim);
+            end_outage_and_run(&mut sim);
         }
     }
 }
@@ -298,20 +298,20 @@
 #[test]
 fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
     for seed in 0..8 {
-        let mut sim = busy(2160 + seed);
-        let (_, follower, _) = parties(&sim);
+        let mut sim = simulation_with_jobs(2160 + seed);
+        let (_, follower, _) = controllers_by_role(&sim);
         let long = (ALONE / SECOND + CANCEL_DEADLINE_S + 8) * SECOND;
         sim.command_delay = Some(long);
         sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
         sim.run_seconds(4);
-        gap(&mut sim, |sim, id| {
+        isolate_leader_then_stop_store(&mut sim, |sim, id| {
             sim.cancel(follower, id);
             sim.cancel(follower, "req-5");
         });
         assert_eq!(sim.last_status("req-5"), "cancelled", "seed {seed}");
         sim.run_seconds(DOWN_S + 10);
         sim.command_delay = None;
-        end(&mut sim);
+        end_outage_and_run(&mut sim);
         sim.run_seconds(30);
     }
 }
@@ -321,8 +321,8 @@
 #[test]
 fn job_known_to_be_cancelled_is_not_started() {
     for seed in 0..12 {
-        let mut sim = busy(2380 + seed);
-        let (_, follower, _) = parties(&sim);
+        let mut sim = simulation_with_jobs(2380 + seed);
+        let (_, follower, _) = controllers_by_role(&sim);
         let until = sim.now + 1_900_000;
         for machine in sim.machine_names() {
             sim.faults
@@ -349,9 +349,9 @@
 #[test]
 fn two_store_outages_in_a_row_are_survived() {
     for seed in 0..6 {
-        let mut sim = busy(2180 + seed);
+        let mut sim = simulation_with_jobs(2180 + seed);
         for (round, ids) in [["req-2", "req-3"], ["req-4", "req-6"]].iter().enumerate() {
-            let (leader, follower, third) = parties(&sim);
+            let (leader, follower, third) = controllers_by_role(&sim);
             sim.store.refused_controllers.push(leader);
             sim.run_micros(ALONE / 2);
             sim.cancel(follower, ids[0]);
@@ -362,8 +362,8 @@
             for id in ids {
                 assert_eq!(sim.running_instances(id), 0, "seed {seed} {round}");
             }
-            end(&mut sim);
-            kept(&sim, seed);
+            end_outage_and_run(&mut sim);
+            assert_replicas_survived(&sim, seed);
             if round == 0 {
                 sim.spawn_client("req-6", job(JobKind::Array, 4, 1.0), 300 * SECOND);
                 sim.run_seconds(10);
@@ -379,7 +379,7 @@
     for seed in 0..4 {
         for old in 0..3 {
             let mut sim = simulation_with_leader(2200 + seed, 5);
-            let (leader, follower, third) = parties(&sim);
+            let (leader, follower, third) = controllers_by_role(&sim);
             let place = [leader, follower, third][old];
             sim.set_first_version(place, true);
             sim.crash_controller(place, 50_000);
@@ -388,16 +388,16 @@
             sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.run_seconds(12);
-            let (leader, follower, _) = parties(&sim);
+            let (leader, follower, _) = controllers_by_role(&sim);
             let who = if leader == place { follower } else { place };
-            gap(&mut sim, |sim, id| sim.cancel(who, id));
+            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(who, id));
             sim.run_seconds(DOWN_S);
             assert_eq!(
                 sim.running_instances("req-2") + sim.running_instances("req-3"),
                 0,
                 "seed {seed}"
             );
-            end(&mut sim);
+            end_outage_and_run(&mut sim);
             sim.run_seconds(20);
             assert_eq!(
                 sim.running_instances("req-1"),
@@ -414,8 +414,8 @@
 #[test]
 fn agents_that_change_controllers_stop_cancelled_tasks() {
     for seed in 0..12 {
-        let mut sim = busy(2220 + seed);
-        let (leader, follower, third) = parties(&sim);
+        let mut sim = simulation_with_jobs(2220 + seed);
+        let (leader, follower, third) = controllers_by_role(&sim);
         let hearsay = seed % 2 == 1;
         if hearsay {
             sim.store.refused_controllers.push(third);
@@ -427,7 +427,7 @@
                 12 * SECOND,
             );
         }
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         for (n, m) in sim.machine_names().into_iter().enumerate() {
             let at = sim.rng.random_range(0..12 * SECOND);
             let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
@@ -458,9 +458,9 @@
             0,
             "seed {seed}"
         );
-        end(&mut sim);
+        end_outage_and_run(&mut sim);
         if !hearsay {
-            kept(&sim, seed);
+            assert_replicas_survived(&sim, seed);
         }
     }
 }
@@ -486,15 +486,15 @@
         };
         sim.spawn_client("req-7", high, 200 * SECOND);
         sim.run_seconds(3);
-        let (_, follower, _) = parties(&sim);
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        let (_, follower, _) = controllers_by_role(&sim);
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(DOWN_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
             "seed {seed}"
         );
-        end(&mut sim);
+        end_outage_and_run(&mut sim);
     }
 }
 
@@ -507,9 +507,9 @@
             (false, 8 * SECOND),
             (false, 15 * SECOND),
         ] {
-            let mut sim = busy(2260 + seed);
-            let (_, follower, _) = parties(&sim);
-            gap(&mut sim, |sim, id| sim.cancel(follower, id));
+            let mut sim = simulation_with_jobs(2260 + seed);
+            let (_, follower, _) = controllers_by_role(&sim);
+            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             let until = sim.now + dt;
             for machine in sim.machine_names().into_iter().take(3) {
                 if deaf {
@@ -524,7 +524,7 @@
                 0,
                 "seed {seed}"
             );
-            end(&mut sim);
+            end_outage_and_run(&mut sim);
         }
     }
 }
@@ -534,8 +534,8 @@
 #[test]
 fn restarted_confirming_controller_relays_its_cancellations() {
     for seed in 0..12 {
-        let mut sim = busy(2280 + seed);
-        let (leader, follower, third) = parties(&sim);
+        let mut sim = simulation_with_jobs(2280 + seed);
+        let (leader, follower, third) = controllers_by_role(&sim);
         // Only messages of the follower itself reach the leader.
         sim.partition(
             Endpoint::Controller(leader),
@@ -590,8 +590,8 @@
             sim.dump()
         );
         sim.run_seconds(DOWN_S);
-        end(&mut sim);
-        kept(&sim, seed);
+        end_outage_and_run(&mut sim);
+        assert_replicas_survived(&sim, seed);
     }
 }
 
@@ -600,8 +600,8 @@
 #[test]
 fn cancellations_learned_from_a_peer_are_relayed() {
     for seed in 0..8 {
-        let mut sim = busy(2300 + seed);
-        let (leader, follower, third) = parties(&sim);
+        let mut sim = simulation_with_jobs(2300 + seed);
+        let (leader, follower, third) = controllers_by_role(&sim);
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(follower),
@@ -611,9 +611,9 @@
         sim.run_seconds(3);
         assert_eq!(sim.leader(), Some(leader), "seed {seed}");
         sim.store.refused_controllers.push(third);
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(5);
-        gone_and_kept(&mut sim, seed);
+        assert_cancelled_gone_and_others_survive(&mut sim, seed);
     }
 }
 
@@ -623,8 +623,8 @@
 fn replaced_leader_stops_renewing_leases() {
     let mut replaced = 0;
     for seed in 0..4 {
-        let mut sim = busy(2320 + seed);
-        let (leader, follower, third) = parties(&sim);
+        let mut sim = simulation_with_jobs(2320 + seed);
+        let (leader, follower, third) = controllers_by_role(&sim);
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(follower),
@@ -679,14 +679,14 @@
 #[test]
 fn every_heartbeat_response_stops_cancelled_tasks() {
     for seed in 0..16 {
-        let mut sim = busy(2340 + seed);
-        let (_, follower, _) = parties(&sim);
+        let mut sim = simulation_with_jobs(2340 + seed);
+        let (_, follower, _) = controllers_by_role(&sim);
         let until = sim.now + 120 * SECOND;
         for machine in sim.machine_names() {
             sim.faults
                 .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
-        gap(&mut sim, |sim, id| sim.cancel(follower, id));
+        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         // One heartbeat interval of controllers, one of agents, and the latency of messages.
         sim.run_micros(2_900_000);
         assert_eq!(
@@ -704,8 +704,8 @@
 fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
     let mut led = 0;
     for seed in 0..12 {
-        let mut sim = busy(2360 + seed);
-        let (x, c, f) = parties(&sim);
+        let mut sim = simulation_with_jobs(2360 + seed);
+        let (x, c, f) = controllers_by_role(&sim);
         for other in [x, c] {
             sim.partition(
                 Endpoint::Controller(other),
@@ -739,7 +739,7 @@
         led += usize::from(sim.leader() == Some(c));
         sim.store.outage = true;
         sim.run_seconds(DOWN_S);
-        end(&mut sim);
+        end_outage_and_run(&mut sim);
     }
     assert!(led > 8, "{led}");
 }
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -71,7 +71,7 @@
 }
 
 /// The machines of a service's replicas.
-fn homes(sim: &Simulation, id: &str, tasks: u32) -> Vec<String> {
+fn replica_machines(sim: &Simulation, id: &str, tasks: u32) -> Vec<String> {
     let all = (0..tasks).flat_map(|t| sim.machines_running(&format!("{id}/{t}")));
     all.collect()
 }
@@ -85,7 +85,7 @@
         sim.no_capacity = true;
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(10);
-        let deaf = homes(&sim, "req-1", 4)[0].clone();
+        let deaf = replica_machines(&sim, "req-1", 4)[0].clone();
         let until = sim.now + 28 * SECOND;
         sim.faults.drop_all_deliveries(&deaf, until);
         // Its lease expires by itself; a heartbeat or two later its replicas are elsewhere.
@@ -123,11 +123,11 @@
     let mut sim = simulation_with_leader(730, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 2, 6.0), 0);
     sim.run_seconds(10);
-    let deaf = homes(&sim, "req-1", 2)[0].clone();
+    let deaf = replica_machines(&sim, "req-1", 2)[0].clone();
     sim.faults.drop_all_deliveries(&deaf, u64::MAX);
     sim.run_seconds(90);
     assert!(sim.deleted_machines.contains(&deaf), "{}", sim.dump());
-    assert_eq!(homes(&sim, "req-1", 2).len(), 2);
+    assert_eq!(replica_machines(&sim, "req-1", 2).len(), 2);
 }
 
 /// A rack, a whole zone, one controller only, one kind of message only: no rule is violated, and in the end everything runs
@@ -176,7 +176,7 @@
             );
         }
         assert_eq!(
-            homes(&sim, "req-1", 4).len(),
+            replica_machines(&sim, "req-1", 4).len(),
             4,
             "seed {seed}: {}",
             sim.dump()
@@ -197,12 +197,12 @@
             max_delay: 3 * LEASE_S * SECOND,
         });
         sim.run_seconds(20);
-        let dead = homes(&sim, "req-1", 4)[0].clone();
+        let dead = replica_machines(&sim, "req-1", 4)[0].clone();
         sim.agents.get_mut(&dead).unwrap().alive = false;
         // One lease, and the time to place and start a task again.
         sim.run_seconds(LEASE_S + 6);
         assert_eq!(
-            homes(&sim, "req-1", 4).len(),
+            replica_machines(&sim, "req-1", 4).len(),
             4,
             "seed {seed}: {}",
             sim.dump()
@@ -244,7 +244,7 @@
             }
         }
         sim.run_seconds(60);
-        assert_eq!(homes(&sim, "req-1", 4).len(), 4, "seed {seed}");
+        assert_eq!(replica_machines(&sim, "req-1", 4).len(), 4, "seed {seed}");
     }
 }
 
@@ -292,7 +292,7 @@
 }
 
 /// Partitions a controller from the store and its peers, but not from its agents.
-fn only_its_workers(sim: &mut Simulation, i: usize, dt: u64) {
+fn partition_from_all_but_agents(sim: &mut Simulation, i: usize, dt: u64) {
     sim.partition(
         Endpoint::Controller(i),
         Endpoint::Store,
@@ -319,7 +319,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
         let leader = sim.leader().unwrap();
-        only_its_workers(&mut sim, leader, 60 * SECOND);
+        partition_from_all_but_agents(&mut sim, leader, 60 * SECOND);
         sim.run_seconds(7);
         assert_ne!(sim.health_status(leader), 200, "users are sent away");
         sim.spawn_client_at(
@@ -361,7 +361,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
         let leader = sim.leader().unwrap();
-        only_its_workers(&mut sim, leader, 17 * SECOND);
+        partition_from_all_but_agents(&mut sim, leader, 17 * SECOND);
         for i in (0..3).filter(|i| *i != leader) {
             sim.store.refused_controllers.push(i);
             for machine in sim.machine_names() {
@@ -399,7 +399,7 @@
         for n in 0..sim.rng.random_range(1..4u64) {
             let dt = sim.rng.random_range(3..40) * SECOND;
             let at = n * 20 * SECOND + sim.rng.random_range(0..9 * SECOND);
-            sim.after(at, move |sim| only_its_workers(sim, i, dt));
+            sim.after(at, move |sim| partition_from_all_but_agents(sim, i, dt));
         }
         if sim.rng.random_bool(0.4) {
             let (at, back) = (
@@ -413,7 +413,7 @@
         sim.run_seconds(160);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
         assert_eq!(
-            homes(&sim, "req-1", 4).len(),
+            replica_machines(&sim, "req-1", 4).len(),
             4,
             "seed {seed}: {}",
             sim.dump()
@@ -533,7 +533,7 @@
         sim.run_seconds(10);
         let leader = sim.leader().unwrap();
         // One machine reaches only a controller that the leader does not reach.
-        let machine = homes(&sim, "req-1", 4)[0].clone();
+        let machine = replica_machines(&sim, "req-1", 4)[0].clone();
         let (f, other) = ((leader + 1) % 3, (leader + 2) % 3);
         sim.partition(
             Endpoint::Controller(leader),
@@ -569,7 +569,7 @@
         // A lease at the follower, the record, a lease at the leader, and a start.
         sim.run_seconds(2 * LEASE_S + 6);
         assert_eq!(
-            homes(&sim, "req-1", 4).len(),
+            replica_machines(&sim, "req-1", 4).len(),
             4,
             "seed {seed}: {}",
             sim.dump()
@@ -588,7 +588,7 @@
         max_delay: 30 * SECOND,
     });
     sim.run_seconds(25);
-    let gone = homes(&sim, "req-1", 2)[0].clone();
+    let gone = replica_machines(&sim, "req-1", 2)[0].clone();
     sim.failed_machines.insert(gone.clone());
     sim.agents.get_mut(&gone).unwrap().alive = false;
     sim.run_seconds(12);
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -10,7 +10,7 @@
 
 /// A simulation in which only a follower reaches half of the machines and renews their leases on record, without a cloud.
 /// The leader has the other half, or it would hand over leadership. Returns that follower and the third controller, too.
-fn renewed(seed: u64) -> (Simulation, usize, usize) {
+fn simulation_with_renewing_follower(seed: u64) -> (Simulation, usize, usize) {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
@@ -48,7 +48,7 @@
 #[test]
 fn renewing_follower_stops_cancelled_tasks() {
     for seed in 0..8 {
-        let (mut sim, _, t) = renewed(6300 + seed);
+        let (mut sim, _, t) = simulation_with_renewing_follower(6300 + seed);
         sim.cancel(t, "req-2");
         sim.run_seconds(CANCEL_DEADLINE_S + 5);
         sim.assert_cancelled(seed, &["req-2"]);
@@ -64,7 +64,7 @@
 #[test]
 fn renewing_follower_stops_renewing_without_reads_and_news() {
     for seed in 0..8 {
-        let (mut sim, f, t) = renewed(6320 + seed);
+        let (mut sim, f, t) = simulation_with_renewing_follower(6320 + seed);
         let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
         sim.partition(Endpoint::Controller(f), Endpoint::Store, how, 70 * SECOND);
         for i in (0..3).filter(|i| *i != f) {
--- a/tests/failure_scenarios/main.rs
+++ b/tests/failure_scenarios/main.rs
@@ -7,13 +7,14 @@
 mod job_dependencies;
 mod network_partitions;
 mod placement;
+mod random_faults;
 mod store_outages;
 mod version_upgrades;
 
 use simulation::{Endpoint, PartitionMode, Simulation};
 
 /// Partitions the zones from each other; the store stays reachable.
-pub fn cut_zones(sim: &mut Simulation, dt: u64) {
+pub fn partition_zones(sim: &mut Simulation, dt: u64) {
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     for i in 0..3 {
         for j in (0..3).filter(|j| zone(*j) != zone(i)) {
@@ -42,12 +43,12 @@
 }
 
 /// The leader and the two followers.
-pub fn parties(sim: &Simulation) -> (usize, usize, usize) {
+pub fn controllers_by_role(sim: &Simulation) -> (usize, usize, usize) {
     let leader = sim.leader().expect("a leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
-pub fn cut_from_workers(sim: &mut Simulation, node: usize, names: &[String], dt: u64) {
+pub fn partition_from_agents(sim: &mut Simulation, node: usize, names: &[String], dt: u64) {
     for machine in names {
         sim.partition(
             Endpoint::Controller(node),
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -1,12 +1,11 @@
 //! Partitions, crashes, hangs and takeovers.
 
-use crate::cut_from_workers;
-use crate::cut_zones;
-use crate::parties;
+use crate::controllers_by_role;
+use crate::partition_from_agents;
+use crate::partition_zones;
 use crate::simulation::{Endpoint, PartitionMode, SECOND, after, job, simulation_with_leader};
 use rand::RngExt;
 use walnuttrestle::protocol::JobKind;
-use walnuttrestle::protocol::agent_api::TaskPhase;
 
 #[test]
 fn late_start_with_a_lost_answer_runs_once() {
@@ -126,7 +125,7 @@
         assert_ne!(sim.leader(), Some(2), "seed {seed}");
         sim.spawn_client("req-2", job(JobKind::Array, 8, 1.0), 30 * SECOND);
         sim.run_seconds(10);
-        cut_zones(&mut sim, 30 * SECOND);
+        partition_zones(&mut sim, 30 * SECOND);
         sim.run_seconds(16);
         sim.cancel_until_answered("req-2");
         sim.run_seconds(60);
@@ -203,7 +202,7 @@
     let mut sim = simulation_with_leader(46, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
-    cut_zones(&mut sim, 30 * SECOND);
+    partition_zones(&mut sim, 30 * SECOND);
     sim.run_seconds(12);
     for x in sim.agents.values_mut().filter(|x| x.zone == "b") {
         x.alive = false;
@@ -257,130 +256,6 @@
     );
 }
 
-/// Random faults of many kinds at once; each seed repeats its own run.
-#[test]
-fn overlapping_faults_break_no_invariant() {
-    for seed in (100..240).chain([1159]) {
-        let mut sim = simulation_with_leader(seed, 5);
-        for i in 0..14 {
-            let at = sim.rng.random_range(0..60 * SECOND);
-            let (kind, n) = match i % 4 {
-                0 => (JobKind::Service, sim.rng.random_range(1..3)),
-                1 => (JobKind::Gang, sim.rng.random_range(1..4)),
-                _ => (JobKind::Array, sim.rng.random_range(1..6)),
-            };
-            let mut spec = job(kind, n, [1.0, 2.0, 8.0][sim.rng.random_range(0..3usize)]);
-            // A service would use up its team's quota for good.
-            let red = kind != JobKind::Service && sim.rng.random_bool(0.4);
-            spec.team = if red { "red" } else { "blue" }.into();
-            spec.spread = kind != JobKind::Gang && sim.rng.random_bool(0.3);
-            if spec.team == "red" && kind != JobKind::Array && spec.gpus * n as f64 > 12.0 {
-                spec.gpus = 2.0;
-                spec.cpus = 2.0;
-            }
-            if sim.rng.random_bool(0.5) && kind != JobKind::Service {
-                spec.checkpoint_s = 4.0;
-                spec.save_s = 2.0;
-            }
-            let run = sim.rng.random_range(2..30) * SECOND;
-            let cancel = sim
-                .rng
-                .random_bool(0.3)
-                .then(|| sim.rng.random_range(SECOND..40 * SECOND));
-            sim.after(at, move |sim| {
-                let id = format!("req-{i}");
-                sim.spawn_client(&id, spec, run);
-                if let Some(c) = cancel {
-                    sim.after(c, move |sim| sim.cancel_until_answered(&id));
-                }
-            });
-        }
-        for _ in 0..7 {
-            let at = sim.rng.random_range(0..90 * SECOND);
-            let what = sim.rng.random_range(0..10);
-            let dt = sim.rng.random_range(2..30) * SECOND;
-            let i = sim.rng.random_range(0..3usize);
-            let k = sim.rng.random_range(1..8u32);
-            sim.after(at, move |sim| {
-                let machine = format!("n-{k:06}");
-                match what {
-                    0 => sim.crash_controller(i, 4 * SECOND),
-                    1 => (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND)),
-                    2 => {
-                        sim.store.outage = true;
-                        sim.after(dt, |sim| {
-                            let now = sim.now;
-                            sim.store.end_outage(now);
-                        });
-                    }
-                    3 => sim.partition(
-                        Endpoint::Controller(i),
-                        Endpoint::Store,
-                        PartitionMode::Delay,
-                        dt,
-                    ),
-                    4 => (0..3).for_each(|i| {
-                        sim.partition(
-                            Endpoint::Controller(i),
-                            Endpoint::Agent(machine.clone()),
-                            PartitionMode::Delay,
-                            dt,
-                        );
-                    }),
-                    5 => {
-                        let until = sim.now + dt;
-                        if let Some(x) = sim.agents.get_mut(&machine) {
-                            x.hung_until = until;
-                        }
-                    }
-                    6 => {
-                        if let Some(x) = sim.agents.get_mut(&machine) {
-                            x.alive = false;
-                        }
-                    }
-                    7 => cut_zones(sim, dt),
-                    8 => {
-                        for machine in sim.agents.keys().cloned().collect::<Vec<_>>() {
-                            sim.partition(
-                                Endpoint::Controller(i),
-                                Endpoint::Agent(machine),
-                                PartitionMode::Delay,
-                                dt,
-                            );
-                        }
-                    }
-                    _ => {
-                        sim.command_delay = Some(dt.min(5 * SECOND));
-                        sim.after(dt, |sim| sim.command_delay = None);
-                    }
-                }
-            });
-        }
-        sim.run_seconds(400);
-        for (id, truth) in &sim.jobs {
-            if truth.spec.kind != JobKind::Service {
-                let over =
-                    truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-                assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
-            } else if truth.cancellation_seen_at.is_none() {
-                let up = sim
-                    .agents
-                    .values()
-                    .flat_map(|x| x.active_tasks())
-                    .filter(|((n, _), s)| {
-                        n.starts_with(&format!("{id}/")) && s.phase == TaskPhase::Running
-                    })
-                    .count();
-                assert!(
-                    up as u32 == truth.spec.tasks,
-                    "seed {seed}: {id}: {up} up\n{}",
-                    sim.dump()
-                );
-            }
-        }
-    }
-}
-
 /// The leader loses its network, its successor crashes soon after, and the third controller is left alone: running tasks
 /// continue, waiting ones start, and nothing runs twice.
 #[test]
@@ -446,120 +321,16 @@
     }
 }
 
-/// Partitions that leave some links up, overlapping with crashes and quick restarts.
-#[test]
-fn partial_partitions_and_quick_restarts_break_no_invariant() {
-    for seed in 800..900 {
-        let mut sim = simulation_with_leader(seed, 6);
-        if seed % 2 == 0 {
-            sim.restart_with_pledges();
-        }
-        for i in 0..10 {
-            let at = sim.rng.random_range(0..40 * SECOND);
-            let kind = [
-                JobKind::Service,
-                JobKind::Gang,
-                JobKind::Array,
-                JobKind::Array,
-            ][i % 4];
-            let n = sim.rng.random_range(1..4);
-            let mut spec = job(kind, n, [1.0, 2.0, 4.0][sim.rng.random_range(0..3usize)]);
-            spec.spread = kind != JobKind::Gang && sim.rng.random_bool(0.3);
-            let run = sim.rng.random_range(2..60) * SECOND;
-            let cancel = sim
-                .rng
-                .random_bool(0.5)
-                .then(|| sim.rng.random_range(SECOND..80 * SECOND));
-            sim.after(at, move |sim| {
-                let id = format!("req-{i}");
-                sim.spawn_client(&id, spec, run);
-                if let Some(c) = cancel {
-                    sim.after(c, move |sim| sim.cancel_until_answered(&id));
-                }
-            });
-        }
-        let outage = sim.rng.random_range(5..30) * SECOND;
-        let dt = sim.rng.random_range(10..50) * SECOND;
-        sim.after(outage, move |sim| {
-            sim.store.outage = true;
-            sim.after(dt, |sim| {
-                let now = sim.now;
-                sim.store.end_outage(now);
-            });
-        });
-        for _ in 0..6 {
-            let at = sim.rng.random_range(0..70 * SECOND);
-            let what = sim.rng.random_range(0..7);
-            let dt = sim.rng.random_range(3..40) * SECOND;
-            let how = [PartitionMode::Delay, PartitionMode::Drop][sim.rng.random_range(0..2usize)];
-            let (i, j) = (
-                sim.rng.random_range(0..3usize),
-                sim.rng.random_range(1..3usize),
-            );
-            let back = [50_000, 400_000, 4 * SECOND, 20 * SECOND][sim.rng.random_range(0..4usize)];
-            sim.after(at, move |sim| match what {
-                0 => sim.crash_controller(i, back),
-                1 => (0..12).for_each(|k| {
-                    sim.after(k * 700_000, move |sim| sim.crash_controller(i, 50_000))
-                }),
-                2 => sim.partition(
-                    Endpoint::Controller(i),
-                    Endpoint::Controller((i + j) % 3),
-                    how,
-                    dt,
-                ),
-                3 => sim.partition(Endpoint::Controller(i), Endpoint::Store, how, dt),
-                4 => {
-                    let names: Vec<String> = sim.agents.keys().cloned().collect();
-                    let some = names.iter().skip(j - 1).step_by(j);
-                    for m in some {
-                        sim.partition(Endpoint::Controller(i), Endpoint::Agent(m.clone()), how, dt);
-                    }
-                }
-                5 => {
-                    sim.store.refused_controllers.push(i);
-                    sim.after(dt, move |sim| {
-                        sim.store.refused_controllers.retain(|x| *x != i)
-                    });
-                }
-                _ => {
-                    let m = sim.agents.keys().nth(i * 2).cloned();
-                    if let Some(x) = m.and_then(|m| sim.agents.get_mut(&m)) {
-                        x.alive = false;
-                    }
-                }
-            });
-        }
-        sim.run_seconds(300);
-        for (id, truth) in &sim.jobs {
-            if truth.spec.kind == JobKind::Service && truth.cancellation_seen_at.is_none() {
-                let up = (0..truth.spec.tasks)
-                    .filter(|n| sim.machines_running(&format!("{id}/{n}")).len() == 1);
-                assert_eq!(
-                    up.count() as u32,
-                    truth.spec.tasks,
-                    "seed {seed}: {id}\n{}",
-                    sim.dump()
-                );
-            } else {
-                let over =
-                    truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-                assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
-            }
-        }
-    }
-}
-
 #[test]
 fn ineffective_leader_hands_over_leadership() {
     for seed in 900..910 {
         let mut sim = simulation_with_leader(seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.run_seconds(20);
-        let (leader, follower, third) = parties(&sim);
+        let (leader, follower, third) = controllers_by_role(&sim);
         let term = sim.term();
         let names: Vec<String> = sim.agents.keys().cloned().collect();
-        cut_from_workers(&mut sim, leader, &names, 60 * SECOND);
+        partition_from_agents(&mut sim, leader, &names, 60 * SECOND);
         for (i, j) in [(leader, follower), (leader, third), (follower, third)] {
             sim.partition(
                 Endpoint::Controller(i),
@@ -588,7 +359,7 @@
     }
 }
 
-/// A new run of the leader's process is no life of the old one: somebody takes the lead at once, and only once.
+/// A new incarnation does not continue the old one's leadership: another leader is elected at once, and only once.
 #[test]
 fn restarted_leader_is_replaced_at_once_and_only_once() {
     for seed in 920..940 {
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -181,8 +181,8 @@
         sim.call_counts
     );
 
-    // Nothing happens: 150 reports a second cost neither the store nor the agents a call. What is
-    // left are the clients' polls, which share barriers, and the leader's signs of life.
+    // Without events, 150 heartbeats a second cause no call to the store or to agents. What remains are the clients'
+    // polls, which share barriers, and the renewals of leadership.
     sim.run_seconds(10);
     sim.call_counts = CallCounts::default();
     sim.run_seconds(20);
--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -1,7 +1,7 @@
 //! Store outages: leases are renewed by peers' confirmations, under a delegated right, and by pledge.
 
-use crate::cut_from_workers;
-use crate::parties;
+use crate::controllers_by_role;
+use crate::partition_from_agents;
 use crate::simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use rand::RngExt;
 use walnuttrestle::protocol::JobKind;
@@ -173,7 +173,7 @@
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 4.0), 0);
         sim.run_seconds(12);
-        let (leader, follower, third) = parties(&sim);
+        let (leader, follower, third) = controllers_by_role(&sim);
         sim.store.outage = true;
         sim.run_seconds(4);
         let far: Vec<String> = sim
@@ -190,7 +190,7 @@
                 60 * SECOND,
             );
         }
-        cut_from_workers(&mut sim, leader, &far, 60 * SECOND);
+        partition_from_agents(&mut sim, leader, &far, 60 * SECOND);
         sim.run_seconds(13);
         // The store is back for the leader alone, which cannot delete machines.
         sim.cloud_unavailable = true;
@@ -222,7 +222,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 6, 4.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 4.0), 300 * SECOND);
         sim.run_seconds(12);
-        let (leader, follower, third) = parties(&sim);
+        let (leader, follower, third) = controllers_by_role(&sim);
         sim.store.outage = true;
         sim.run_seconds(12);
         // Some machines report to the one that will be alone, the others stay.
@@ -234,9 +234,9 @@
                 PartitionMode::Drop,
                 90 * SECOND,
             );
-            cut_from_workers(&mut sim, i, &names[..2], 90 * SECOND);
+            partition_from_agents(&mut sim, i, &names[..2], 90 * SECOND);
         }
-        cut_from_workers(&mut sim, follower, &names[2..], 90 * SECOND);
+        partition_from_agents(&mut sim, follower, &names[2..], 90 * SECOND);
         sim.store.refused_controllers = vec![leader, third];
         sim.cloud_unavailable = true;
         let now = sim.now;
@@ -275,7 +275,7 @@
         sim.run_seconds(4);
         sim.store.outage = true;
         sim.run_seconds(4);
-        let (leader, follower, third) = parties(&sim);
+        let (leader, follower, third) = controllers_by_role(&sim);
         for (n, i) in [leader, follower, third, leader, follower]
             .into_iter()
             .enumerate()
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -8,16 +8,23 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
 /// Submits a job whose tasks end one after the other.
-fn apart(sim: &mut Simulation, id: &str, kind: JobKind, tasks: u32, run: u64, apart: u64) {
+fn submit_with_staggered_ends(
+    sim: &mut Simulation,
+    id: &str,
+    kind: JobKind,
+    tasks: u32,
+    run: u64,
+    apart: u64,
+) {
     sim.spawn_client(id, job(kind, tasks, 1.0), run);
     if let Some(t) = sim.jobs.get_mut(id) {
         t.run_time_step = apart;
     }
 }
 
-/// The store remembers few changes; a controller that it has refused for a while has to read all records
-/// anew, page by page, while clients ask it. Fails (forgotten) if such a reading is begun again while its pages are on
-/// their way: the last pages of the one lead the other past keys that it has not met.
+/// The store keeps few changes; a controller that it has refused for a while has to list all records again, page by page,
+/// while clients poll it. Fails (forgotten) if such a listing is restarted while its pages are in flight: the last pages of
+/// the first listing make the second skip keys that it has not seen.
 #[test]
 fn controller_behind_a_compacted_log_relists_and_forgets_no_job() {
     let mut anew = 0;
@@ -99,7 +106,7 @@
         sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         sim.spawn_client("req-3", red(6), 40 * SECOND);
         sim.spawn_client("req-4", red(4), 30 * SECOND);
-        apart(
+        submit_with_staggered_ends(
             &mut sim,
             "req-5",
             JobKind::Array,
@@ -160,7 +167,7 @@
         for n in 0..6 {
             let (tasks, gap) = (2 + n % 2, sim.rng.random_range(4..14) * SECOND);
             let run = sim.rng.random_range(2..6) * SECOND;
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
@@ -369,8 +376,8 @@
     }
 }
 
-/// Commands, or their answers, are held up for seconds, and the machine goes on then: starts after stops, stops of
-/// older attempts, starts of what was forgotten.
+/// Commands, or their answers, are delayed for seconds, and the machine executes them then: starts after stops, stops of
+/// older attempts, starts of forgotten attempts.
 #[test]
 fn delayed_commands_and_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -405,7 +412,7 @@
             }
         }
         for n in 0..4 {
-            // It has some of them stopped, and started again later.
+            // It preempts some of them, which start again later.
             let high = JobSpec {
                 priority: Priority::High,
                 ..job(JobKind::Gang, 1, 8.0)
@@ -437,7 +444,7 @@
         sim.spawn_client("req-3", job(JobKind::Array, 60, 1.0), 8 * SECOND);
         sim.spawn_client("req-4", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         for n in 10..18 {
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
@@ -549,8 +556,8 @@
     }
 }
 
-/// The same where the store takes few changes, so that places of many jobs go into one record: such records are
-/// deleted when they are spent, and their numbers come again.
+/// Reordered transactions with a small write budget, so that placements of many jobs are batched into one record: batches
+/// are deleted once merged, and their numbers are used again.
 #[test]
 fn reordered_placement_batches_break_no_invariant() {
     let mut bundled = 0;
@@ -563,7 +570,7 @@
             let at = (n / 8) * 12 * SECOND;
             let id = format!("req-{}", 100 + n);
             sim.after(at, move |sim| {
-                apart(sim, &id, JobKind::Array, 3, 3 * SECOND, 2 * SECOND)
+                submit_with_staggered_ends(sim, &id, JobKind::Array, 3, 3 * SECOND, 2 * SECOND)
             });
         }
         for step in 0..3u64 {
@@ -573,7 +580,7 @@
                     let leader = sim.leader().unwrap_or(0);
                     sim.crash_controller(leader, 400_000);
                 }),
-                // Machines with half of the tasks are lost: all of these get places at once.
+                // Machines with half of the tasks are lost: all of these are placed again at once.
                 1 => sim.after(at, |sim| {
                     for machine in sim.machine_names().into_iter().take(2) {
                         sim.failed_machines.insert(machine.clone());
@@ -606,8 +613,8 @@
     assert!(bundled > 100, "{bundled}");
 }
 
-/// Old reports, also of earlier sessions and attempts, come after newer ones: to the leader, to a follower that renews
-/// and never saw the original, to a controller that has just started.
+/// Old heartbeats, also of earlier epochs and attempts, arrive after newer ones: at the leader, at a renewing follower that
+/// never saw the original, at a controller that has just started.
 #[test]
 fn reordered_heartbeats_break_no_invariant() {
     for seed in 0..32 {
@@ -619,7 +626,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         for n in 10..16 {
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -10,19 +10,19 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-fn red(tasks: u32, gpus: f64) -> JobSpec {
+fn red_team_array(tasks: u32, gpus: f64) -> JobSpec {
     JobSpec {
         team: "red".into(),
         ..job(JobKind::Array, tasks, gpus)
     }
 }
 
-fn leader(sim: &Simulation) -> usize {
+fn current_leader(sim: &Simulation) -> usize {
     sim.leader().unwrap_or(0)
 }
 
 fn crash_leader(sim: &mut Simulation, back: u64) {
-    let leader = leader(sim);
+    let leader = current_leader(sim);
     sim.crash_controller(leader, back);
 }
 
@@ -98,7 +98,7 @@
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5040 + seed, 6);
         for n in 0..3 {
-            sim.spawn_client(&format!("req-{n}"), red(2, 2.0), 300 * SECOND);
+            sim.spawn_client(&format!("req-{n}"), red_team_array(2, 2.0), 300 * SECOND);
         }
         sim.run_seconds(10);
         assert_eq!(
@@ -108,7 +108,7 @@
             6
         );
         for n in 10..14 {
-            sim.spawn_client(&format!("req-{n}"), red(3, 2.0), 4 * SECOND);
+            sim.spawn_client(&format!("req-{n}"), red_team_array(3, 2.0), 4 * SECOND);
         }
         let machines = sim
             .machines_running("req-0/0")
@@ -149,8 +149,8 @@
     }
 }
 
-/// Jobs are cancelled in the seconds of a handover: told by the old leader, the new one or a follower, while places are
-/// chosen, recorded and started, and what is over is cleaned by both.
+/// Jobs are cancelled during a leader change: confirmed by the old leader, the new one or a follower, while tasks are placed,
+/// recorded and started, and both leaders clean up finished jobs.
 #[test]
 fn cancellations_during_a_leader_change_are_enforced() {
     for seed in 0..48 {
@@ -178,11 +178,11 @@
         match seed % 4 {
             0 => sim.after(at, |sim| crash_leader(sim, 50_000)),
             1 => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.pause_controller(leader, 7 * SECOND);
             }),
             2 => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.partition(
                     Endpoint::Controller(leader),
                     Endpoint::Store,
@@ -199,7 +199,7 @@
                 }
             }),
             _ => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.store.refused_controllers.push(leader);
                 sim.after(8 * SECOND, |sim| sim.store.refused_controllers.clear());
             }),
@@ -219,9 +219,9 @@
     }
 }
 
-/// New machines are up within two seconds and get work at once, while transactions are carried out late and the leader ends:
-/// rentals that are not on record, first reports to a node that does not lead, starts on their way to machines that
-/// the new leader has never heard of.
+/// New machines are up within two seconds and get work at once, while transactions are delayed and the leader crashes:
+/// rentals that are not on record, first heartbeats to a follower, starts in flight to machines that the new leader does
+/// not know.
 #[test]
 fn instantly_booted_machines_during_slow_writes_and_a_leader_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -258,15 +258,15 @@
     }
 }
 
-/// Copies of reports, kept for the next leader, come to every controller just as it begins: the first that it hears of a
-/// agent may be of an earlier session or attempt.
+/// Duplicates of heartbeats reach every controller just as a new leader begins: its first heartbeat of an agent may be of an
+/// earlier epoch or attempt.
 #[test]
 fn stale_heartbeats_to_a_new_leader_break_no_invariant() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5220 + seed, 5);
         sim.faults.stale_heartbeat_probability = 0.6;
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
-        sim.spawn_client("req-2", red(6, 2.0), 300 * SECOND);
+        sim.spawn_client("req-2", red_team_array(6, 2.0), 300 * SECOND);
         for n in 10..18u64 {
             let id = format!("req-{n}");
             sim.after((n - 10) * 3 * SECOND, move |sim| {
@@ -304,7 +304,7 @@
         }
         sim.after(15 * SECOND, |sim| sim.cancel_until_answered("req-2"));
         sim.after(16 * SECOND, |sim| {
-            sim.spawn_client("req-3", red(6, 2.0), 5 * SECOND)
+            sim.spawn_client("req-3", red_team_array(6, 2.0), 5 * SECOND)
         });
         sim.run_seconds(50);
         sim.faults.clear();
@@ -365,7 +365,7 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        // Accepted, placed, done, cleaned: four changes for a job that nothing happens to.
+        // Accepted, placed, done, cleaned: four changes for a job without faults.
         println!("seed {seed}: {changes} changes for 480 jobs");
         assert!(changes < 480 * 5, "seed {seed}: {changes}");
     }
@@ -379,7 +379,7 @@
         let mut sim = simulation_with_leader(5340 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
-        sim.spawn_client("req-3", red(6, 2.0), 90 * SECOND);
+        sim.spawn_client("req-3", red_team_array(6, 2.0), 90 * SECOND);
         sim.run_seconds(10);
         let dt = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
         let how = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
@@ -425,8 +425,8 @@
     }
 }
 
-/// More work than room, urgent and not, over slow links, and the lead changes: tasks are stopped to make room, again and again,
-/// and gangs lose theirs. Nobody waits for good.
+/// More work than room, of several priorities, over slow links, and the leader changes: tasks and gangs are preempted again
+/// and again. No job waits forever.
 #[test]
 fn overload_over_slow_links_breaks_no_invariant() {
     for seed in 0..24 {
@@ -534,8 +534,8 @@
     }
 }
 
-/// A start or its answer is held up while its job is cancelled, within a fifth of a second with others, and the machines hang:
-/// for less and for more than a lease. Once they go on, whatever comes is fenced or stopped.
+/// A start or its answer is delayed while its job is cancelled, within a fifth of a second with others, and the machines
+/// hang, for less and for more than a lease. Once they continue, late messages are fenced or their tasks stopped.
 #[test]
 fn delayed_starts_of_cancelled_jobs_on_hung_machines_are_harmless() {
     for seed in 0..48 {
@@ -575,8 +575,8 @@
     }
 }
 
-/// A job has failed on the only machine that has room, which is well again: it is not kept off it for 90 s, and a
-/// machine that has failed several jobs while others run on it is not shut for good. Fails (left_waiting) with 180 s.
+/// A job has failed on the only machine with room, which works again: the job is kept off it for less than 90 s, and a machine
+/// that has failed several jobs while others run on it is not cordoned forever. Fails (left_waiting) with 180 s.
 #[test]
 fn only_machine_with_room_is_retried_in_time() {
     for seed in 0..12 {
@@ -620,8 +620,8 @@
             max_delay: 40 * SECOND,
         });
         sim.faults.stale_heartbeat_probability = 0.3;
-        sim.spawn_client("req-1", red(6, 2.0), 20 * SECOND);
-        sim.spawn_client("req-2", red(6, 2.0), 6 * SECOND);
+        sim.spawn_client("req-1", red_team_array(6, 2.0), 20 * SECOND);
+        sim.spawn_client("req-2", red_team_array(6, 2.0), 6 * SECOND);
         sim.run_seconds(9);
         let machine = sim
             .machines_running("req-1/0")
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -10,7 +10,7 @@
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// Runs the simulation; returns the rule whose violation was reported.
-fn reported(mut sim: Simulation, seconds: u64) -> String {
+fn reported_rule(mut sim: Simulation, seconds: u64) -> String {
     let seen = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
     let text = match seen {
         Ok(()) => return String::new(),
@@ -20,7 +20,7 @@
 }
 
 /// A simulation with a job whose tasks run.
-fn running(seed: u64, spec: JobSpec) -> Simulation {
+fn simulation_with_running_job(seed: u64, spec: JobSpec) -> Simulation {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", spec, 300 * SECOND);
     sim.run_seconds(8);
@@ -34,25 +34,25 @@
         let leader = sim.leader().expect("a leader");
         sim.inject_start(leader, "n-000001", "req-1/0", 9);
     };
-    let mut sim = running(3900, job(JobKind::Array, 2, 1.0));
+    let mut sim = simulation_with_running_job(3900, job(JobKind::Array, 2, 1.0));
     sim.cancel_until_answered("req-1");
     sim.run_seconds(6);
     assert_eq!(sim.last_status("req-1"), "cancelled");
     start(&mut sim);
-    assert_eq!(reported(sim, 1), "started_cancelled");
+    assert_eq!(reported_rule(sim, 1), "started_cancelled");
     // A start that was in flight when the client was told is no violation.
-    let mut sim = running(3901, job(JobKind::Array, 2, 1.0));
+    let mut sim = simulation_with_running_job(3901, job(JobKind::Array, 2, 1.0));
     sim.command_delay = Some(3 * SECOND);
     start(&mut sim);
     sim.command_delay = None;
     sim.cancel_until_answered("req-1");
-    assert_eq!(reported(sim, 10), "");
+    assert_eq!(reported_rule(sim, 10), "");
 }
 
 #[test]
 fn cancelled_task_running_after_a_hang_is_reported() {
     for lease_over in [false, true] {
-        let mut sim = running(3910, job(JobKind::Array, 1, 1.0));
+        let mut sim = simulation_with_running_job(3910, job(JobKind::Array, 1, 1.0));
         let machine = sim
             .machines_running("req-1/0")
             .pop_first()
@@ -78,7 +78,7 @@
                 }
             });
         }
-        assert_eq!(reported(sim, CANCEL_DEADLINE_S + 4), "ran_cancelled");
+        assert_eq!(reported_rule(sim, CANCEL_DEADLINE_S + 4), "ran_cancelled");
     }
 }
 
@@ -108,25 +108,25 @@
         ("cancelled", ClientRequest::Poll, 404, "", "forgotten"),
     ];
     for (first, request, status, state, rule) in cases {
-        let mut sim = running(3920, job(JobKind::Array, 2, 1.0));
+        let mut sim = simulation_with_running_job(3920, job(JobKind::Array, 2, 1.0));
         if first == "cancelled" {
             sim.cancel_until_answered("req-1");
             sim.run_seconds(3);
         }
         sim.inject_client_answer("req-1", sim.now, request, status, state);
         assert_eq!(
-            reported(sim, 1),
+            reported_rule(sim, 1),
             rule,
             "{first}, then {request:?} {status} {state}"
         );
     }
     // A request sent before may be answered with the state of that time.
-    let mut sim = running(3921, job(JobKind::Array, 2, 1.0));
+    let mut sim = simulation_with_running_job(3921, job(JobKind::Array, 2, 1.0));
     let asked = sim.now;
     sim.cancel_until_answered("req-1");
     sim.run_seconds(3);
     sim.inject_client_answer("req-1", asked, ClientRequest::Poll, 200, "running");
-    assert_eq!(reported(sim, 1), "");
+    assert_eq!(reported_rule(sim, 1), "");
 }
 
 #[test]
@@ -146,7 +146,7 @@
     }
     sim.enable_load_balancer();
     sim.declare_faults_over();
-    assert_eq!(reported(sim, 100), "left_waiting");
+    assert_eq!(reported_rule(sim, 100), "left_waiting");
     // A job held back by its quota or without room is not starving.
     let mut sim = simulation_with_leader(3931, 4);
     sim.enable_load_balancer();
@@ -157,7 +157,7 @@
     sim.spawn_client("req-2", red(1), 10 * SECOND);
     sim.spawn_client("req-3", job(JobKind::Array, 40, 8.0), 400 * SECOND);
     sim.declare_faults_over();
-    assert_eq!(reported(sim, 120), "");
+    assert_eq!(reported_rule(sim, 120), "");
 }
 
 #[test]
@@ -199,7 +199,7 @@
             .find(|n| *n != machine)
             .expect("another");
         sim.inject_running_task(&other, ("req-2/0".to_string(), 1));
-        assert_eq!(reported(sim, 1), "quota");
+        assert_eq!(reported_rule(sim, 1), "quota");
     }
 }
 
@@ -212,7 +212,7 @@
     ] {
         let mut sim = simulation_with_leader(3950, 2);
         sim.inject_invalid_request_answer(status);
-        assert_eq!(reported(sim, 1), rule);
+        assert_eq!(reported_rule(sim, 1), rule);
     }
     // Many invalid requests: none is accepted, and each is refused alike by every controller.
     let mut sim = simulation_with_leader(3951, 2);
@@ -234,5 +234,5 @@
     for i in 0..3 {
         sim.pause_controller(i, 300 * SECOND);
     }
-    assert_eq!(reported(sim, 84), "forgotten");
+    assert_eq!(reported_rule(sim, 84), "forgotten");
 }
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -9,7 +9,7 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
 /// A simulation whose clients use a load balancer.
-fn balanced(seed: u64, machines: usize) -> Simulation {
+fn simulation_with_load_balancer(seed: u64, machines: usize) -> Simulation {
     let mut sim = simulation_with_leader(seed, machines);
     sim.enable_load_balancer();
     sim.run_seconds(3);
@@ -17,7 +17,7 @@
 }
 
 /// Starts one random fault; it is over after at most `most` microseconds.
-fn trouble(sim: &mut Simulation, most: u64) {
+fn start_random_fault(sim: &mut Simulation, most: u64) {
     let dt = sim.rng.random_range(2 * SECOND..most);
     let i = sim.rng.random_range(0..3);
     let leader = sim.leader().unwrap_or(i);
@@ -97,15 +97,15 @@
 }
 
 /// Runs many random faults at once; returns the simulation with its jobs when all faults are over.
-fn night(seed: u64) -> Simulation {
-    let mut sim = balanced(seed, 6);
+fn run_random_faults(seed: u64) -> Simulation {
+    let mut sim = simulation_with_load_balancer(seed, 6);
     sim.spawn_balanced_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.spawn_balanced_client("req-2", job(JobKind::Gang, 2, 5.0), 15 * SECOND);
     sim.spawn_balanced_client("req-3", job(JobKind::Array, 10, 1.0), 6 * SECOND);
     sim.spawn_balanced_client("req-4", job(JobKind::Array, 3, 1.0), 500 * SECOND);
     sim.run_seconds(6);
     for _ in 0..sim.rng.random_range(2..7) {
-        trouble(&mut sim, 45 * SECOND);
+        start_random_fault(&mut sim, 45 * SECOND);
         let id = format!("req-{}", 10 + sim.now / SECOND);
         sim.spawn_balanced_client(&id, job(JobKind::Array, 2, 1.0), 3 * SECOND);
         let pause = sim.rng.random_range(0..8 * SECOND);
@@ -124,8 +124,8 @@
 
 /// Fails if a job stays unknown for 75 s after all faults, if an accepted job does not run although there is room, or if
 /// any rule of PROTOCOL is violated.
-fn a_night_ends_well(seed: u64) {
-    let mut sim = night(seed);
+fn assert_jobs_visible_after_faults(seed: u64) {
+    let mut sim = run_random_faults(seed);
     sim.run_seconds(150);
     for (id, t) in &sim.jobs {
         let ends = t.spec.kind != JobKind::Service && t.run_time < 100 * SECOND;
@@ -154,12 +154,12 @@
     let many = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok());
     let first: u64 = first.unwrap_or(3000);
     for seed in first..first + many.unwrap_or(150u64) {
-        a_night_ends_well(seed);
+        assert_jobs_visible_after_faults(seed);
     }
 }
 
 /// When all tasks of a job first ran at the same time, after its submission; `None`: never.
-fn begun(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
+fn time_to_full_start(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
     let tasks = sim.jobs[id].spec.tasks;
     let first = |t: u32| {
         let name = format!("{id}/{t}");
@@ -185,8 +185,8 @@
 }
 
 /// How long a large job waits on twelve full machines, with smaller jobs submitted all the time and nothing to rent.
-fn waits(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
-    let mut sim = balanced(seed, 12);
+fn large_job_wait(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
+    let mut sim = simulation_with_load_balancer(seed, 12);
     sim.no_capacity = true;
     let gangs = |sim: &mut Simulation, n: u64, run: u64| {
         let spec = JobSpec {
@@ -227,7 +227,7 @@
             let leader = sim.leader().unwrap_or(0);
             sim.crash_controller(leader, 2 * SECOND);
         }
-        if let Some(t) = begun(&sim, "req-1", since) {
+        if let Some(t) = time_to_full_start(&sim, "req-1", since) {
             return Some(t);
         }
     }
@@ -258,7 +258,7 @@
     for small in [Small::Gangs, Small::Singles, Small::BehindGuests] {
         for (name, large) in &larges {
             for crash in [false, true] {
-                let t = waits(7, small, large.clone(), crash);
+                let t = large_job_wait(7, small, large.clone(), crash);
                 table.push(format!(
                     "{small:?}, the widest {name}, leader crash {crash}: {:?} s",
                     t.map(|t| t / SECOND)
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -10,7 +10,7 @@
 const TASKS: u32 = 1_800;
 
 /// A fleet with a task on nearly every machine.
-fn full(seed: u64) -> Simulation {
+fn full_fleet(seed: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 150.0);
     sim.run_seconds(10);
     for n in 0..TASKS / 15 {
@@ -27,7 +27,7 @@
 
 #[test]
 fn all_agents_arriving_in_one_second_are_served() {
-    let mut sim = full(1);
+    let mut sim = full_fleet(1);
     sim.call_counts = CallCounts::default();
     // All agents report to the leader; its process ends, and that of one peer.
     let leader = sim.leader().expect("a leader");
@@ -65,7 +65,7 @@
 #[test]
 fn restart_storm_stays_within_the_store_budget() {
     for every in [150_000, 400_000, 1_000_000] {
-        let mut sim = full(2);
+        let mut sim = full_fleet(2);
         sim.call_counts = CallCounts::default();
         for step in 0..6 * SECOND / every {
             sim.after(step * every, |sim| {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,5 +1,5 @@
 //! Long queues: many more jobs wait than there is room for, and then something fails. The simulation checks the rules
-//! after every step, debug builds compare the kept queue with a new one in every pass, and `in_turn` asserts that
+//! after every step, debug builds compare the kept queue with a new one in every pass, and `assert_started_in_order` asserts that
 //! equal jobs started in order.
 
 mod simulation;
@@ -15,7 +15,7 @@
 }
 
 /// A simulation that rents no more machines, in which `n` arrays of two tasks each are submitted within `s` seconds.
-fn flooded(seed: u64, n: usize, s: u64) -> Simulation {
+fn simulation_with_queue(seed: u64, n: usize, s: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
@@ -38,7 +38,7 @@
 }
 
 /// Length of the leader's queue; 0 without a leader.
-fn queued(sim: &Simulation) -> usize {
+fn queue_length(sim: &Simulation) -> usize {
     let leads = sim.leader().and_then(|i| sim.controller(i));
     let leader = leads.and_then(|n| n.leader.as_ref());
     leader.map_or(0, |l| l.kept.backlog.queued())
@@ -46,7 +46,7 @@
 
 /// Asserts that jobs started in the order of their submission, except for jobs submitted at about the same time: up to
 /// `apart` clients may have repeated their submissions meanwhile.
-fn in_turn(sim: &Simulation, apart: usize) {
+fn assert_started_in_order(sim: &Simulation, apart: usize) {
     let mut first: Vec<(u64, usize)> = Vec::new();
     for b in &sim.task_starts {
         let (job, _) = b.task.rsplit_once('/').expect("a task's name");
@@ -66,8 +66,8 @@
 
 #[test]
 fn new_leader_continues_a_queue_of_hundreds() {
-    let mut sim = flooded(1, 500, 8);
-    assert!(queued(&sim) > 300, "{} wait", queued(&sim));
+    let mut sim = simulation_with_queue(1, 500, 8);
+    assert!(queue_length(&sim) > 300, "{} wait", queue_length(&sim));
     let before = done(&sim, 0..500);
     for _ in 0..3 {
         let i = sim.leader().expect("a leader");
@@ -77,12 +77,12 @@
     }
     sim.run_seconds(20);
     assert!(done(&sim, 0..500) > before + 60, "{}", done(&sim, 0..500));
-    in_turn(&sim, 60);
+    assert_started_in_order(&sim, 60);
 }
 
 #[test]
 fn zone_loss_with_a_full_queue_is_survived() {
-    let mut sim = flooded(2, 300, 6);
+    let mut sim = simulation_with_queue(2, 300, 6);
     let replicas = "req-900000";
     let mut spec = job(JobKind::Service, 4, 1.0);
     spec.priority = Priority::Production;
@@ -107,7 +107,7 @@
 
 #[test]
 fn queue_growth_during_a_store_outage_is_handled() {
-    let mut sim = flooded(3, 60, 3);
+    let mut sim = simulation_with_queue(3, 60, 3);
     sim.run_seconds(4);
     let (before, waited) = (done(&sim, 0..60), accepted(&sim));
     sim.store.outage = true;
@@ -133,7 +133,7 @@
 
 #[test]
 fn hundreds_of_cancellations_keep_the_queue_order() {
-    let mut sim = flooded(4, 400, 6);
+    let mut sim = simulation_with_queue(4, 400, 6);
     sim.run_seconds(6);
     for n in (0..400).filter(|n| n % 4 != 0) {
         sim.cancel_until_answered(&id(n));
@@ -142,7 +142,7 @@
     let kept = (0..400).filter(|n| n % 4 == 0);
     let over = kept.clone().filter(|n| sim.job_done(&id(*n))).count();
     assert_eq!(over, kept.count(), "{}", sim.dump());
-    assert_eq!(queued(&sim), 0);
+    assert_eq!(queue_length(&sim), 0);
 }
 
 /// A team at its quota does not block other teams, and when room frees its oldest job starts first.
@@ -191,7 +191,7 @@
 /// The first version leads in between and knows no kept queue.
 #[test]
 fn first_version_leader_handles_a_queue_of_hundreds() {
-    let mut sim = flooded(7, 300, 6);
+    let mut sim = simulation_with_queue(7, 300, 6);
     let i = sim.leader().expect("a leader");
     for n in (0..3).filter(|n| *n != i) {
         sim.set_first_version(n, true);
@@ -208,12 +208,15 @@
     }
     sim.run_seconds(60);
     assert!(done(&sim, 0..300) > 150, "{}", done(&sim, 0..300));
-    in_turn(&sim, 60);
+    assert_started_in_order(&sim, 60);
 }
 
 /// One class submits many times what the store takes; another submits a job every three seconds, to any controller.
 /// Returns the time to acceptance of each of the latter, in seconds.
-fn beside_a_flood(seed: u64, trouble: impl FnOnce(&mut Simulation) + 'static) -> Vec<f64> {
+fn acceptance_times_beside_flood(
+    seed: u64,
+    trouble: impl FnOnce(&mut Simulation) + 'static,
+) -> Vec<f64> {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 12.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
@@ -242,13 +245,13 @@
 
 #[test]
 fn flooding_class_does_not_block_other_classes() {
-    let took = beside_a_flood(11, |_| {});
+    let took = acceptance_times_beside_flood(11, |_| {});
     assert!(took.iter().all(|s| *s < 4.0), "{took:?}");
 }
 
 #[test]
 fn flooding_class_does_not_block_other_classes_during_controller_loss() {
-    let took = beside_a_flood(12, |sim| {
+    let took = acceptance_times_beside_flood(12, |sim| {
         let i = sim.leader().expect("a leader");
         sim.crash_controller(i, 6 * SECOND);
         sim.partition(
@@ -264,7 +267,7 @@
 }
 
 /// Changes a second that the controllers may write, in total.
-fn taken(sim: &Simulation) -> f64 {
+fn granted_write_rate(sim: &Simulation) -> f64 {
     let nodes = (0..sim.controller_count()).filter_map(|i| sim.controller(i));
     nodes.map(|n| n.store.write_rate()).sum()
 }
@@ -293,7 +296,7 @@
     let mut most: f64 = 0.0;
     for _ in 0..300 {
         sim.run_micros(SECOND / 10);
-        most = most.max(taken(&sim));
+        most = most.max(granted_write_rate(&sim));
     }
     let after = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
     assert!(after > 1.6 * before, "{before} to {after}");
@@ -330,7 +333,11 @@
         sim.crash_controller((i + round) % 3, 3 * SECOND);
         // Silent controllers leave their shares to the others; all three are back by the end.
         sim.run_seconds(12);
-        assert!(taken(&sim) <= 30.0, "round {round}: {}", taken(&sim));
+        assert!(
+            granted_write_rate(&sim) <= 30.0,
+            "round {round}: {}",
+            granted_write_rate(&sim)
+        );
         assert!(epoch(&sim) >= last, "{} after {last}", epoch(&sim));
         last = epoch(&sim);
     }
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -12,13 +12,11 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-const TROUBLES: usize = 25;
-
 /// A job's id, its class, and whether it is the largest of its class.
 type Asked = (String, &'static str, bool);
 
 /// A random time about one of the protocol's timeouts: election, heartbeat, lease, cancellation.
-fn span(sim: &mut Simulation) -> u64 {
+fn draw_timeout_like_duration(sim: &mut Simulation) -> u64 {
     let of = [
         SECOND / 20,
         2 * SECOND,
@@ -29,54 +27,202 @@
     sim.rng.random_range(about / 2..about * 3 / 2)
 }
 
-/// Starts one fault for about this long.
-fn trouble(sim: &mut Simulation, which: usize, dt: u64) {
-    let leader = sim.leader().unwrap_or(0);
-    let i = if sim.rng.random_bool(0.6) {
-        leader
-    } else {
-        sim.rng.random_range(0..3)
-    };
-    let others: Vec<usize> = (0..3).filter(|o| *o != i).collect();
-    let how = [PartitionMode::Drop, PartitionMode::Delay][sim.rng.random_range(0..2)];
-    let many = sim.rng.random_range(1..5);
-    let some: Vec<String> = sim.machine_names().into_iter().skip(1).take(many).collect();
-    let until = sim.now + dt;
-    let back = [20_000, 400_000, dt.min(20 * SECOND)][sim.rng.random_range(0..3)];
-    match which {
-        0 => sim.crash_controller(i, back),
-        1 => (0..3).for_each(|k| sim.crash_controller((i + k) % 3, back + k as u64 * 50_000)),
-        2 => sim.pause_controller(i, dt.min(40 * SECOND)),
-        3 => {
+/// The kinds of faults; their order is part of what a seed means.
+#[derive(Debug, Clone, Copy)]
+enum Fault {
+    ControllerCrash,
+    AllControllersCrash,
+    ControllerPause,
+    StoreOutage,
+    StoreRefusesController,
+    StorePartition,
+    PeerPartition,
+    StoreAndPeerPartition,
+    AgentPartition,
+    DeafAgents,
+    HungMachines,
+    DelayedWrites,
+    HeartbeatDuplicates,
+    SlowStore,
+    SlowCommands,
+    SilentAgents,
+    LostWriteAnswers,
+    StaleHeartbeats,
+    InvalidRequests,
+    ClientProbes,
+    CancellationBurst,
+    CancellationAtCompletion,
+    SlowLinks,
+    DeadMachines,
+    LeaderChanges,
+}
+
+const FAULTS: [Fault; 25] = [
+    Fault::ControllerCrash,
+    Fault::AllControllersCrash,
+    Fault::ControllerPause,
+    Fault::StoreOutage,
+    Fault::StoreRefusesController,
+    Fault::StorePartition,
+    Fault::PeerPartition,
+    Fault::StoreAndPeerPartition,
+    Fault::AgentPartition,
+    Fault::DeafAgents,
+    Fault::HungMachines,
+    Fault::DelayedWrites,
+    Fault::HeartbeatDuplicates,
+    Fault::SlowStore,
+    Fault::SlowCommands,
+    Fault::SilentAgents,
+    Fault::LostWriteAnswers,
+    Fault::StaleHeartbeats,
+    Fault::InvalidRequests,
+    Fault::ClientProbes,
+    Fault::CancellationBurst,
+    Fault::CancellationAtCompletion,
+    Fault::SlowLinks,
+    Fault::DeadMachines,
+    Fault::LeaderChanges,
+];
+
+/// Whom a fault affects, and how; each fault uses some of it.
+struct FaultTarget {
+    /// More often the leader than a follower.
+    controller: usize,
+    machines: Vec<String>,
+    mode: PartitionMode,
+    duration: u64,
+    down_time: u64,
+}
+
+impl FaultTarget {
+    fn draw(sim: &mut Simulation, duration: u64) -> FaultTarget {
+        let leader = sim.leader().unwrap_or(0);
+        let controller = if sim.rng.random_bool(0.6) {
+            leader
+        } else {
+            sim.rng.random_range(0..3)
+        };
+        let mode = [PartitionMode::Drop, PartitionMode::Delay][sim.rng.random_range(0..2)];
+        let count = sim.rng.random_range(1..5);
+        let names = sim.machine_names().into_iter();
+        let machines = names.skip(1).take(count).collect();
+        let down_times = [20_000, 400_000, duration.min(20 * SECOND)];
+        FaultTarget {
+            controller,
+            machines,
+            mode,
+            duration,
+            down_time: down_times[sim.rng.random_range(0..3)],
+        }
+    }
+
+    fn partition_from_store(&self, sim: &mut Simulation) {
+        let controller = Endpoint::Controller(self.controller);
+        sim.partition(controller, Endpoint::Store, self.mode, self.duration);
+    }
+
+    fn partition_from_peers(&self, sim: &mut Simulation) {
+        for peer in (0..3).filter(|peer| *peer != self.controller) {
+            let controller = Endpoint::Controller(self.controller);
+            let peer = Endpoint::Controller(peer);
+            sim.partition(controller, peer, self.mode, self.duration);
+        }
+    }
+
+    fn partition_from_agents(&self, sim: &mut Simulation) {
+        for machine in &self.machines {
+            let controller = Endpoint::Controller(self.controller);
+            let agent = Endpoint::Agent(machine.clone());
+            sim.partition(controller, agent, self.mode, self.duration);
+        }
+    }
+}
+
+/// Starts one fault; it lasts about this long.
+fn start_fault(sim: &mut Simulation, fault: Fault, duration: u64) {
+    let target = FaultTarget::draw(sim, duration);
+    let controller = target.controller;
+    let down_time = target.down_time;
+    match fault {
+        Fault::ControllerCrash => sim.crash_controller(controller, down_time),
+        Fault::AllControllersCrash => (0..3).for_each(|step| {
+            sim.crash_controller((controller + step) % 3, down_time + step as u64 * 50_000)
+        }),
+        Fault::ControllerPause => sim.pause_controller(controller, duration.min(40 * SECOND)),
+        Fault::LeaderChanges => {
+            for step in 0..10 {
+                sim.after(step * 3 * SECOND, move |sim| {
+                    let leader = sim.leader().unwrap_or(0);
+                    sim.crash_controller(leader, down_time.min(2 * SECOND));
+                });
+            }
+        }
+        Fault::StorePartition => target.partition_from_store(sim),
+        Fault::PeerPartition => target.partition_from_peers(sim),
+        Fault::StoreAndPeerPartition => {
+            target.partition_from_store(sim);
+            target.partition_from_peers(sim);
+        }
+        Fault::AgentPartition => target.partition_from_agents(sim),
+        Fault::StoreOutage
+        | Fault::StoreRefusesController
+        | Fault::DelayedWrites
+        | Fault::SlowStore
+        | Fault::LostWriteAnswers => start_store_fault(sim, fault, controller, duration),
+        Fault::DeafAgents | Fault::HungMachines | Fault::SilentAgents | Fault::DeadMachines => {
+            start_machine_fault(sim, fault, &target);
+        }
+        Fault::HeartbeatDuplicates
+        | Fault::SlowCommands
+        | Fault::StaleHeartbeats
+        | Fault::SlowLinks => start_message_fault(sim, fault, duration),
+        Fault::InvalidRequests
+        | Fault::ClientProbes
+        | Fault::CancellationBurst
+        | Fault::CancellationAtCompletion => start_client_fault(sim, fault, duration),
+    }
+}
+
+fn start_store_fault(sim: &mut Simulation, fault: Fault, controller: usize, duration: u64) {
+    match fault {
+        Fault::StoreOutage => {
             sim.store.outage = true;
-            sim.after(dt, |sim| {
+            sim.after(duration, |sim| {
                 let now = sim.now;
                 sim.store.end_outage(now);
             });
         }
-        4 => {
-            sim.store.refused_controllers.push(i);
-            sim.after(dt, move |sim| {
-                sim.store.refused_controllers.retain(|r| *r != i)
+        Fault::StoreRefusesController => {
+            sim.store.refused_controllers.push(controller);
+            sim.after(duration, move |sim| {
+                let refused = &mut sim.store.refused_controllers;
+                refused.retain(|other| *other != controller);
             });
         }
-        5 => sim.partition(Endpoint::Controller(i), Endpoint::Store, how, dt),
-        6 => others.iter().for_each(|o| {
-            sim.partition(Endpoint::Controller(i), Endpoint::Controller(*o), how, dt)
-        }),
-        7 => {
-            sim.partition(Endpoint::Controller(i), Endpoint::Store, how, dt);
-            others.iter().for_each(|o| {
-                sim.partition(Endpoint::Controller(i), Endpoint::Controller(*o), how, dt)
-            });
+        Fault::DelayedWrites => {
+            sim.faults.delayed_write_probability = sim.rng.random_range(0.05..0.4);
+            sim.after(duration, |sim| sim.faults.delayed_write_probability = 0.0);
         }
-        8 => {
-            for m in some {
-                sim.partition(Endpoint::Controller(i), Endpoint::Agent(m), how, dt);
-            }
+        Fault::SlowStore => {
+            sim.store_delay = sim.rng.random_range(100_000..2 * SECOND);
+            sim.after(duration, |sim| sim.store_delay = 0);
         }
-        9 => {
-            let what = [
+        Fault::LostWriteAnswers => {
+            sim.faults.lost_write_answer_probability = sim.rng.random_range(0.05..0.4);
+            sim.after(duration, |sim| {
+                sim.faults.lost_write_answer_probability = 0.0
+            });
+        }
+        _ => unreachable!("{fault:?} is no fault of the store"),
+    }
+}
+
+fn start_machine_fault(sim: &mut Simulation, fault: Fault, target: &FaultTarget) {
+    let until = sim.now + target.duration;
+    match fault {
+        Fault::DeafAgents => {
+            let kinds = [
                 &[DroppedDelivery::HeartbeatResponses][..],
                 &[DroppedDelivery::Commands],
                 &[
@@ -84,95 +230,91 @@
                     DroppedDelivery::Commands,
                 ],
             ][sim.rng.random_range(0..3)];
-            let of = sim.rng.random_bool(0.5).then_some(i);
-            for m in some {
-                sim.faults.drop_deliveries(&m, of, what, until);
+            let sender = sim.rng.random_bool(0.5).then_some(target.controller);
+            for machine in &target.machines {
+                sim.faults.drop_deliveries(machine, sender, kinds, until);
             }
         }
-        10 => {
-            for m in some {
-                sim.agents.get_mut(&m).expect("a machine").hung_until = until;
+        Fault::HungMachines => {
+            for machine in &target.machines {
+                sim.agents.get_mut(machine).expect("a machine").hung_until = until;
             }
         }
-        11 => {
-            sim.faults.delayed_write_probability = sim.rng.random_range(0.05..0.4);
-            sim.after(dt, |sim| sim.faults.delayed_write_probability = 0.0);
+        Fault::SilentAgents => {
+            for machine in &target.machines {
+                sim.faults.silence_heartbeats(machine, until);
+            }
         }
-        12 => {
+        Fault::DeadMachines => {
+            // New machines are up within two seconds and get work at once.
+            sim.machine_boot_time = sim.rng.random_range(SECOND / 5..2 * SECOND);
+            for machine in &target.machines {
+                sim.failed_machines.insert(machine.clone());
+                sim.agents.get_mut(machine).expect("a machine").alive = false;
+            }
+        }
+        _ => unreachable!("{fault:?} is no fault of machines"),
+    }
+}
+
+fn start_message_fault(sim: &mut Simulation, fault: Fault, duration: u64) {
+    match fault {
+        Fault::HeartbeatDuplicates => {
             sim.faults.heartbeat_duplication = Some(Duplication {
                 probability: 0.4,
                 max_delay: 40 * SECOND,
             });
-            sim.after(dt, |sim| sim.faults.heartbeat_duplication = None);
-        }
-        13 => {
-            sim.store_delay = sim.rng.random_range(100_000..2 * SECOND);
-            sim.after(dt, |sim| sim.store_delay = 0);
+            sim.after(duration, |sim| sim.faults.heartbeat_duplication = None);
         }
-        14 => {
+        Fault::SlowCommands => {
             sim.command_delay = Some(sim.rng.random_range(SECOND / 2..9 * SECOND));
-            sim.after(dt, |sim| sim.command_delay = None);
-        }
-        15 => some
-            .iter()
-            .for_each(|m| sim.faults.silence_heartbeats(m, until)),
-        16 => {
-            sim.faults.lost_write_answer_probability = sim.rng.random_range(0.05..0.4);
-            sim.after(dt, |sim| sim.faults.lost_write_answer_probability = 0.0);
+            sim.after(duration, |sim| sim.command_delay = None);
         }
-        17 => {
+        Fault::StaleHeartbeats => {
             sim.faults.stale_heartbeat_probability = 0.5;
-            sim.after(dt, |sim| sim.faults.stale_heartbeat_probability = 0.0);
+            sim.after(duration, |sim| sim.faults.stale_heartbeat_probability = 0.0);
+        }
+        Fault::SlowLinks => {
+            sim.faults.max_link_delay = sim.rng.random_range(50_000..900_000);
+            sim.after(duration, |sim| sim.faults.max_link_delay = 0);
         }
-        18 => sim.send_invalid_requests(dt),
-        19 => {
+        _ => unreachable!("{fault:?} is no fault of messages"),
+    }
+}
+
+fn start_client_fault(sim: &mut Simulation, fault: Fault, duration: u64) {
+    match fault {
+        Fault::InvalidRequests => sim.send_invalid_requests(duration),
+        Fault::ClientProbes => {
             sim.faults.client_probes = true;
-            sim.after(dt, |sim| sim.faults.client_probes = false);
+            sim.after(duration, |sim| sim.faults.client_probes = false);
         }
-        20 => {
-            let mut gone: Vec<String> = (0..4).map(|n| format!("req-{}", 200 + n)).collect();
-            gone.retain(|id| sim.jobs.get(id).is_some_and(|t| t.accepted));
-            sim.cancel_burst(&gone, dt);
+        Fault::CancellationBurst => {
+            let mut jobs: Vec<String> = (200..204).map(|n| format!("req-{n}")).collect();
+            jobs.retain(|id| sim.jobs.get(id).is_some_and(|truth| truth.accepted));
+            sim.cancel_burst(&jobs, duration);
         }
-        21 => {
+        Fault::CancellationAtCompletion => {
             sim.faults.cancel_at_completion_probability = 0.3;
-            sim.after(dt, |sim| sim.faults.cancel_at_completion_probability = 0.0);
-        }
-        22 => {
-            sim.faults.max_link_delay = sim.rng.random_range(50_000..900_000);
-            sim.after(dt, |sim| sim.faults.max_link_delay = 0);
-        }
-        23 => {
-            // Machines die, and new ones are up within two seconds and get work at once.
-            sim.machine_boot_time = sim.rng.random_range(SECOND / 5..2 * SECOND);
-            for m in some {
-                sim.failed_machines.insert(m.clone());
-                sim.agents.get_mut(&m).expect("a machine").alive = false;
-            }
-        }
-        _ => {
-            // The leader changes again and again.
-            for k in 0..10 {
-                sim.after(k * 3 * SECOND, move |sim| {
-                    let leader = sim.leader().unwrap_or(0);
-                    sim.crash_controller(leader, back.min(2 * SECOND));
-                });
-            }
+            sim.after(duration, |sim| {
+                sim.faults.cancel_at_completion_probability = 0.0
+            });
         }
+        _ => unreachable!("{fault:?} is no fault of clients"),
     }
 }
 
 /// Cancels a job once it is accepted.
-fn cancel_accepted(sim: &mut Simulation, id: String) {
+fn cancel_once_accepted(sim: &mut Simulation, id: String) {
     if sim.jobs.get(&id).is_some_and(|t| t.accepted) {
         sim.cancel_until_answered(&id);
     } else {
-        sim.after(SECOND, |sim| cancel_accepted(sim, id));
+        sim.after(SECOND, |sim| cancel_once_accepted(sim, id));
     }
 }
 
 /// Submits jobs of all classes and sizes.
-fn jobs(sim: &mut Simulation) -> Vec<Asked> {
+fn submit_jobs(sim: &mut Simulation) -> Vec<Asked> {
     let of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
         class: class.into(),
         team: team.into(),
@@ -237,28 +379,31 @@
             sim.spawn_balanced_client(&of, spec, 400 * SECOND);
         });
         let at = sim.rng.random_range(8..60) * SECOND;
-        sim.after(at, move |sim| cancel_accepted(sim, cancelled));
+        sim.after(at, move |sim| cancel_once_accepted(sim, cancelled));
     }
     ids
 }
 
-fn pair(seed: u64) {
+fn run_overlapping_faults(seed: u64) {
     let mut sim = simulation_with_leader(seed, 6);
     sim.enable_load_balancer();
     sim.run_seconds(3);
-    let ids = jobs(&mut sim);
+    let ids = submit_jobs(&mut sim);
     sim.run_seconds(8);
-    let mut last = 0;
+    let mut last_end = 0;
     let mut drawn = Vec::new();
     for _ in 0..sim.rng.random_range(2..4) {
-        let which = sim.rng.random_range(0..TROUBLES);
-        let (at, dt) = (span(&mut sim), span(&mut sim));
-        drawn.push((which, at, dt));
-        last = last.max(at + dt.max(32 * SECOND));
-        sim.after(at, move |sim| trouble(sim, which, dt));
+        let fault = FAULTS[sim.rng.random_range(0..FAULTS.len())];
+        let (delay, duration) = (
+            draw_timeout_like_duration(&mut sim),
+            draw_timeout_like_duration(&mut sim),
+        );
+        drawn.push((fault, delay, duration));
+        last_end = last_end.max(delay + duration.max(32 * SECOND));
+        sim.after(delay, move |sim| start_fault(sim, fault, duration));
     }
     println!("seed {seed}: {drawn:?}");
-    sim.run_micros(last + 2 * SECOND);
+    sim.run_micros(last_end + 2 * SECOND);
     sim.faults.clear();
     sim.declare_faults_over();
     sim.run_seconds(200);
@@ -312,6 +457,6 @@
     let given = |name: &str| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok());
     let first = given("SEEDS_FROM").unwrap_or(9_000);
     for seed in first..first + given("SEEDS").unwrap_or(120) {
-        pair(seed);
+        run_overlapping_faults(seed);
     }
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery from mass losses: many tasks are lost at once, and `in_order` asserts that no job recovers ahead of another
+//! Recovery from mass losses: many tasks are lost at once, and `assert_recovered_in_order` asserts that no job recovers ahead of another
 //! because its machines came back sooner. The simulation checks the rules of PROTOCOL after every step.
 
 mod simulation;
@@ -21,7 +21,7 @@
 }
 
 /// `LOG_LEVEL=debug cargo test --test recovery -- --nocapture NAME` shows what the controllers log.
-fn started(seed: u64, machines: usize, write_rps: f64) -> Simulation {
+fn simulation_with_write_rate(seed: u64, machines: usize, write_rps: f64) -> Simulation {
     let _ = env_logger::Builder::from_env(env_logger::Env::default().filter("LOG_LEVEL"))
         .is_test(true)
         .try_init();
@@ -32,13 +32,13 @@
 
 /// A simulation in which services, arrays and gangs fill most of the machines. They are accepted in turns, so that no
 /// kind is older than another.
-fn busy(seed: u64, machines: usize) -> Simulation {
-    let mut sim = started(seed, machines, WRITE_RPS);
-    fill(&mut sim);
+fn busy_simulation(seed: u64, machines: usize) -> Simulation {
+    let mut sim = simulation_with_write_rate(seed, machines, WRITE_RPS);
+    submit_filling_jobs(&mut sim);
     sim
 }
 
-fn fill(sim: &mut Simulation) {
+fn submit_filling_jobs(sim: &mut Simulation) {
     for n in 0..SERVICES + ARRAYS + GANGS {
         let (spec, run) = match n % 7 {
             0 | 2 | 4 | 6 => (job(JobKind::Service, 2, 1.0), 0),
@@ -62,7 +62,7 @@
 
 /// Tasks that had started before `since` and started again after it, by the machine they were on, each with the time of
 /// its second start.
-fn returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
+fn task_returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut on: BTreeMap<&str, &str> = BTreeMap::new();
     let mut lost: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
     for b in &sim.task_starts {
@@ -78,10 +78,10 @@
 
 /// Asserts the order of recovery: of two jobs of one kind that lost tasks on one machine, the one accepted first is not
 /// back later than the other by more than a pass, a write and a fetch; and replicas do not wait for others.
-fn in_order(sim: &Simulation, since: u64) {
+fn assert_recovered_in_order(sim: &Simulation, since: u64) {
     let slack = 4 * SECOND;
     let mut compared = 0;
-    for (machine, tasks) in returns(sim, since) {
+    for (machine, tasks) in task_returns(sim, since) {
         for (a, at_a) in &tasks {
             for (b, at_b) in &tasks {
                 let (kind_a, kind_b) = (kind_of(sim, a), kind_of(sim, b));
@@ -102,7 +102,7 @@
 }
 
 /// Asserts that all replicas run and that all other jobs are done.
-fn all_there(sim: &Simulation) {
+fn assert_all_jobs_recovered(sim: &Simulation) {
     for (id, truth) in &sim.jobs {
         match truth.spec.kind {
             JobKind::Service => {
@@ -132,7 +132,7 @@
 }
 
 /// Partitions a zone from everything outside it, its controllers included.
-fn cut_off(sim: &mut Simulation, zone: &str, dt: u64) {
+fn partition_zone(sim: &mut Simulation, zone: &str, dt: u64) {
     let of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     let machines = machines(sim);
     for i in 0..3 {
@@ -173,48 +173,48 @@
     }
 }
 
-fn kill(sim: &mut Simulation, which: impl Fn(usize) -> bool) {
+fn kill_machines(sim: &mut Simulation, which: impl Fn(usize) -> bool) {
     for (i, x) in sim.agents.values_mut().enumerate() {
         x.alive &= !which(i);
     }
 }
 
 /// Whether the leader's cache has ever held a placement batch: the tests must not pass without one.
-fn bundled(sim: &Simulation) -> bool {
+fn has_placement_batch(sim: &Simulation) -> bool {
     sim.store.contains_key("wt/bundled")
 }
 
 #[test]
 fn partitioned_zone_recovers_in_priority_order() {
-    let mut sim = busy(1, 12);
+    let mut sim = busy_simulation(1, 12);
     let since = sim.now;
-    cut_off(&mut sim, "b", 35 * SECOND);
+    partition_zone(&mut sim, "b", 35 * SECOND);
     sim.run_seconds(150);
-    in_order(&sim, since + LEASE_S * SECOND);
-    all_there(&sim);
-    assert!(bundled(&sim), "places went one by one");
+    assert_recovered_in_order(&sim, since + LEASE_S * SECOND);
+    assert_all_jobs_recovered(&sim);
+    assert!(has_placement_batch(&sim), "places went one by one");
 }
 
 /// Applies `trouble` to a busy simulation and asserts that what was lost `after` its beginning recovers in order.
-fn comes_back(
+fn assert_recovery_in_order(
     seeds: Range<u64>,
     machines: usize,
     after: u64,
     trouble: impl Fn(&mut Simulation, u64),
 ) {
     for seed in seeds {
-        let mut sim = busy(seed, machines);
+        let mut sim = busy_simulation(seed, machines);
         let since = sim.now + after;
         trouble(&mut sim, seed);
-        in_order(&sim, since);
-        all_there(&sim);
+        assert_recovered_in_order(&sim, since);
+        assert_all_jobs_recovered(&sim);
     }
 }
 
 #[test]
 fn zone_loss_during_controller_restarts_recovers_in_order() {
-    comes_back(10..14, 12, LEASE_S * SECOND, |sim, _| {
-        cut_off(sim, "b", 40 * SECOND);
+    assert_recovery_in_order(10..14, 12, LEASE_S * SECOND, |sim, _| {
+        partition_zone(sim, "b", 40 * SECOND);
         sim.run_seconds(2);
         (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND));
         sim.run_seconds(140);
@@ -223,15 +223,15 @@
 
 #[test]
 fn loss_of_half_the_machines_recovers_in_order() {
-    comes_back(20..24, 12, 0, |sim, _| {
-        kill(sim, |i| i % 4 < 2);
+    assert_recovery_in_order(20..24, 12, 0, |sim, _| {
+        kill_machines(sim, |i| i % 4 < 2);
         sim.run_seconds(160);
     });
 }
 
 #[test]
 fn returning_zone_during_replacement_recovers_in_order() {
-    comes_back(30..34, 10, LEASE_S * SECOND, |sim, seed| {
+    assert_recovery_in_order(30..34, 10, LEASE_S * SECOND, |sim, seed| {
         // Leases of 10 s expire and replacements take 5 s to boot: the partition ends in between.
         let dt = (LEASE_S + 4 + seed % 4) * SECOND;
         for (m, _) in machines(sim).iter().filter(|(_, z)| z == "b") {
@@ -250,19 +250,19 @@
 
 #[test]
 fn second_loss_during_recovery_recovers_in_order() {
-    comes_back(40..44, 12, 0, |sim, _| {
-        kill(sim, |i| i % 4 == 0);
+    assert_recovery_in_order(40..44, 12, 0, |sim, _| {
+        kill_machines(sim, |i| i % 4 == 0);
         sim.run_seconds(LEASE_S + 3);
-        kill(sim, |i| i % 4 == 1);
+        kill_machines(sim, |i| i % 4 == 1);
         sim.run_seconds(160);
     });
 }
 
 #[test]
 fn recovery_with_a_slow_store_keeps_order() {
-    comes_back(50..53, 12, 0, |sim, _| {
+    assert_recovery_in_order(50..53, 12, 0, |sim, _| {
         sim.store_delay = 600_000;
-        kill(sim, |i| i % 4 < 2);
+        kill_machines(sim, |i| i % 4 < 2);
         sim.run_seconds(90);
         sim.store_delay = 0;
         sim.run_seconds(90);
@@ -270,9 +270,9 @@
 }
 
 /// Runs until the first placement batch is written, and no longer.
-fn run_until_bundled(sim: &mut Simulation, step: u64) {
+fn run_until_batched(sim: &mut Simulation, step: u64) {
     let since = sim.now;
-    while !bundled(sim) {
+    while !has_placement_batch(sim) {
         assert!(sim.now < since + 60 * SECOND, "nothing came back");
         sim.run_micros(step);
     }
@@ -280,9 +280,9 @@
 
 #[test]
 fn leader_loss_during_recovery_keeps_order() {
-    comes_back(60..66, 12, 0, |sim, _| {
-        kill(sim, |i| i % 4 < 2);
-        run_until_bundled(sim, 20_000);
+    assert_recovery_in_order(60..66, 12, 0, |sim, _| {
+        kill_machines(sim, |i| i % 4 < 2);
+        run_until_batched(sim, 20_000);
         let leader = sim.leader().unwrap();
         sim.lost_answers_from
             .push((Endpoint::Store, sim.now + SECOND / 2));
@@ -293,25 +293,25 @@
 
 #[test]
 fn placement_batches_are_merged_into_job_records() {
-    let mut sim = busy(70, 12);
-    kill(&mut sim, |i| i % 4 < 2);
+    let mut sim = busy_simulation(70, 12);
+    kill_machines(&mut sim, |i| i % 4 < 2);
     sim.run_seconds(200);
-    assert!(bundled(&sim));
+    assert!(has_placement_batch(&sim));
     assert_eq!(sim.store.count_keys_under("wt/b/"), 0, "bundles are left");
     // A controller that lists the records only now sees the same.
     let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
     sim.run_seconds(30);
     assert!(sim.leader().is_some(), "kernel-{leader} led before");
-    all_there(&sim);
+    assert_all_jobs_recovered(&sim);
 }
 
 #[test]
 fn cancelled_jobs_with_batched_placements_end() {
     for seed in 80..90 {
-        let mut sim = busy(seed, 12);
+        let mut sim = busy_simulation(seed, 12);
         let since = sim.now;
-        kill(&mut sim, |i| i % 4 < 2);
+        kill_machines(&mut sim, |i| i % 4 < 2);
         for n in 0..SERVICES + ARRAYS + GANGS {
             if sim.rng.random_bool(0.5) {
                 let dt = sim
@@ -343,7 +343,7 @@
 
 #[test]
 fn takeover_prefers_machines_with_cached_images() {
-    let mut sim = started(90, 12, 60.0);
+    let mut sim = simulation_with_write_rate(90, 12, 60.0);
     let mut led: BTreeSet<usize> = sim.leader().into_iter().collect();
     // Six images, one for each machine of the zone; there are twice as many machines.
     for n in 0..6 {
@@ -387,7 +387,7 @@
 #[test]
 fn new_leader_with_a_stale_cache_starts_nothing_twice() {
     for seed in 100..106 {
-        let mut sim = started(seed, 12, WRITE_RPS);
+        let mut sim = simulation_with_write_rate(seed, 12, WRITE_RPS);
         // No client polls: a poll would make the caches catch up.
         for n in 0..24 {
             sim.declare_job(&id(n), job(JobKind::Service, 2, 1.0), 0);
@@ -403,8 +403,8 @@
             .filter(|i| *i != leader)
             .map(|i| (i, 9 * SECOND))
             .collect();
-        kill(&mut sim, |i| i % 4 < 2);
-        run_until_bundled(&mut sim, 1_000);
+        kill_machines(&mut sim, |i| i % 4 < 2);
+        run_until_batched(&mut sim, 1_000);
         sim.crash_controller(leader, 30 * SECOND);
         sim.run_seconds(4);
         assert!(
@@ -414,34 +414,34 @@
         sim.run_seconds(3);
         sim.watch_delays.clear();
         sim.run_seconds(60);
-        all_there(&sim);
+        assert_all_jobs_recovered(&sim);
     }
 }
 
 #[test]
 fn no_batches_while_a_controller_cannot_read_them() {
     for seed in 120..123 {
-        let mut sim = started(seed, 12, WRITE_RPS);
+        let mut sim = simulation_with_write_rate(seed, 12, WRITE_RPS);
         sim.set_first_version(2, true);
         sim.crash_controller(2, SECOND);
         sim.run_seconds(8);
-        fill(&mut sim);
-        kill(&mut sim, |i| i % 4 < 2);
+        submit_filling_jobs(&mut sim);
+        kill_machines(&mut sim, |i| i % 4 < 2);
         sim.run_seconds(60);
         assert!(
-            !bundled(&sim),
+            !has_placement_batch(&sim),
             "seed {seed}: kernel-2 would take bundled tasks for lost"
         );
         sim.run_seconds(100);
-        all_there(&sim);
+        assert_all_jobs_recovered(&sim);
     }
 }
 
 #[test]
 fn batches_are_merged_at_once_after_a_rollback() {
-    let mut sim = busy(130, 12);
-    kill(&mut sim, |i| i % 4 < 2);
-    run_until_bundled(&mut sim, 20_000);
+    let mut sim = busy_simulation(130, 12);
+    kill_machines(&mut sim, |i| i % 4 < 2);
+    run_until_batched(&mut sim, 20_000);
     let leader = sim.leader().unwrap();
     let back = (0..3).find(|i| *i != leader).unwrap();
     sim.set_first_version(back, true);
@@ -453,15 +453,15 @@
         "kernel-{back} does not see them"
     );
     sim.run_seconds(140);
-    all_there(&sim);
+    assert_all_jobs_recovered(&sim);
 }
 
 #[test]
 fn lost_answers_about_batches_break_no_invariant() {
     for seed in 110..116 {
-        let mut sim = busy(seed, 12);
+        let mut sim = busy_simulation(seed, 12);
         let since = sim.now;
-        kill(&mut sim, |i| i % 4 < 2);
+        kill_machines(&mut sim, |i| i % 4 < 2);
         for step in 0..40u64 {
             let dt = (LEASE_S - 2) * SECOND + step * SECOND / 2;
             sim.after(dt, |sim| {
@@ -470,25 +470,25 @@
             });
         }
         sim.run_seconds(180);
-        assert!(sim.now > since && bundled(&sim));
-        all_there(&sim);
+        assert!(sim.now > since && has_placement_batch(&sim));
+        assert_all_jobs_recovered(&sim);
     }
 }
 
 #[test]
 fn overlapping_losses_break_no_invariant() {
     for seed in 200..230 {
-        let mut sim = busy(seed, 10);
+        let mut sim = busy_simulation(seed, 10);
         for _ in 0..6 {
             let at = sim.rng.random_range(0..70 * SECOND);
             let dt = sim.rng.random_range(3..40) * SECOND;
             let what = sim.rng.random_range(0..8);
             let i = sim.rng.random_range(0..3usize);
             sim.after(at, move |sim| match what {
-                0 => cut_off(sim, if i == 1 { "b" } else { "a" }, dt),
+                0 => partition_zone(sim, if i == 1 { "b" } else { "a" }, dt),
                 1 => (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND)),
                 2 => sim.crash_controller(i, 5 * SECOND),
-                3 => kill(sim, |k| k % 5 == i),
+                3 => kill_machines(sim, |k| k % 5 == i),
                 4 => {
                     let until = sim.now + dt;
                     let some = sim.agents.values_mut().enumerate();
