--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Two faults at once, as the operators have met them (docs/meetings.md), beyond the gap (tests/cancellation_during_store_outage.rs).
+//! Two faults at once, as operators have met them (docs/meetings.md), beyond tests/cancellation_during_store_outage.rs.
 
 mod simulation;
 
@@ -7,17 +7,24 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// A job whose tasks end one after the other.
-fn apart(sim: &mut Simulation, id: &str, kind: JobKind, tasks: u32, run: u64, apart: u64) {
+/// Submits a job whose tasks end one after the other.
+fn submit_with_staggered_ends(
+    sim: &mut Simulation,
+    id: &str,
+    kind: JobKind,
+    tasks: u32,
+    run: u64,
+    apart: u64,
+) {
     sim.spawn_client(id, job(kind, tasks, 1.0), run);
     if let Some(t) = sim.jobs.get_mut(id) {
         t.run_time_step = apart;
     }
 }
 
-/// The store remembers few changes; a controller that it has refused for a while has to read all records
-/// anew, page by page, while clients ask it. Fails (forgotten) if such a reading is begun again while its pages are on
-/// their way: the last pages of the one lead the other past keys that it has not met.
+/// The store keeps few changes; a controller that it has refused for a while has to list all records again, page by page,
+/// while clients poll it. Fails (forgotten) if such a listing is restarted while its pages are in flight: the last pages of
+/// the first listing make the second skip keys that it has not seen.
 #[test]
 fn controller_behind_a_compacted_log_relists_and_forgets_no_job() {
     let mut anew = 0;
@@ -84,9 +91,9 @@
     assert!(anew >= 6, "{anew}");
 }
 
-/// The leader is cut from the store and from its peers, while agents and clients still reach it; jobs are
-/// cancelled, and others run within their team's limit, through the new one. What it tells its clients may not be older
-/// than what others were told, and nothing runs beside what the new leader starts.
+/// The leader is partitioned from the store and its peers, while agents and clients still reach it; jobs are cancelled, and
+/// others run within their team's quota, through the new leader. The old leader may not tell its clients older states than
+/// were told elsewhere, and no task runs beside those that the new leader starts.
 #[test]
 fn old_leader_still_reached_by_agents_and_clients_breaks_no_invariant() {
     for seed in 0..24 {
@@ -99,7 +106,7 @@
         sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         sim.spawn_client("req-3", red(6), 40 * SECOND);
         sim.spawn_client("req-4", red(4), 30 * SECOND);
-        apart(
+        submit_with_staggered_ends(
             &mut sim,
             "req-5",
             JobKind::Array,
@@ -129,7 +136,7 @@
                 for n in 1..6 {
                     sim.poll(leader, &format!("req-{n}"));
                 }
-                // Repeats of submissions and of the cancellation come to it as well.
+                // It gets repeated submissions and cancellations as well.
                 sim.submit(leader, "req-2");
                 if s > 30 {
                     sim.cancel(leader, "req-2");
@@ -151,8 +158,8 @@
     }
 }
 
-/// Tasks of two or three of a job end far apart, while the lead changes, once or again and again; answers of the state
-/// service are lost now and then. Fails if a job is called done too early or never.
+/// Two or three tasks of a job end far apart, while the leader changes, once or repeatedly; answers of the store are lost now
+/// and then. Fails if a job is called done too early or never.
 #[test]
 fn tasks_ending_far_apart_survive_leader_changes() {
     for seed in 0..32 {
@@ -160,7 +167,7 @@
         for n in 0..6 {
             let (tasks, gap) = (2 + n % 2, sim.rng.random_range(4..14) * SECOND);
             let run = sim.rng.random_range(2..6) * SECOND;
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
@@ -197,8 +204,8 @@
     }
 }
 
-/// The store answers after seconds, then it refuses the leader alone, then everybody for longer than a
-/// cancellation has, while clients cancel and ask at every controller.
+/// The store answers after seconds, then refuses only the leader, then everyone for longer than the cancellation deadline,
+/// while clients cancel and poll at every controller.
 #[test]
 fn store_that_slows_then_refuses_one_then_all_breaks_no_invariant() {
     for seed in 0..24 {
@@ -257,8 +264,8 @@
     }
 }
 
-/// The leader ends while machines with long tasks cannot be reached, or do not hear the new leader's answer. They are
-/// presumed to run until it is proven that they do not; what was cancelled meanwhile is gone in time.
+/// The leader crashes while machines with long tasks are unreachable or do not hear the new leader's responses. Their tasks
+/// are presumed to run until proven gone; jobs cancelled meanwhile end in time.
 #[test]
 fn leader_crash_with_unreachable_machines_loses_no_long_task() {
     for seed in 0..32 {
@@ -314,8 +321,8 @@
     }
 }
 
-/// Controllers hand over and back, all end, one returns, also within a second; what they had asked before is carried
-/// out late or again.
+/// Leadership alternates, all controllers crash, one returns, also within a second; their earlier requests are carried out
+/// late or twice.
 #[test]
 fn alternating_leaders_then_a_full_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -369,8 +376,8 @@
     }
 }
 
-/// Commands, or their answers, are held up for seconds, and the machine goes on then: starts after stops, stops of
-/// older attempts, starts of what was forgotten.
+/// Commands, or their answers, are delayed for seconds, and the machine executes them then: starts after stops, stops of
+/// older attempts, starts of forgotten attempts.
 #[test]
 fn delayed_commands_and_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -405,7 +412,7 @@
             }
         }
         for n in 0..4 {
-            // It has some of them stopped, and started again later.
+            // It preempts some of them, which start again later.
             let high = JobSpec {
                 priority: Priority::High,
                 ..job(JobKind::Gang, 1, 8.0)
@@ -425,8 +432,8 @@
     }
 }
 
-/// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of
-/// others, across changes of the leader.
+/// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of others,
+/// across leader changes.
 #[test]
 fn reordered_transactions_break_no_invariant() {
     for seed in 0..48 {
@@ -437,7 +444,7 @@
         sim.spawn_client("req-3", job(JobKind::Array, 60, 1.0), 8 * SECOND);
         sim.spawn_client("req-4", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         for n in 10..18 {
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
@@ -456,7 +463,7 @@
             });
         }
         if seed % 4 == 0 {
-            // A follower renews on record, with writes that come late.
+            // A follower renews leases on record, with delayed writes.
             let leader = sim.leader().unwrap_or(0);
             let follower = (leader + 1) % 3;
             sim.partition(
@@ -498,8 +505,8 @@
     }
 }
 
-/// A follower that renews machines for a leader which cannot reach them starts again within a second, or ends for
-/// good. Fails (ran_twice) if the first record of its new run names only who has come to that run.
+/// A follower that renews machines for a leader which cannot reach them restarts within a second, or crashes for good. Fails
+/// (ran_twice) if the first record of its new incarnation names only the machines that reported to that incarnation.
 #[test]
 fn restart_of_a_renewing_follower_breaks_no_invariant() {
     for seed in 0..24 {
@@ -549,8 +556,8 @@
     }
 }
 
-/// The same where the store takes few changes, so that places of many jobs go into one record: such records are
-/// deleted when they are spent, and their numbers come again.
+/// Reordered transactions with a small write budget, so that placements of many jobs are batched into one record: batches
+/// are deleted once merged, and their numbers are used again.
 #[test]
 fn reordered_placement_batches_break_no_invariant() {
     let mut bundled = 0;
@@ -563,7 +570,7 @@
             let at = (n / 8) * 12 * SECOND;
             let id = format!("req-{}", 100 + n);
             sim.after(at, move |sim| {
-                apart(sim, &id, JobKind::Array, 3, 3 * SECOND, 2 * SECOND)
+                submit_with_staggered_ends(sim, &id, JobKind::Array, 3, 3 * SECOND, 2 * SECOND)
             });
         }
         for step in 0..3u64 {
@@ -573,7 +580,7 @@
                     let leader = sim.leader().unwrap_or(0);
                     sim.crash_controller(leader, 400_000);
                 }),
-                // Machines with half of the tasks are lost: all of these get places at once.
+                // Machines with half of the tasks are lost: all of these are placed again at once.
                 1 => sim.after(at, |sim| {
                     for machine in sim.machine_names().into_iter().take(2) {
                         sim.failed_machines.insert(machine.clone());
@@ -606,8 +613,8 @@
     assert!(bundled > 100, "{bundled}");
 }
 
-/// Old reports, also of earlier sessions and attempts, come after newer ones: to the leader, to a follower that renews
-/// and never saw the original, to a controller that has just started.
+/// Old heartbeats, also of earlier epochs and attempts, arrive after newer ones: at the leader, at a renewing follower that
+/// never saw the original, at a controller that has just started.
 #[test]
 fn reordered_heartbeats_break_no_invariant() {
     for seed in 0..32 {
@@ -619,7 +626,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
         for n in 10..16 {
-            apart(
+            submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -1,4 +1,4 @@
-//! Meetings of the hunt page beyond those of tests/cancellation_during_store_outage.rs, tests/fault_combinations.rs and tests/answer_consistency.rs (docs/meetings.md).
+//! Further combinations of docs/meetings.md: quotas, cancellations, rentals and overload under faults.
 
 mod simulation;
 
@@ -10,19 +10,19 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-fn red(tasks: u32, gpus: f64) -> JobSpec {
+fn red_team_array(tasks: u32, gpus: f64) -> JobSpec {
     JobSpec {
         team: "red".into(),
         ..job(JobKind::Array, tasks, gpus)
     }
 }
 
-fn leader(sim: &Simulation) -> usize {
+fn current_leader(sim: &Simulation) -> usize {
     sim.leader().unwrap_or(0)
 }
 
 fn crash_leader(sim: &mut Simulation, back: u64) {
-    let leader = leader(sim);
+    let leader = current_leader(sim);
     sim.crash_controller(leader, back);
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// Machines reach no controller while direct commands reach them and are answered. Those answers renew no lease, so nothing
-/// is started there; what is cancelled is stopped by command; what ran there runs on elsewhere, once. Fails if such
-/// an answer counts as a sign that the machine may have new work.
+/// Heartbeats of machines are lost while direct commands reach them and are answered. Those answers renew no lease, so no
+/// task is started there; cancelled tasks are stopped by command; the others run on elsewhere, once. Fails if such an
+/// answer counts as a sign that the machine may get new work.
 #[test]
 fn silent_machines_get_stops_and_no_starts() {
     let mut stopped = 0;
@@ -54,7 +54,7 @@
         silent
             .iter()
             .for_each(|m| sim.faults.silence_heartbeats(m, until));
-        // Work comes all the time.
+        // Jobs are submitted all the time.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
             sim.after(n * SECOND, move |sim| {
@@ -68,7 +68,7 @@
         sim.run_seconds(5);
         stopped += usize::from(sim.running_instances("req-2") == 0);
         sim.run_seconds(22);
-        // A report lasts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
+        // A heartbeat counts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
         let late =
             |b: &&simulation::TaskStart| silent.contains(&b.machine) && b.at > from + 9 * SECOND;
         let late: Vec<_> = sim.task_starts.iter().filter(late).collect();
@@ -91,14 +91,14 @@
     );
 }
 
-/// A team is at its limit; jobs of it are cancelled whose machines are cut off, hang or hear nothing, and the leader
-/// changes, once or again and again. What is not confirmed gone counts, to whoever leads.
+/// A team is at its quota; some of its jobs are cancelled whose machines are partitioned, hang or are deaf, and the leader
+/// changes, once or repeatedly. Tasks that are not confirmed gone count against the quota for every leader.
 #[test]
 fn quota_holds_while_cancelled_tasks_are_unconfirmed() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5040 + seed, 6);
         for n in 0..3 {
-            sim.spawn_client(&format!("req-{n}"), red(2, 2.0), 300 * SECOND);
+            sim.spawn_client(&format!("req-{n}"), red_team_array(2, 2.0), 300 * SECOND);
         }
         sim.run_seconds(10);
         assert_eq!(
@@ -108,7 +108,7 @@
             6
         );
         for n in 10..14 {
-            sim.spawn_client(&format!("req-{n}"), red(3, 2.0), 4 * SECOND);
+            sim.spawn_client(&format!("req-{n}"), red_team_array(3, 2.0), 4 * SECOND);
         }
         let machines = sim
             .machines_running("req-0/0")
@@ -149,8 +149,8 @@
     }
 }
 
-/// Jobs are cancelled in the seconds of a handover: told by the old leader, the new one or a follower, while places are
-/// chosen, recorded and started, and what is over is cleaned by both.
+/// Jobs are cancelled during a leader change: confirmed by the old leader, the new one or a follower, while tasks are placed,
+/// recorded and started, and both leaders clean up finished jobs.
 #[test]
 fn cancellations_during_a_leader_change_are_enforced() {
     for seed in 0..48 {
@@ -178,11 +178,11 @@
         match seed % 4 {
             0 => sim.after(at, |sim| crash_leader(sim, 50_000)),
             1 => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.pause_controller(leader, 7 * SECOND);
             }),
             2 => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.partition(
                     Endpoint::Controller(leader),
                     Endpoint::Store,
@@ -199,7 +199,7 @@
                 }
             }),
             _ => sim.after(at, |sim| {
-                let leader = leader(sim);
+                let leader = current_leader(sim);
                 sim.store.refused_controllers.push(leader);
                 sim.after(8 * SECOND, |sim| sim.store.refused_controllers.clear());
             }),
@@ -219,9 +219,9 @@
     }
 }
 
-/// New machines are up within two seconds and get work at once, while transactions are carried out late and the leader ends:
-/// rentals that are not on record, first reports to a node that does not lead, starts on their way to machines that
-/// the new leader has never heard of.
+/// New machines are up within two seconds and get work at once, while transactions are delayed and the leader crashes:
+/// rentals that are not on record, first heartbeats to a follower, starts in flight to machines that the new leader does
+/// not know.
 #[test]
 fn instantly_booted_machines_during_slow_writes_and_a_leader_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -258,15 +258,15 @@
     }
 }
 
-/// Copies of reports, kept for the next leader, come to every controller just as it begins: the first that it hears of a
-/// agent may be of an earlier session or attempt.
+/// Duplicates of heartbeats reach every controller just as a new leader begins: its first heartbeat of an agent may be of an
+/// earlier epoch or attempt.
 #[test]
 fn stale_heartbeats_to_a_new_leader_break_no_invariant() {
     for seed in 0..48 {
         let mut sim = simulation_with_leader(5220 + seed, 5);
         sim.faults.stale_heartbeat_probability = 0.6;
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
-        sim.spawn_client("req-2", red(6, 2.0), 300 * SECOND);
+        sim.spawn_client("req-2", red_team_array(6, 2.0), 300 * SECOND);
         for n in 10..18u64 {
             let id = format!("req-{n}");
             sim.after((n - 10) * 3 * SECOND, move |sim| {
@@ -304,7 +304,7 @@
         }
         sim.after(15 * SECOND, |sim| sim.cancel_until_answered("req-2"));
         sim.after(16 * SECOND, |sim| {
-            sim.spawn_client("req-3", red(6, 2.0), 5 * SECOND)
+            sim.spawn_client("req-3", red_team_array(6, 2.0), 5 * SECOND)
         });
         sim.run_seconds(50);
         sim.faults.clear();
@@ -320,8 +320,8 @@
     }
 }
 
-/// One-task jobs, four a second for two minutes, a quarter of them cancelled, at a small budget of changes; leaders change
-/// ten times in the same time, also inside an outage. Nothing starves, and what the store takes suffices.
+/// One-task jobs, four a second for two minutes, a quarter of them cancelled, with a small write budget; leaders change ten
+/// times in that time, also during an outage. No job starves, and the write budget suffices.
 #[test]
 fn four_jobs_a_second_survive_leader_changes() {
     for seed in 0..4 {
@@ -365,21 +365,21 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        // Accepted, placed, done, cleaned: four changes for a job that nothing happens to.
+        // Accepted, placed, done, cleaned: four changes for a job without faults.
         println!("seed {seed}: {changes} changes for 480 jobs");
         assert!(changes < 480 * 5, "seed {seed}: {changes}");
     }
 }
 
-/// A zone with agents and a controller is cut off for longer than a lease, or all controllers are away for longer; jobs are
-/// cancelled meanwhile.
+/// A zone with agents and a controller is partitioned for longer than a lease, or all controllers are down for longer; jobs
+/// are cancelled meanwhile.
 #[test]
 fn absence_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5340 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
-        sim.spawn_client("req-3", red(6, 2.0), 90 * SECOND);
+        sim.spawn_client("req-3", red_team_array(6, 2.0), 90 * SECOND);
         sim.run_seconds(10);
         let dt = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
         let how = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
@@ -425,8 +425,8 @@
     }
 }
 
-/// More work than room, urgent and not, over slow links, and the lead changes: tasks are stopped to make room, again and again,
-/// and gangs lose theirs. Nobody waits for good.
+/// More work than room, of several priorities, over slow links, and the leader changes: tasks and gangs are preempted again
+/// and again. No job waits forever.
 #[test]
 fn overload_over_slow_links_breaks_no_invariant() {
     for seed in 0..24 {
@@ -534,8 +534,8 @@
     }
 }
 
-/// A start or its answer is held up while its job is cancelled, within a fifth of a second with others, and the machines hang:
-/// for less and for more than a lease. Once they go on, whatever comes is fenced or stopped.
+/// A start or its answer is delayed while its job is cancelled, within a fifth of a second with others, and the machines
+/// hang, for less and for more than a lease. Once they continue, late messages are fenced or their tasks stopped.
 #[test]
 fn delayed_starts_of_cancelled_jobs_on_hung_machines_are_harmless() {
     for seed in 0..48 {
@@ -575,15 +575,15 @@
     }
 }
 
-/// A job has failed on the only machine that has room, which is well again: it is not kept off it for 90 s, and a
-/// machine that has failed several jobs while others run on it is not shut for good. Fails (left_waiting) with 180 s.
+/// A job has failed on the only machine with room, which works again: the job is kept off it for less than 90 s, and a machine
+/// that has failed several jobs while others run on it is not cordoned forever. Fails (left_waiting) with 180 s.
 #[test]
 fn only_machine_with_room_is_retried_in_time() {
     for seed in 0..12 {
         let mut sim = simulation_with_leader(5560 + seed, 2);
         sim.enable_load_balancer();
         sim.no_capacity = true;
-        // Fills both machines but for one GPU on each.
+        // Fills both machines except for one GPU on each.
         sim.spawn_client("req-1", job(JobKind::Service, 2, 7.0), 0);
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 2);
@@ -609,8 +609,8 @@
     }
 }
 
-/// Copies of reports come late, everywhere, while machines are lost and the lead changes; nothing is taken for alive or gone
-/// by what an old copy says.
+/// Duplicates of heartbeats arrive late everywhere, while machines are lost and the leader changes; an old duplicate proves
+/// neither life nor absence.
 #[test]
 fn duplicates_everywhere_keep_the_quota() {
     for seed in 0..24 {
@@ -620,8 +620,8 @@
             max_delay: 40 * SECOND,
         });
         sim.faults.stale_heartbeat_probability = 0.3;
-        sim.spawn_client("req-1", red(6, 2.0), 20 * SECOND);
-        sim.spawn_client("req-2", red(6, 2.0), 6 * SECOND);
+        sim.spawn_client("req-1", red_team_array(6, 2.0), 20 * SECOND);
+        sim.spawn_client("req-2", red_team_array(6, 2.0), 6 * SECOND);
         sim.run_seconds(9);
         let machine = sim
             .machines_running("req-1/0")
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! The tests' checker itself: fed with a fault, it reports it.
+//! Tests of the invariant checker: it reports injected violations.
 
 mod simulation;
 
@@ -9,8 +9,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// Plays the story on; the rule that the checker reports.
-fn reported(mut sim: Simulation, seconds: u64) -> String {
+/// Runs the simulation; returns the rule whose violation was reported.
+fn reported_rule(mut sim: Simulation, seconds: u64) -> String {
     let seen = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
     let text = match seen {
         Ok(()) => return String::new(),
@@ -19,8 +19,8 @@
     text.split(' ').next().unwrap_or_default().to_string()
 }
 
-/// A world with a job whose tasks run.
-fn running(seed: u64, spec: JobSpec) -> Simulation {
+/// A simulation with a job whose tasks run.
+fn simulation_with_running_job(seed: u64, spec: JobSpec) -> Simulation {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", spec, 300 * SECOND);
     sim.run_seconds(8);
@@ -34,38 +34,38 @@
         let leader = sim.leader().expect("a leader");
         sim.inject_start(leader, "n-000001", "req-1/0", 9);
     };
-    let mut sim = running(3900, job(JobKind::Array, 2, 1.0));
+    let mut sim = simulation_with_running_job(3900, job(JobKind::Array, 2, 1.0));
     sim.cancel_until_answered("req-1");
     sim.run_seconds(6);
     assert_eq!(sim.last_status("req-1"), "cancelled");
     start(&mut sim);
-    assert_eq!(reported(sim, 1), "started_cancelled");
-    // One that was in flight when its client was told is none.
-    let mut sim = running(3901, job(JobKind::Array, 2, 1.0));
+    assert_eq!(reported_rule(sim, 1), "started_cancelled");
+    // A start that was in flight when the client was told is no violation.
+    let mut sim = simulation_with_running_job(3901, job(JobKind::Array, 2, 1.0));
     sim.command_delay = Some(3 * SECOND);
     start(&mut sim);
     sim.command_delay = None;
     sim.cancel_until_answered("req-1");
-    assert_eq!(reported(sim, 10), "");
+    assert_eq!(reported_rule(sim, 10), "");
 }
 
 #[test]
 fn cancelled_task_running_after_a_hang_is_reported() {
     for lease_over in [false, true] {
-        let mut sim = running(3910, job(JobKind::Array, 1, 1.0));
+        let mut sim = simulation_with_running_job(3910, job(JobKind::Array, 1, 1.0));
         let machine = sim
             .machines_running("req-1/0")
             .pop_first()
             .expect("a machine");
         sim.cancel_until_answered("req-1");
-        // The machine stands still, and the leader does not return it.
+        // The machine hangs, and the leader does not delete it.
         sim.cloud_unavailable = true;
         sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 40 * SECOND;
         let dt = if lease_over { LEASE_S + 2 } else { 2 };
         sim.run_seconds(dt);
         let key = ("req-1/0".to_string(), 1);
         if lease_over {
-            // An agent whose clock stood still, too, would not know that its lease is over.
+            // An agent whose clock was stopped, too, would not know that its lease has expired.
             assert!(sim.agents[&machine].tasks.is_empty());
             sim.inject_running_task(&machine, key);
         }
@@ -78,13 +78,13 @@
                 }
             });
         }
-        assert_eq!(reported(sim, CANCEL_DEADLINE_S + 4), "ran_cancelled");
+        assert_eq!(reported_rule(sim, CANCEL_DEADLINE_S + 4), "ran_cancelled");
     }
 }
 
 #[test]
 fn answer_older_than_a_previous_answer_is_reported() {
-    // What was told first, what is answered to which question afterwards, and the rule.
+    // First state told, later request with its answer, and the violated rule.
     let cases = [
         ("pending", ClientRequest::Poll, 404, "", "forgotten"),
         ("pending", ClientRequest::Cancel, 404, "", "forgotten"),
@@ -108,25 +108,25 @@
         ("cancelled", ClientRequest::Poll, 404, "", "forgotten"),
     ];
     for (first, request, status, state, rule) in cases {
-        let mut sim = running(3920, job(JobKind::Array, 2, 1.0));
+        let mut sim = simulation_with_running_job(3920, job(JobKind::Array, 2, 1.0));
         if first == "cancelled" {
             sim.cancel_until_answered("req-1");
             sim.run_seconds(3);
         }
         sim.inject_client_answer("req-1", sim.now, request, status, state);
         assert_eq!(
-            reported(sim, 1),
+            reported_rule(sim, 1),
             rule,
             "{first}, then {request:?} {status} {state}"
         );
     }
-    // A question that was asked before may be answered with what held then.
-    let mut sim = running(3921, job(JobKind::Array, 2, 1.0));
+    // A request sent before may be answered with the state of that time.
+    let mut sim = simulation_with_running_job(3921, job(JobKind::Array, 2, 1.0));
     let asked = sim.now;
     sim.cancel_until_answered("req-1");
     sim.run_seconds(3);
     sim.inject_client_answer("req-1", asked, ClientRequest::Poll, 200, "running");
-    assert_eq!(reported(sim, 1), "");
+    assert_eq!(reported_rule(sim, 1), "");
 }
 
 #[test]
@@ -135,7 +135,7 @@
         team: "red".into(),
         ..job(JobKind::Array, tasks, 2.0)
     };
-    // All controllers stand still, so nobody starts it.
+    // All controllers are paused, so the job is not started.
     let mut sim = simulation_with_leader(3930, 4);
     sim.spawn_client("req-1", red(2), 300 * SECOND);
     while !sim.jobs["req-1"].accepted {
@@ -146,8 +146,8 @@
     }
     sim.enable_load_balancer();
     sim.declare_faults_over();
-    assert_eq!(reported(sim, 100), "left_waiting");
-    // What its team's limit holds back is none, nor what finds no room.
+    assert_eq!(reported_rule(sim, 100), "left_waiting");
+    // A job held back by its quota or without room is not starving.
     let mut sim = simulation_with_leader(3931, 4);
     sim.enable_load_balancer();
     sim.no_capacity = true;
@@ -157,7 +157,7 @@
     sim.spawn_client("req-2", red(1), 10 * SECOND);
     sim.spawn_client("req-3", job(JobKind::Array, 40, 8.0), 400 * SECOND);
     sim.declare_faults_over();
-    assert_eq!(reported(sim, 120), "");
+    assert_eq!(reported_rule(sim, 120), "");
 }
 
 #[test]
@@ -199,7 +199,7 @@
             .find(|n| *n != machine)
             .expect("another");
         sim.inject_running_task(&other, ("req-2/0".to_string(), 1));
-        assert_eq!(reported(sim, 1), "quota");
+        assert_eq!(reported_rule(sim, 1), "quota");
     }
 }
 
@@ -212,9 +212,9 @@
     ] {
         let mut sim = simulation_with_leader(3950, 2);
         sim.inject_invalid_request_answer(status);
-        assert_eq!(reported(sim, 1), rule);
+        assert_eq!(reported_rule(sim, 1), rule);
     }
-    // Many of them, and none is accepted; each is refused alike by every node.
+    // Many invalid requests: none is accepted, and each is refused alike by every controller.
     let mut sim = simulation_with_leader(3951, 2);
     for _ in 0..300 {
         sim.send_invalid_request();
@@ -234,5 +234,5 @@
     for i in 0..3 {
         sim.pause_controller(i, 300 * SECOND);
     }
-    assert_eq!(reported(sim, 84), "forgotten");
+    assert_eq!(reported_rule(sim, 84), "forgotten");
 }
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -1,5 +1,5 @@
-//! Every accepted job runs or stays known: clients ask through a load balancer, any faults mix, then all is calm.
-//! And the largest jobs begin.
+//! Every accepted job runs or stays visible: clients poll through a load balancer, faults mix at random, then end. Largest
+//! jobs start in time, too.
 
 mod simulation;
 
@@ -8,16 +8,16 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// Clients come through a load balancer.
-fn balanced(seed: u64, machines: usize) -> Simulation {
+/// A simulation whose clients use a load balancer.
+fn simulation_with_load_balancer(seed: u64, machines: usize) -> Simulation {
     let mut sim = simulation_with_leader(seed, machines);
     sim.enable_load_balancer();
     sim.run_seconds(3);
     sim
 }
 
-/// One of the operators' faults, from now on; all are over after `most` microseconds.
-fn trouble(sim: &mut Simulation, most: u64) {
+/// Starts one random fault; it is over after at most `most` microseconds.
+fn start_random_fault(sim: &mut Simulation, most: u64) {
     let dt = sim.rng.random_range(2 * SECOND..most);
     let i = sim.rng.random_range(0..3);
     let leader = sim.leader().unwrap_or(i);
@@ -96,16 +96,16 @@
     }
 }
 
-/// Many faults at once; returns the world when it is calm, with its jobs.
-fn night(seed: u64) -> Simulation {
-    let mut sim = balanced(seed, 6);
+/// Runs many random faults at once; returns the simulation with its jobs when all faults are over.
+fn run_random_faults(seed: u64) -> Simulation {
+    let mut sim = simulation_with_load_balancer(seed, 6);
     sim.spawn_balanced_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.spawn_balanced_client("req-2", job(JobKind::Gang, 2, 5.0), 15 * SECOND);
     sim.spawn_balanced_client("req-3", job(JobKind::Array, 10, 1.0), 6 * SECOND);
     sim.spawn_balanced_client("req-4", job(JobKind::Array, 3, 1.0), 500 * SECOND);
     sim.run_seconds(6);
     for _ in 0..sim.rng.random_range(2..7) {
-        trouble(&mut sim, 45 * SECOND);
+        start_random_fault(&mut sim, 45 * SECOND);
         let id = format!("req-{}", 10 + sim.now / SECOND);
         sim.spawn_balanced_client(&id, job(JobKind::Array, 2, 1.0), 3 * SECOND);
         let pause = sim.rng.random_range(0..8 * SECOND);
@@ -122,10 +122,10 @@
     sim
 }
 
-/// Fails if a job stays unknown for 75 s once all is calm, if one that was accepted does not run although there is
-/// room, or if any rule of PROTOCOL is broken on the way.
-fn a_night_ends_well(seed: u64) {
-    let mut sim = night(seed);
+/// Fails if a job stays unknown for 75 s after all faults, if an accepted job does not run although there is room, or if
+/// any rule of PROTOCOL is violated.
+fn assert_jobs_visible_after_faults(seed: u64) {
+    let mut sim = run_random_faults(seed);
     sim.run_seconds(150);
     for (id, t) in &sim.jobs {
         let ends = t.spec.kind != JobKind::Service && t.run_time < 100 * SECOND;
@@ -154,12 +154,12 @@
     let many = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok());
     let first: u64 = first.unwrap_or(3000);
     for seed in first..first + many.unwrap_or(150u64) {
-        a_night_ends_well(seed);
+        assert_jobs_visible_after_faults(seed);
     }
 }
 
-/// When all tasks of a job were there at once for the first time, after its submission; none: never.
-fn begun(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
+/// When all tasks of a job first ran at the same time, after its submission; `None`: never.
+fn time_to_full_start(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
     let tasks = sim.jobs[id].spec.tasks;
     let first = |t: u32| {
         let name = format!("{id}/{t}");
@@ -173,7 +173,7 @@
         .try_fold(0, |max, t| Some(max.max(t?)))
 }
 
-/// What fills the fleet in a story of the largest.
+/// The smaller jobs that fill the fleet.
 #[derive(Debug, Clone, Copy)]
 enum Small {
     /// Gangs of one machine, of the same rank.
@@ -184,9 +184,9 @@
     BehindGuests,
 }
 
-/// Twelve full machines, smaller jobs coming all the time, nothing to rent. How long the large job waits.
-fn waits(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
-    let mut sim = balanced(seed, 12);
+/// How long a large job waits on twelve full machines, with smaller jobs submitted all the time and nothing to rent.
+fn large_job_wait(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
+    let mut sim = simulation_with_load_balancer(seed, 12);
     sim.no_capacity = true;
     let gangs = |sim: &mut Simulation, n: u64, run: u64| {
         let spec = JobSpec {
@@ -207,7 +207,7 @@
         sim.spawn_client("req-70", guest, 30 * SECOND);
         sim.run_seconds(3);
     }
-    // More than the fleet can take, and it goes on like that.
+    // More than the fleet can take, continuously.
     for n in 0..14 {
         gangs(&mut sim, n, (10 + n % 7) * SECOND);
     }
@@ -227,15 +227,15 @@
             let leader = sim.leader().unwrap_or(0);
             sim.crash_controller(leader, 2 * SECOND);
         }
-        if let Some(t) = begun(&sim, "req-1", since) {
+        if let Some(t) = time_to_full_start(&sim, "req-1", since) {
             return Some(t);
         }
     }
     None
 }
 
-/// Fails if the widest gang, service or array of a class waits for more than four minutes while smaller jobs of the
-/// same rank go on coming.
+/// Fails if the widest gang, service or array of a class waits for more than four minutes while smaller jobs of the same
+/// priority are submitted continuously.
 #[test]
 fn largest_job_starts_within_four_minutes_despite_smaller_jobs() {
     let of = |kind, tasks, gpus, priority| JobSpec {
@@ -258,7 +258,7 @@
     for small in [Small::Gangs, Small::Singles, Small::BehindGuests] {
         for (name, large) in &larges {
             for crash in [false, true] {
-                let t = waits(7, small, large.clone(), crash);
+                let t = large_job_wait(7, small, large.clone(), crash);
                 table.push(format!(
                     "{small:?}, the widest {name}, leader crash {crash}: {:?} s",
                     t.map(|t| t / SECOND)
