--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -69,14 +69,13 @@
     type Item = (QueueCandidate<'a>, BackfillOrder<'a>);
 
     fn next(&mut self) -> Option<Self::Item> {
-        let active = self.active;
-        let pending = self.pending.peek().map(|(order, _)| *order);
-        let deferred_is_next = |index: &usize| {
-            pending.is_none_or(|pending| active[*index].backfill_order().order(&pending).is_lt())
-        };
-        if let Some(index) = self.deferred.next_if(deferred_is_next) {
-            let order = active[index].backfill_order();
-            return Some((QueueCandidate::Near(index), order));
+        if let Some(index) = self.deferred.peek().copied() {
+            let order = self.active[index].backfill_order();
+            let pending = self.pending.peek();
+            if pending.is_none_or(|(pending, _)| order.order(pending).is_lt()) {
+                self.deferred.next();
+                return Some((QueueCandidate::Near(index), order));
+            }
         }
         let (order, summary) = self.pending.next()?;
         Some((QueueCandidate::PendingJobs(summary), order))
--- a/src/scheduling/capacity_index/infeasible_requests.rs
+++ b/src/scheduling/capacity_index/infeasible_requests.rs
@@ -15,8 +15,8 @@
 impl Request {
     /// Whether `other` asks for at least as many tasks, and for at least as much for each.
     fn is_contained_in(&self, other: &Request) -> bool {
-        let mut amounts = self.need.iter().zip(&other.need);
-        self.tasks <= other.tasks && amounts.all(|(need, other)| need <= other)
+        self.tasks <= other.tasks
+            && (0..self.need.len()).all(|resource| self.need[resource] <= other.need[resource])
     }
 }
 
