--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -20,28 +20,28 @@
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4000 + seed, 4);
-        let a = controller_for_seed(&sim, seed);
-        let b = (a + 1) % 3;
-        sim.watch_delays.insert(a, 6 * SECOND);
+        let first = controller_for_seed(&sim, seed);
+        let second = (first + 1) % 3;
+        sim.watch_delays.insert(first, 6 * SECOND);
         sim.faults.store_write_delay = Some(StoreDelay {
-            controller: a,
+            controller: first,
             delay: 1_200_000,
         });
         sim.faults.store_read_delay = Some(StoreDelay {
-            controller: a,
+            controller: first,
             delay: 1_400_000,
         });
         sim.declare_job("req-1", job(JobKind::Array, 2, 1.0), 60 * SECOND);
-        sim.submit(a, "req-1");
+        sim.submit(first, "req-1");
         sim.run_micros(60_000);
-        sim.submit(b, "req-1");
+        sim.submit(second, "req-1");
         sim.run_micros(100_000);
         assert!(sim.jobs["req-1"].accepted, "seed {seed}: by the other node");
-        sim.cancel(b, "req-1");
+        sim.cancel(second, "req-1");
         sim.run_micros(100_000);
         assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
         for _ in 0..5 {
-            sim.submit(a, "req-1");
+            sim.submit(first, "req-1");
             sim.run_micros(50_000);
         }
         sim.run_seconds(4);
@@ -55,21 +55,21 @@
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
-        let a = controller_for_seed(&sim, seed);
-        let b = (a + 1) % 3;
+        let first = controller_for_seed(&sim, seed);
+        let second = (first + 1) % 3;
         // A listing of all records has shown the types; the watch has not shown the job yet.
         let large = JobSpec {
             types: Some(vec!["box".into()]),
             ..job(JobKind::Array, 2, 1.0)
         };
-        sim.watch_delays.insert(a, 5 * SECOND);
+        sim.watch_delays.insert(first, 5 * SECOND);
         sim.declare_job("req-1", large, 30 * SECOND);
-        sim.submit(b, "req-1");
+        sim.submit(second, "req-1");
         sim.run_micros(100_000);
         assert!(sim.jobs["req-1"].accepted, "seed {seed}");
-        sim.clear_machine_types(a);
+        sim.clear_machine_types(first);
         for _ in 0..3 {
-            sim.submit(a, "req-1");
+            sim.submit(first, "req-1");
             sim.run_micros(200_000);
         }
         sim.run_seconds(2);
@@ -92,10 +92,10 @@
         sim.faults.lost_write_answer_probability = [0.0, 0.2][seed as usize % 2];
         sim.faults.delayed_write_probability = [0.0, 0.1][seed as usize / 2 % 2];
         sim.store_delay = [0, 300_000][seed as usize / 4 % 2];
-        let f = controller_for_seed(&sim, 1);
+        let controller = controller_for_seed(&sim, 1);
         match seed % 5 {
-            0 => _ = sim.watch_delays.insert(f, 3 * SECOND),
-            1 => sim.store.refused_controllers.push(f),
+            0 => _ = sim.watch_delays.insert(controller, 3 * SECOND),
+            1 => sim.store.refused_controllers.push(controller),
             2 => sim.after(9 * SECOND, |sim| {
                 let leader = sim.leader().unwrap_or(0);
                 sim.crash_controller(leader, 50_000);
@@ -109,7 +109,7 @@
                     dt,
                 );
             }
-            _ => sim.pause_controller(f, 8 * SECOND),
+            _ => sim.pause_controller(controller, 8 * SECOND),
         }
         for n in 0..16u64 {
             let run = sim.rng.random_range(SECOND..6 * SECOND);
@@ -163,11 +163,11 @@
             );
         }
         sim.run_seconds(40);
-        for t in sim.jobs.values() {
-            done += usize::from(t.completion_seen_at.is_some());
-            cancelled += usize::from(t.cancellation_seen_at.is_some());
+        for truth in sim.jobs.values() {
+            done += usize::from(truth.completion_seen_at.is_some());
+            cancelled += usize::from(truth.cancellation_seen_at.is_some());
             assert!(
-                t.completion_seen_at.is_some() != t.cancellation_seen_at.is_some(),
+                truth.completion_seen_at.is_some() != truth.cancellation_seen_at.is_some(),
                 "seed {seed}"
             );
         }
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -428,10 +428,10 @@
             );
         }
         isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-        for (n, m) in sim.machine_names().into_iter().enumerate() {
+        for (n, machine) in sim.machine_names().into_iter().enumerate() {
             let at = sim.rng.random_range(0..12 * SECOND);
             let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
-            let agent = Endpoint::Agent(m);
+            let agent = Endpoint::Agent(machine);
             if hearsay {
                 // Its link to the remaining controllers, from the beginning.
                 sim.partition(
@@ -705,38 +705,38 @@
     let mut led = 0;
     for seed in 0..12 {
         let mut sim = simulation_with_jobs(2360 + seed);
-        let (x, c, f) = controllers_by_role(&sim);
-        for other in [x, c] {
+        let (leader, lagging, confirming) = controllers_by_role(&sim);
+        for other in [leader, lagging] {
             sim.partition(
                 Endpoint::Controller(other),
-                Endpoint::Controller(f),
+                Endpoint::Controller(confirming),
                 PartitionMode::Drop,
                 100 * SECOND,
             );
         }
         sim.run_seconds(3);
-        sim.watch_delays.insert(c, 60 * SECOND);
+        sim.watch_delays.insert(lagging, 60 * SECOND);
         sim.faults.store_read_delay = Some(StoreDelay {
-            controller: c,
+            controller: lagging,
             delay: 60 * SECOND,
         });
         sim.run_seconds(1);
-        sim.store.refused_controllers.push(x);
+        sim.store.refused_controllers.push(leader);
         sim.run_micros(SECOND / 10);
-        sim.cancel(f, "req-2");
+        sim.cancel(confirming, "req-2");
         sim.run_micros(SECOND / 5);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
         // After the first outage the old leader's key lives on for a while, so the record that the claim is conditional on
         // has not changed.
         sim.store.outage = true;
         sim.run_seconds(7);
-        sim.crash_controller(x, 50_000);
+        sim.crash_controller(leader, 50_000);
         sim.run_micros(1_300_000);
         let now = sim.now;
         sim.store.end_outage(now);
-        sim.store.refused_controllers = vec![f, x];
+        sim.store.refused_controllers = vec![confirming, leader];
         sim.run_micros(1_200_000);
-        led += usize::from(sim.leader() == Some(c));
+        led += usize::from(sim.leader() == Some(lagging));
         sim.store.outage = true;
         sim.run_seconds(DOWN_S);
         end_outage_and_run(&mut sim);
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -534,10 +534,10 @@
         let leader = sim.leader().unwrap();
         // One machine reaches only a controller that the leader does not reach.
         let machine = replica_machines(&sim, "req-1", 4)[0].clone();
-        let (f, other) = ((leader + 1) % 3, (leader + 2) % 3);
+        let (follower, other) = ((leader + 1) % 3, (leader + 2) % 3);
         sim.partition(
             Endpoint::Controller(leader),
-            Endpoint::Controller(f),
+            Endpoint::Controller(follower),
             PartitionMode::Drop,
             200 * SECOND,
         );
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -48,8 +48,8 @@
 #[test]
 fn renewing_follower_stops_cancelled_tasks() {
     for seed in 0..8 {
-        let (mut sim, _, t) = simulation_with_renewing_follower(6300 + seed);
-        sim.cancel(t, "req-2");
+        let (mut sim, _, third) = simulation_with_renewing_follower(6300 + seed);
+        sim.cancel(third, "req-2");
         sim.run_seconds(CANCEL_DEADLINE_S + 5);
         sim.assert_cancelled(seed, &["req-2"]);
         assert_eq!(
@@ -64,19 +64,24 @@
 #[test]
 fn renewing_follower_stops_renewing_without_reads_and_news() {
     for seed in 0..8 {
-        let (mut sim, f, t) = simulation_with_renewing_follower(6320 + seed);
+        let (mut sim, follower, third) = simulation_with_renewing_follower(6320 + seed);
         let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
-        sim.partition(Endpoint::Controller(f), Endpoint::Store, how, 70 * SECOND);
-        for i in (0..3).filter(|i| *i != f) {
+        sim.partition(
+            Endpoint::Controller(follower),
+            Endpoint::Store,
+            how,
+            70 * SECOND,
+        );
+        for i in (0..3).filter(|i| *i != follower) {
             sim.partition(
-                Endpoint::Controller(f),
+                Endpoint::Controller(follower),
                 Endpoint::Controller(i),
                 how,
                 70 * SECOND,
             );
         }
         sim.run_seconds(2);
-        sim.cancel(t, "req-2");
+        sim.cancel(third, "req-2");
         sim.run_seconds(CANCEL_DEADLINE_S + 5);
         sim.assert_cancelled(seed, &["req-2"]);
     }
--- a/tests/failure_scenarios/client_answers.rs
+++ b/tests/failure_scenarios/client_answers.rs
@@ -65,15 +65,15 @@
     let mut sim = simulation_with_leader(36, 2);
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(10);
-    let f = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
-    sim.store.refused_controllers.push(f);
+    let follower = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
+    sim.store.refused_controllers.push(follower);
     sim.run_seconds(3);
     let from = sim.client_answers.len();
     sim.declare_job("req-2", job(JobKind::Array, 1, 1.0), 2 * SECOND);
-    sim.submit(f, "req-2");
-    sim.poll(f, "req-1");
-    sim.poll(f, "req-99");
-    sim.cancel(f, "req-1");
+    sim.submit(follower, "req-2");
+    sim.poll(follower, "req-1");
+    sim.poll(follower, "req-99");
+    sim.cancel(follower, "req-1");
     sim.run_seconds(1);
     let mut said: Vec<(u16, &str)> = sim.client_answers[from..]
         .iter()
@@ -87,7 +87,7 @@
     );
     sim.run_seconds(40);
     assert!(sim.machines_running("req-1/0").is_empty());
-    sim.poll(f, "req-2");
+    sim.poll(follower, "req-2");
     sim.run_seconds(1);
     assert_eq!(sim.last_status("req-2"), "done");
 }
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -350,7 +350,7 @@
         sim.run_seconds(50);
         assert!(
             sim.term() <= term + 2,
-            "seed {seed}: the lead does not go round"
+            "seed {seed}: leadership does not alternate"
         );
         assert!(
             (0..6).all(|t| sim.start_counts[&format!("req-1/{t}")] == 1),
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -138,11 +138,11 @@
     }
     sim.run_seconds(60);
     assert!(sim.jobs.keys().all(|id| sim.job_done(id)));
-    let m = sim.agents.get("n-000001");
+    let agent = sim.agents.get("n-000001");
     assert!(
-        m.is_none_or(|m| m.failed_tasks <= 2),
+        agent.is_none_or(|agent| agent.failed_tasks <= 2),
         "{:?}",
-        m.map(|m| m.failed_tasks)
+        agent.map(|agent| agent.failed_tasks)
     );
 }
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -17,8 +17,8 @@
     apart: u64,
 ) {
     sim.spawn_client(id, job(kind, tasks, 1.0), run);
-    if let Some(t) = sim.jobs.get_mut(id) {
-        t.run_time_step = apart;
+    if let Some(truth) = sim.jobs.get_mut(id) {
+        truth.run_time_step = apart;
     }
 }
 
@@ -131,14 +131,14 @@
         let at = sim.rng.random_range(4 * SECOND..9 * SECOND);
         sim.after(at, move |sim| sim.cancel(others[0], "req-2"));
         sim.after(at + 4 * SECOND, move |sim| sim.cancel(others[1], "req-2"));
-        for s in 0..80 {
-            sim.after(s * SECOND, move |sim| {
+        for second in 0..80 {
+            sim.after(second * SECOND, move |sim| {
                 for n in 1..6 {
                     sim.poll(leader, &format!("req-{n}"));
                 }
                 // It gets repeated submissions and cancellations as well.
                 sim.submit(leader, "req-2");
-                if s > 30 {
+                if second > 30 {
                     sim.cancel(leader, "req-2");
                 }
             });
@@ -485,13 +485,13 @@
         sim.faults.clear();
         sim.run_seconds(150);
         sim.assert_cancelled(seed, &["req-4"]);
-        for (id, t) in sim
+        for (id, truth) in sim
             .jobs
             .iter()
             .filter(|(id, _)| !["req-1", "req-4"].contains(&id.as_str()))
         {
             assert!(
-                t.completion_seen_at.is_some(),
+                truth.completion_seen_at.is_some(),
                 "seed {seed}: {id}\n{}",
                 sim.dump()
             );
@@ -596,9 +596,9 @@
         }
         sim.faults.clear();
         sim.run_seconds(200);
-        for (id, t) in sim.jobs.iter().filter(|(id, _)| *id != "req-1") {
+        for (id, truth) in sim.jobs.iter().filter(|(id, _)| *id != "req-1") {
             assert!(
-                t.completion_seen_at.is_some(),
+                truth.completion_seen_at.is_some(),
                 "seed {seed}: {id}\n{}",
                 sim.dump()
             );
@@ -672,13 +672,13 @@
         sim.faults.clear();
         sim.run_seconds(110);
         sim.assert_cancelled(seed, &["req-3"]);
-        for (id, t) in sim
+        for (id, truth) in sim
             .jobs
             .iter()
             .filter(|(id, _)| !["req-1", "req-3"].contains(&id.as_str()))
         {
             assert!(
-                t.completion_seen_at.is_some(),
+                truth.completion_seen_at.is_some(),
                 "seed {seed}: {id}\n{}",
                 sim.dump()
             );
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -355,8 +355,8 @@
         let changes = sim.call_counts.store_changes;
         sim.run_seconds(60);
         let jobs = sim.jobs.iter().filter(|(id, _)| id.len() == 8);
-        for (id, t) in jobs {
-            let over = t.completion_seen_at.is_some() || t.cancellation_seen_at.is_some();
+        for (id, truth) in jobs {
+            let over = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
             assert!(over, "seed {seed}: {id}\n{}", sim.dump());
         }
         assert_eq!(
@@ -385,7 +385,7 @@
         let how = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
         if seed % 2 == 0 {
             // Controller 1 and every second machine are in zone b.
-            let b: Vec<String> = sim
+            let zone_b: Vec<String> = sim
                 .agents
                 .values()
                 .filter(|x| x.zone == "b")
@@ -393,7 +393,7 @@
                 .collect();
             for i in [0, 2] {
                 sim.partition(Endpoint::Controller(1), Endpoint::Controller(i), how, dt);
-                b.iter().for_each(|m| {
+                zone_b.iter().for_each(|m| {
                     sim.partition(Endpoint::Controller(i), Endpoint::Agent(m.clone()), how, dt)
                 });
             }
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -69,9 +69,9 @@
             assert!(sim.agents[&machine].tasks.is_empty());
             sim.inject_running_task(&machine, key);
         }
-        for s in 0..CANCEL_DEADLINE_S + 4 {
+        for second in 0..CANCEL_DEADLINE_S + 4 {
             let of = machine.clone();
-            sim.after(s * SECOND, move |sim| {
+            sim.after(second * SECOND, move |sim| {
                 let now = sim.now;
                 if let Some(x) = sim.agents.get_mut(&of) {
                     x.lease_renewed_at = now;
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -127,21 +127,21 @@
 fn assert_jobs_visible_after_faults(seed: u64) {
     let mut sim = run_random_faults(seed);
     sim.run_seconds(150);
-    for (id, t) in &sim.jobs {
-        let ends = t.spec.kind != JobKind::Service && t.run_time < 100 * SECOND;
+    for (id, truth) in &sim.jobs {
+        let ends = truth.spec.kind != JobKind::Service && truth.run_time < 100 * SECOND;
         assert!(
-            t.accepted,
+            truth.accepted,
             "seed {seed}: {id} was never accepted\n{}",
             sim.dump()
         );
         assert!(
-            !ends || t.completion_seen_at.is_some(),
+            !ends || truth.completion_seen_at.is_some(),
             "seed {seed}: {id} is not done\n{}",
             sim.dump()
         );
     }
     let replicas: usize = (0..4)
-        .map(|t| sim.machines_running(&format!("req-1/{t}")).len())
+        .map(|task| sim.machines_running(&format!("req-1/{task}")).len())
         .sum();
     assert_eq!(replicas, 4, "seed {seed}: {}", sim.dump());
 }
@@ -214,16 +214,16 @@
     sim.run_seconds(10);
     let since = sim.now;
     sim.spawn_client("req-1", large, 10 * SECOND);
-    for s in 0..260u64 {
+    for second in 0..260u64 {
         let run = sim.rng.random_range(8..25) * SECOND;
         match small {
-            Small::Gangs => gangs(&mut sim, 100 + s, run),
-            Small::Singles => (0..4).for_each(|k| singles(&mut sim, 1000 + s * 4 + k, run)),
-            Small::BehindGuests if s % 2 == 0 => gangs(&mut sim, 100 + s, run),
-            Small::BehindGuests => singles(&mut sim, 1000 + s, run),
+            Small::Gangs => gangs(&mut sim, 100 + second, run),
+            Small::Singles => (0..4).for_each(|k| singles(&mut sim, 1000 + second * 4 + k, run)),
+            Small::BehindGuests if second % 2 == 0 => gangs(&mut sim, 100 + second, run),
+            Small::BehindGuests => singles(&mut sim, 1000 + second, run),
         }
         sim.run_seconds(1);
-        if crash && s == 40 {
+        if crash && second == 40 {
             let leader = sim.leader().unwrap_or(0);
             sim.crash_controller(leader, 2 * SECOND);
         }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -65,7 +65,7 @@
 /// Removing one guard alone does not make this test fail; the late batch never counts, and it is deleted again.
 #[test]
 fn late_placement_batch_with_a_reused_number_has_no_effect() {
-    let mut bundles = 0;
+    let mut batches = 0;
     for seed in 0..24 {
         let mut sim = Simulation::with_write_rate(6140 + seed, 3, 6, 9.0);
         sim.run_seconds(8);
@@ -94,7 +94,7 @@
         }
         for _ in 0..40 {
             sim.run_seconds(1);
-            bundles += sim.store.count_keys_under("wt/b/");
+            batches += sim.store.count_keys_under("wt/b/");
         }
         sim.run_seconds(60);
         for n in 0..24 {
@@ -116,7 +116,7 @@
             "seed {seed}: all are spent"
         );
     }
-    assert!(bundles > 20, "{bundles}");
+    assert!(batches > 20, "{batches}");
 }
 
 /// Messages between controllers are duplicated, seconds to a lease later, while the leader changes, the store is out and
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -12,8 +12,9 @@
 #[test]
 fn epoch_learned_from_a_command_answer_has_its_own_lease() {
     let example = include_str!("../examples/settings.toml");
-    let s = Settings::parse("examples/settings.toml", example).expect("the example is valid");
-    let lease = Micros::secs(s.params.agents.lease_s);
+    let settings =
+        Settings::parse("examples/settings.toml", example).expect("the example is valid");
+    let lease = Micros::secs(settings.params.agents.lease_s);
     let at = |ms: u64| Micros::millis(100_000 + ms);
     let clock = Clock {
         now: at(0),
@@ -31,23 +32,23 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    let mut l = LeaderState::new(1, 1, clock);
-    let mut w = Agent::new(&report(1, 1));
-    w.update(&report(1, 1), at(0));
-    w.answered = Some(at(0));
-    l.agents.insert("n-1".into(), w);
+    let mut leader = LeaderState::new(1, 1, clock);
+    let mut agent = Agent::new(&report(1, 1));
+    agent.update(&report(1, 1), at(0));
+    agent.answered = Some(at(0));
+    leader.agents.insert("n-1".into(), agent);
     let shown = at(0) + lease + Micros::millis(400);
-    if let Some(w) = l.agents.get_mut("n-1") {
-        w.update(&report(2, 2), shown);
+    if let Some(agent) = leader.agents.get_mut("n-1") {
+        agent.update(&report(2, 2), shown);
     }
     let cache = RecordCache::default();
-    l.leases(&s, &cache, Micros::ZERO, shown + Micros::millis(1));
-    assert!(l.agents.values().all(|w| !w.is_over()));
-    l.leases(
-        &s,
+    leader.leases(&settings, &cache, Micros::ZERO, shown + Micros::millis(1));
+    assert!(leader.agents.values().all(|agent| !agent.is_over()));
+    leader.leases(
+        &settings,
         &cache,
         Micros::ZERO,
         shown + lease.times(1.1) + Micros::millis(400),
     );
-    assert!(l.agents.values().all(Agent::is_over));
+    assert!(leader.agents.values().all(Agent::is_over));
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -15,17 +15,17 @@
 }
 
 /// A simulation that rents no more machines, in which `n` arrays of two tasks each are submitted within `s` seconds.
-fn simulation_with_queue(seed: u64, n: usize, s: u64) -> Simulation {
+fn simulation_with_queue(seed: u64, n: usize, seconds: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
     for i in 0..n {
-        let at = i as u64 * s * SECOND / n as u64;
+        let at = i as u64 * seconds * SECOND / n as u64;
         sim.after(at, move |sim| {
             sim.spawn_client(&id(i), job(JobKind::Array, 2, 1.0), 3 * SECOND)
         });
     }
-    sim.run_seconds(s);
+    sim.run_seconds(seconds);
     sim
 }
 
@@ -48,11 +48,11 @@
 /// `apart` clients may have repeated their submissions meanwhile.
 fn assert_started_in_order(sim: &Simulation, apart: usize) {
     let mut first: Vec<(u64, usize)> = Vec::new();
-    for b in &sim.task_starts {
-        let (job, _) = b.task.rsplit_once('/').expect("a task's name");
+    for start in &sim.task_starts {
+        let (job, _) = start.task.rsplit_once('/').expect("a task's name");
         let n: usize = job[4..].parse().expect("a number");
         if first.iter().all(|(_, m)| *m != n) {
-            first.push((b.at, n));
+            first.push((start.at, n));
         }
     }
     for (at, (_, n)) in first.iter().enumerate() {
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -413,10 +413,10 @@
         .filter(|(id, ..)| !sim.jobs[id].cancel_requested)
         .collect();
     let served = |(id, ..): &&Asked| {
-        let t = &sim.jobs[id];
-        let tasks = 0..t.spec.tasks;
-        t.completion_seen_at.is_some()
-            || t.spec.kind == JobKind::Service
+        let truth = &sim.jobs[id];
+        let tasks = 0..truth.spec.tasks;
+        truth.completion_seen_at.is_some()
+            || truth.spec.kind == JobKind::Service
                 && tasks
                     .into_iter()
                     .all(|n| !sim.machines_running(&format!("{id}/{n}")).is_empty())
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -32,8 +32,8 @@
     }
 }
 
-fn places(m: &RecordCache) -> Vec<(u32, u64)> {
-    let job = m.jobs.get("req-1").into_iter();
+fn places(cache: &RecordCache) -> Vec<(u32, u64)> {
+    let job = cache.jobs.get("req-1").into_iter();
     job.flat_map(Job::entries)
         .map(|e| (e.task(), e.attempt()))
         .collect()
@@ -98,54 +98,58 @@
 /// A canceller may not have seen the batch, and a batch may outlive the cleanup.
 #[test]
 fn cancelled_job_keeps_its_batched_placements_until_cleanup() {
-    let mut m = RecordCache::default();
-    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
-    m.put(&bundle_key(4), to_value(&bundle(vec![entry(0, 2)])), 5);
-    m.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
-    assert_eq!(places(&m), [(0, 2)]);
+    let mut cache = RecordCache::default();
+    cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
+    cache.put(&bundle_key(4), to_value(&bundle(vec![entry(0, 2)])), 5);
+    cache.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
+    assert_eq!(places(&cache), [(0, 2)]);
     let cleaned = JobRecord {
         cleaned: true,
         ..record(JobStage::Cancelled, Vec::new())
     };
-    m.put_job("req-1", cleaned, 7);
-    assert!(matches!(m.job("req-1"), Some(JobLookup::Over(f)) if f.stage == JobStage::Cancelled));
-    assert!(m.is_spent(4));
+    cache.put_job("req-1", cleaned, 7);
+    assert!(
+        matches!(cache.job("req-1"), Some(JobLookup::Over(f)) if f.stage == JobStage::Cancelled)
+    );
+    assert!(cache.is_spent(4));
 }
 
 /// A cancellation is returned once, whatever follows it: the cleanup, a new listing, or an older record.
 #[test]
 fn new_cancellation_is_returned_once() {
-    let mut m = RecordCache::default();
-    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
-    assert!(m.take_cancelled().is_empty());
-    m.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
-    m.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 5);
-    assert_eq!(m.take_cancelled(), [("req-1".to_string(), 6)]);
+    let mut cache = RecordCache::default();
+    cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
+    assert!(cache.take_cancelled().is_empty());
+    cache.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
+    cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 5);
+    assert_eq!(cache.take_cancelled(), [("req-1".to_string(), 6)]);
     let cleaned = JobRecord {
         cleaned: true,
         ..record(JobStage::Cancelled, Vec::new())
     };
-    m.put_job("req-1", cleaned, 8);
-    assert!(m.take_cancelled().is_empty());
-    m.put_job("req-2", record(JobStage::Done, Vec::new()), 9);
-    assert!(m.take_cancelled().is_empty() && m.is_done("req-2") && m.is_cancelled("req-1"));
+    cache.put_job("req-1", cleaned, 8);
+    assert!(cache.take_cancelled().is_empty());
+    cache.put_job("req-2", record(JobStage::Done, Vec::new()), 9);
+    assert!(
+        cache.take_cancelled().is_empty() && cache.is_done("req-2") && cache.is_cancelled("req-1")
+    );
 }
 
 /// An unreadable record stands until a newer one or its deletion: an older one that arrives late has no effect.
 #[test]
 fn unreadable_record_is_kept_until_a_newer_version() {
-    let (mut m, key) = (RecordCache::default(), job_key("req-1"));
+    let (mut cache, key) = (RecordCache::default(), job_key("req-1"));
     let active = to_value(&record(JobStage::Active, Vec::new()));
-    m.put(&key, active.clone(), 3);
-    m.put(&key, "spoilt".into(), 7);
-    assert!(m.is_unreadable("req-1") && !m.is_unreadable("req-11"));
-    m.put(&key, active.clone(), 5);
-    m.delete(&key, 6);
-    assert!(m.is_unreadable("req-1"));
-    m.put(&key, active, 8);
-    assert!(!m.is_unreadable("req-1"));
-    m.put(&bundle_key(4), "spoilt".into(), 9);
-    assert!(m.is_blind());
-    m.delete(&bundle_key(4), 10);
-    assert!(!m.is_blind());
+    cache.put(&key, active.clone(), 3);
+    cache.put(&key, "spoilt".into(), 7);
+    assert!(cache.is_unreadable("req-1") && !cache.is_unreadable("req-11"));
+    cache.put(&key, active.clone(), 5);
+    cache.delete(&key, 6);
+    assert!(cache.is_unreadable("req-1"));
+    cache.put(&key, active, 8);
+    assert!(!cache.is_unreadable("req-1"));
+    cache.put(&bundle_key(4), "spoilt".into(), 9);
+    assert!(cache.is_blind());
+    cache.delete(&bundle_key(4), 10);
+    assert!(!cache.is_blind());
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -65,12 +65,12 @@
 fn task_returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut on: BTreeMap<&str, &str> = BTreeMap::new();
     let mut lost: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
-    for b in &sim.task_starts {
-        if b.at < since {
-            on.insert(&b.task, &b.machine);
-        } else if let Some(machine) = on.remove(b.task.as_str()) {
+    for start in &sim.task_starts {
+        if start.at < since {
+            on.insert(&start.task, &start.machine);
+        } else if let Some(machine) = on.remove(start.task.as_str()) {
             let of = lost.entry(machine.to_string()).or_default();
-            of.insert(b.task.clone(), b.at);
+            of.insert(start.task.clone(), start.at);
         }
     }
     lost
@@ -297,7 +297,11 @@
     kill_machines(&mut sim, |i| i % 4 < 2);
     sim.run_seconds(200);
     assert!(has_placement_batch(&sim));
-    assert_eq!(sim.store.count_keys_under("wt/b/"), 0, "bundles are left");
+    assert_eq!(
+        sim.store.count_keys_under("wt/b/"),
+        0,
+        "placement batches are left"
+    );
     // A controller that lists the records only now sees the same.
     let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
--- a/tests/simulation/trace.rs
+++ b/tests/simulation/trace.rs
@@ -1,14 +1,14 @@
-//! A digest of everything that the controllers of one simulated world send, to show that a change of the code
-//! leaves the behaviour as it was. `.ci/trace` runs the tests with it and compares two outputs.
+//! A digest of everything that the controllers of one simulation send, to show that a change of the code keeps the
+//! behaviour. `.ci/trace` runs the tests with it, and `.ci/trace-diff` compares two outputs.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
 use walnuttrestle::transport::NetworkCommand;
 
-/// Names the file to which each world appends its digest when it ends; without it nothing is written.
+/// Names the file to which each simulation appends its digest when it ends; without it nothing is written.
 const FILE_VARIABLE: &str = "TRACE_FILE";
 
-/// Digest of the commands that all controllers of one world hand to the network.
+/// Digest of the commands that all controllers of one simulation hand to the network.
 #[derive(Default)]
 pub struct Trace {
     /// `DefaultHasher::new` has fixed keys.
