--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -191,7 +191,7 @@
 fn read_records(pages: &[ItemPage]) -> RecordCache {
     let mut cache = RecordCache::default();
     for page in pages {
-        cache.apply_page(page.clone());
+        cache.apply_listing_page(page.clone());
     }
     assert!(cache.synced);
     cache
@@ -250,7 +250,7 @@
         let heartbeat = heartbeat(machine, machines);
         let mut agent = Agent::new(&heartbeat);
         agent.update(&heartbeat, clock.now);
-        agent.answered = Some(clock.now);
+        agent.last_answered_at = Some(clock.now);
         if is_lost(machine) {
             agent.ended_epoch = Some(1);
         }
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -49,7 +49,7 @@
     /// Machines to be checked for due commands: those that something happened to, or at intervals all.
     fn command_candidates(&mut self, now: Micros) -> Vec<String> {
         let is_ready = |agent: &Agent| {
-            !agent.commands_in_flight && agent.next_commands_at <= now && !agent.is_over()
+            !agent.commands_in_flight && agent.next_commands_at <= now && !agent.epoch_ended()
         };
         let to_check = std::mem::take(&mut self.machines_to_check);
         if self.next_full_check_at > now {
@@ -127,7 +127,7 @@
         return true;
     }
     let shows_term_soon = agent
-        .answered
+        .last_answered_at
         .is_some_and(|at| at >= term_began && now < at + TERM_SHOWN_WITHIN);
     agent.term != term && !shows_term_soon
 }
@@ -322,7 +322,7 @@
             conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
             changes: vec![Change::put(LEADER_KEY, &record, None)],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::RaiseTerm,
             StoreRequest::Transaction(transaction),
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -70,7 +70,7 @@
         };
         let term = leader.term;
         if let Some(agent) = leader.agents.get_mut(&machine) {
-            agent.answered = Some(clock.now);
+            agent.last_answered_at = Some(clock.now);
         }
         self.respond(conn, 200, &AgentHeartbeatResponse { term, commands });
     }
@@ -91,7 +91,7 @@
         if !relayed {
             agent.reachability.on_direct_heartbeat(clock.now);
         }
-        if clock.now.since(agent.began) > lease.times(RENEWED_FOR_CERTAIN) {
+        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWED_FOR_CERTAIN) {
             agent.reachability.on_confirmation(clock.now);
         }
     }
@@ -184,7 +184,7 @@
         let Some(job) = cache.jobs.get(&task.job) else {
             return;
         };
-        let spec = &job.rec.spec;
+        let spec = &job.record.spec;
         if task.task >= spec.tasks {
             return;
         }
@@ -247,8 +247,8 @@
     }
 
     fn record_completion(&mut self, job: &Job, clock: Clock, task: &ReportedTask) {
-        let spec = &job.rec.spec;
-        let write = self.edits.pending_write_mut(&task.job, clock.now);
+        let spec = &job.record.spec;
+        let write = self.record_writer.pending_write_mut(&task.job, clock.now);
         if spec.kind == JobKind::Gang {
             // The tasks of a gang complete together: if one is done, all are.
             write.done.extend(0..spec.tasks);
@@ -315,12 +315,12 @@
     machine: &str,
     job: &Job,
 ) {
-    let image = &job.rec.spec.image;
+    let image = &job.record.spec.image;
     let uses_image = |task: &ReportedTask| {
         task.phase != TaskPhase::Exited
             && jobs
                 .get(&task.job)
-                .is_some_and(|other| other.rec.spec.image == *image)
+                .is_some_and(|other| other.record.spec.image == *image)
     };
     if !agent.tasks.iter().any(uses_image) {
         images.given_up(machine, image);
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -55,7 +55,7 @@
     /// Machines and rental requests.
     pub fleet: Inventory,
     /// Pending writes of job records.
-    pub edits: RecordWriter,
+    pub record_writer: RecordWriter,
     /// Tasks to be stopped, by job and task number: grace period in seconds, and since when the stop is due.
     pub stopping: BTreeMap<String, BTreeMap<u32, (f64, Micros)>>,
     /// Gangs that lost a member, with the attempt concerned: the other members of that attempt are not started.
@@ -85,7 +85,7 @@
     /// Progress of restarting tasks after a loss of machines.
     pub recovery: Recovery,
     /// When placement batches are next merged into the job records.
-    pub fold_at: Micros,
+    pub batch_merge_due: Micros,
     /// When the last scheduling pass ran.
     pub last_pass: Micros,
     /// The largest demand of a job seen so far.
@@ -113,7 +113,7 @@
             lease_grants: LeaseGrantor::default(),
             agents: BTreeMap::new(),
             fleet: Inventory::new(clock),
-            edits: RecordWriter::default(),
+            record_writer: RecordWriter::default(),
             stopping: BTreeMap::new(),
             incomplete_gangs: BTreeMap::new(),
             failure_histories: BTreeMap::new(),
@@ -128,7 +128,7 @@
             seen_renewals_revision: u64::MAX,
             next_lease_check: Micros::ZERO,
             recovery: Recovery::default(),
-            fold_at: clock.now,
+            batch_merge_due: clock.now,
             last_pass: Micros::ZERO,
             max_demand: 0.0,
             started: 0,
@@ -193,9 +193,9 @@
         let fresh = Micros::secs(settings.params.agents.report_s * HEARD_REPORTS);
         let mut live_agents = 0;
         let mut fresh_agents = 0;
-        for agent in self.agents.values().filter(|agent| !agent.is_over()) {
+        for agent in self.agents.values().filter(|agent| !agent.epoch_ended()) {
             live_agents += 1;
-            fresh_agents += usize::from(now.since(agent.heard) < fresh);
+            fresh_agents += usize::from(now.since(agent.last_heard_at) < fresh);
         }
         let peers_serve_most = self.renewed.len() * 4 >= live_agents * 3;
         let few_reach_us = fresh_agents * 4 < live_agents.max(1);
@@ -220,7 +220,7 @@
 pub fn stop_grace_s(job: &Job) -> f64 {
     /// Added to the time that saving takes, for the way of the command and a late timer.
     const SAVE_MARGIN_S: f64 = 1.0;
-    let spec = &job.rec.spec;
+    let spec = &job.record.spec;
     if spec.checkpoint_s > 0.0 || spec.save_s > 0.0 {
         spec.save_s + SAVE_MARGIN_S
     } else {
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -55,12 +55,15 @@
     fn lease_end(&self, agent: &Agent, our_term: u64) -> Micros {
         // A direct answer may have shown an agent epoch that began after our last answer, which then renewed the
         // epoch before it. Were the new epoch taken to end with that answer, its tasks would be started twice.
-        let answered = agent.answered.unwrap_or(Micros::ZERO).max(agent.began);
+        let answered = agent
+            .last_answered_at
+            .unwrap_or(Micros::ZERO)
+            .max(agent.epoch_began_at);
         if agent.term == our_term {
             // Until the agent has seen our term, an older leader may have renewed its lease. Direct commands show it
             // our term as well, and renew nothing: the last answer under an older term (or, after we raised our own,
             // a follower's) may then be as recent as the moment when the agent showed our term.
-            answered.max(agent.termed) + self.lease
+            answered.max(agent.term_seen_at) + self.lease
         } else {
             (answered + self.lease).max(self.earlier_terms_end)
         }
@@ -100,7 +103,7 @@
         let mut next = self.expire_unmet_machines(bounds.earlier_terms_end, now);
         let mut expired = Vec::new();
         for (machine, agent) in &self.agents {
-            if agent.is_over() {
+            if agent.epoch_ended() {
                 continue;
             }
             match self.check_lease(machine, agent, &bounds, now) {
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -49,7 +49,7 @@
     let Some(agent) = leader.agents.get(machine) else {
         return DueCommands::default();
     };
-    if agent.is_over() {
+    if agent.epoch_ended() {
         return DueCommands::default();
     }
     let mut reconciliation = Reconciliation {
@@ -62,7 +62,7 @@
         delivery,
         due: DueCommands::default(),
     };
-    if agent.term != leader.term || !leader.caught_up(cache) {
+    if agent.term != leader.term || !leader.has_complete_cache(cache) {
         reconciliation.stop_cancelled_tasks();
     } else {
         reconciliation.reconcile_reported_tasks();
@@ -115,7 +115,7 @@
         let active = job.is_some_and(Job::active);
         let unrecorded = task.why == Some(ExitReason::Done)
             && active
-            && job.is_some_and(|job| !job.is_done(task.task) && task.task < job.rec.spec.tasks);
+            && job.is_some_and(|job| !job.is_done(task.task) && task.task < job.record.spec.tasks);
         let placed = self.is_placed_here(job, task);
         // An attempt whose start may still arrive must stay known to the agent, or the late start would run it again.
         let needed = unrecorded || (placed && active);
@@ -137,7 +137,7 @@
         }
         let cancelled = match job {
             Some(job) if job.active() => self.heard.contains(&task.job),
-            Some(job) => job.rec.stage == JobStage::Cancelled,
+            Some(job) => job.record.stage == JobStage::Cancelled,
             None => self.is_cancelled(&task.job),
         };
         let active = job.is_some_and(Job::active);
@@ -157,7 +157,7 @@
     /// Starts the tasks that are recorded on the machine and were not started yet.
     fn start_recorded_tasks(&mut self) {
         let cache = self.cache;
-        for (id, task) in cache.placed(self.machine) {
+        for (id, task) in cache.tasks_placed_on(self.machine) {
             let Some(job) = cache.jobs.get(id) else {
                 continue;
             };
@@ -186,7 +186,7 @@
             && !self.is_cancelled(id)
             && self.leader.may_be_started(id, entry);
         let may_start = self.now < self.leader.last_confirmed_read + MAX_START_STALENESS;
-        if wanted && may_start && !self.leader.edits.placing(id, task) {
+        if wanted && may_start && !self.leader.record_writer.is_placing(id, task) {
             self.due.starts.push((id.to_string(), task, attempt));
             self.due.commands.push(Command::Start {
                 task: task_name(id, task),
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -228,7 +228,7 @@
             return;
         }
         api.transactions_in_flight += 1;
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Normal,
             StoreRequestPurpose::AcceptJobs(ids),
             StoreRequest::Transaction(Transaction {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -43,7 +43,7 @@
         let record = JobRecord {
             stage: JobStage::Cancelled,
             end: clock.wall,
-            ..job.rec.clone()
+            ..job.record.clone()
         };
         let key = job_key(id);
         let version = job.version;
@@ -66,7 +66,7 @@
         if conns.len() > 1 {
             return;
         }
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::CancelJob(id),
             StoreRequest::Transaction(transaction),
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -110,7 +110,7 @@
 }
 
 fn live_job_status(id: &str, job: &Job) -> JobStatus {
-    let stage = job.rec.stage;
+    let stage = job.record.stage;
     let running = if stage == JobStage::Active {
         job.entries()
             .filter(|entry| entry.machine().is_some())
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -47,7 +47,7 @@
     pub(crate) fn on_confirmed_read(&mut self, sent: Micros) {
         self.confirmed_read_at = self.confirmed_read_at.max(sent);
         self.peers.reported_cancellations.on_records_read(sent.0);
-        let record_version = self.cache.lead.as_ref().map(|(_, version)| *version);
+        let record_version = self.cache.leader.as_ref().map(|(_, version)| *version);
         if let Some(leader) = &mut self.leader
             && record_version == Some(leader.version)
         {
@@ -102,7 +102,7 @@
             after: self.cache.revision,
             block_ms: 0,
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::ReadBarrier,
             request,
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -136,7 +136,7 @@
         if !self.cache.synced {
             return Verdict::Refuse(503, "still reading the records");
         }
-        let Some(types) = &self.cache.types else {
+        let Some(types) = &self.cache.machine_types else {
             return Verdict::Refuse(503, "machine types are not known yet");
         };
         let unconfirmed = freshness == CacheFreshness::Unconfirmed;
@@ -185,7 +185,7 @@
                     false
                 }
                 Some(JobLookup::Finished(job)) => job.service,
-                Some(JobLookup::Live(job)) => job.rec.spec.kind == JobKind::Service,
+                Some(JobLookup::Live(job)) => job.record.spec.kind == JobKind::Service,
             };
             if is_service {
                 return Err("awaits names a service, which is never done");
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -56,13 +56,13 @@
 impl<'a> FleetSnapshot<'a> {
     /// Machine types on offer; empty: not known yet.
     pub(super) fn machine_types(&self) -> &'a [MachineType] {
-        self.cache.types.as_deref().unwrap_or_default()
+        self.cache.machine_types.as_deref().unwrap_or_default()
     }
 }
 
 /// Assigns ids to the names of all machine types and zones, also of those on offer.
 pub fn assign_name_ids(leader: &LeaderState, cache: &RecordCache, names: &mut NameTable) {
-    for machine_type in cache.types.iter().flatten() {
+    for machine_type in cache.machine_types.iter().flatten() {
         names.id(&machine_type.name);
         for zone in &machine_type.zones {
             names.id(zone);
@@ -117,7 +117,7 @@
     let patience = Micros::secs(snapshot.settings.params.agents.report_s * SILENT_REPORTS);
     let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
     for agent in snapshot.leader.agents.values() {
-        let is_silent = snapshot.clock.now.since(agent.heard) > patience;
+        let is_silent = snapshot.clock.now.since(agent.last_heard_at) > patience;
         let zone = zones.entry(&agent.zone).or_default();
         zone.machines += 1;
         zone.silent += usize::from(is_silent || !agent.reachability.receives());
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -145,7 +145,7 @@
     /// to write a new record.
     fn record_types(&mut self, mut types: Vec<MachineType>) {
         types.sort_by(|one, other| one.name.cmp(&other.name));
-        let known = self.cache.types.as_ref();
+        let known = self.cache.machine_types.as_ref();
         if known.is_some_and(|known| same_but_spot_prices(known, &types)) {
             return;
         }
@@ -160,7 +160,7 @@
                 None,
             )],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::BackgroundWrite,
             StoreRequest::Transaction(transaction),
@@ -201,7 +201,7 @@
             ],
             changes: vec![Change::put(BASELINE_MACHINES_KEY, &base, None)],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Normal,
             StoreRequestPurpose::BackgroundWrite,
             StoreRequest::Transaction(transaction),
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -60,7 +60,7 @@
         hosts,
         candidates.into_iter(),
         "",
-        &job.rec.spec,
+        &job.record.spec,
         &demand.task_requirements(),
         tasks,
         1.0,
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -113,7 +113,7 @@
                 .unreachable_for_long(since, silent_patience)
                 .then_some(DeletionReason::Unreachable);
         }
-        if agent.is_over() && now.since(agent.heard) > silent_patience {
+        if agent.epoch_ended() && now.since(agent.last_heard_at) > silent_patience {
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
@@ -199,8 +199,8 @@
             .ended_with_tasks()
             .filter_map(|id| cache.jobs.get_key_value(id));
         for (id, job) in ending {
-            let is_due = self.snapshot.clock.wall >= job.rec.end + delay;
-            if job.rec.stage != JobStage::Cancelled || !is_due {
+            let is_due = self.snapshot.clock.wall >= job.record.end + delay;
+            if job.record.stage != JobStage::Cancelled || !is_due {
                 continue;
             }
             for entry in job.entries() {
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -93,8 +93,8 @@
             }
             let agent = leader.agents.get(name);
             // The zone seems partitioned rather than lost: its machines are expected to come back.
-            let expected_back =
-                silent_zones.contains(&machine.zone) && agent.is_some_and(|agent| agent.is_over());
+            let expected_back = silent_zones.contains(&machine.zone)
+                && agent.is_some_and(|agent| agent.epoch_ended());
             if !machine.reported || expected_back {
                 self.add_empty_host(&machine.kind, &machine.zone, machine.spot);
             }
@@ -199,7 +199,7 @@
             now: self.snapshot.clock.now,
         };
         let zone_allowed = |zone: &str| demand.allows_zone(self.names.find(zone));
-        let offer = job().and_then(|job| search.cheapest(&job.rec.spec, zone_allowed));
+        let offer = job().and_then(|job| search.cheapest(&job.record.spec, zone_allowed));
         if offer.is_none() {
             unoffered.add(demand.need, 1);
         }
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -53,7 +53,7 @@
 
     fn renew_leader_lease(&mut self, id: u64) {
         self.leader_lease.renewal_in_flight = true;
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::RenewLeaderLease,
             StoreRequest::Renew(id),
@@ -62,7 +62,7 @@
 
     fn request_replacement_lease(&mut self) {
         self.leader_lease.renewal_in_flight = true;
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::ReplacementLease,
             StoreRequest::NewLease(LEADER_LEASE_TTL),
@@ -114,7 +114,7 @@
             conditions: vec![VersionCondition::new(LEADER_KEY, leader.version)],
             changes: vec![Change::put(LEADER_LEASE_KEY, &self.settings.node, Some(id))],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::AttachReplacementLease,
             StoreRequest::Transaction(transaction),
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -38,7 +38,11 @@
     }
 
     fn note_leader_record(&mut self, clock: Clock) {
-        let version = self.cache.lead.as_ref().map_or(0, |(_, version)| *version);
+        let version = self
+            .cache
+            .leader
+            .as_ref()
+            .map_or(0, |(_, version)| *version);
         if self.leader_record_seen.version != version {
             self.leader_record_seen = LeaderRecordSeen {
                 version,
@@ -50,7 +54,7 @@
     /// The leadership that the record grants us. Below the highest term seen there is none: the cache is outdated.
     fn granted_leadership(&self) -> Option<GrantedLeadership> {
         self.cache
-            .lead
+            .leader
             .as_ref()
             .filter(|(record, _)| {
                 record.node == self.settings.node && record.incarnation == self.incarnation
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -55,7 +55,7 @@
             Some(_) => {
                 self.record_sync.listing_due = None;
                 let after = self.record_sync.listing_cursor.clone();
-                self.store.ask(
+                self.store.enqueue(
                     RequestPriority::Urgent,
                     StoreRequestPurpose::ListRecords,
                     StoreRequest::List { after },
@@ -78,7 +78,7 @@
                     block_ms: WATCH_BLOCK_MS,
                 };
                 self.store
-                    .ask(RequestPriority::Urgent, StoreRequestPurpose::Watch, request);
+                    .enqueue(RequestPriority::Urgent, StoreRequestPurpose::Watch, request);
                 Micros::FAR
             }
         }
@@ -94,7 +94,7 @@
 
     fn on_listing_page(&mut self, clock: Clock, page: ItemPage) {
         let last_key = page.items.last().map(|item| item.key.clone());
-        let complete = self.cache.apply_page(page);
+        let complete = self.cache.apply_listing_page(page);
         if !complete {
             self.record_sync.listing_cursor = last_key.unwrap_or_default();
             self.record_sync.listing_due = Some(clock.now);
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -217,7 +217,7 @@
         let just_started = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
         let heard = |node: &str| just_started || self.recent_status(clock, node).is_some();
         let peers = &self.settings.peers;
-        let leader = self.cache.lead.as_ref();
+        let leader = self.cache.leader.as_ref();
         Membership {
             peers: peers.len(),
             heard: peers.iter().filter(|peer| heard(&peer.node)).count(),
@@ -280,7 +280,7 @@
             && let Some(transaction) = self.next_grant(clock)
         {
             self.budget.grant_in_flight = true;
-            self.store.ask(
+            self.store.enqueue(
                 RequestPriority::Urgent,
                 StoreRequestPurpose::BudgetShares,
                 StoreRequest::Transaction(transaction),
@@ -293,7 +293,7 @@
     /// part. What was lent comes back as its grants expire.
     fn next_grant(&self, clock: Clock) -> Option<Transaction> {
         let leader = self.leader.as_ref()?;
-        if !leader.caught_up(&self.cache) {
+        if !leader.has_complete_cache(&self.cache) {
             return None;
         }
         let requests = self.peer_requests(clock);
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -60,7 +60,7 @@
 
     /// The controller on record as leader, unless it is this one or the leader key is gone.
     fn remote_leader(&self) -> Option<RemoteLeader> {
-        let (record, version) = self.cache.lead.as_ref()?;
+        let (record, version) = self.cache.leader.as_ref()?;
         if record.node == self.settings.node || self.cache.leader_lease_version.is_none() {
             return None;
         }
@@ -173,7 +173,7 @@
         }
         let leadership = self
             .cache
-            .lead
+            .leader
             .as_ref()
             .filter(|(record, _)| {
                 record.node != self.settings.node && record.term >= heartbeat.term
@@ -294,7 +294,7 @@
     /// Whether the leader record is still the one on which our renewals are conditional.
     pub(super) fn renewal_leadership_unchanged(&self) -> bool {
         let expected = self.renewals.leadership.record_version;
-        let leader_record = self.cache.lead.as_ref();
+        let leader_record = self.cache.leader.as_ref();
         leader_record.is_some_and(|(_, version)| *version == expected)
     }
 
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -41,7 +41,7 @@
         renewals.write_in_flight = true;
         renewals.last_write_at = clock.now;
         renewals.write_delay = Micros::secs(write.transaction.changes.len() as f64 / write_rate);
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::RecordRenewals(write.machines),
             StoreRequest::Transaction(write.transaction),
@@ -85,7 +85,7 @@
         RecordWrite {
             machines: named,
             transaction: Transaction {
-                conditions: conditions,
+                conditions,
                 changes,
             },
         }
@@ -247,7 +247,7 @@
             .map(|(record, _)| record.term);
         let leadership = self
             .cache
-            .lead
+            .leader
             .as_ref()
             .map(|(record, version)| Leadership {
                 term: record.term,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -58,14 +58,14 @@
 impl Controller {
     /// Whether the leader record names an earlier run of this controller's own process.
     fn previous_run_leads(&self) -> bool {
-        self.cache.lead.as_ref().is_some_and(|(record, _)| {
+        self.cache.leader.as_ref().is_some_and(|(record, _)| {
             record.node == self.settings.node && record.incarnation != self.incarnation
         })
     }
 
     /// Whether no live controller appears to lead.
     pub(crate) fn leadership_vacant(&self, clock: Clock) -> bool {
-        let Some((record, _)) = &self.cache.lead else {
+        let Some((record, _)) = &self.cache.leader else {
             return true;
         };
         self.previous_run_leads()
@@ -102,7 +102,7 @@
     /// reach a controller of their own zone. A takeover interrupts service briefly, so the leader is replaced
     /// only while all peers are reachable, the store answers and leadership has been stable.
     pub(crate) fn should_replace_leader(&self, clock: Clock) -> bool {
-        let Some((leader, _)) = &self.cache.lead else {
+        let Some((leader, _)) = &self.cache.leader else {
             return false;
         };
         leader.node != self.settings.node
@@ -136,7 +136,7 @@
 
     /// Whether a peer has recorded that it renews leases under the current term: agents reach that peer.
     fn peer_renews_leases(&self) -> bool {
-        let term = self.cache.lead.as_ref().map(|(record, _)| record.term);
+        let term = self.cache.leader.as_ref().map(|(record, _)| record.term);
         let mut records = self.cache.renewals.values();
         records.any(|(record, _)| Some(record.term) == term && !record.is_empty())
     }
@@ -200,7 +200,7 @@
     /// Requests the lease that the leader key will be attached to; the claim follows with its response.
     fn request_leader_lease(&mut self) {
         self.election = ElectionState::Claiming;
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::LeaderLease,
             StoreRequest::NewLease(LEADER_LEASE_TTL),
@@ -218,7 +218,9 @@
             return Micros::FAR;
         };
         leader.update_renewed(&self.cache);
-        if !leader.peers_serve_most_agents(&self.settings, now) || !leader.caught_up(&self.cache) {
+        if !leader.peers_serve_most_agents(&self.settings, now)
+            || !leader.has_complete_cache(&self.cache)
+        {
             leader.unable_to_serve_since = None;
             return now + TRANSFER_CHECK_INTERVAL;
         }
@@ -237,7 +239,7 @@
                 key: LEADER_LEASE_KEY.to_string(),
             }],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::TransferLeadership,
             StoreRequest::Transaction(transaction),
@@ -249,7 +251,7 @@
     pub(crate) fn claim_leadership(&mut self) {
         let (term, version) = self
             .cache
-            .lead
+            .leader
             .as_ref()
             .map_or((0, 0), |(record, version)| (record.term, *version));
         let record = LeaderRecord {
@@ -270,7 +272,7 @@
                 Change::put(LEADER_LEASE_KEY, &self.settings.node, self.leader_lease.id),
             ],
         };
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Urgent,
             StoreRequestPurpose::ClaimLeadership,
             StoreRequest::Transaction(transaction),
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -51,7 +51,7 @@
             return due;
         }
         self.format_record_due = None;
-        self.store.ask(
+        self.store.enqueue(
             RequestPriority::Normal,
             StoreRequestPurpose::RecordFormat,
             StoreRequest::Transaction(transaction),
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -85,7 +85,10 @@
 
     /// Version of the leader record in the cache; 0: there is none.
     fn leader_record_version(&self) -> u64 {
-        self.cache.lead.as_ref().map_or(0, |(_, version)| *version)
+        self.cache
+            .leader
+            .as_ref()
+            .map_or(0, |(_, version)| *version)
     }
 
     /// Whether a job is known to be cancelled, from the records or from a peer.
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -34,7 +34,7 @@
     /// The leader according to the records, or to a peer's summary while the records have not been read.
     fn leader_identity(&self) -> Option<LeaderIdentity<'_>> {
         if self.cache.synced {
-            let (record, version) = self.cache.lead.as_ref()?;
+            let (record, version) = self.cache.leader.as_ref()?;
             let seen = &self.leader_record_seen;
             return Some(LeaderIdentity {
                 node: &record.node,
@@ -106,7 +106,7 @@
         if self.store_available() {
             return None;
         }
-        let leader = self.cache.lead.as_ref().map(|(record, _)| &record.node);
+        let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
         let served = |node: &String| {
             let status = self.peers.status.get(node);
             status.is_some_and(|status| status.store_available && status.heard_recently(clock.now))
--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -23,12 +23,12 @@
                 ..received.clone()
             });
         }
-        let (leader, _) = self.cache.lead.as_ref()?;
+        let (leader, _) = self.cache.leader.as_ref()?;
         let recorded = self
             .cache
             .jobs
             .iter()
-            .filter(|(_, job)| job.rec.stage == JobStage::Cancelled)
+            .filter(|(_, job)| job.record.stage == JobStage::Cancelled)
             .map(|(id, _)| id);
         Some(RecordSummary {
             lead: leader.clone(),
--- a/src/records/pending_write.rs
+++ b/src/records/pending_write.rs
@@ -69,7 +69,7 @@
             deadline: since + patience,
         };
         if !self.places.is_empty() {
-            let is_array = job.rec.spec.kind == JobKind::Array;
+            let is_array = job.record.spec.kind == JobKind::Array;
             let patience = if is_array {
                 ARRAY_PATIENCE
             } else {
@@ -79,7 +79,7 @@
         }
         if !self.done.is_empty() {
             let done_count = job.done_count() + self.done.len() as u64;
-            if done_count >= job.rec.spec.tasks as u64 {
+            if done_count >= job.record.spec.tasks as u64 {
                 return schedule(Micros::ZERO, Micros::ZERO);
             }
             return schedule(MERGE_COMPLETIONS_FOR, MERGE_COMPLETIONS_FOR.times(2.0));
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -69,7 +69,7 @@
                 continue;
             };
             // The members of a gang end together: their completions are written first.
-            let gang_ends = job.rec.spec.kind == JobKind::Gang && !pending.done.is_empty();
+            let gang_ends = job.record.spec.kind == JobKind::Gang && !pending.done.is_empty();
             if pending.places.is_empty() || gang_ends {
                 continue;
             }
@@ -122,7 +122,7 @@
         let Some(leader) = &mut self.leader else {
             return false;
         };
-        let in_flight = leader.edits.batches_in_flight();
+        let in_flight = leader.record_writer.batches_in_flight();
         let number = self.cache.placement_batches.free_number(&in_flight);
         let key = placement_batch_key(number);
         // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried
@@ -138,7 +138,7 @@
         ];
         let max_conditions = limits.max_changes * CONDITIONS_PER_CHANGE;
         let for_jobs = max_conditions.saturating_sub(conditions.len());
-        let edits = &mut leader.edits;
+        let edits = &mut leader.record_writer;
         let draft = BatchDraft::gather(due_jobs, edits, &self.cache, clock, limits, for_jobs);
         if draft.jobs.len() < MIN_JOBS {
             return false;
@@ -148,7 +148,7 @@
         log::info!("placement batch written batch={number} tasks={tasks} jobs={jobs}");
         conditions.extend(draft.conditions);
         let transaction = Transaction {
-            conditions: conditions,
+            conditions,
             changes: vec![
                 Change::put(&key, &draft.batch, None),
                 Change::put(NEWEST_PLACEMENT_BATCH_KEY, &number, None),
@@ -170,18 +170,18 @@
             return false;
         };
         if !self.all_peers_read(PLACEMENT_BATCHES)
-            || leader.edits.batch_rejected
+            || leader.record_writer.batch_rejected
             || limits.max_changes < 2
         {
             return false;
         }
         // One batch at a time: each has the one before it as a condition.
-        if !leader.edits.batches_in_flight().is_empty() {
+        if !leader.record_writer.batches_in_flight().is_empty() {
             return false;
         }
         let backlog = (self.store.write_rate() * WORTHWHILE_BACKLOG_S) as usize;
         let waiting = due_jobs.iter();
-        let waiting = waiting.filter(|id| leader.edits.has_pending_places(id));
+        let waiting = waiting.filter(|id| leader.record_writer.has_pending_places(id));
         waiting.count() >= backlog.max(MIN_JOBS)
     }
 
@@ -193,7 +193,7 @@
         }
         match &self.leader {
             None => return Micros::FAR,
-            Some(leader) if clock.now < leader.fold_at => return leader.fold_at,
+            Some(leader) if clock.now < leader.batch_merge_due => return leader.batch_merge_due,
             Some(_) => {}
         }
         // A controller that has been downgraded does not see batches: then everything is merged at once.
@@ -202,15 +202,15 @@
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        leader.fold_at = clock.now + MERGE_INTERVAL;
-        if !merge_all && !leader.edits.idle() {
-            return leader.fold_at;
+        leader.batch_merge_due = clock.now + MERGE_INTERVAL;
+        if !merge_all && !leader.record_writer.idle() {
+            return leader.batch_merge_due;
         }
         let mut remaining_jobs = if merge_all { usize::MAX } else { share };
         for (number, version) in self.cache.placement_batches.numbers() {
             if self.cache.is_batch_superseded(number) {
                 log::debug!("placement batch superseded batch={number}");
-                self.store.ask(
+                self.store.enqueue(
                     RequestPriority::Background,
                     StoreRequestPurpose::BackgroundWrite,
                     StoreRequest::Transaction(deletion(number, version, leader.version)),
@@ -220,12 +220,15 @@
             for (id, _) in self.cache.placement_batches.places(number) {
                 let job = self.cache.jobs.get(id);
                 if remaining_jobs > 0 && job.is_some_and(|j| !j.batched_places.is_empty()) {
-                    leader.edits.pending_write_mut(id, clock.now).merge_batched = true;
+                    leader
+                        .record_writer
+                        .pending_write_mut(id, clock.now)
+                        .merge_batched = true;
                     remaining_jobs -= 1;
                 }
             }
         }
-        leader.fold_at
+        leader.batch_merge_due
     }
 }
 
@@ -244,7 +247,7 @@
 impl LeaderState {
     /// Whether the cache contains everything that earlier leaders wrote. The versions of job records alone do not show
     /// that, because a placement batch changes none of them.
-    pub fn caught_up(&self, cache: &RecordCache) -> bool {
+    pub fn has_complete_cache(&self, cache: &RecordCache) -> bool {
         cache.revision >= self.leadership_version && !cache.has_unreadable_batch()
     }
 }
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -77,7 +77,7 @@
         let batched = job.batched_places.iter();
         Draft {
             job,
-            record: job.rec.clone(),
+            record: job.record.clone(),
             chunks: BTreeMap::new(),
             batched_chunks: batched
                 .map(|place| place.task() / TASKS_PER_CHUNK)
@@ -92,7 +92,7 @@
 
     /// Members of a gang are placed together, or some would start without the others.
     fn is_indivisible(&self) -> bool {
-        self.job.rec.spec.kind == JobKind::Gang
+        self.job.record.spec.kind == JobKind::Gang
     }
 
     /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
@@ -221,7 +221,7 @@
         let (condition, change) = put_job(id, self.job, &self.record);
         let mut conditions = vec![condition];
         let mut changes = Vec::new();
-        if self.record != self.job.rec || must_write(&0) {
+        if self.record != self.job.record || must_write(&0) {
             changes.push(change);
         }
         for (number, chunk) in self.chunks {
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -89,7 +89,7 @@
     }
 
     /// Places of a job that are not on record yet: they take capacity from the moment they are chosen.
-    pub fn places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
+    pub fn unrecorded_places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
         let in_flight = self.places_in_flight.get(id).into_iter().flatten();
         let pending = self.pending.get(id).into_iter();
         in_flight.chain(pending.flat_map(|write| &write.places))
@@ -97,12 +97,12 @@
 
     /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the
     /// attempt on record may be about to be replaced.
-    pub fn placing(&self, id: &str, task: u32) -> bool {
-        self.places(id).any(|place| place.task() == task)
+    pub fn is_placing(&self, id: &str, task: u32) -> bool {
+        self.unrecorded_places(id).any(|place| place.task() == task)
     }
 
     /// Whether a task's completion is about to be recorded.
-    pub fn finishing(&self, id: &str, task: u32) -> bool {
+    pub fn is_recording_completion(&self, id: &str, task: u32) -> bool {
         let pending = self.pending.get(id);
         pending.is_some_and(|write| write.done.contains(&task))
     }
@@ -254,7 +254,7 @@
             return None;
         }
         let transaction = Transaction {
-            conditions: conditions,
+            conditions,
             changes,
         };
         let write_id = self.begin_write(jobs, transaction.clone());
@@ -307,8 +307,8 @@
     /// Counts the writes of job records that are due.
     pub fn due_job_writes(&mut self, now: Micros) -> DueWrites {
         match &mut self.leader {
-            Some(leader) if leader.caught_up(&self.cache) => {
-                leader.edits.count_due(&self.cache.jobs, now)
+            Some(leader) if leader.has_complete_cache(&self.cache) => {
+                leader.record_writer.count_due(&self.cache.jobs, now)
             }
             _ => DueWrites::NONE,
         }
@@ -319,13 +319,13 @@
     pub fn write_job_records(&mut self, clock: Clock, max_changes: usize) {
         let Some(leader) = &self.leader else { return };
         let params = &self.settings.params.state;
-        let accepted = leader.edits.max_changes.unwrap_or(usize::MAX);
+        let accepted = leader.record_writer.max_changes.unwrap_or(usize::MAX);
         let max_changes = max_changes.min(accepted);
         let limits = WriteLimits {
             max_changes: params.least_txn_ops().min(accepted),
             max_value_bytes: params.least_value_bytes(),
         };
-        let due_jobs = leader.edits.due_jobs(&self.cache.jobs, clock.now);
+        let due_jobs = leader.record_writer.due_jobs(&self.cache.jobs, clock.now);
         // A batch takes two changes.
         if max_changes >= 2 && self.write_placement_batch(clock, &due_jobs, limits) {
             return;
@@ -334,7 +334,7 @@
             return;
         };
         let version = leader.version;
-        let edits = &mut leader.edits;
+        let edits = &mut leader.record_writer;
         let taken =
             edits.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
         if let Some((write_id, transaction)) = taken {
@@ -349,7 +349,7 @@
         write_id: u64,
         transaction: Transaction,
     ) {
-        self.store.ask(
+        self.store.enqueue(
             priority,
             StoreRequestPurpose::WriteJobs(write_id),
             StoreRequest::Transaction(transaction),
@@ -367,7 +367,11 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if !leader.edits.writes_in_flight.contains_key(&write_id) {
+        if !leader
+            .record_writer
+            .writes_in_flight
+            .contains_key(&write_id)
+        {
             return;
         }
         let StoreRequest::Transaction(transaction) = &request else {
@@ -381,7 +385,7 @@
                 self.send_commands(clock);
             }
             StoreResponse::Rejected => {
-                leader.edits.on_rejected(transaction);
+                leader.record_writer.on_rejected(transaction);
                 self.end_job_write(write_id);
             }
             // Certainly not carried out: the changes will be derived again.
@@ -392,7 +396,7 @@
 
     fn end_job_write(&mut self, write_id: u64) {
         if let Some(leader) = &mut self.leader
-            && leader.edits.end_write(write_id)
+            && leader.record_writer.end_write(write_id)
         {
             leader.dirty = true;
         }
@@ -402,7 +406,7 @@
     /// hold, it may yet be carried out, so it is sent again unchanged.
     pub fn settle_job_write(&mut self, write_id: u64) {
         let Some(leader) = &self.leader else { return };
-        let Some(write) = leader.edits.writes_in_flight.get(&write_id) else {
+        let Some(write) = leader.record_writer.writes_in_flight.get(&write_id) else {
             return;
         };
         if write.may_be_carried_out(leader.version, &self.cache) {
@@ -416,7 +420,7 @@
     /// The cache could not catch up either after a failed or unanswered transaction: sends it again with low priority.
     pub fn retry_job_write(&mut self, write_id: u64) {
         if let Some(leader) = &self.leader
-            && let Some(write) = leader.edits.writes_in_flight.get(&write_id)
+            && let Some(write) = leader.record_writer.writes_in_flight.get(&write_id)
         {
             let transaction = write.transaction.clone();
             self.send_job_write(RequestPriority::Background, write_id, transaction);
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -78,7 +78,7 @@
         self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
-            self.edits.pending_write_mut(&job, now).clean = true;
+            self.record_writer.pending_write_mut(&job, now).clean = true;
         }
         self.record_done(findings.done_tasks, cache, now);
         let preemptions = preemption_stops(decision.preemptions, cache);
@@ -114,7 +114,7 @@
             start.task,
             start.machine,
             start.backfilled,
-            job.rec.spec.image
+            job.record.spec.image
         );
         self.started += 1;
         let start_orders = self.start_order.entry(start.job.clone()).or_default();
@@ -130,7 +130,7 @@
             self.term,
             start.backfilled,
         );
-        self.edits
+        self.record_writer
             .pending_write_mut(&start.job, now)
             .places
             .push(entry);
@@ -140,8 +140,11 @@
     fn record_done(&mut self, done_tasks: Vec<TaskRef>, cache: &RecordCache, now: Micros) {
         for TaskRef { job: id, task } in done_tasks {
             if let Some(job) = cache.jobs.get(&id) {
-                let tasks = tasks_stopped_with(&job.rec.spec, task);
-                self.edits.pending_write_mut(&id, now).done.extend(tasks);
+                let tasks = tasks_stopped_with(&job.record.spec, task);
+                self.record_writer
+                    .pending_write_mut(&id, now)
+                    .done
+                    .extend(tasks);
             }
         }
     }
@@ -185,7 +188,7 @@
         };
         log::info!("task preempted job={id} task={task}");
         let grace_s = stop_grace_s(job);
-        let tasks = tasks_stopped_with(&job.rec.spec, task);
+        let tasks = tasks_stopped_with(&job.record.spec, task);
         stops.extend(tasks.map(|task| TaskStop {
             job: id.clone(),
             task,
@@ -197,7 +200,7 @@
 
 /// The number of the next attempt of a task. The tasks of a gang share their attempts.
 fn next_attempt(job: &Job, task: u32) -> u64 {
-    let last_attempt = if job.rec.spec.kind == JobKind::Gang {
+    let last_attempt = if job.record.spec.kind == JobKind::Gang {
         job.entries().map(TaskEntry::attempt).max()
     } else {
         job.entry(task).map(TaskEntry::attempt)
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -74,7 +74,7 @@
 
 impl InspectedJob<'_> {
     fn spec(&self) -> &JobSpec {
-        &self.job.rec.spec
+        &self.job.record.spec
     }
 
     fn kind(&self) -> JobKind {
@@ -159,7 +159,7 @@
     /// Jobs to inspect that have no placed task, in the order of their ids.
     fn unplaced_jobs_to_inspect(&self) -> impl Iterator<Item = (&'a str, Slot)> + use<'s, 'a> {
         let leader = self.leader;
-        let mut ids: BTreeSet<&str> = leader.edits.jobs().collect();
+        let mut ids: BTreeSet<&str> = leader.record_writer.jobs().collect();
         ids.extend(leader.failure_histories.keys().map(String::as_str));
         ids.extend(leader.reserved.values().map(|(job, _)| job.as_str()));
         let backlog = self.context.backlog;
@@ -217,8 +217,8 @@
             job,
             queued,
             profile: self.context.backlog.profile_of(queued),
-            pending_placements: leader.edits.places(id).collect(),
-            in_flight: leader.edits.in_flight(id),
+            pending_placements: leader.record_writer.unrecorded_places(id).collect(),
+            in_flight: leader.record_writer.in_flight(id),
             stops: leader.stopping.get(id),
             start_order: leader.start_order.get(id),
             guaranteed: self.context.guaranteed(queued),
@@ -319,7 +319,10 @@
                     attempt == (status.task, status.attempt) && entry.machine().is_some()
                 };
                 if !job.entry(status.task).is_some_and(places_it)
-                    && !leader.edits.places(&status.job).any(places_it)
+                    && !leader
+                        .record_writer
+                        .unrecorded_places(&status.job)
+                        .any(places_it)
                     && let Some((_, queued)) = context.backlog.find(&status.job)
                 {
                     host.take(&queued.need);
--- a/src/scheduling/cluster_snapshot/startable.rs
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -18,7 +18,9 @@
         let is_taken = |task: u32| {
             tally.occupied.binary_search(&task).is_ok()
                 || inspected.has_pending_placement(task)
-                || leader.edits.finishing(inspected.id, task)
+                || leader
+                    .record_writer
+                    .is_recording_completion(inspected.id, task)
         };
         let mut tasks = unfinished_tasks(inspected.job, is_taken);
         let failures = leader.failure_histories.get(inspected.id);
@@ -38,7 +40,7 @@
 /// Tasks of a job that are neither done nor taken. At most as many as one pass would start, except for
 /// gangs.
 fn unfinished_tasks(job: &Job, is_taken: impl Fn(u32) -> bool) -> Vec<u32> {
-    let spec = &job.rec.spec;
+    let spec = &job.record.spec;
     let limit = match spec.kind {
         JobKind::Gang => spec.tasks as usize,
         JobKind::Array | JobKind::Service => MAX_PLACEMENTS_WITH_WIDE_ARRAYS,
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -47,11 +47,11 @@
             index: HashMap::with_capacity(count),
         };
         for (name, agent) in &leader.agents {
-            let mut types = cache.types.iter().flatten();
-            let Some(machine_type) = types.find(|known| known.name == agent.kind) else {
+            let mut types = cache.machine_types.iter().flatten();
+            let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
                 continue;
             };
-            if agent.is_over() || leader.fleet.is_gone(name) {
+            if agent.epoch_ended() || leader.fleet.is_gone(name) {
                 continue;
             }
             let host = host(inputs, name, agent, machine_type, names, images);
@@ -77,7 +77,7 @@
     let reservation = inputs.leader.reserved.get(name);
     let reserved = reservation.filter(|(_, until)| *until > inputs.clock.now);
     Host {
-        kind: names.id(&agent.kind),
+        kind: names.id(&agent.machine_type),
         zone: names.id(&agent.zone),
         spot: agent.spot,
         agent_epoch: agent.agent_epoch,
@@ -99,7 +99,7 @@
     // Only answers to heartbeats renew an agent's lease: an agent that answers direct commands but
     // reaches no controller is about to lose all of its tasks.
     agent.term == leader.term
-        && agent.answered.is_some_and(|at| now < at + fresh)
+        && agent.last_answered_at.is_some_and(|at| now < at + fresh)
         && agent.preemption_at.is_none()
         && agent.reachability.receives()
         && !leader.fleet.leaving(name)
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -222,11 +222,11 @@
     }
 
     fn insert(&mut self, id: &str, job: &Job) {
-        let spec = &job.rec.spec;
+        let spec = &job.record.spec;
         let profile = self.profiles.number(spec, &mut self.names);
         let queued = QueuedJob {
             id: id.into(),
-            accepted_at: job.rec.at,
+            accepted_at: job.record.at,
             released_at: job.released_at,
             estimate: Estimate(spec.estimate_s),
             need: task_resources(spec),
@@ -363,7 +363,7 @@
 }
 
 fn queue_state(job: &Job) -> QueueState {
-    if job.active() && job.waits() {
+    if job.active() && job.waits_for_dependencies() {
         return QueueState::AwaitingDependencies;
     }
     let is_placed = job.entries().any(|entry| entry.machine().is_some());
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -10,7 +10,7 @@
 /// An active job without any placed task.
 fn job(spec: JobSpec, accepted_at: Micros) -> Job {
     Job {
-        rec: JobRecord {
+        record: JobRecord {
             spec,
             at: accepted_at,
             stage: JobStage::Active,
@@ -46,8 +46,8 @@
         ..JobSpec::sample(kinds[rng.random_range(0..3)])
     };
     let mut job = job(spec, Micros(rng.random_range(0..40)));
-    job.rec.stage = [JobStage::Active, JobStage::Cancelled][usize::from(is_cancelled)];
-    job.rec.first.entries = entries;
+    job.record.stage = [JobStage::Active, JobStage::Cancelled][usize::from(is_cancelled)];
+    job.record.first.entries = entries;
     job.unmet_dependencies = usize::from(rng.random_bool(0.1));
     job
 }
@@ -68,9 +68,11 @@
             queue.update(&id, jobs.get(&id));
         }
         assert_eq!(queue.check_consistency(jobs.iter()), Ok(()), "seed {seed}");
-        let counted = jobs.values().filter(|job| job.active() && !job.waits());
+        let counted = jobs
+            .values()
+            .filter(|job| job.active() && !job.waits_for_dependencies());
         let largest = counted
-            .map(|job| job.rec.spec.tasks as f64 * job.rec.spec.gpus / 8.0)
+            .map(|job| job.record.spec.tasks as f64 * job.record.spec.gpus / 8.0)
             .fold(0.0, f64::max);
         let largest_demand = queue.largest_demand([1e9, 8.0, 1e9]);
         assert!(largest_demand >= largest, "seed {seed}");
@@ -95,7 +97,7 @@
             ..JobSpec::sample(JobKind::Array)
         };
         let mut job = job(spec, Micros(accepted_at));
-        job.rec.first.done = done;
+        job.record.first.done = done;
         job
     };
     let jobs = BTreeMap::from([
@@ -109,7 +111,7 @@
     let red = queue.names.find("red").expect("a team of a job is named");
     let covered: Vec<&String> = jobs
         .iter()
-        .filter(|(id, job)| window.covers(red, job.rec.at, id))
+        .filter(|(id, job)| window.covers(red, job.record.at, id))
         .map(|(id, _)| id)
         .collect();
     assert_eq!(covered, ["a", "b"]);
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -224,7 +224,7 @@
 
 /// What a pass has to know about any job besides its record.
 fn scheduling_context<'a>(inputs: &PassInputs<'a>, backlog: &'a JobQueue) -> SchedulingContext<'a> {
-    let types = inputs.cache.types.iter().flatten();
+    let types = inputs.cache.machine_types.iter().flatten();
     let slowest_fetch = types
         .map(|machine_type| machine_type.fetch_gb_per_s)
         .fold(f64::INFINITY, f64::min);
@@ -259,7 +259,7 @@
 /// The numbers of all zones in which machines are offered, sorted.
 fn offered_zones(cache: &RecordCache, names: &NameTable) -> Vec<u32> {
     let zone_names = cache
-        .types
+        .machine_types
         .iter()
         .flatten()
         .flat_map(|machine_type| &machine_type.zones);
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -75,7 +75,7 @@
         queued: &QueuedJob,
         tasks: Vec<u32>,
     ) -> QueueEntry<'a> {
-        let spec = &job.rec.spec;
+        let spec = &job.record.spec;
         let profile = self.backlog.profile_of(queued);
         QueueEntry {
             id,
@@ -276,7 +276,7 @@
         let (id, job) = self.job(&queued.id)?;
         let is_gang = self.profile_of(summary).kind == JobKind::Gang;
         let limit = max_startable_tasks(is_gang, summary) as usize;
-        let unfinished = (0..job.rec.spec.tasks).filter(|task| !job.is_done(*task));
+        let unfinished = (0..job.record.spec.tasks).filter(|task| !job.is_done(*task));
         let tasks = unfinished.take(limit).collect();
         Some(self.context.queue_entry(id, job, queued, tasks))
     }
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -22,14 +22,14 @@
         // are only four priorities, so this ends even if the dependencies contain a cycle.
         let mut raised: Vec<(&Job, Priority)> = cache
             .waiting_jobs()
-            .map(|job| (job, job.rec.spec.priority))
+            .map(|job| (job, job.record.spec.priority))
             .collect();
         while let Some((job, priority)) = raised.pop() {
-            for dependency in &job.rec.spec.needs {
+            for dependency in &job.record.spec.needs {
                 let Some((id, needed)) = cache.jobs.get_key_value(dependency) else {
                     continue;
                 };
-                let current = inherited.entry(id).or_insert(needed.rec.spec.priority);
+                let current = inherited.entry(id).or_insert(needed.record.spec.priority);
                 if needed.active() && *current < priority {
                     *current = priority;
                     raised.push((needed, priority));
@@ -41,7 +41,7 @@
 
     /// The highest priority of a job and of all jobs that depend on it.
     pub fn of(&self, id: &str, job: &Job) -> Priority {
-        self.highest(id, job.rec.spec.priority)
+        self.highest(id, job.record.spec.priority)
     }
 
     /// The same for a job whose own priority is `own`.
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -121,7 +121,7 @@
             feasibility_class: profile.feasibility_class,
             need: &summary.need,
             allow: &profile.allow,
-            zones: zoned_job.and_then(|(id, job)| self.allowed_zones(id, &job.rec.spec, &[])),
+            zones: zoned_job.and_then(|(id, job)| self.allowed_zones(id, &job.record.spec, &[])),
         }
     }
 
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -116,7 +116,7 @@
     pub address: Option<std::net::SocketAddr>,
     reported_address: String,
     /// Machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether the machine is a spot instance.
@@ -124,23 +124,23 @@
     /// The agent's epoch; 0: it has not sent a heartbeat yet.
     pub agent_epoch: u64,
     /// When we first heard of that epoch. Its lease runs from a moment before, whatever happened to earlier epochs.
-    pub began: Micros,
+    pub epoch_began_at: Micros,
     /// Sequence number of the newest heartbeat.
     pub last_seq: u64,
     /// Highest term that the agent had seen at its newest heartbeat.
     pub term: u64,
     /// When we learnt that it has seen that term: until then other leaders may have renewed its lease.
-    pub termed: Micros,
+    pub term_seen_at: Micros,
     /// When the cloud will preempt the machine, if it has announced that.
     pub preemption_at: Option<Micros>,
     /// Tasks in the newest heartbeat.
     pub tasks: Vec<ReportedTask>,
     /// When the newest heartbeat arrived.
-    pub heard: Micros,
+    pub last_heard_at: Micros,
     /// Whether the agent receives what we send.
     pub reachability: AgentReachability,
     /// When we last answered a heartbeat, which renews the agent's lease.
-    pub answered: Option<Micros>,
+    pub last_answered_at: Option<Micros>,
     /// Epochs up to this one have provably ended.
     pub ended_epoch: Option<u64>,
     /// Starts sent in the present epoch.
@@ -193,19 +193,19 @@
         Agent {
             address: None,
             reported_address: String::new(),
-            kind: report.kind.clone(),
+            machine_type: report.kind.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
             agent_epoch: 0,
-            began: Micros::ZERO,
+            epoch_began_at: Micros::ZERO,
             last_seq: 0,
             term: 0,
-            termed: Micros::ZERO,
+            term_seen_at: Micros::ZERO,
             preemption_at: None,
             tasks: Vec::new(),
-            heard: Micros::ZERO,
+            last_heard_at: Micros::ZERO,
             reachability: AgentReachability::default(),
-            answered: None,
+            last_answered_at: None,
             ended_epoch: None,
             starts: BTreeMap::new(),
             stops: BTreeMap::new(),
@@ -231,11 +231,11 @@
         self.last_seq = report.seq;
         if report.term > self.term {
             self.term = report.term;
-            self.termed = now;
+            self.term_seen_at = now;
             self.reachability.on_confirmation(now);
         }
         self.update_machine(report, now);
-        self.heard = now;
+        self.last_heard_at = now;
         let reported = &report.tasks;
         let same_tasks = self.tasks.len() == reported.len()
             && self.tasks.iter().zip(reported).all(|(t, r)| t.is_same(r));
@@ -254,7 +254,7 @@
         if self.agent_epoch > 0 {
             self.reachability.on_new_epoch(now);
         }
-        self.began = now;
+        self.epoch_began_at = now;
         self.starts.clear();
         self.stops.clear();
     }
@@ -264,8 +264,8 @@
             self.reported_address.clone_from(&report.address);
             self.address = report.address.parse().ok();
         }
-        if self.kind != report.kind || self.zone != report.zone {
-            self.kind.clone_from(&report.kind);
+        if self.machine_type != report.kind || self.zone != report.zone {
+            self.machine_type.clone_from(&report.kind);
             self.zone.clone_from(&report.zone);
         }
         self.spot = report.spot;
@@ -294,7 +294,7 @@
     }
 
     /// Whether the agent's epoch has provably ended.
-    pub fn is_over(&self) -> bool {
+    pub fn epoch_ended(&self) -> bool {
         self.has_ended(self.agent_epoch)
     }
 
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -21,7 +21,7 @@
 pub struct Job {
     /// Its record, with placement batches overlaid. A job that depends on a cancelled one is thereby cancelled: the
     /// stage says so here, whether or not it is ever written.
-    pub rec: JobRecord,
+    pub record: JobRecord,
     /// The record's version.
     pub version: u64,
     /// Further chunks of large jobs.
@@ -37,14 +37,14 @@
 
 impl Job {
     /// Whether the job waits for dependencies: none of its tasks may start.
-    pub fn waits(&self) -> bool {
+    pub fn waits_for_dependencies(&self) -> bool {
         self.unmet_dependencies > 0
     }
 
     /// The chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
         match task / TASKS_PER_CHUNK {
-            0 => Some(&self.rec.first),
+            0 => Some(&self.record.first),
             number => self.chunks.get(&number).map(|stored| &stored.chunk),
         }
     }
@@ -62,19 +62,19 @@
     /// The newest attempts of all tasks that have any.
     pub fn entries(&self) -> impl Iterator<Item = &TaskEntry> {
         let further = self.chunks.values().flat_map(|s| s.chunk.entries.iter());
-        self.rec.first.entries.iter().chain(further)
+        self.record.first.entries.iter().chain(further)
     }
 
     /// The number of tasks that are done.
     pub fn done_count(&self) -> u64 {
         let further = self.chunks.values();
         let further: u64 = further.map(|s| s.chunk.done.count_ones() as u64).sum();
-        self.rec.first.done.count_ones() as u64 + further
+        self.record.first.done.count_ones() as u64 + further
     }
 
     /// Whether the job has not ended.
     pub fn active(&self) -> bool {
-        self.rec.stage == JobStage::Active
+        self.record.stage == JobStage::Active
     }
 }
 
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -31,11 +31,11 @@
     /// Whether all records have been listed once.
     pub synced: bool,
     /// The leader's record.
-    pub lead: Option<(LeaderRecord, u64)>,
+    pub leader: Option<(LeaderRecord, u64)>,
     /// Version of the key that is attached to the leader's lease.
     pub leader_lease_version: Option<u64>,
     /// The cloud's machine types.
-    pub types: Option<Vec<MachineType>>,
+    pub machine_types: Option<Vec<MachineType>>,
     /// The number of machines that were up before we rented any, once it is on record.
     pub initial_machines: Option<u64>,
     /// Images that machines probably have, according to the recorded placements.
@@ -105,7 +105,7 @@
 
     fn stage(&self, id: &str) -> Option<JobStage> {
         match self.job(id)? {
-            JobLookup::Live(job) => Some(job.rec.stage),
+            JobLookup::Live(job) => Some(job.record.stage),
             JobLookup::Finished(job) => Some(job.stage),
         }
     }
@@ -136,7 +136,7 @@
     pub fn waiting_jobs(&self) -> impl Iterator<Item = &Job> {
         let ids = self.dependents.values().flatten();
         let jobs = ids.filter_map(|id| self.jobs.get(id));
-        jobs.filter(|j| j.active() && j.waits())
+        jobs.filter(|j| j.active() && j.waits_for_dependencies())
     }
 
     /// Whether any job waits for a dependency.
@@ -171,7 +171,7 @@
     }
 
     /// Tasks that have an attempt on record on this machine, as job id and task number.
-    pub fn placed(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
+    pub fn tasks_placed_on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
         self.placed_tasks.on(machine)
     }
 
@@ -199,7 +199,7 @@
             }
             RecordKey::MachineTypes => {
                 if let Some(types) = self.read::<MachineTypes>(key, &value, version) {
-                    self.types = Some(types.types);
+                    self.machine_types = Some(types.types);
                 }
             }
             RecordKey::InitialMachines => {
@@ -234,10 +234,10 @@
     }
 
     fn put_leader(&mut self, key: &str, value: &Value, version: u64) {
-        if is_newer(self.lead.as_ref(), version)
+        if is_newer(self.leader.as_ref(), version)
             && let Some(record) = self.read::<LeaderRecord>(key, value, version)
         {
-            self.lead = Some((record, version));
+            self.leader = Some((record, version));
             self.last_cancellation_or_claim = self.last_cancellation_or_claim.max(version);
         }
     }
@@ -274,7 +274,7 @@
             RecordKey::LeaderLease => {
                 self.leader_lease_version = self.leader_lease_version.filter(|v| *v > version);
             }
-            RecordKey::Leader => self.lead = self.lead.take().filter(|(_, v)| *v > version),
+            RecordKey::Leader => self.leader = self.leader.take().filter(|(_, v)| *v > version),
             RecordKey::Renewals(node) => {
                 if self.renewals.get(node).is_some_and(|(_, v)| *v < version) {
                     self.renewals.remove(node);
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -42,30 +42,30 @@
         let previous = self.jobs.remove(id);
         let is_new = previous.is_none();
         let (old_entries, chunks, batched_places) = match previous {
-            Some(job) => (job.rec.first.entries, job.chunks, job.batched_places),
+            Some(job) => (job.record.first.entries, job.chunks, job.batched_places),
             None => Default::default(),
         };
         let mut job = Job {
-            rec: record,
+            record,
             version,
             chunks,
             unmet_dependencies: 0,
             released_at: Micros::ZERO,
             batched_places,
         };
-        if job.rec.cleaned {
+        if job.record.cleaned {
             job.batched_places.clear();
         } else {
-            let first = &mut job.rec.first;
+            let first = &mut job.record.first;
             self.placement_batches
                 .overlay(id, 0, first, &mut job.batched_places);
         }
-        let image = JobImage::of(&job.rec.spec);
-        self.index_places(id, &old_entries, &job.rec.first.entries, Some(image));
+        let image = JobImage::of(&job.record.spec);
+        self.index_places(id, &old_entries, &job.record.first.entries, Some(image));
         if let Some(chunks) = self.chunks_without_job.remove(id) {
             job.chunks.extend(chunks);
         }
-        if is_new && !job.rec.cleaned {
+        if is_new && !job.record.cleaned {
             self.overlay_further_chunks(id, &mut job);
         }
         self.insert_job(id, job);
@@ -95,7 +95,7 @@
             let before = chunk.entries.clone();
             self.placement_batches
                 .overlay(id, number, chunk, &mut job.batched_places);
-            let image = JobImage::of(&job.rec.spec);
+            let image = JobImage::of(&job.record.spec);
             self.index_places(id, &before, &chunk.entries, Some(image));
         }
     }
@@ -135,14 +135,14 @@
             self.index_places(id, &old.chunk.entries, &new_entries, None);
             return;
         };
-        if !job.rec.cleaned {
+        if !job.record.cleaned {
             let batched_places = &mut job.batched_places;
             self.placement_batches
                 .overlay(id, number, &mut stored.chunk, batched_places);
         }
         let new_entries = stored.chunk.entries.clone();
         let old = job.chunks.insert(number, stored).unwrap_or_default();
-        let image = JobImage::of(&job.rec.spec);
+        let image = JobImage::of(&job.record.spec);
         self.index_places(id, &old.chunk.entries, &new_entries, Some(image));
     }
 
@@ -155,7 +155,7 @@
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
-            if !job.rec.cleaned {
+            if !job.record.cleaned {
                 for place in places {
                     self.overlay_on_job(&id, &mut job, place);
                 }
@@ -167,12 +167,12 @@
 
     fn overlay_on_job(&mut self, id: &str, job: &mut Job, place: TaskEntry) {
         let chunk = match place.task() / TASKS_PER_CHUNK {
-            0 => &mut job.rec.first,
+            0 => &mut job.record.first,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
         let old: Vec<TaskEntry> = chunk.entry(place.task()).cloned().into_iter().collect();
         if overlay_place(chunk, &place, &mut job.batched_places) {
-            let image = JobImage::of(&job.rec.spec);
+            let image = JobImage::of(&job.record.spec);
             self.index_places(id, &old, &[place], Some(image));
         }
     }
@@ -225,12 +225,12 @@
 
     /// Derives from a job's dependencies how many are unmet, since when the job may run, and whether it is cancelled.
     fn resolve_dependencies(&self, job: &mut Job) {
-        job.released_at = job.rec.at;
+        job.released_at = job.record.at;
         job.unmet_dependencies = 0;
         if !job.active() {
             return;
         }
-        for need in &job.rec.spec.needs {
+        for need in &job.record.spec.needs {
             let Some(outcome) = self.outcome_of(need) else {
                 job.unmet_dependencies += 1;
                 continue;
@@ -241,8 +241,8 @@
             }
             // No job starts before its dependencies are done, and a cancelled one never will be: this job has no
             // task anywhere and never gets one.
-            job.rec.stage = JobStage::Cancelled;
-            job.rec.end = outcome.end.max(job.rec.at);
+            job.record.stage = JobStage::Cancelled;
+            job.record.end = outcome.end.max(job.record.at);
             return;
         }
     }
@@ -257,8 +257,8 @@
         }
         let job = self.jobs.get(id).filter(|j| !j.active())?;
         Some(JobOutcome {
-            stage: job.rec.stage,
-            end: job.rec.end,
+            stage: job.record.stage,
+            end: job.record.end,
         })
     }
 
@@ -290,7 +290,7 @@
             return;
         };
         self.ended_with_tasks.remove(id);
-        self.index_places(id, &job.rec.first.entries, &[], None);
+        self.index_places(id, &job.record.first.entries, &[], None);
         for stored in job.chunks.values() {
             self.index_places(id, &stored.chunk.entries, &[], None);
         }
@@ -301,10 +301,10 @@
 /// What is kept of a job once it has ended and has no tasks left.
 fn finished(job: &Job) -> FinishedJob {
     FinishedJob {
-        stage: job.rec.stage,
-        tasks: job.rec.spec.tasks,
+        stage: job.record.stage,
+        tasks: job.record.spec.tasks,
         version: job.version,
-        end: job.rec.end,
-        service: job.rec.spec.kind == JobKind::Service,
+        end: job.record.end,
+        service: job.record.spec.kind == JobKind::Service,
     }
 }
--- a/src/state/record_cache/listing.rs
+++ b/src/state/record_cache/listing.rs
@@ -18,7 +18,7 @@
 
 impl RecordCache {
     /// Applies a page of a listing; returns true if it was the last. Watching must begin at the first page's revision.
-    pub fn apply_page(&mut self, page: ItemPage) -> bool {
+    pub fn apply_listing_page(&mut self, page: ItemPage) -> bool {
         let listing = self.listing.get_or_insert_with(|| Listing {
             keys: BTreeSet::new(),
             revision: page.revision,
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -180,7 +180,7 @@
     }
 
     /// Queues a request.
-    pub fn ask(&mut self, priority: RequestPriority, purpose: T, request: StoreRequest) {
+    pub fn enqueue(&mut self, priority: RequestPriority, purpose: T, request: StoreRequest) {
         let queued = QueuedRequest { request, purpose };
         self.queues[priority as usize].push_back(queued);
     }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -35,7 +35,7 @@
     let mut leader = LeaderState::new(1, 1, clock);
     let mut agent = Agent::new(&report(1, 1));
     agent.update(&report(1, 1), at(0));
-    agent.answered = Some(at(0));
+    agent.last_answered_at = Some(at(0));
     leader.agents.insert("n-1".into(), agent);
     let shown = at(0) + lease + Micros::millis(400);
     if let Some(agent) = leader.agents.get_mut("n-1") {
@@ -43,12 +43,12 @@
     }
     let cache = RecordCache::default();
     leader.expire_leases(&settings, &cache, Micros::ZERO, shown + Micros::millis(1));
-    assert!(leader.agents.values().all(|agent| !agent.is_over()));
+    assert!(leader.agents.values().all(|agent| !agent.epoch_ended()));
     leader.expire_leases(
         &settings,
         &cache,
         Micros::ZERO,
         shown + lease.times(1.1) + Micros::millis(400),
     );
-    assert!(leader.agents.values().all(Agent::is_over));
+    assert!(leader.agents.values().all(Agent::epoch_ended));
 }
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -218,7 +218,7 @@
             let Some(job) = self.cache.jobs.get(&id) else {
                 return;
             };
-            (id, job.rec.spec.clone(), job.rec.at)
+            (id, job.record.spec.clone(), job.record.at)
         } else {
             let id = format!("req-{}", self.job_count);
             self.job_count += 1;
@@ -273,7 +273,7 @@
         let seq = self.heartbeat_seqs.entry(machine.clone()).or_default();
         *seq += 1;
         let mut tasks = Vec::new();
-        for (job, task) in self.cache.placed(&machine) {
+        for (job, task) in self.cache.tasks_placed_on(&machine) {
             let entry = self.cache.jobs.get(job).and_then(|job| job.entry(*task));
             if rng.random_bool(0.8)
                 && let Some(entry) = entry
@@ -309,7 +309,7 @@
             .entry(machine.clone())
             .or_insert_with(|| Agent::new(&heartbeat));
         agent.update(&heartbeat, now);
-        agent.answered = Some(now);
+        agent.last_answered_at = Some(now);
         self.leader
             .fleet
             .record_heartbeat(&machine, &heartbeat, now);
@@ -404,18 +404,23 @@
         for start in decision.starts {
             self.apply_start(start);
         }
-        let wanted: Vec<String> = self.leader.edits.jobs().map(str::to_string).collect();
+        let wanted: Vec<String> = self
+            .leader
+            .record_writer
+            .jobs()
+            .map(str::to_string)
+            .collect();
         for id in wanted {
             let placements = self
                 .leader
-                .edits
+                .record_writer
                 .pending_write(&id)
                 .map(|write: &PendingWrite| write.places.clone());
             if let Some(placements) = placements.filter(|placements| !placements.is_empty())
                 && self.rng.random_bool(0.3)
             {
                 self.leader
-                    .edits
+                    .record_writer
                     .mark_places_in_flight(&id, Vec::new(), placements);
             }
         }
@@ -440,7 +445,7 @@
         );
         if self.rng.random_bool(0.5) {
             self.leader
-                .edits
+                .record_writer
                 .pending_write_mut(&start.job, now)
                 .places
                 .push(entry);
@@ -448,7 +453,7 @@
             let Some(job) = self.cache.jobs.get(&start.job) else {
                 return;
             };
-            let mut rec = job.rec.clone();
+            let mut rec = job.record.clone();
             if start.task < 48 {
                 rec.first.set(entry);
             }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -136,7 +136,11 @@
     let mut decision = ReferenceDecision::default();
     let guaranteed_jobs = guaranteed_jobs(settings, cache);
     let inherited = InheritedPriorities::new(cache);
-    let rates = cache.types.iter().flatten().map(|kind| kind.fetch_gb_per_s);
+    let rates = cache
+        .machine_types
+        .iter()
+        .flatten()
+        .map(|kind| kind.fetch_gb_per_s);
     let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_RATE);
     let mut cluster_total = [0.0; 3];
     for host in &host_table.hosts {
@@ -174,7 +178,7 @@
     if !leader.agents_known(settings, now) {
         preemptible.clear();
     }
-    let class = |id: &str| cache.jobs[id].rec.spec.class.as_str();
+    let class = |id: &str| cache.jobs[id].record.spec.class.as_str();
     for task in &mut preemptible {
         let usage = usage_by_class.get(class(task.job)).copied().unwrap_or(0.0);
         task.exempt = usage <= SPARED_FRACTION;
@@ -183,9 +187,9 @@
     let queued = cache
         .jobs
         .values()
-        .filter(|job| job.active() && !job.waits());
+        .filter(|job| job.active() && !job.waits_for_dependencies());
     let demands = queued.map(|job| {
-        let spec = &job.rec.spec;
+        let spec = &job.record.spec;
         spec.tasks as f64
             * placement::dominant_share(&typical_host, &placement::task_resources(spec))
     });
@@ -236,15 +240,15 @@
         index: HashMap::with_capacity(count),
     };
     for (name, agent) in &leader.agents {
-        let mut types = cache.types.iter().flatten();
-        let Some(machine_type) = types.find(|known| known.name == agent.kind) else {
+        let mut types = cache.machine_types.iter().flatten();
+        let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
             continue;
         };
-        if agent.is_over() || leader.fleet.is_gone(name) {
+        if agent.epoch_ended() || leader.fleet.is_gone(name) {
             continue;
         }
         let open = agent.term == leader.term
-            && agent.answered.is_some_and(|at| now < at + fresh)
+            && agent.last_answered_at.is_some_and(|at| now < at + fresh)
             && agent.preemption_at.is_none()
             && agent.reachability.receives()
             && !leader.fleet.leaving(name)
@@ -256,7 +260,7 @@
             .insert(name.clone(), host_table.hosts.len());
         host_table.names.push(name.clone());
         host_table.hosts.push(Host {
-            kind: names.id(&agent.kind),
+            kind: names.id(&agent.machine_type),
             zone: names.id(&agent.zone),
             spot: agent.spot,
             agent_epoch: agent.agent_epoch,
@@ -298,15 +302,15 @@
     fetch_rate: f64,
     clock: Clock,
 ) -> Option<QueueEntry<'a>> {
-    if job.waits() {
+    if job.waits_for_dependencies() {
         // None of its tasks starts before the jobs that it depends on are recorded as done, so it takes
         // no resources and no position in the queue, and blocks no other job.
         return None;
     }
     let priority = inherited.of(id, job);
-    let team = names.id(&job.rec.spec.team);
+    let team = names.id(&job.record.spec.team);
     let now = clock.now;
-    let spec = &job.rec.spec;
+    let spec = &job.record.spec;
     let requirements = TaskRequirements {
         need: placement::task_resources(spec),
         allow: Arc::new(PlacementConstraints::of(spec, names)),
@@ -314,8 +318,12 @@
         image: names.id(&spec.image),
         avoid: Vec::new(),
     };
-    let in_flight = leader.edits.in_flight(id);
-    let pending: Vec<TaskEntry> = leader.edits.places(id).cloned().collect();
+    let in_flight = leader.record_writer.in_flight(id);
+    let pending: Vec<TaskEntry> = leader
+        .record_writer
+        .unrecorded_places(id)
+        .cloned()
+        .collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
     let mut lost = 0;
     let mut latest_attempt = 0;
@@ -503,10 +511,10 @@
     let lost = tasks.iter().filter(is_displaced).count();
     Some(QueueEntry {
         id,
-        at: job.rec.at,
+        at: job.record.at,
         lost_tasks: lost as u32,
         spec,
-        requirements: requirements,
+        requirements,
         team,
         feasibility_class: 0,
         tasks,
@@ -544,9 +552,12 @@
                 attempt == (status.task, status.attempt) && entry.machine().is_some()
             };
             let is_placed = job.entry(status.task).is_some_and(places_it)
-                || leader.edits.places(&status.job).any(places_it);
+                || leader
+                    .record_writer
+                    .unrecorded_places(&status.job)
+                    .any(places_it);
             if !is_placed {
-                let spec = &job.rec.spec;
+                let spec = &job.record.spec;
                 host.take(&[spec.cpus, spec.gpus, spec.memory_gb]);
                 if let Some([cpus, gpus]) = quotas.get_mut(&spec.team) {
                     *cpus -= spec.cpus;
@@ -573,11 +584,11 @@
     let queued = cache
         .jobs
         .iter()
-        .filter(|(_, job)| job.active() && !job.waits());
+        .filter(|(_, job)| job.active() && !job.waits_for_dependencies());
     let mut jobs: Vec<(&String, &Job)> = queued.collect();
-    jobs.sort_by_key(|(id, job)| (job.rec.at, *id));
+    jobs.sort_by_key(|(id, job)| (job.record.at, *id));
     for (id, job) in jobs {
-        let spec = &job.rec.spec;
+        let spec = &job.record.spec;
         let Some([cpus, gpus]) = left.get_mut(spec.team.as_str()) else {
             continue;
         };
@@ -593,7 +604,7 @@
 
 /// Tasks of a job that may start: neither done nor on a machine. At most `limit`, except for gangs.
 fn startable(leader: &LeaderState, id: &str, job: &Job, limit: usize) -> Vec<u32> {
-    let spec = &job.rec.spec;
+    let spec = &job.record.spec;
     let limit = if spec.kind == JobKind::Gang {
         spec.tasks as usize
     } else {
@@ -612,7 +623,10 @@
                 None => true,
                 Some(chunk) => !chunk.is_done(task) && !chunk.entry(task).is_some_and(is_occupied),
             };
-            if is_free && !leader.edits.finishing(id, task) && !leader.edits.placing(id, task) {
+            if is_free
+                && !leader.record_writer.is_recording_completion(id, task)
+                && !leader.record_writer.is_placing(id, task)
+            {
                 tasks.push(task);
                 if tasks.len() >= limit {
                     return tasks;
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -69,7 +69,7 @@
         more: false,
         revision: 9,
     };
-    assert!(listed.apply_page(page));
+    assert!(listed.apply_listing_page(page));
     assert_eq!(places(&listed), expected);
     let mut watched = RecordCache::default();
     for i in [1, 2, 0] {
@@ -77,7 +77,7 @@
         watched.put(key, value.clone(), *version);
     }
     assert_eq!(places(&watched), expected);
-    assert_eq!(watched.placed("n-2").count(), 2);
+    assert_eq!(watched.tasks_placed_on("n-2").count(), 2);
     assert!(!watched.is_batch_superseded(0));
     // The job's own records hold the placements: the batch is obsolete and may be deleted.
     watched.put_job(
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -129,7 +129,7 @@
     writeln!(
         out,
         "controller {index}: synced {} revision {} leadership {:?} live {:?} wake {next_wake_at}",
-        cache.synced, cache.revision, cache.lead, cache.leader_lease_version
+        cache.synced, cache.revision, cache.leader, cache.leader_lease_version
     )?;
     let Some(leader) = &process.leader else {
         return Ok(());
@@ -140,7 +140,7 @@
         leader.term,
         leader.last_confirmed_read,
         leader.dirty,
-        leader.edits,
+        leader.record_writer,
         leader.machines_to_check,
         leader.stopping
     )?;
@@ -150,14 +150,14 @@
             "  {machine}: epoch {} term {} heard {} over {:?} starts {:?} tasks {:?}",
             agent.agent_epoch,
             agent.term,
-            agent.heard,
+            agent.last_heard_at,
             agent.ended_epoch,
             agent.starts,
             agent.tasks
         )?;
     }
     for (id, job) in &cache.jobs {
-        writeln!(out, "  {id}: {:?} {:?}", job.rec.stage, job.rec.first)?;
+        writeln!(out, "  {id}: {:?} {:?}", job.record.stage, job.record.first)?;
         for entry in job.entries() {
             writeln!(
                 out,
--- a/tests/simulation/violation_injection.rs
+++ b/tests/simulation/violation_injection.rs
@@ -59,7 +59,7 @@
     /// Empties the list of machine types in a controller's cache.
     pub fn clear_machine_types(&mut self, controller: usize) {
         if let Some(process) = self.controllers[controller].process.as_mut() {
-            process.cache.types = Some(Vec::new());
+            process.cache.machine_types = Some(Vec::new());
         }
     }
 
--- a/tests/wire_compatibility/key_value_api.rs
+++ b/tests/wire_compatibility/key_value_api.rs
@@ -47,7 +47,7 @@
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let mut sent = Vec::new();
-    store.ask(RequestPriority::Urgent, (), ask);
+    store.enqueue(RequestPriority::Urgent, (), ask);
     store.send_queued(Micros::millis(10_000), &mut 0, &mut sent);
     let [NetworkCommand::Call(call)] = sent.as_slice() else {
         panic!("not one call: {sent:?}");
@@ -61,7 +61,7 @@
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let (mut id, mut sent) = (0, Vec::new());
-    store.ask(RequestPriority::Urgent, (), ask);
+    store.enqueue(RequestPriority::Urgent, (), ask);
     store.send_queued(Micros::millis(10_000), &mut id, &mut sent);
     let outcome = Outcome::Reply {
         status,
