--- a/crates/lease-delegation/src/lib.rs
+++ b/crates/lease-delegation/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which controllers may keep agents' leases alive while the key-value store is out of reach.
 //!
 //! Pure state machines without clocks or I/O of their own; times are microseconds of the caller's monotonic clock.
-//! Their purpose and the argument for their safety are in `docs/links.md` and `docs/safety.md`. Terms:
+//! Their purpose and the argument for their safety are in `docs/partial-partitions.md` and `docs/safety.md`. Terms:
 //!
 //! - A *renewal grant* is the permission that a leader without the store gives to a peer in a heartbeat response: the
 //!   peer may renew leases under the leader's term without recording that it does so. [`lease_grantor::LeaseGrantor`]
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -23,7 +23,7 @@
     /// Limit of the machines rented at any time; 0: no limit.
     pub most_machines: f64,
     /// 1: a controller without access to the key-value store pledges not to tell clients of new cancellations for a
-    /// while, so that its peers can go on renewing agent leases if it crashes. 0: it does not. See docs/links.md for
+    /// while, so that its peers can go on renewing agent leases if it crashes. 0: it does not. See docs/partial-partitions.md for
     /// the cost.
     pub pledges: f64,
 }
--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -1,5 +1,5 @@
 //! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion:
-//! no controller answers with a state older than one that any controller has told (docs/meetings.md).
+//! no controller answers with a state older than one that any controller has told (docs/fault-combinations.md).
 
 mod simulation;
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Two faults at once, as operators have met them (docs/meetings.md), beyond tests/cancellation_during_store_outage.rs.
+//! Two faults at once, as operators have met them (docs/fault-combinations.md), beyond tests/cancellation_during_store_outage.rs.
 
 mod simulation;
 
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -1,4 +1,4 @@
-//! Further combinations of docs/meetings.md: quotas, cancellations, rentals and overload under faults.
+//! Further combinations of docs/fault-combinations.md: quotas, cancellations, rentals and overload under faults.
 
 mod simulation;
 
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -1,5 +1,5 @@
 //! Messages that arrive after their version number was used again, and duplicates that reach a controller which never saw
-//! the original (docs/meetings.md, "Every transaction, carried out late").
+//! the original (docs/fault-combinations.md, "Every transaction, carried out late").
 
 mod simulation;
 
