--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
-use crate::leadership::peers::known_cancelled;
+use crate::leadership::peers::recorded_or_reported_cancelled;
 use crate::protocol::agent_api::{
     AgentHeartbeat, AgentHeartbeatResponse, ExitReason, Misdirected, TaskPhase,
 };
@@ -105,7 +105,7 @@
         let heard = &self.peers.reported_cancellations;
         agent
             .unresolved_starts()
-            .any(|(job, ..)| known_cancelled(&self.cache, heard, job))
+            .any(|(job, ..)| recorded_or_reported_cancelled(&self.cache, heard, job))
     }
 
     /// Applies an agent's message, from a heartbeat or from the answer to a direct command. Returns false if it is
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -2,7 +2,7 @@
 //! commands are due. Changes nothing.
 
 use crate::agents::leader_state::{LeaderState, MAX_START_STALENESS};
-use crate::leadership::peers::known_cancelled;
+use crate::leadership::peers::recorded_or_reported_cancelled;
 use crate::protocol::Micros;
 use crate::protocol::agent_api::{Command, ExitReason, TaskPhase};
 use crate::protocol::records::{JobStage, TaskEntry};
@@ -220,7 +220,7 @@
     }
 
     fn is_cancelled(&self, job: &str) -> bool {
-        known_cancelled(self.cache, self.heard, job)
+        recorded_or_reported_cancelled(self.cache, self.heard, job)
     }
 
     /// Whether the job's record has this attempt on this machine, in the agent's present epoch.
--- a/src/api/forwarding.rs
+++ b/src/api/forwarding.rs
@@ -35,7 +35,7 @@
             "POST" => ("POST", CHANGE_TIMEOUT),
             _ => return false,
         };
-        let Some(addr) = self.peer_with_store(clock) else {
+        let Some(addr) = self.peer_with_store_access(clock) else {
             return false;
         };
         let path = format!("{FORWARD_PREFIX}{}", request.path);
@@ -48,7 +48,8 @@
     /// Whether a submission waits for other jobs and not all peers know of this: a peer of the first version would
     /// accept it without the jobs that it needs.
     fn needs_pipeline_support(&self, body: &[u8]) -> bool {
-        !self.all_peers_read(PIPELINES) && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
+        !self.all_controllers_read(PIPELINES)
+            && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
     }
 
     /// Passes the response of the peer on to the client.
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -153,7 +153,7 @@
                          or the gang is too wide";
             return Verdict::Refuse(400, error);
         }
-        if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
+        if !spec.needs.is_empty() && !self.all_controllers_read(PIPELINES) {
             // A controller of the first version drops fields that it does not know from a record.
             let error = "jobs can wait for jobs once all controllers run this version";
             return Verdict::Refuse(503, error);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -220,7 +220,7 @@
                 StoreResponse::Refused | StoreResponse::Lost
             ) {
                 self.store_probe.heard_at = clock.now;
-                self.connectivity.on_store_heard(clock.now);
+                self.connectivity.on_store_contact(clock.now);
             }
             self.on_store_response(clock, completed);
             return;
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -143,10 +143,10 @@
             return;
         };
         if report.zone != self.settings.zone {
-            self.connectivity.on_remote_agent_heard(clock.now);
+            self.connectivity.on_remote_agent_contact(clock.now);
         }
         if self.leader.is_none() {
-            self.follower_heartbeat(clock, conn, report);
+            self.on_heartbeat_as_follower(clock, conn, report);
             return;
         }
         if self
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -51,12 +51,14 @@
             StoreRequestPurpose::BackgroundWrite => {
                 self.apply_if_committed(&request, &reply);
             }
-            StoreRequestPurpose::BudgetShares => self.on_budget_shares(clock, request, reply),
+            StoreRequestPurpose::BudgetShares => {
+                self.on_budget_grant_response(clock, request, reply)
+            }
             StoreRequestPurpose::TransferLeadership => {
                 self.on_transfer_response(clock, &request, &reply);
             }
             StoreRequestPurpose::RecordRenewals(machines) => {
-                self.on_renewals_result(clock, machines, request, sent, reply);
+                self.on_renewals_write_response(clock, machines, request, sent, reply);
             }
             StoreRequestPurpose::RecordFormat => {
                 self.format_record_due = Some(clock.now + FORMAT_CHECK_INTERVAL);
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -52,7 +52,7 @@
         next = next.min(self.grant_budget_shares(clock));
         next = next.min(self.negotiate_format(clock));
         next = next.min(self.send_peer_heartbeats(clock));
-        next = next.min(self.consider_candidacy(clock));
+        next = next.min(self.advance_candidacy(clock));
         next = next.min(self.expire_acceptances(clock));
         next = next.min(self.run_follower_timers(clock));
         next.min(self.run_leader_timers(clock))
@@ -62,7 +62,7 @@
         if self.leader.is_some() {
             return Micros::FAR;
         }
-        let mut next = self.drive_renewals(clock);
+        let mut next = self.maintain_renewals(clock);
         if self.cache.synced {
             next = next.min(self.probe_store(clock));
         }
@@ -81,7 +81,7 @@
         let mut next = self.drive_leader_lease(clock.now);
         next = next.min(self.confirm_state(clock, last_confirmed_read));
         next = next.min(self.drive_leader(clock));
-        next.min(self.consider_transfer(clock))
+        next.min(self.check_leadership_transfer(clock))
     }
 
     /// Probes the store if it has been silent; returns when to look again.
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -57,19 +57,19 @@
 /// A controller requests the rate that clears its queue within this time, in seconds.
 const QUEUE_CLEARING_TIME_S: f64 = 1.5;
 /// Grants count in thousandths of writes per second.
-const MILLI: f64 = 1000.0;
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
 /// What a controller's share of the budgets depends on.
 #[derive(Debug, Clone, Copy)]
 struct Membership {
     /// Number of peers in the settings.
-    peers: usize,
+    peer_count: usize,
     /// How many of them are heard.
-    heard: usize,
+    reachable_peers: usize,
     /// This controller leads.
-    leads: bool,
+    is_leader: bool,
     /// The leader is among the peers that are heard, or unknown.
-    leader_heard: bool,
+    leader_reachable: bool,
 }
 
 impl Share {
@@ -84,35 +84,38 @@
 
 impl Membership {
     /// All peers are heard; if this controller does not lead, one of them does.
-    fn complete(peers: usize, leads: bool) -> Membership {
+    fn with_all_peers_reachable(peer_count: usize, is_leader: bool) -> Membership {
         Membership {
-            peers,
-            heard: peers,
-            leads,
-            leader_heard: true,
+            peer_count,
+            reachable_peers: peer_count,
+            is_leader,
+            leader_reachable: true,
         }
     }
 
     /// The fraction of one budget, of which all controllers use `total` and the leader uses `leader`.
     fn fraction(self, total: f64, leader: f64) -> f64 {
-        if self.peers == 0 {
+        if self.peer_count == 0 {
             return total;
         }
-        let per_follower = (total - leader) / self.peers as f64;
-        if self.leads {
-            leader + per_follower * (self.peers - self.heard) as f64
-        } else if self.leader_heard {
+        let per_follower = (total - leader) / self.peer_count as f64;
+        if self.is_leader {
+            leader + per_follower * (self.peer_count - self.reachable_peers) as f64
+        } else if self.leader_reachable {
             per_follower
         } else {
-            (total / (self.heard + 1) as f64).min(MAX_SHARE_WITHOUT_LEADER)
+            (total / (self.reachable_peers + 1) as f64).min(MAX_SHARE_WITHOUT_LEADER)
         }
     }
 }
 
 /// A controller's fixed share of the write budget.
-fn fixed_writes(settings: &Settings, leads: bool) -> Thousandths {
-    let share = Share::of(Membership::complete(settings.peers.len(), leads));
-    (share.writes * settings.params.state.least_write_rps() * MILLI) as Thousandths
+fn fixed_writes(settings: &Settings, is_leader: bool) -> Thousandths {
+    let share = Share::of(Membership::with_all_peers_reachable(
+        settings.peers.len(),
+        is_leader,
+    ));
+    (share.writes * settings.params.state.least_write_rps() * THOUSANDTHS_PER_UNIT) as Thousandths
 }
 
 fn grant_rules(settings: &Settings) -> Rules {
@@ -146,19 +149,22 @@
     grant_in_flight: bool,
     /// Per peer: the epoch of the newest grant that it has reported. Records outlive the peer's process, so the
     /// peer never uses an older grant again.
-    peer_epochs: BTreeMap<String, u64>,
+    peer_grant_epochs: BTreeMap<String, u64>,
 }
 
 impl BudgetShares {
     /// The shares of a controller that has just started.
     pub fn new(settings: &Settings) -> BudgetShares {
         BudgetShares {
-            share: Share::of(Membership::complete(settings.peers.len(), false)),
+            share: Share::of(Membership::with_all_peers_reachable(
+                settings.peers.len(),
+                false,
+            )),
             granted_writes: 0.0,
             requested_writes: 0,
             next_grant_at: Micros::ZERO,
             grant_in_flight: false,
-            peer_epochs: BTreeMap::new(),
+            peer_grant_epochs: BTreeMap::new(),
         }
     }
 
@@ -183,16 +189,16 @@
     }
 
     /// A peer has reported that it has seen the grant with this epoch.
-    pub fn on_peer_epoch(&mut self, node: &str, epoch: u64) {
-        match self.peer_epochs.get_mut(node) {
+    pub fn on_peer_grant_epoch(&mut self, node: &str, epoch: u64) {
+        match self.peer_grant_epochs.get_mut(node) {
             Some(newest) => *newest = (*newest).max(epoch),
-            None => _ = self.peer_epochs.insert(node.to_string(), epoch),
+            None => _ = self.peer_grant_epochs.insert(node.to_string(), epoch),
         }
     }
 
     /// Epoch of the newest grant that a peer has reported; 0: none.
-    fn peer_epoch(&self, node: &str) -> u64 {
-        self.peer_epochs.get(node).copied().unwrap_or(0)
+    fn peer_grant_epoch(&self, node: &str) -> u64 {
+        self.peer_grant_epochs.get(node).copied().unwrap_or(0)
     }
 }
 
@@ -215,22 +221,24 @@
     fn membership(&self, clock: Clock) -> Membership {
         // Right after a start no peer has been heard yet: all are presumed alive.
         let just_started = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
-        let heard = |node: &str| just_started || self.recent_status(clock, node).is_some();
+        let is_reachable =
+            |node: &str| just_started || self.reachable_peer_status(clock, node).is_some();
         let peers = &self.settings.peers;
         let leader = self.cache.leader.as_ref();
         Membership {
-            peers: peers.len(),
-            heard: peers.iter().filter(|peer| heard(&peer.node)).count(),
-            leads: self.leader.is_some(),
-            leader_heard: leader
-                .is_none_or(|(record, _)| record.node != self.settings.node && heard(&record.node)),
+            peer_count: peers.len(),
+            reachable_peers: peers.iter().filter(|peer| is_reachable(&peer.node)).count(),
+            is_leader: self.leader.is_some(),
+            leader_reachable: leader.is_none_or(|(record, _)| {
+                record.node != self.settings.node && is_reachable(&record.node)
+            }),
         }
     }
 
     /// What a peer last reported, if that was recently.
-    fn recent_status(&self, clock: Clock, node: &str) -> Option<&PeerStatus> {
+    fn reachable_peer_status(&self, clock: Clock, node: &str) -> Option<&PeerStatus> {
         let status = self.peers.status.get(node);
-        status.filter(|status| status.heard_recently(clock.now))
+        status.filter(|status| status.is_reachable(clock.now))
     }
 
     /// Writes per second that the current grant adds to our fixed share, or takes from it.
@@ -241,25 +249,25 @@
         let settings = &self.settings;
         let rules = grant_rules(settings);
         if self.leader.is_none() {
-            return grant.part(&settings.node, clock.wall.0, &rules) as f64 / MILLI;
+            return grant.part(&settings.node, clock.wall.0, &rules) as f64 / THOUSANDTHS_PER_UNIT;
         }
         // A new leader no longer uses what it was granted as a follower.
-        let newest_epoch = |node: &str| {
+        let newest_seen_epoch = |node: &str| {
             if node == settings.node {
                 u64::MAX
             } else {
-                self.budget.peer_epoch(node)
+                self.budget.peer_grant_epoch(node)
             }
         };
-        -(grant.lent(clock.wall.0, &rules, newest_epoch) as f64) / MILLI
+        -(grant.lent(clock.wall.0, &rules, newest_seen_epoch) as f64) / THOUSANDTHS_PER_UNIT
     }
 
     /// The rate of writes that this controller could use beyond what it has without a grant.
-    fn wanted_writes(&mut self, clock: Clock) -> Thousandths {
+    fn excess_write_demand(&mut self, clock: Clock) -> Thousandths {
         let job_writes = self.due_job_writes(clock.now).count;
         let queued =
             (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
-        let wanted = (queued + self.client_api.refused_lately(clock.now)) * MILLI;
+        let wanted = (queued + self.client_api.refused_lately(clock.now)) * THOUSANDTHS_PER_UNIT;
         let lendable = grant_rules(&self.settings).whole;
         let own = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
@@ -275,9 +283,9 @@
             return self.budget.next_grant_at;
         }
         self.budget.next_grant_at = clock.now + GRANT_INTERVAL;
-        self.budget.requested_writes = self.wanted_writes(clock);
+        self.budget.requested_writes = self.excess_write_demand(clock);
         if !self.budget.grant_in_flight
-            && let Some(transaction) = self.next_grant(clock)
+            && let Some(transaction) = self.grant_transaction(clock)
         {
             self.budget.grant_in_flight = true;
             self.store.enqueue(
@@ -291,7 +299,7 @@
 
     /// The transaction that records the next grant; none if this controller does not lead, or no peer requests a
     /// part. What was lent comes back as its grants expire.
-    fn next_grant(&self, clock: Clock) -> Option<Transaction> {
+    fn grant_transaction(&self, clock: Clock) -> Option<Transaction> {
         let leader = self.leader.as_ref()?;
         if !leader.has_complete_cache(&self.cache) {
             return None;
@@ -329,12 +337,12 @@
         peers
             .filter(|peer| self.cache.format_of(&peer.node).0 >= GRANT_FORMAT)
             .filter_map(|peer| {
-                let status = self.recent_status(clock, &peer.node)?;
+                let status = self.reachable_peer_status(clock, &peer.node)?;
                 Some(ShareRequest {
                     holder: peer.node.clone(),
                     amount: status.requested_writes,
                     weight,
-                    seen: self.budget.peer_epoch(&peer.node),
+                    seen: self.budget.peer_grant_epoch(&peer.node),
                 })
             })
             .collect()
@@ -342,7 +350,7 @@
 
     /// Handles the response to the write of a grant. The next grant is based on the record as it is then,
     /// whatever the response is.
-    pub(crate) fn on_budget_shares(
+    pub(crate) fn on_budget_grant_response(
         &mut self,
         clock: Clock,
         request: StoreRequest,
--- a/src/leadership/connectivity.rs
+++ b/src/leadership/connectivity.rs
@@ -20,19 +20,19 @@
 /// load balancer's own back-off doubles up to a minute.
 const BACKOFF_RESET: Micros = Micros::millis(120_000);
 /// Limit of the doublings.
-const MAX_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// An agent is redirected at most once within this time.
-const REDIRECT_INTERVAL: Micros = Micros::millis(30_000);
+const MIN_REDIRECT_INTERVAL: Micros = Micros::millis(30_000);
 /// Machine names remembered; all are forgotten when this number is reached.
 const MAX_REMEMBERED_MACHINES: usize = 8_192;
 
 /// When the store, the peers and agents of other zones were last heard.
 #[derive(Debug, Default)]
 pub struct Connectivity {
-    store_heard_at: Micros,
-    peer_heard_at: Micros,
+    last_store_contact: Micros,
+    last_peer_contact: Micros,
     /// When an agent of another zone last sent a heartbeat: such an agent shows that our zone is not cut off.
-    remote_agent_heard_at: Micros,
+    last_remote_agent_contact: Micros,
     last_tick: Micros,
     health_check: HealthCheck,
     /// An agent's lease outlasts failed heartbeats to all other controllers.
@@ -57,11 +57,11 @@
         if !self.failing && now.since(self.failed_at) > BACKOFF_RESET {
             self.recent_failures = 0;
         }
-        let doublings = self.recent_failures.min(MAX_DOUBLINGS);
-        let tolerated = Micros(ISOLATION_TIMEOUT.0 << doublings);
+        let doublings = self.recent_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let failure_threshold = Micros(ISOLATION_TIMEOUT.0 << doublings);
         if self.failing {
             self.failing = silence > ISOLATION_TIMEOUT;
-        } else if silence > tolerated {
+        } else if silence > failure_threshold {
             self.failing = true;
             self.failed_at = now;
             self.recent_failures += 1;
@@ -74,8 +74,8 @@
     /// agent's lease outlasts failed heartbeats to all other controllers.
     pub fn new(now: Micros, redirect_is_safe: bool) -> Connectivity {
         Connectivity {
-            store_heard_at: now,
-            peer_heard_at: now,
+            last_store_contact: now,
+            last_peer_contact: now,
             last_tick: now,
             redirect_is_safe,
             ..Connectivity::default()
@@ -83,25 +83,25 @@
     }
 
     /// The store has answered a request.
-    pub fn on_store_heard(&mut self, now: Micros) {
-        self.store_heard_at = now;
+    pub fn on_store_contact(&mut self, now: Micros) {
+        self.last_store_contact = now;
     }
 
     /// A peer has sent a heartbeat or answered one.
-    pub fn on_peer_heard(&mut self, now: Micros) {
-        self.peer_heard_at = now;
+    pub fn on_peer_contact(&mut self, now: Micros) {
+        self.last_peer_contact = now;
     }
 
     /// An agent of another zone has sent a heartbeat.
-    pub fn on_remote_agent_heard(&mut self, now: Micros) {
-        self.remote_agent_heard_at = now;
+    pub fn on_remote_agent_contact(&mut self, now: Micros) {
+        self.last_remote_agent_contact = now;
     }
 
     /// Updates the health check; called at each step of the controller.
     pub fn tick(&mut self, now: Micros) {
         if now.since(self.last_tick) > SUSPENSION_THRESHOLD {
-            self.store_heard_at = now;
-            self.peer_heard_at = now;
+            self.last_store_contact = now;
+            self.last_peer_contact = now;
         }
         self.last_tick = now;
         let silence = self.silence(now);
@@ -109,16 +109,16 @@
     }
 
     /// When the store or a peer was last heard.
-    fn last_heard(&self) -> Micros {
-        self.store_heard_at.max(self.peer_heard_at)
+    fn last_contact(&self) -> Micros {
+        self.last_store_contact.max(self.last_peer_contact)
     }
 
     fn silence(&self, now: Micros) -> Micros {
-        now.since(self.last_heard())
+        now.since(self.last_contact())
     }
 
     /// Whether neither the store nor any peer has been heard for `ISOLATION_TIMEOUT`.
-    pub fn isolated(&self, now: Micros) -> bool {
+    pub fn is_isolated(&self, now: Micros) -> bool {
         self.silence(now) > ISOLATION_TIMEOUT
     }
 
@@ -131,12 +131,13 @@
     /// other zones send heartbeats any more, the zone may be cut off, and this controller may be the only one
     /// that its agents reach: they are not redirected then.
     pub fn should_redirect(&mut self, machine: &str, now: Micros) -> bool {
-        let zone_reachable = self.remote_agent_heard_at > self.last_heard() + ISOLATION_TIMEOUT;
-        if !self.redirect_is_safe || !self.isolated(now) || !zone_reachable {
+        let zone_reachable =
+            self.last_remote_agent_contact > self.last_contact() + ISOLATION_TIMEOUT;
+        if !self.redirect_is_safe || !self.is_isolated(now) || !zone_reachable {
             return false;
         }
         let redirected_at = self.redirected_at.get(machine);
-        if redirected_at.is_some_and(|at| now.since(*at) < REDIRECT_INTERVAL) {
+        if redirected_at.is_some_and(|at| now.since(*at) < MIN_REDIRECT_INTERVAL) {
             return false;
         }
         if self.redirected_at.len() >= MAX_REMEMBERED_MACHINES {
--- a/src/leadership/connectivity/tests.rs
+++ b/src/leadership/connectivity/tests.rs
@@ -20,7 +20,7 @@
     assert!(!connectivity.health_check_failing());
     tick_between(&mut connectivity, 5_000, 5_200);
     assert!(connectivity.health_check_failing());
-    connectivity.on_peer_heard(ms(5_200));
+    connectivity.on_peer_contact(ms(5_200));
     tick_between(&mut connectivity, 5_300, 6_000);
     assert!(!connectivity.health_check_failing());
     // The second failure takes twice the silence.
@@ -35,7 +35,7 @@
     let mut connectivity = Connectivity::new(ms(0), true);
     tick_between(&mut connectivity, 0, 1_000);
     connectivity.tick(ms(31_000));
-    assert!(!connectivity.health_check_failing() && !connectivity.isolated(ms(31_000)));
+    assert!(!connectivity.health_check_failing() && !connectivity.is_isolated(ms(31_000)));
 }
 
 #[test]
@@ -46,16 +46,16 @@
         !connectivity.should_redirect("n-1", ms(8_000)),
         "the zone may be cut off"
     );
-    connectivity.on_remote_agent_heard(ms(8_000));
+    connectivity.on_remote_agent_contact(ms(8_000));
     assert!(connectivity.should_redirect("n-1", ms(8_000)));
     assert!(
         !connectivity.should_redirect("n-1", ms(11_000)),
         "the agent found no other leader"
     );
-    connectivity.on_store_heard(ms(12_000));
+    connectivity.on_store_contact(ms(12_000));
     assert!(!connectivity.should_redirect("n-2", ms(13_000)));
     let mut short_lease = Connectivity::new(ms(0), false);
     tick_between(&mut short_lease, 0, 8_000);
-    short_lease.on_remote_agent_heard(ms(8_000));
+    short_lease.on_remote_agent_contact(ms(8_000));
     assert!(!short_lease.should_redirect("n-1", ms(8_000)));
 }
--- a/src/leadership/delegated_renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -25,9 +25,9 @@
 #[derive(Default)]
 pub struct DelegatedRenewals {
     /// Per machine whose lease is renewed here: the time of the last answer to its agent.
-    last_answers: BTreeMap<String, Micros>,
+    last_renewals: BTreeMap<String, Micros>,
     /// Machines named by our record as committed.
-    recorded: BTreeSet<String>,
+    recorded_machines: BTreeSet<String>,
     /// The leadership on which our record is conditional.
     leadership: Leadership,
     /// Version of our record.
@@ -40,7 +40,7 @@
     write_delay: Micros,
     write_in_flight: bool,
     /// Heartbeats that are answered once our record names their machines.
-    unanswered: Vec<UnansweredHeartbeat>,
+    pending_heartbeats: Vec<PendingHeartbeat>,
     /// Per machine: when its agent was last redirected to the leader.
     redirected_at: BTreeMap<String, Micros>,
     /// Per machine: the newest message of its agent. A message with the same or a lower number is a duplicate
@@ -59,7 +59,7 @@
 }
 
 /// An agent's heartbeat whose connection waits for an answer.
-struct UnansweredHeartbeat {
+struct PendingHeartbeat {
     connection: u64,
     heartbeat: AgentHeartbeat,
 }
@@ -74,7 +74,7 @@
 impl DelegatedRenewals {
     /// Whether leases are being renewed, so that confirmed reads are needed.
     pub fn active(&self) -> bool {
-        !self.last_answers.is_empty()
+        !self.last_renewals.is_empty()
     }
 
     /// Start of the last read that showed our record and the leader record unchanged.
@@ -103,8 +103,8 @@
     /// Discards what was recorded under another leadership.
     fn reset(&mut self, leadership: Leadership) {
         self.leadership = leadership;
-        self.recorded.clear();
-        self.last_answers.clear();
+        self.recorded_machines.clear();
+        self.last_renewals.clear();
         self.last_confirmed_read = Micros::ZERO;
     }
 }
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -1,7 +1,7 @@
 //! Decides what a follower does with an agent's heartbeat: relay it to the leader, redirect the agent to the
 //! leader, or renew the lease itself.
 
-use super::{Leadership, MAX_REMEMBERED_MACHINES, UnansweredHeartbeat};
+use super::{Leadership, MAX_REMEMBERED_MACHINES, PendingHeartbeat};
 use crate::controller::Controller;
 use crate::messages::PendingCall;
 use crate::protocol::agent_api::{
@@ -32,7 +32,12 @@
 
 impl Controller {
     /// Handles an agent's heartbeat while this controller does not lead.
-    pub fn follower_heartbeat(&mut self, clock: Clock, connection: u64, heartbeat: AgentHeartbeat) {
+    pub fn on_heartbeat_as_follower(
+        &mut self,
+        clock: Clock,
+        connection: u64,
+        heartbeat: AgentHeartbeat,
+    ) {
         if !self.renewals.note_message(&heartbeat) {
             self.respond(connection, 421, &Misdirected::default());
             return;
@@ -202,22 +207,22 @@
             self.renewals.reset(leadership);
             self.inherit_renewals(leadership.term);
         }
-        if self.renewals.recorded.contains(&heartbeat.machine) {
+        if self.renewals.recorded_machines.contains(&heartbeat.machine) {
             self.renew_recorded(clock, connection, &heartbeat);
         } else if !self.store_available() && self.may_renew_unrecorded(clock, &heartbeat) {
             self.renew_unrecorded(clock, connection, &heartbeat);
-        } else if self.connectivity.isolated(clock.now) {
+        } else if self.connectivity.is_isolated(clock.now) {
             // Nothing can be recorded from here: the agent should not wait for it.
             self.respond(connection, 421, &Misdirected::default());
         } else {
             let renewals = &mut self.renewals;
             let machine = heartbeat.machine.clone();
-            renewals.last_answers.insert(machine, clock.now);
-            renewals.unanswered.push(UnansweredHeartbeat {
+            renewals.last_renewals.insert(machine, clock.now);
+            renewals.pending_heartbeats.push(PendingHeartbeat {
                 connection,
                 heartbeat,
             });
-            self.write_renewals(clock);
+            self.write_renewals_record(clock);
         }
     }
 
@@ -231,7 +236,7 @@
             .flatten()
             .filter(|(record, _)| record.term == term);
         for machine in current.flat_map(|(record, _)| record.machines()) {
-            self.renewals.last_answers.insert(machine, self.started_at);
+            self.renewals.last_renewals.insert(machine, self.started_at);
         }
     }
 
@@ -280,13 +285,13 @@
         let confirmed_until = renewals.last_confirmed_read.max(covered_until) + staleness_bound;
         if !leadership_unchanged
             || clock.now >= confirmed_until
-            || !renewals.recorded.contains(&heartbeat.machine)
+            || !renewals.recorded_machines.contains(&heartbeat.machine)
         {
             self.refuse(connection, 503, "not entitled to renew");
             return;
         }
         let machine = heartbeat.machine.clone();
-        renewals.last_answers.insert(machine, clock.now);
+        renewals.last_renewals.insert(machine, clock.now);
         let term = renewals.leadership.term;
         self.respond_with_renewal(connection, heartbeat, term);
     }
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -1,6 +1,6 @@
 //! The record that names the machines whose leases this follower renews.
 
-use super::{Leadership, UnansweredHeartbeat};
+use super::{Leadership, PendingHeartbeat};
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
@@ -31,11 +31,11 @@
 
 impl Controller {
     /// Writes the record, unless a write is pending or the last one was too recent.
-    pub(super) fn write_renewals(&mut self, clock: Clock) {
-        if self.renewals.write_in_flight || clock.now < self.next_renewals_write_at() {
+    pub(super) fn write_renewals_record(&mut self, clock: Clock) {
+        if self.renewals.write_in_flight || clock.now < self.next_record_write_at() {
             return;
         }
-        let write = self.renewals_write();
+        let write = self.build_record_write();
         let write_rate = self.store.write_rate() * WRITE_BUDGET_SHARE;
         let renewals = &mut self.renewals;
         renewals.write_in_flight = true;
@@ -48,16 +48,16 @@
         );
     }
 
-    fn next_renewals_write_at(&self) -> Micros {
+    fn next_record_write_at(&self) -> Micros {
         let renewals = &self.renewals;
         renewals.last_write_at + renewals.write_delay.max(MIN_WRITE_INTERVAL)
     }
 
     /// The transaction that replaces all parts of our record, on the condition that the leadership is unchanged.
-    fn renewals_write(&self) -> RecordWrite {
+    fn build_record_write(&self) -> RecordWrite {
         let leadership = self.renewals.leadership;
         let limits = &self.settings.params.state;
-        let machines = self.renewals.last_answers.keys();
+        let machines = self.renewals.last_renewals.keys();
         let mut parts =
             RenewalsRecord::split(leadership.term, machines, limits.least_value_bytes());
         // Machines that do not fit into one transaction are not named, and so their leases are not renewed.
@@ -92,27 +92,27 @@
     }
 
     /// Handles the response to a write of the record that named these machines.
-    pub fn on_renewals_result(
+    pub fn on_renewals_write_response(
         &mut self,
         clock: Clock,
         machines: Vec<String>,
         request: StoreRequest,
-        sent: Micros,
+        sent_at: Micros,
         response: StoreResponse,
     ) {
         self.renewals.write_in_flight = false;
-        let unanswered = std::mem::take(&mut self.renewals.unanswered);
+        let pending_heartbeats = std::mem::take(&mut self.renewals.pending_heartbeats);
         match (&response, &request) {
             (StoreResponse::Committed(revision), StoreRequest::Transaction(transaction)) => {
                 self.apply_own_commit(transaction, *revision);
                 if transaction.conditions[0].version == self.renewals.leadership.record_version {
-                    self.on_renewals_recorded(clock, machines, *revision, sent);
+                    self.on_renewals_recorded(clock, machines, *revision, sent_at);
                 }
-                self.answer_recorded(clock, unanswered);
+                self.respond_to_recorded_machines(clock, pending_heartbeats);
             }
             _ => {
                 self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
-                self.answer_after_failed_write(clock, unanswered);
+                self.respond_after_failed_write(clock, pending_heartbeats);
             }
         }
     }
@@ -122,7 +122,7 @@
         clock: Clock,
         machines: Vec<String>,
         revision: u64,
-        sent: Micros,
+        sent_at: Micros,
     ) {
         let renewals = &mut self.renewals;
         log::info!(
@@ -131,37 +131,45 @@
             machines.len()
         );
         renewals.record_version = revision;
-        renewals.recorded = machines.into_iter().collect();
+        renewals.recorded_machines = machines.into_iter().collect();
         // The commit proves that the term held. Cancellations up to now are known only after a read.
         if renewals.last_confirmed_read == Micros::ZERO {
-            renewals.last_confirmed_read = sent;
+            renewals.last_confirmed_read = sent_at;
         }
         self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
     }
 
     /// Answers the heartbeats of machines that the record names now; the others wait for the next write.
-    fn answer_recorded(&mut self, clock: Clock, unanswered: Vec<UnansweredHeartbeat>) {
-        for pending in unanswered {
+    fn respond_to_recorded_machines(
+        &mut self,
+        clock: Clock,
+        pending_heartbeats: Vec<PendingHeartbeat>,
+    ) {
+        for pending in pending_heartbeats {
             let machine = &pending.heartbeat.machine;
-            if self.renewals.recorded.contains(machine) {
+            if self.renewals.recorded_machines.contains(machine) {
                 self.renew_recorded(clock, pending.connection, &pending.heartbeat);
             } else {
-                self.renewals.unanswered.push(pending);
+                self.renewals.pending_heartbeats.push(pending);
             }
         }
-        if !self.renewals.unanswered.is_empty() {
-            self.write_renewals(clock);
+        if !self.renewals.pending_heartbeats.is_empty() {
+            self.write_renewals_record(clock);
         }
     }
 
-    fn answer_after_failed_write(&mut self, clock: Clock, unanswered: Vec<UnansweredHeartbeat>) {
-        for UnansweredHeartbeat {
+    fn respond_after_failed_write(
+        &mut self,
+        clock: Clock,
+        pending_heartbeats: Vec<PendingHeartbeat>,
+    ) {
+        for PendingHeartbeat {
             connection,
             heartbeat,
-        } in unanswered
+        } in pending_heartbeats
         {
-            if !self.renewals.recorded.contains(&heartbeat.machine) {
-                self.renewals.last_answers.remove(&heartbeat.machine);
+            if !self.renewals.recorded_machines.contains(&heartbeat.machine) {
+                self.renewals.last_renewals.remove(&heartbeat.machine);
             }
             if self.may_renew_unrecorded(clock, &heartbeat) {
                 self.renew_unrecorded(clock, connection, &heartbeat);
@@ -171,10 +179,10 @@
         }
     }
 
-    /// Handles a completed read barrier whose read began at `sent`: confirms the renewals if both records are
+    /// Handles a completed read barrier whose read began at `sent_at`: confirms the renewals if both records are
     /// unchanged, and ends them otherwise.
-    pub fn confirm_renewals(&mut self, sent: Micros) {
-        if !self.renewals.active() || self.renewals.recorded.is_empty() {
+    pub fn confirm_renewals(&mut self, sent_at: Micros) {
+        if !self.renewals.active() || self.renewals.recorded_machines.is_empty() {
             return;
         }
         let own_record = self.cache.renewals.get(&self.settings.node);
@@ -187,20 +195,20 @@
             return;
         }
         if unchanged {
-            renewals.last_confirmed_read = renewals.last_confirmed_read.max(sent);
+            renewals.last_confirmed_read = renewals.last_confirmed_read.max(sent_at);
         } else {
             log::info!(
                 "delegated renewals ended term={} reason=superseded",
                 renewals.leadership.term
             );
-            renewals.recorded.clear();
-            renewals.last_answers.clear();
+            renewals.recorded_machines.clear();
+            renewals.last_renewals.clear();
         }
     }
 
     /// Removes machines whose leases have expired since our last answer, and refreshes the record; returns when
     /// to check again.
-    pub fn drive_renewals(&mut self, clock: Clock) -> Micros {
+    pub fn maintain_renewals(&mut self, clock: Clock) -> Micros {
         if self.renewals.write_in_flight {
             return Micros::FAR;
         }
@@ -210,29 +218,29 @@
             return self.clear_inherited_record(clock, lease);
         }
         let renewals = &mut self.renewals;
-        let count_before = renewals.last_answers.len();
+        let count_before = renewals.last_renewals.len();
         renewals
-            .last_answers
+            .last_renewals
             .retain(|_, answered_at| clock.now.since(*answered_at) < lease);
-        let removed = renewals.last_answers.len() != count_before;
+        let removed = renewals.last_renewals.len() != count_before;
         if removed {
             // These machines get no more answers from now on, whether or not the write succeeds.
-            let remaining: BTreeSet<String> = renewals.last_answers.keys().cloned().collect();
+            let remaining: BTreeSet<String> = renewals.last_renewals.keys().cloned().collect();
             renewals
-                .recorded
+                .recorded_machines
                 .retain(|machine| remaining.contains(machine));
         }
         let refresh_at = renewals.last_write_at + RECORD_REFRESH_INTERVAL;
         if removed
-            || !renewals.unanswered.is_empty()
-            || renewals.last_answers.len() != renewals.recorded.len()
+            || !renewals.pending_heartbeats.is_empty()
+            || renewals.last_renewals.len() != renewals.recorded_machines.len()
             || refresh_at <= clock.now
         {
-            self.write_renewals(clock);
-            return self.next_renewals_write_at();
+            self.write_renewals_record(clock);
+            return self.next_record_write_at();
         }
-        let last_answers = renewals.last_answers.values();
-        let next_expiry = last_answers.map(|answered_at| *answered_at + lease).min();
+        let last_renewals = renewals.last_renewals.values();
+        let next_expiry = last_renewals.map(|answered_at| *answered_at + lease).min();
         next_expiry.unwrap_or(Micros::FAR).min(refresh_at)
     }
 
@@ -264,7 +272,7 @@
             return expired_at.max(clock.now + CLEAR_RETRY_INTERVAL);
         }
         self.renewals.leadership = leadership;
-        self.write_renewals(clock);
+        self.write_renewals_record(clock);
         Micros::FAR
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -57,7 +57,7 @@
 
 impl Controller {
     /// Whether the leader record names an earlier run of this controller's own process.
-    fn previous_run_leads(&self) -> bool {
+    fn earlier_incarnation_leads(&self) -> bool {
         self.cache.leader.as_ref().is_some_and(|(record, _)| {
             record.node == self.settings.node && record.incarnation != self.incarnation
         })
@@ -68,7 +68,7 @@
         let Some((record, _)) = &self.cache.leader else {
             return true;
         };
-        self.previous_run_leads()
+        self.earlier_incarnation_leads()
             || self.cache.leader_lease_version.is_none()
             || self.leader_process_restarted()
             || self.leader_suspected(clock, &record.node)
@@ -127,7 +127,7 @@
     /// Whether every peer has been heard recently and reported that the store serves it.
     fn all_peers_healthy(&self, clock: Clock) -> bool {
         let healthy =
-            |status: &PeerStatus| status.store_available && status.heard_recently(clock.now);
+            |status: &PeerStatus| status.store_available && status.is_reachable(clock.now);
         self.settings
             .peers
             .iter()
@@ -142,7 +142,7 @@
     }
 
     /// Advances the candidacy of this controller; returns when to check again.
-    pub(crate) fn consider_candidacy(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn advance_candidacy(&mut self, clock: Clock) -> Micros {
         if self.leader.is_some() || !self.cache.synced {
             return Micros::FAR;
         }
@@ -183,7 +183,7 @@
     /// Delay between noticing that leadership is vacant and claiming it; controllers that reach agents claim
     /// first.
     fn candidacy_delay(&mut self) -> Micros {
-        let range = if self.previous_run_leads() {
+        let range = if self.earlier_incarnation_leads() {
             return Micros::ZERO;
         } else if self.renewals.active() {
             DELAY_MS_RENEWING_LEASES
@@ -212,7 +212,7 @@
     ///
     /// A leader that reaches the store and its peers receives heartbeats relayed by them. If the controllers
     /// cannot reach each other either, it would keep a leadership that it cannot use.
-    pub(crate) fn consider_transfer(&mut self, clock: Clock) -> Micros {
+    pub(crate) fn check_leadership_transfer(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -24,7 +24,7 @@
 impl Controller {
     /// Whether every controller named in the settings has recorded that it reads this format, so that what the
     /// format adds may be written.
-    pub fn all_peers_read(&self, format: u32) -> bool {
+    pub fn all_controllers_read(&self, format: u32) -> bool {
         let peers = self.settings.peers.iter().map(|peer| &peer.node);
         let mut controllers = peers.chain([&self.settings.node]);
         controllers.all(|node| self.cache.format_of(node).0 >= format)
@@ -33,22 +33,22 @@
     /// Records which format this controller reads, once per start, and lowers the record of a peer that was
     /// rolled back to an older format; returns when to check again.
     pub(crate) fn negotiate_format(&mut self, clock: Clock) -> Micros {
-        let Some(due) = self.format_record_due else {
+        let Some(due_at) = self.format_record_due else {
             return Micros::FAR;
         };
         if !self.cache.synced {
             return Micros::FAR;
         }
-        if !self.format_rollout_logged && self.all_peers_read(format::NEWEST) {
+        if !self.format_rollout_logged && self.all_controllers_read(format::NEWEST) {
             self.format_rollout_logged = true;
             log::info!("format read by all controllers format={}", format::NEWEST);
         }
         let transaction = self.own_format_update();
-        let Some(transaction) = transaction.or_else(|| self.downgrade_update(clock, due)) else {
+        let Some(transaction) = transaction.or_else(|| self.downgrade_update(clock, due_at)) else {
             return Micros::FAR;
         };
-        if clock.now < due {
-            return due;
+        if clock.now < due_at {
+            return due_at;
         }
         self.format_record_due = None;
         self.store.enqueue(
@@ -73,17 +73,20 @@
     }
 
     /// The transaction that lowers the recorded format of a peer that was rolled back, if there is one.
-    fn downgrade_update(&mut self, clock: Clock, due: Micros) -> Option<Transaction> {
+    fn downgrade_update(&mut self, clock: Clock, due_at: Micros) -> Option<Transaction> {
         let downgrade = self.find_downgrade(clock)?;
-        let older = downgrade.format;
-        if due <= clock.now {
-            log::warn!("peer downgraded peer={} format={older}", downgrade.node);
+        let older_format = downgrade.format;
+        if due_at <= clock.now {
+            log::warn!(
+                "peer downgraded peer={} format={older_format}",
+                downgrade.node
+            );
         }
         // The record is not deleted: its version would be reused, and a delayed first write could then succeed.
         let key = format_key(downgrade.node);
         let transaction = Transaction {
             conditions: vec![VersionCondition::new(&key, downgrade.record_version)],
-            changes: vec![Change::put(&key, &older, None)],
+            changes: vec![Change::put(&key, &older_format, None)],
         };
         self.format_rollout_logged = false;
         Some(transaction)
@@ -95,7 +98,7 @@
             .peers
             .status
             .iter()
-            .filter(|(_, status)| status.heard_recently(clock.now));
+            .filter(|(_, status)| status.is_reachable(clock.now));
         recent.into_iter().find_map(|(node, status)| {
             let (recorded, record_version) = self.cache.format_of(node);
             let format = status
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -13,7 +13,7 @@
 mod leader_liveness;
 mod record_summaries;
 
-pub use cancellation_exchange::known_cancelled;
+pub use cancellation_exchange::recorded_or_reported_cancelled;
 
 use crate::controller::Controller;
 use crate::leadership::election::LEADER_SILENCE_LIMIT;
@@ -29,12 +29,12 @@
 /// How long a silence pledge is kept unless its holder acknowledges its end earlier.
 const PLEDGE_DURATION: Micros = Micros::millis(15_000);
 /// How long a peer relies on a silence pledge: a little less, to allow for clock drift.
-const PLEDGE_RELIANCE: Micros = Micros::millis(14_900);
+const PLEDGE_RELIANCE_DURATION: Micros = Micros::millis(14_900);
 
 /// State that a peer reported with its last heartbeat or response.
 pub(crate) struct PeerStatus {
     /// When it was last heard.
-    pub(crate) last_heard: Micros,
+    pub(crate) last_contact: Micros,
     /// Start of the current period without a silence of `LEADER_SILENCE_LIMIT` or more.
     pub(crate) reachable_since: Micros,
     /// How long it had not heard the leader, in milliseconds; none: it never heard the leader.
@@ -49,8 +49,8 @@
 
 impl PeerStatus {
     /// Whether the peer was heard within the time that a leader may be silent.
-    pub(crate) fn heard_recently(&self, now: Micros) -> bool {
-        now.since(self.last_heard) < LEADER_SILENCE_LIMIT
+    pub(crate) fn is_reachable(&self, now: Micros) -> bool {
+        now.since(self.last_contact) < LEADER_SILENCE_LIMIT
     }
 }
 
@@ -60,29 +60,29 @@
     /// A heartbeat is pending.
     in_flight: bool,
     /// The last heartbeat said that the store does not serve this controller.
-    announced_unserved: bool,
+    announced_store_unavailable: bool,
     /// The process that last responded.
-    last_run: Option<ObservedRun>,
+    last_incarnation: Option<ObservedIncarnation>,
 }
 
 /// A run of a peer's process that has responded to a heartbeat.
 #[derive(Clone, Copy)]
-struct ObservedRun {
-    /// Identifier of the run.
-    run: u64,
+struct ObservedIncarnation {
+    /// Identifier of the incarnation.
+    incarnation: u64,
     /// When the heartbeat was sent.
-    asked_at: Micros,
+    request_sent_at: Micros,
 }
 
 /// A summary of the records that a peer has sent before this controller could read them.
 pub(crate) struct ReceivedSummary {
     summary: RecordSummary,
     /// Since when the leader named in the summary is known.
-    leader_known_since: Micros,
+    leader_observed_since: Micros,
 }
 
 /// The last sign of a leading controller.
-struct LeaderSighting {
+struct LeaderContact {
     node: String,
     at: Micros,
 }
@@ -106,7 +106,7 @@
     pub(crate) reported_cancellations: ReportedCancellations,
     /// A peer whose last batch of cancellations was incomplete: it is asked for the rest at once.
     incomplete_log_peer: Option<usize>,
-    last_leader_sighting: Option<LeaderSighting>,
+    last_leader_contact: Option<LeaderContact>,
     /// Last reported state per peer name.
     pub(crate) status: BTreeMap<String, PeerStatus>,
 }
@@ -123,20 +123,20 @@
         };
         let link = PeerLink {
             in_flight: false,
-            announced_unserved: true,
-            last_run: None,
+            announced_store_unavailable: true,
+            last_incarnation: None,
         };
         Peers {
             next_heartbeat_at: now,
             links: vec![link; peer_count],
-            coverage: PeerCoverage::new(peer_count, if_enabled(PLEDGE_RELIANCE)),
+            coverage: PeerCoverage::new(peer_count, if_enabled(PLEDGE_RELIANCE_DURATION)),
             silence_pledges: SilencePledges::new(peer_count, if_enabled(PLEDGE_DURATION), now.0),
             renewal_grant: LeaseGrantee::default(),
             record_summary: None,
             cancellation_log: CancellationLog::default(),
             reported_cancellations: ReportedCancellations::new(peer_count),
             incomplete_log_peer: None,
-            last_leader_sighting: None,
+            last_leader_contact: None,
             status: BTreeMap::new(),
         }
     }
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     /// Revision up to which all cancellations are known, from the records or from a peer's summary of them.
-    pub(super) fn cancellations_known_to_revision(&self) -> Option<u64> {
+    pub(super) fn cancellations_complete_to_revision(&self) -> Option<u64> {
         if self.cache.synced {
             return Some(self.cache.revision);
         }
@@ -18,7 +18,7 @@
 
     /// The part of our log that a peer with this cursor does not know; none if the log no longer holds all of
     /// it.
-    pub(super) fn cancellation_news(
+    pub(super) fn cancellation_update(
         &mut self,
         clock: Clock,
         cursor: &CancellationCursor,
@@ -48,15 +48,15 @@
     /// machines of the cancelled jobs get their commands at once.
     ///
     /// Returns whether this controller now knows of everything that the peer had told clients.
-    pub(super) fn on_cancellation_news(
+    pub(super) fn on_cancellation_update(
         &mut self,
         clock: Clock,
         peer: usize,
-        run: u64,
-        news: &CancellationUpdate,
+        incarnation: u64,
+        update: &CancellationUpdate,
     ) -> bool {
         let reported = &mut self.peers.reported_cancellations;
-        let applied = reported.apply(peer, run, &news.batch(), clock.now.0);
+        let applied = reported.apply(peer, incarnation, &update.batch(), clock.now.0);
         if !applied.new.is_empty() {
             let node = &self.settings.peers[peer].node;
             log::debug!(
@@ -75,12 +75,13 @@
             }
             self.peers.cancellation_log.append(&job, version);
         }
-        if news.more {
+        if update.more {
             // The rest is requested without waiting for the next heartbeat.
             self.peers.incomplete_log_peer = Some(peer);
         }
-        let known_revision = self.cancellations_known_to_revision().unwrap_or(0);
-        applied.log_complete && news.lead <= self.leader_record_version().max(known_revision)
+        let complete_to_revision = self.cancellations_complete_to_revision().unwrap_or(0);
+        applied.log_complete
+            && update.lead <= self.leader_record_version().max(complete_to_revision)
     }
 
     /// Version of the leader record in the cache; 0: there is none.
@@ -97,12 +98,17 @@
             let received = self.peers.record_summary.as_ref();
             received.is_some_and(|received| received.summary.cancelled.iter().any(|id| id == job))
         };
-        known_cancelled(&self.cache, &self.peers.reported_cancellations, job) || in_summary()
+        recorded_or_reported_cancelled(&self.cache, &self.peers.reported_cancellations, job)
+            || in_summary()
     }
 }
 
 /// Whether a job is cancelled according to the records or to peers' reports. A report does not count for a job
 /// that the records show as done.
-pub fn known_cancelled(cache: &RecordCache, reported: &ReportedCancellations, job: &str) -> bool {
+pub fn recorded_or_reported_cancelled(
+    cache: &RecordCache,
+    reported: &ReportedCancellations,
+    job: &str,
+) -> bool {
     cache.is_cancelled(job) || reported.contains(job) && !cache.is_done(job)
 }
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -1,6 +1,6 @@
 //! Evaluates heartbeats of peers and responds to them.
 
-use super::{LeaderSighting, PeerStatus};
+use super::{LeaderContact, PeerStatus};
 use crate::controller::Controller;
 use crate::protocol::peer_messages::PeerHeartbeat;
 use crate::protocol::{Clock, Micros};
@@ -24,7 +24,7 @@
 
         let mut response = self.new_heartbeat(clock);
         if let Some(cursor) = cancellation_cursor {
-            response.news = self.cancellation_news(clock, &cursor);
+            response.news = self.cancellation_update(clock, &cursor);
         }
         let store_available = self.store_available();
         let peer = self.peer_index(&sender);
@@ -52,7 +52,7 @@
 
     /// Evaluates the part that heartbeats and responses have in common.
     pub(super) fn on_heartbeat(&mut self, clock: Clock, heartbeat: PeerHeartbeat) {
-        self.connectivity.on_peer_heard(clock.now);
+        self.connectivity.on_peer_contact(clock.now);
         self.on_leading_term(clock, &heartbeat);
         let pledges_silence = heartbeat.more.unwrap_or_default().quiet;
         if let Some(peer) = self.peer_index(&heartbeat.node)
@@ -62,7 +62,8 @@
             self.update_leader_coverage();
         }
         if heartbeat.epoch > 0 {
-            self.budget.on_peer_epoch(&heartbeat.node, heartbeat.epoch);
+            self.budget
+                .on_peer_grant_epoch(&heartbeat.node, heartbeat.epoch);
         }
         self.update_peer_status(clock, heartbeat);
     }
@@ -81,7 +82,7 @@
             // A leader without the store would learn of its successor late, and its agents would wait.
             self.step_down("another controller leads with a higher term");
         }
-        self.peers.last_leader_sighting = Some(LeaderSighting {
+        self.peers.last_leader_contact = Some(LeaderContact {
             node: heartbeat.node.clone(),
             at: clock.now,
         });
@@ -92,11 +93,11 @@
             .peers
             .status
             .get(&heartbeat.node)
-            .filter(|previous| previous.heard_recently(clock.now))
+            .filter(|previous| previous.is_reachable(clock.now))
             .map_or(clock.now, |previous| previous.reachable_since);
         let (recorded_format, _) = self.cache.format_of(&heartbeat.node);
         let status = PeerStatus {
-            last_heard: clock.now,
+            last_contact: clock.now,
             reachable_since,
             leader_silent_ms: heartbeat.leader_silent_ms,
             store_available: heartbeat.served,
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -1,6 +1,6 @@
 //! Sends heartbeats to peers and evaluates their responses.
 
-use super::{ObservedRun, silence_pledges_enabled};
+use super::{ObservedIncarnation, silence_pledges_enabled};
 use crate::controller::Controller;
 use crate::messages::PendingCall;
 use crate::protocol::peer_messages::{CancellationCursor, LeaseDelegationStatus, PeerHeartbeat};
@@ -36,14 +36,14 @@
         let mut heartbeat = self.new_heartbeat(clock);
         let cursor = self.peers.reported_cancellations.cursor(peer);
         heartbeat.knows =
-            self.cancellations_known_to_revision()
+            self.cancellations_complete_to_revision()
                 .map(|complete| CancellationCursor {
                     complete,
                     heard: cursor.into(),
                 });
         let link = &mut self.peers.links[peer];
         link.in_flight = true;
-        link.announced_unserved = heartbeat.more.is_some_and(|extension| extension.quiet);
+        link.announced_store_unavailable = heartbeat.more.is_some_and(|extension| extension.quiet);
         self.call(
             PendingCall::PeerHeartbeat {
                 peer,
@@ -71,9 +71,9 @@
             .map(|leader| leader.term);
         let leader_silent_ms = self
             .peers
-            .last_leader_sighting
+            .last_leader_contact
             .as_ref()
-            .map(|sighting| clock.now.since(sighting.at).0 / 1000);
+            .map(|contact| clock.now.since(contact.at).0 / 1000);
         let extension = LeaseDelegationStatus {
             run: self.incarnation,
             right: None,
@@ -103,15 +103,15 @@
         }
     }
 
-    /// Evaluates the outcome of the heartbeat that was sent to a peer at `sent`.
+    /// Evaluates the outcome of the heartbeat that was sent to a peer at `sent_at`.
     ///
     /// If the peer knows of no cancellation and no leadership change that this controller does not know, its
-    /// response confirms our lease renewals as of `sent`.
+    /// response confirms our lease renewals as of `sent_at`.
     pub(crate) fn on_heartbeat_response(
         &mut self,
         clock: Clock,
         peer: usize,
-        sent: Micros,
+        sent_at: Micros,
         outcome: Outcome,
     ) {
         self.peers.links[peer].in_flight = false;
@@ -119,16 +119,16 @@
             return;
         };
         if let Some(summary) = response.record_summary.take() {
-            self.on_record_summary(clock, sent, summary);
+            self.on_record_summary(clock, sent_at, summary);
         }
-        if !self.peers.links[peer].announced_unserved {
+        if !self.peers.links[peer].announced_store_unavailable {
             // The peer has responded to a heartbeat that announced the end of our pledges.
             let pledges = &mut self.peers.silence_pledges;
-            pledges.on_release_acknowledged(peer, sent.0, clock.now.0);
+            pledges.on_release_acknowledged(peer, sent_at.0, clock.now.0);
         }
-        self.update_coverage(clock, peer, sent, &mut response);
+        self.update_coverage(clock, peer, sent_at, &mut response);
         if let Some(extension) = response.more {
-            self.on_heartbeat_extension(clock, peer, sent, extension);
+            self.on_heartbeat_extension(clock, peer, sent_at, extension);
         }
         self.on_heartbeat(clock, response);
         self.update_leader_coverage();
@@ -161,15 +161,15 @@
         &mut self,
         clock: Clock,
         peer: usize,
-        sent: Micros,
+        sent_at: Micros,
         response: &mut PeerHeartbeat,
     ) {
         let extension = response.more;
-        let news = response.news.take();
-        let knowledge = match (response.newest, &news, extension) {
+        let update = response.news.take();
+        let knowledge = match (response.newest, &update, extension) {
             (None, ..) => PeerKnowledge::RecordsUnread,
-            (Some(_), Some(news), Some(extension)) => {
-                if self.on_cancellation_news(clock, peer, extension.run, news) {
+            (Some(_), Some(update), Some(extension)) => {
+                if self.on_cancellation_update(clock, peer, extension.run, update) {
                     PeerKnowledge::Complete
                 } else {
                     PeerKnowledge::Partial
@@ -178,7 +178,9 @@
             // The peer has an older format, or cannot send its whole log. Only the revision up to which the
             // cache is complete counts: a commit of our own may have a higher revision than a peer's commit
             // that we have not seen.
-            (Some(newest), ..) if newest <= self.cancellations_known_to_revision().unwrap_or(0) => {
+            (Some(newest), ..)
+                if newest <= self.cancellations_complete_to_revision().unwrap_or(0) =>
+            {
                 PeerKnowledge::Complete
             }
             _ => PeerKnowledge::Partial,
@@ -188,12 +190,12 @@
             pledges_silence: extension.unwrap_or_default().quiet,
         };
         let coverage = &mut self.peers.coverage;
-        coverage.on_response(peer, peer_response, sent.0, clock.now.0);
+        coverage.on_response(peer, peer_response, sent_at.0, clock.now.0);
         if knowledge == PeerKnowledge::Complete
-            && let Some(news) = news
+            && let Some(update) = update
         {
             // What the peer knew of other peers is known here now, too.
-            self.extend_coverage(Some(peer), sent, &news.known);
+            self.extend_coverage(Some(peer), sent_at, &update.known);
         }
     }
 
@@ -202,25 +204,25 @@
         &mut self,
         clock: Clock,
         peer: usize,
-        sent: Micros,
+        sent_at: Micros,
         extension: LeaseDelegationStatus,
     ) {
         let node = &self.settings.peers[peer].node;
-        let last_run = &mut self.peers.links[peer].last_run;
-        if last_run.is_some_and(|last| last.run != extension.run) {
+        let last_incarnation = &mut self.peers.links[peer].last_incarnation;
+        if last_incarnation.is_some_and(|last| last.incarnation != extension.run) {
             log::info!("peer restarted peer={node}");
         }
-        *last_run = Some(ObservedRun {
-            run: extension.run,
-            asked_at: sent,
+        *last_incarnation = Some(ObservedIncarnation {
+            incarnation: extension.run,
+            request_sent_at: sent_at,
         });
         let grant = &mut self.peers.renewal_grant;
-        grant.on_response(extension.right, extension.run, sent.0);
+        grant.on_response(extension.right, extension.run, sent_at.0);
         if let Some(leader) = &mut self.leader {
             leader.lease_grants.on_use_report(
                 node,
                 extension.run,
-                sent.0,
+                sent_at.0,
                 clock.now.0,
                 extension.used_ago,
             );
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -14,19 +14,19 @@
     pub(crate) fn known_leader(&self) -> Option<KnownLeader> {
         let leader = self.leader_identity()?;
         let ended = if leader.node == self.settings.node {
-            leader.run != self.incarnation
+            leader.incarnation != self.incarnation
         } else {
             let peer = self.peer_index(leader.node)?;
-            self.peers.links[peer].last_run.is_some_and(|last| {
-                last.run != leader.run
+            self.peers.links[peer].last_incarnation.is_some_and(|last| {
+                last.incarnation != leader.incarnation
                     && leader
-                        .known_since
-                        .is_some_and(|known_since| last.asked_at >= known_since)
+                        .observed_since
+                        .is_some_and(|observed_since| last.request_sent_at >= observed_since)
             })
         };
         Some(KnownLeader {
             term: leader.term,
-            run: leader.run,
+            run: leader.incarnation,
             ended,
         })
     }
@@ -38,18 +38,18 @@
             let seen = &self.leader_record_seen;
             return Some(LeaderIdentity {
                 node: &record.node,
-                run: record.incarnation,
+                incarnation: record.incarnation,
                 term: record.term,
-                known_since: (seen.version == *version).then_some(seen.since),
+                observed_since: (seen.version == *version).then_some(seen.since),
             });
         }
         let received = self.peers.record_summary.as_ref()?;
         let leader = &received.summary.lead;
         Some(LeaderIdentity {
             node: &leader.node,
-            run: leader.incarnation,
+            incarnation: leader.incarnation,
             term: leader.term,
-            known_since: Some(received.leader_known_since),
+            observed_since: Some(received.leader_observed_since),
         })
     }
 
@@ -61,10 +61,10 @@
     /// Whether all controllers that can be asked have stopped hearing the leader. Replacing a leader that is
     /// still alive interrupts service briefly and is safe: the term is a fencing token.
     pub(crate) fn leader_suspected(&self, clock: Clock, leader: &str) -> bool {
-        let Some(sighting) = &self.peers.last_leader_sighting else {
+        let Some(contact) = &self.peers.last_leader_contact else {
             return false;
         };
-        if sighting.node != leader || clock.now.since(sighting.at) < LEADER_SILENCE_LIMIT {
+        if contact.node != leader || clock.now.since(contact.at) < LEADER_SILENCE_LIMIT {
             return false;
         }
         // A controller that is isolated by itself must not take leadership from the others: at least one other
@@ -75,25 +75,25 @@
             .peers
             .status
             .iter()
-            .filter(|(node, status)| *node != leader && status.heard_recently(clock.now))
+            .filter(|(node, status)| *node != leader && status.is_reachable(clock.now))
             .map(|(_, status)| status)
             .collect();
         let long_reachable =
             |status: &PeerStatus| clock.now.since(status.reachable_since) >= LEADER_SILENCE_LIMIT;
-        let misses_leader = |status: &PeerStatus| {
+        let lost_leader = |status: &PeerStatus| {
             status
                 .leader_silent_ms
                 .is_none_or(|silent_ms| silent_ms * 1000 >= LEADER_SILENCE_LIMIT.0)
         };
         reports.iter().any(|status| long_reachable(status))
-            && reports.iter().all(|status| misses_leader(status))
+            && reports.iter().all(|status| lost_leader(status))
     }
 
     /// Time since the controller named `leader` was last heard, whether it led then or not; none: it was never
     /// heard.
     pub fn leader_silence(&self, clock: Clock, leader: &str) -> Option<Micros> {
         let status = self.peers.status.get(leader)?;
-        Some(clock.now.since(status.last_heard))
+        Some(clock.now.since(status.last_contact))
     }
 
     /// Whether this controller has read the records and the store serves it.
@@ -102,14 +102,14 @@
     }
 
     /// Address of a peer that the store serves while it does not serve this controller; the leader is preferred.
-    pub fn peer_with_store(&self, clock: Clock) -> Option<std::net::SocketAddr> {
+    pub fn peer_with_store_access(&self, clock: Clock) -> Option<std::net::SocketAddr> {
         if self.store_available() {
             return None;
         }
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
         let served = |node: &String| {
             let status = self.peers.status.get(node);
-            status.is_some_and(|status| status.store_available && status.heard_recently(clock.now))
+            status.is_some_and(|status| status.store_available && status.is_reachable(clock.now))
         };
         let mut candidates = self.settings.peers.iter().filter(|peer| served(&peer.node));
         let first = candidates.next()?;
@@ -121,9 +121,9 @@
 /// A leader, by the process that leads.
 struct LeaderIdentity<'a> {
     node: &'a str,
-    /// Run of the leader's process.
-    run: u64,
+    /// Incarnation of the leader's process.
+    incarnation: u64,
     term: u64,
     /// Since when this leadership is known here; none: not known for the current record yet.
-    known_since: Option<Micros>,
+    observed_since: Option<Micros>,
 }
--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -38,11 +38,11 @@
         })
     }
 
-    /// Takes the summary of a peer to which a heartbeat was sent at `sent`.
+    /// Takes the summary of a peer to which a heartbeat was sent at `sent_at`.
     pub(super) fn on_record_summary(
         &mut self,
         clock: Clock,
-        sent: Micros,
+        sent_at: Micros,
         mut summary: RecordSummary,
     ) {
         if self.cache.synced {
@@ -52,12 +52,12 @@
         if previous.is_some_and(|previous| previous.summary.revision > summary.revision) {
             return;
         }
-        self.extend_coverage(None, sent, &summary.known);
+        self.extend_coverage(None, sent_at, &summary.known);
         let previous = self.peers.record_summary.take();
-        let leader_known_since = previous
+        let leader_observed_since = previous
             .as_ref()
             .filter(|previous| previous.summary.lead == summary.lead)
-            .map(|previous| previous.leader_known_since);
+            .map(|previous| previous.leader_observed_since);
         if let Some(previous) = previous {
             // The sender of newer records may not have heard of cancellations that an earlier sender had; a
             // cancellation is final.
@@ -65,12 +65,12 @@
         }
         summary.cancelled.sort_unstable();
         summary.cancelled.dedup();
-        if leader_known_since.is_none() {
+        if leader_observed_since.is_none() {
             log::info!("record summary received revision={}", summary.revision);
         }
         self.peers.record_summary = Some(ReceivedSummary {
             summary,
-            leader_known_since: leader_known_since.unwrap_or(clock.now),
+            leader_observed_since: leader_observed_since.unwrap_or(clock.now),
         });
     }
 
@@ -90,12 +90,12 @@
             .collect()
     }
 
-    /// Extends the coverage of peers by the ages that a peer, asked at `sent`, has reported and whose underlying
+    /// Extends the coverage of peers by the ages that a peer, asked at `sent_at`, has reported and whose underlying
     /// cancellations are known here now. `reporter`: the peer itself, which is left out.
     pub(super) fn extend_coverage(
         &mut self,
         reporter: Option<usize>,
-        sent: Micros,
+        sent_at: Micros,
         ages: &[(String, u64)],
     ) {
         for (node, age) in ages {
@@ -103,7 +103,7 @@
                 continue;
             };
             if Some(peer) != reporter {
-                let covered_until = sent.0.saturating_sub(*age);
+                let covered_until = sent_at.0.saturating_sub(*age);
                 self.peers.coverage.extend(peer, covered_until);
             }
         }
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -4,7 +4,7 @@
 //! newest format that it reads under `records::format_key` and states it in its heartbeats. A controller without
 //! such a record runs the first version. What a format adds is written only after every controller named in the
 //! settings has stored that it reads this format. A later change of the records takes the next number here and
-//! checks it with `Controller::all_peers_read`.
+//! checks it with `Controller::all_controllers_read`.
 
 /// Records and heartbeats of the first version, which states no format.
 pub const FIRST: u32 = 1;
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -169,7 +169,7 @@
         let Some(leader) = &self.leader else {
             return false;
         };
-        if !self.all_peers_read(PLACEMENT_BATCHES)
+        if !self.all_controllers_read(PLACEMENT_BATCHES)
             || leader.record_writer.batch_rejected
             || limits.max_changes < 2
         {
@@ -197,7 +197,7 @@
             Some(_) => {}
         }
         // A controller that has been downgraded does not see batches: then everything is merged at once.
-        let merge_all = !self.all_peers_read(PLACEMENT_BATCHES);
+        let merge_all = !self.all_controllers_read(PLACEMENT_BATCHES);
         let share = (self.store.write_rate() * MERGE_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
