--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -1,11 +1,11 @@
 //! Division of the store's request and write budgets among the controllers.
 //!
-//! Each controller has a fixed share; the shares of controllers that are not heard are used by the others. Half of
-//! the leader's share of the write budget is lent when a follower requests more than its own share: the leader
-//! grants parts of it in proportion to what the controllers request. Grants are recorded (`wt/parts`, format
-//! `BUDGET_SHARES`), so that the parts never add up to more than the whole (`crates/admission-control`, `parts`). The leader
-//! uses what it does not lend. Grants expire; while no controller requests a part, nothing is written and the
-//! fixed shares apply.
+//! Each controller has a fixed share; the shares of unreachable controllers are used by the others. The leader lends
+//! up to half of its share of the write budget to followers that request more than their fixed shares, divided in
+//! proportion to what the controllers request, and uses the rest itself. Grants are recorded (`wt/parts`, format
+//! `BUDGET_SHARES`), so that the granted amounts never exceed the lendable total (`crates/admission-control`,
+//! `parts`). Grants expire. While no controller requests more than its fixed share, nothing is written and the fixed
+//! shares apply.
 
 use crate::controller::Controller;
 use crate::leadership::election::LEADER_SILENCE_LIMIT;
@@ -30,62 +30,63 @@
     writes: f64,
 }
 
-/// What all controllers together use of the budgets.
+/// Fractions of the budgets that all controllers together use.
 const TOTAL_SHARE: Share = Share {
     requests: 0.95,
     writes: 0.98,
 };
-/// What the leader uses of the budgets.
+/// Fractions of the budgets that the leader uses.
 const LEADER_SHARE: Share = Share {
     requests: 0.6,
     writes: 0.66,
 };
-/// Minimum burst of writes, as a fraction of the writes of a second.
+/// Minimum write burst, as a fraction of the write budget for one second.
 const MIN_WRITE_BURST: f64 = 0.33;
 /// Minimum rate of writes, as a fraction of the write budget.
 const MIN_WRITE_SHARE: f64 = 0.02;
-/// Most that a follower uses of the budgets while it does not hear the leader, which may be alive and only
-/// unreachable from here.
+/// Maximum fraction of each budget that a follower uses while it cannot reach the leader, which may be alive and
+/// using its own share.
 const MAX_SHARE_WITHOUT_LEADER: f64 = 0.5;
 
-/// How long a grant lasts.
+/// Time until a grant expires.
 const GRANT_DURATION: Micros = Micros::millis(7_000);
-/// How often a grant is renewed: two renewals in a row may be lost.
+/// Interval between renewals of a grant: short enough that a grant outlasts two consecutive lost renewals.
 const GRANT_INTERVAL: Micros = Micros::millis(2_000);
-/// How late a controller may apply a new share: it does so at each step, and there is a step every second.
+/// Maximum delay until a controller applies a new share, which it does at each step; a step runs at least once a
+/// second.
 const MAX_APPLY_DELAY: Micros = Micros::millis(1_500);
-/// A controller requests the rate that clears its queue within this time, in seconds.
+/// A controller requests the write rate that clears its queue within this time, in seconds.
 const QUEUE_CLEARING_TIME_S: f64 = 1.5;
-/// Grants count in thousandths of writes per second.
+/// Granted amounts are in thousandths of a write per second.
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// What a controller's share of the budgets depends on.
+/// A controller's role and reachable peers, which determine its share of the budgets.
 #[derive(Debug, Clone, Copy)]
-struct Membership {
+struct ClusterView {
     /// Number of peers in the settings.
     peer_count: usize,
-    /// How many of them are heard.
+    /// Number of peers that are reachable from this controller.
     reachable_peers: usize,
-    /// This controller leads.
+    /// Whether this controller is the leader.
     is_leader: bool,
-    /// The leader is among the peers that are heard, or unknown.
+    /// Whether the leader is a reachable peer, or no leader is on record.
     leader_reachable: bool,
 }
 
 impl Share {
-    /// The share of a controller. The shares of peers that are not heard are used by the others.
-    fn of(membership: Membership) -> Share {
+    /// The share of a controller; it includes its portion of the shares of unreachable peers.
+    fn of(cluster_view: ClusterView) -> Share {
         Share {
-            requests: membership.fraction(TOTAL_SHARE.requests, LEADER_SHARE.requests),
-            writes: membership.fraction(TOTAL_SHARE.writes, LEADER_SHARE.writes),
+            requests: cluster_view.fraction(TOTAL_SHARE.requests, LEADER_SHARE.requests),
+            writes: cluster_view.fraction(TOTAL_SHARE.writes, LEADER_SHARE.writes),
         }
     }
 }
 
-impl Membership {
-    /// All peers are heard; if this controller does not lead, one of them does.
-    fn with_all_peers_reachable(peer_count: usize, is_leader: bool) -> Membership {
-        Membership {
+impl ClusterView {
+    /// The view with all peers reachable and, unless this controller leads, a reachable leader.
+    fn with_all_peers_reachable(peer_count: usize, is_leader: bool) -> ClusterView {
+        ClusterView {
             peer_count,
             reachable_peers: peer_count,
             is_leader,
@@ -93,7 +94,8 @@
         }
     }
 
-    /// The fraction of one budget, of which all controllers use `total` and the leader uses `leader`.
+    /// This controller's fraction of one budget, of which all controllers together use `total` and the leader
+    /// uses `leader`.
     fn fraction(self, total: f64, leader: f64) -> f64 {
         if self.peer_count == 0 {
             return total;
@@ -109,9 +111,9 @@
     }
 }
 
-/// A controller's fixed share of the write budget.
+/// A controller's fixed share of the write budget, in thousandths of a write per second.
 fn fixed_writes(settings: &Settings, is_leader: bool) -> Thousandths {
-    let share = Share::of(Membership::with_all_peers_reachable(
+    let share = Share::of(ClusterView::with_all_peers_reachable(
         settings.peers.len(),
         is_leader,
     ));
@@ -133,7 +135,7 @@
     pub requests: f64,
     /// Writes per second.
     pub writes: f64,
-    /// Writes that may be sent at once.
+    /// Maximum number of writes sent in one burst.
     pub write_burst: f64,
 }
 
@@ -141,14 +143,14 @@
 #[derive(Debug)]
 pub struct BudgetShares {
     share: Share,
-    /// Writes per second that a grant adds to the fixed share; negative for a leader that lends.
+    /// Writes per second that the current grant adds to the fixed share; negative for a leader that lends.
     granted_writes: f64,
-    /// What this controller requests beyond its fixed share.
+    /// Write rate that this controller requests beyond its fixed share.
     requested_writes: Thousandths,
     next_grant_at: Micros,
     grant_in_flight: bool,
-    /// Per peer: the epoch of the newest grant that it has reported. Records outlive the peer's process, so the
-    /// peer never uses an older grant again.
+    /// Per peer, the epoch of the newest grant that it has reported. The grant stays on record when the peer
+    /// restarts, so the peer never uses an older one again.
     peer_grant_epochs: BTreeMap<String, u64>,
 }
 
@@ -156,7 +158,7 @@
     /// The shares of a controller that has just started.
     pub fn new(settings: &Settings) -> BudgetShares {
         BudgetShares {
-            share: Share::of(Membership::with_all_peers_reachable(
+            share: Share::of(ClusterView::with_all_peers_reachable(
                 settings.peers.len(),
                 false,
             )),
@@ -177,18 +179,18 @@
         StoreRates {
             requests: limits.least_rps() * self.share.requests,
             writes,
-            // The store accepts the writes of a second at once. A follower's burst need not be as small as its
-            // share: a burst of submissions arrives at one controller at a time.
+            // The store accepts one second's writes in one burst. A follower's burst may exceed its share, since
+            // bursts of submissions arrive at one controller at a time.
             write_burst: writes.max(write_budget * MIN_WRITE_BURST),
         }
     }
 
-    /// What this controller requests beyond its fixed share, in thousandths of writes per second.
+    /// Write rate that this controller requests beyond its fixed share, in thousandths of a write per second.
     pub fn requested_writes(&self) -> Thousandths {
         self.requested_writes
     }
 
-    /// A peer has reported that it has seen the grant with this epoch.
+    /// Records that a peer has reported seeing the grant with this epoch.
     pub fn on_peer_grant_epoch(&mut self, node: &str, epoch: u64) {
         match self.peer_grant_epochs.get_mut(node) {
             Some(newest) => *newest = (*newest).max(epoch),
@@ -196,16 +198,16 @@
         }
     }
 
-    /// Epoch of the newest grant that a peer has reported; 0: none.
+    /// Epoch of the newest grant that a peer has reported; 0 if it has reported none.
     fn peer_grant_epoch(&self, node: &str) -> u64 {
         self.peer_grant_epochs.get(node).copied().unwrap_or(0)
     }
 }
 
 impl Controller {
-    /// Updates the rates of the store client if our share or the current grant has changed.
+    /// Updates the rate limits of the store client if this controller's share or the current grant has changed.
     pub(crate) fn apply_budget_share(&mut self, clock: Clock) {
-        let share = Share::of(self.membership(clock));
+        let share = Share::of(self.cluster_view(clock));
         let granted_writes = self.granted_writes(clock);
         let budget = &mut self.budget;
         if (share, granted_writes) == (budget.share, budget.granted_writes) {
@@ -218,14 +220,14 @@
             .set_rates(clock.now, rates.requests, rates.writes, rates.write_burst);
     }
 
-    fn membership(&self, clock: Clock) -> Membership {
-        // Right after a start no peer has been heard yet: all are presumed alive.
+    fn cluster_view(&self, clock: Clock) -> ClusterView {
+        // No peer may have sent a heartbeat yet right after a start, so all are presumed reachable.
         let just_started = clock.now < self.started_at + LEADER_SILENCE_LIMIT;
         let is_reachable =
             |node: &str| just_started || self.reachable_peer_status(clock, node).is_some();
         let peers = &self.settings.peers;
         let leader = self.cache.leader.as_ref();
-        Membership {
+        ClusterView {
             peer_count: peers.len(),
             reachable_peers: peers.iter().filter(|peer| is_reachable(&peer.node)).count(),
             is_leader: self.leader.is_some(),
@@ -235,13 +237,14 @@
         }
     }
 
-    /// What a peer last reported, if that was recently.
+    /// The last reported status of a peer, if the peer is reachable.
     fn reachable_peer_status(&self, clock: Clock, node: &str) -> Option<&PeerStatus> {
         let status = self.peers.status.get(node);
         status.filter(|status| status.is_reachable(clock.now))
     }
 
-    /// Writes per second that the current grant adds to our fixed share, or takes from it.
+    /// Writes per second that the current grant adds to this controller's fixed share; negative for a leader that
+    /// lends.
     fn granted_writes(&self, clock: Clock) -> f64 {
         let Some((grant, _)) = &self.cache.budget_shares else {
             return 0.0;
@@ -251,7 +254,7 @@
         if self.leader.is_none() {
             return grant.part(&settings.node, clock.wall.0, &rules) as f64 / THOUSANDTHS_PER_UNIT;
         }
-        // A new leader no longer uses what it was granted as a follower.
+        // A new leader no longer uses any share that it was granted as a follower.
         let newest_seen_epoch = |node: &str| {
             if node == settings.node {
                 u64::MAX
@@ -262,22 +265,25 @@
         -(grant.lent(clock.wall.0, &rules, newest_seen_epoch) as f64) / THOUSANDTHS_PER_UNIT
     }
 
-    /// The rate of writes that this controller could use beyond what it has without a grant.
+    /// Write rate that this controller needs beyond its rate without a grant, in thousandths of a write per
+    /// second and at most the lendable rate.
     fn excess_write_demand(&mut self, clock: Clock) -> Thousandths {
-        let job_writes = self.due_job_writes(clock.now).count;
+        let due_job_writes = self.due_job_writes(clock.now).count;
         let queued =
-            (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
-        let wanted = (queued + self.client_api.refused_lately(clock.now)) * THOUSANDTHS_PER_UNIT;
+            (self.client_api.queued_acceptances() + due_job_writes) as f64 / QUEUE_CLEARING_TIME_S;
+        let demand = (queued + self.client_api.refused_lately(clock.now)) * THOUSANDTHS_PER_UNIT;
         let lendable = grant_rules(&self.settings).whole;
-        let own = match self.leader {
+        let rate_without_grant = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
             None => fixed_writes(&self.settings, false),
         };
-        (wanted as Thousandths).saturating_sub(own).min(lendable)
+        (demand as Thousandths)
+            .saturating_sub(rate_without_grant)
+            .min(lendable)
     }
 
-    /// Updates what this controller requests; a leader also writes the grant that is due. Returns when to check
-    /// again.
+    /// Updates the write rate that this controller requests; a leader also writes a new grant if one is due.
+    /// Returns when to check again.
     pub(crate) fn grant_budget_shares(&mut self, clock: Clock) -> Micros {
         if clock.now < self.budget.next_grant_at {
             return self.budget.next_grant_at;
@@ -297,8 +303,8 @@
         self.budget.next_grant_at
     }
 
-    /// The transaction that records the next grant; none if this controller does not lead, or no peer requests a
-    /// part. What was lent comes back as its grants expire.
+    /// The transaction that records the next grant. `None` if this controller does not lead, its cache is
+    /// incomplete, or no peer requests a share: shares lent earlier return to the leader when their grants expire.
     fn grant_transaction(&self, clock: Clock) -> Option<Transaction> {
         let leader = self.leader.as_ref()?;
         if !leader.has_complete_cache(&self.cache) {
@@ -316,7 +322,11 @@
         let (current, version) = self.cache.budget_shares.as_ref().unwrap_or(&no_grant);
         let rules = grant_rules(&self.settings);
         let next = current.next(clock.wall.0, own_request, &requests, &rules);
-        log::debug!("budget granted epoch={} parts={:?}", next.epoch, next.parts);
+        log::debug!(
+            "budget shares granted epoch={} shares={:?}",
+            next.epoch,
+            next.parts
+        );
         Some(Transaction {
             conditions: vec![
                 VersionCondition::new(LEADER_KEY, leader.version),
@@ -330,7 +340,7 @@
         })
     }
 
-    /// What peers request. A peer that is not heard, or whose format has no grants, receives none.
+    /// Requests of the peers that may receive a grant: reachable ones whose recorded format supports grants.
     fn peer_requests(&self, clock: Clock) -> Vec<ShareRequest> {
         let weight = fixed_writes(&self.settings, false) as f64;
         let peers = self.settings.peers.iter();
@@ -348,8 +358,8 @@
             .collect()
     }
 
-    /// Handles the response to the write of a grant. The next grant is based on the record as it is then,
-    /// whatever the response is.
+    /// Handles the response to the write of a grant. A failed write needs no handling: the next grant is computed
+    /// from the grant on record at that time.
     pub(crate) fn on_budget_grant_response(
         &mut self,
         clock: Clock,
--- a/src/leadership/connectivity.rs
+++ b/src/leadership/connectivity.rs
@@ -1,43 +1,44 @@
-//! Reachability of the store and the peers, and what an isolated controller does.
+//! Reachability of the store and the peers, and the behaviour of an isolated controller.
 //!
-//! A controller that hears neither the key-value store nor any peer may be cut off by itself, or all others may have
-//! failed. It cannot distinguish the two cases, so it does what is harmless in both. Its health check fails, so that
-//! load balancers send clients to other controllers, which may be able to serve them. It redirects each agent
-//! once, so that a new leader can take the agent over. An agent that returns has found no other leader, and is
-//! served as long as line 10 of docs/safety.md allows. If an agent's lease does not outlast failed heartbeats to the
-//! other controllers, agents are served that long without a redirect.
+//! A controller that has lost contact with both the key-value store and all peers may be partitioned from them, or
+//! all of them may have failed. It cannot distinguish the two cases, so it takes measures that are safe in both. Its
+//! health check fails, so that load balancers send clients to other controllers, which may be able to serve them. It
+//! redirects each agent once, so that a new leader can take over the agent. An agent that returns has found no other
+//! leader, and is served as long as line 10 of docs/safety.md allows. If an agent's lease does not outlast failed
+//! heartbeats to the other controllers, agents are not redirected and are served within the same limit.
 
 use crate::protocol::Micros;
 use std::collections::BTreeMap;
 
-/// Silence after which a controller is isolated: a leader's lease in the store has expired by then, and a follower
-/// sends a request to the store every second.
+/// Time without contact to the store and all peers after which a controller counts as isolated. A leader's lease in
+/// the store has expired by then, and a follower, which sends a request every second, has had several chances of
+/// contact.
 const ISOLATION_TIMEOUT: Micros = Micros::millis(5_000);
-/// A longer pause between two calls of `tick` means that this process was suspended: silence before its end is
-/// not counted.
+/// A longer interval between two calls of `tick` means that this process was suspended; time without contact
+/// before the process resumed is not counted.
 const SUSPENSION_THRESHOLD: Micros = Micros::millis(1_500);
-/// Each health check failure within this time of the previous one doubles the silence that leads to the next: the
-/// load balancer's own back-off doubles up to a minute.
+/// Each health check failure within this time of the previous one doubles the time without contact that leads to
+/// the next failure, since the load balancer's own backoff doubles up to a minute.
 const BACKOFF_RESET: Micros = Micros::millis(120_000);
-/// Limit of the doublings.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// An agent is redirected at most once within this time.
 const MIN_REDIRECT_INTERVAL: Micros = Micros::millis(30_000);
-/// Machine names remembered; all are forgotten when this number is reached.
+/// Maximum number of machines in `redirected_at`, which is cleared when this number is reached.
 const MAX_REMEMBERED_MACHINES: usize = 8_192;
 
-/// When the store, the peers and agents of other zones were last heard.
+/// Times of the last contact with the store, the peers and agents of other zones.
 #[derive(Debug, Default)]
 pub struct Connectivity {
     last_store_contact: Micros,
     last_peer_contact: Micros,
-    /// When an agent of another zone last sent a heartbeat: such an agent shows that our zone is not cut off.
+    /// When an agent of another zone last sent a heartbeat, which shows that this zone is reachable from outside.
     last_remote_agent_contact: Micros,
     last_tick: Micros,
     health_check: HealthCheck,
-    /// An agent's lease outlasts failed heartbeats to all other controllers.
+    /// Whether an agent's lease outlasts failed heartbeats to all other controllers.
     redirect_is_safe: bool,
-    /// Per machine: when its agent was last redirected.
+    /// Per machine, when its agent was last redirected.
     redirected_at: BTreeMap<String, Micros>,
 }
 
@@ -47,12 +48,12 @@
     failing: bool,
     /// When it last began to fail.
     failed_at: Micros,
-    /// How often it has begun to fail without a pause of `BACKOFF_RESET`.
+    /// Number of failures that each began within `BACKOFF_RESET` of the previous one.
     recent_failures: u32,
 }
 
 impl HealthCheck {
-    /// Updates the state after a silence of the store and all peers.
+    /// Updates the state; `silence` is the time since the last contact with the store or any peer.
     fn update(&mut self, now: Micros, silence: Micros) {
         if !self.failing && now.since(self.failed_at) > BACKOFF_RESET {
             self.recent_failures = 0;
@@ -70,8 +71,8 @@
 }
 
 impl Connectivity {
-    /// The state of a controller that has just started: nothing counts as silent yet. `redirect_is_safe`: an
-    /// agent's lease outlasts failed heartbeats to all other controllers.
+    /// The state of a controller that starts at `now`, which counts as the last contact with the store and the
+    /// peers. `redirect_is_safe`: whether an agent's lease outlasts failed heartbeats to all other controllers.
     pub fn new(now: Micros, redirect_is_safe: bool) -> Connectivity {
         Connectivity {
             last_store_contact: now,
@@ -82,17 +83,17 @@
         }
     }
 
-    /// The store has answered a request.
+    /// Records that the store has responded to a request.
     pub fn on_store_contact(&mut self, now: Micros) {
         self.last_store_contact = now;
     }
 
-    /// A peer has sent a heartbeat or answered one.
+    /// Records that a peer has sent a heartbeat or responded to one.
     pub fn on_peer_contact(&mut self, now: Micros) {
         self.last_peer_contact = now;
     }
 
-    /// An agent of another zone has sent a heartbeat.
+    /// Records that an agent of another zone has sent a heartbeat.
     pub fn on_remote_agent_contact(&mut self, now: Micros) {
         self.last_remote_agent_contact = now;
     }
@@ -108,7 +109,7 @@
         self.health_check.update(now, silence);
     }
 
-    /// When the store or a peer was last heard.
+    /// Time of the last contact with the store or a peer.
     fn last_contact(&self) -> Micros {
         self.last_store_contact.max(self.last_peer_contact)
     }
@@ -117,7 +118,7 @@
         now.since(self.last_contact())
     }
 
-    /// Whether neither the store nor any peer has been heard for `ISOLATION_TIMEOUT`.
+    /// Whether there has been no contact with the store or any peer for longer than `ISOLATION_TIMEOUT`.
     pub fn is_isolated(&self, now: Micros) -> bool {
         self.silence(now) > ISOLATION_TIMEOUT
     }
@@ -127,9 +128,10 @@
         self.health_check.failing
     }
 
-    /// Whether an agent should try another controller first; notes that it was redirected if so. If no agents of
-    /// other zones send heartbeats any more, the zone may be cut off, and this controller may be the only one
-    /// that its agents reach: they are not redirected then.
+    /// Whether an agent should try another controller first; if so, records that it was redirected.
+    ///
+    /// Without heartbeats from agents of other zones, this zone may be partitioned from the others, and this
+    /// controller may be the only one that its agents reach. They are not redirected in that case.
     pub fn should_redirect(&mut self, machine: &str, now: Micros) -> bool {
         let zone_reachable =
             self.last_remote_agent_contact > self.last_contact() + ISOLATION_TIMEOUT;
--- a/src/leadership/delegated_renewal.rs
+++ b/src/leadership/delegated_renewal.rs
@@ -1,13 +1,13 @@
 //! Lease renewal by a follower for agents that cannot reach the leader.
 //!
-//! When a zone is cut off, the controller inside it may still reach the key-value store. It then answers the
-//! zone's agents with the leader's term and with no commands except stops of cancelled tasks. Before it renews
-//! the lease of a machine, it records that it does so, on the condition that the leader's term still holds; the
-//! leader does not consider a lease expired while such a record names the machine. A machine is removed from the
-//! record only after its lease has expired since the follower's last answer.
+//! When a zone is partitioned from the leader, the controller inside the zone may still reach the key-value store.
+//! It then responds to the zone's agents with the leader's term and with no commands except stops of cancelled tasks.
+//! Before it renews the lease of a machine, it records that it does so, on condition that the leader record is
+//! unchanged; the leader does not consider a lease expired while such a record names the machine. A machine is
+//! removed from the record only after the lease that the follower last renewed has expired.
 //!
-//! While the store does not answer, nothing can be recorded. A lease is then renewed without a record, either
-//! under a grant of the leader or because the leader's process has ended (see `crates/lease-delegation`).
+//! While the store is unavailable, nothing can be recorded. A lease is then renewed without a record, either under a
+//! grant of the leader or because the leader's process has ended (see `crates/lease-delegation`).
 
 mod heartbeat_routing;
 mod renewals_record;
@@ -18,35 +18,36 @@
 
 pub use renewals_record::RECORD_REFRESH_INTERVAL;
 
-/// Machine names remembered per map; a map that grows beyond that is cleared.
+/// Maximum number of machines per map; a map that exceeds it is cleared.
 const MAX_REMEMBERED_MACHINES: usize = 4096;
 
 /// Lease renewals by this controller while it is a follower.
 #[derive(Default)]
 pub struct DelegatedRenewals {
-    /// Per machine whose lease is renewed here: the time of the last answer to its agent.
+    /// Per machine whose lease this controller renews, the time of the last renewal or, while the first one waits
+    /// for the record, of the heartbeat. Includes machines that an earlier incarnation has recorded.
     last_renewals: BTreeMap<String, Micros>,
-    /// Machines named by our record as committed.
+    /// Machines that the committed record of this controller names.
     recorded_machines: BTreeSet<String>,
-    /// The leadership on which our record is conditional.
+    /// The leadership on which writes of the record are conditional.
     leadership: Leadership,
-    /// Version of our record.
+    /// Version of the record of this controller.
     record_version: u64,
-    /// Start of the last read that showed our record and the leader record unchanged.
+    /// Start of the last read that showed both the renewals record and the leader record unchanged.
     last_confirmed_read: Micros,
     last_write_at: Micros,
-    /// Minimum time between the last write and the next one: leaves a part of the write budget to clients'
-    /// submissions and to a claim of leadership.
+    /// Minimum time between the last write and the next one, which leaves a part of the write budget for clients'
+    /// submissions and for a claim of leadership.
     write_delay: Micros,
     write_in_flight: bool,
-    /// Heartbeats that are answered once our record names their machines.
+    /// Heartbeats that wait for a response until the record names their machines.
     pending_heartbeats: Vec<PendingHeartbeat>,
-    /// Per machine: when its agent was last redirected to the leader.
+    /// Per machine, when its agent was last redirected to the leader.
     redirected_at: BTreeMap<String, Micros>,
-    /// Per machine: the newest message of its agent. A message with the same or a lower number is a duplicate
-    /// and renews no lease.
+    /// Per machine, the highest message number of its agent. A message with the same or a lower number is a
+    /// duplicate or was delayed, and renews no lease.
     newest_messages: BTreeMap<String, MessageNumber>,
-    /// Per machine: until when its heartbeats are relayed to the leader.
+    /// Per machine, until when its heartbeats are relayed to the leader.
     relayed_until: BTreeMap<String, Micros>,
 }
 
@@ -58,7 +59,7 @@
     record_version: u64,
 }
 
-/// An agent's heartbeat whose connection waits for an answer.
+/// An agent's heartbeat whose connection waits for the response.
 struct PendingHeartbeat {
     connection: u64,
     heartbeat: AgentHeartbeat,
@@ -77,12 +78,12 @@
         !self.last_renewals.is_empty()
     }
 
-    /// Start of the last read that showed our record and the leader record unchanged.
+    /// Start of the last read that showed both the renewals record and the leader record unchanged.
     pub fn last_confirmed_read(&self) -> Micros {
         self.last_confirmed_read
     }
 
-    /// Notes an agent's message; returns whether it is newer than all earlier messages of this agent.
+    /// Records the number of an agent's message; returns whether it is newer than all earlier messages of this agent.
     fn note_message(&mut self, heartbeat: &AgentHeartbeat) -> bool {
         let machine = &heartbeat.machine;
         if self.newest_messages.len() > MAX_REMEMBERED_MACHINES
@@ -100,7 +101,7 @@
         is_newer
     }
 
-    /// Discards what was recorded under another leadership.
+    /// Switches to another leadership and discards the renewals under the previous one.
     fn reset(&mut self, leadership: Leadership) {
         self.leadership = leadership;
         self.recorded_machines.clear();
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -13,18 +13,18 @@
 use crate::transport::{NetworkCommand, Outcome};
 use std::net::SocketAddr;
 
-/// A leader that this controller has not heard for this long may be out of reach for its agents as well.
+/// Time without contact to the leader after which the leader may be unreachable for this controller's agents as well.
 const LEADER_UNREACHABLE_AFTER: Micros = Micros::millis(1_600);
-/// An agent that returns within this time after it was redirected has not reached the leader.
+/// An agent that returns within this time after a redirect is assumed not to have reached the leader.
 const FAILED_REDIRECT_WINDOW: Micros = Micros::millis(12_000);
 /// How long an agent's heartbeats are relayed before the agent is redirected to the leader again.
 const RELAY_DURATION: Micros = Micros::millis(8_000);
-/// The same for an agent that did not reach the leader after a redirect.
+/// `RELAY_DURATION` for an agent that did not reach the leader after a redirect.
 const RELAY_DURATION_AFTER_FAILED_REDIRECT: Micros = Micros::millis(30_000);
-/// How long the leader may take to answer a relayed heartbeat; the agent waits 4 s in all.
+/// Timeout of a heartbeat that is relayed to the leader; the agent's own timeout is 4 s.
 const RELAY_TIMEOUT: Micros = Micros::millis(1_500);
 
-/// Another controller that leads.
+/// The leader, if it is another controller.
 struct RemoteLeader {
     node: String,
     leadership: Leadership,
@@ -43,7 +43,7 @@
             return;
         }
         if !self.cache.synced && self.may_renew_unrecorded(clock, &heartbeat) {
-            // This controller has started during an outage, and peers have reported what it needs to know.
+            // This controller started while the store was unavailable, and peers have sent it a record summary.
             self.renew_unrecorded(clock, connection, &heartbeat);
             return;
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The controller on record as leader, unless it is this one or the leader key is gone.
+    /// The leader on record, unless it is this controller or the leader key has been deleted.
     fn remote_leader(&self) -> Option<RemoteLeader> {
         let (record, version) = self.cache.leader.as_ref()?;
         if record.node == self.settings.node || self.cache.leader_lease_version.is_none() {
@@ -90,11 +90,11 @@
         Some(peer.address)
     }
 
-    /// Whether the leader, if reachable from here, is sent this heartbeat; starts the time for which an agent's
-    /// heartbeats are relayed.
+    /// Whether to relay this heartbeat to the leader, provided that the leader is reachable from this controller.
+    /// The first call for an agent starts the period in which its heartbeats are relayed.
     ///
-    /// An agent that has seen the current term has been in contact with the leader, and comes here because it no
-    /// longer reaches it; its lease may not outlast a redirect that fails.
+    /// An agent that has seen the current term has been in contact with the leader. It now contacts this controller
+    /// because it no longer reaches the leader, and its lease may not outlast a failed redirect.
     fn should_relay(
         &mut self,
         clock: Clock,
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Renews a lease on the leader's behalf, once it is recorded that this controller does so.
+    /// Renews a lease on the leader's behalf, after recording that this controller does so. While the store is
+    /// unavailable, the lease is renewed without a record if that is permitted.
     fn renew_on_behalf(
         &mut self,
         clock: Clock,
@@ -212,7 +213,7 @@
         } else if !self.store_available() && self.may_renew_unrecorded(clock, &heartbeat) {
             self.renew_unrecorded(clock, connection, &heartbeat);
         } else if self.connectivity.is_isolated(clock.now) {
-            // Nothing can be recorded from here: the agent should not wait for it.
+            // The renewal cannot be recorded, so the agent is redirected at once instead of waiting for the write.
             self.respond(connection, 421, &Misdirected::default());
         } else {
             let renewals = &mut self.renewals;
@@ -226,9 +227,9 @@
         }
     }
 
-    /// Takes over the machines that an earlier run of this process has recorded: it may have renewed their
-    /// leases until this run started. Our first record names them for the duration of a lease, since otherwise
-    /// the leader would consider them lost and start their tasks elsewhere.
+    /// Takes over the machines that an earlier incarnation of this controller has recorded, since it may have renewed
+    /// their leases until this incarnation started. The first record of this incarnation must name them for the
+    /// duration of a lease: otherwise the leader would consider the leases expired and start the tasks elsewhere.
     fn inherit_renewals(&mut self, term: u64) {
         let own_records = self.cache.renewals_of(&self.settings.node);
         let current = own_records
@@ -241,13 +242,13 @@
     }
 
     /// Whether a lease may be renewed without a record: under a grant of the leader, or because the leader's
-    /// process has ended. The agent must have seen the leader's term: the leader may not know of an agent that
-    /// has not, and would not wait for its lease to expire.
+    /// process has ended. The agent must have seen the leader's term: otherwise it may never have been in contact
+    /// with the leader, which would then not wait for the lease to expire.
     pub(super) fn may_renew_unrecorded(&self, clock: Clock, heartbeat: &AgentHeartbeat) -> bool {
         let Some(leader) = self.known_leader() else {
             return false;
         };
-        let covered_until = self.client_answers_covered_until();
+        let covered_until = self.client_responses_covered_until();
         let staleness_bound = self.staleness_bound();
         let grant = &self.peers.renewal_grant;
         heartbeat.term == leader.term
@@ -270,8 +271,8 @@
         self.respond_with_renewal(connection, heartbeat, heartbeat.term);
     }
 
-    /// Renews the lease of a machine that our record names, unless the leadership has changed or the last
-    /// confirmed read is too old.
+    /// Renews the lease of a machine that the record names, unless the leadership has changed or the last confirmed
+    /// read is too old.
     pub(super) fn renew_recorded(
         &mut self,
         clock: Clock,
@@ -279,7 +280,7 @@
         heartbeat: &AgentHeartbeat,
     ) {
         let staleness_bound = self.staleness_bound();
-        let covered_until = self.client_answers_covered_until();
+        let covered_until = self.client_responses_covered_until();
         let leadership_unchanged = self.renewal_leadership_unchanged();
         let renewals = &mut self.renewals;
         let confirmed_until = renewals.last_confirmed_read.max(covered_until) + staleness_bound;
@@ -296,15 +297,15 @@
         self.respond_with_renewal(connection, heartbeat, term);
     }
 
-    /// Whether the leader record is still the one on which our renewals are conditional.
+    /// Whether the leader record is still the one on which the renewals are conditional.
     pub(super) fn renewal_leadership_unchanged(&self) -> bool {
         let expected = self.renewals.leadership.record_version;
         let leader_record = self.cache.leader.as_ref();
         leader_record.is_some_and(|(_, version)| *version == expected)
     }
 
-    /// Answers a heartbeat with no commands except stops of tasks whose jobs are cancelled. A cancellation is
-    /// final, so any controller may stop these tasks.
+    /// Responds to a heartbeat with a renewed lease and no commands except stops of tasks whose jobs are cancelled. A
+    /// cancellation is final, so any controller may stop these tasks.
     fn respond_with_renewal(&mut self, connection: u64, heartbeat: &AgentHeartbeat, term: u64) {
         let commands = heartbeat
             .tasks
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -1,4 +1,4 @@
-//! The record that names the machines whose leases this follower renews.
+//! The renewals record, which names the machines whose leases this follower renews.
 
 use super::{Leadership, PendingHeartbeat};
 use crate::controller::Controller;
@@ -9,18 +9,18 @@
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
 
-/// The record is rewritten at this interval, as a heartbeat for the leader.
+/// The record is rewritten at this interval to show the leader that this controller is alive.
 pub const RECORD_REFRESH_INTERVAL: Micros = Micros::millis(10_000);
-/// Minimum time between two writes: each names all machines, and after a takeover hundreds of agents arrive
-/// within a second or two.
+/// Minimum time between two writes. Each write names all machines, and after a takeover hundreds of agents arrive
+/// within one or two seconds, so their machines are batched.
 const MIN_WRITE_INTERVAL: Micros = Micros::millis(200);
-/// The part of this controller's write budget that the record may use.
+/// Fraction of this controller's write budget that the record may use.
 const WRITE_BUDGET_SHARE: f64 = 0.5;
-/// Minimum time between attempts to clear the record of an earlier run.
+/// Minimum time between attempts to clear the record of an earlier incarnation.
 const CLEAR_RETRY_INTERVAL: Micros = Micros::millis(1_000);
-/// Clocks of controller and agent differ by at most this factor over a lease.
+/// Maximum ratio between the rates of a controller's clock and an agent's clock.
 const CLOCK_DRIFT_FACTOR: f64 = 1.002;
-/// Allowance for timers that fire late, in seconds.
+/// Maximum delay of a timer, in seconds.
 const TIMER_MARGIN_S: f64 = 0.5;
 
 /// A transaction that writes the record, and the machines that it names.
@@ -30,7 +30,7 @@
 }
 
 impl Controller {
-    /// Writes the record, unless a write is pending or the last one was too recent.
+    /// Writes the record, unless a write is in flight or the last one was too recent.
     pub(super) fn write_renewals_record(&mut self, clock: Clock) {
         if self.renewals.write_in_flight || clock.now < self.next_record_write_at() {
             return;
@@ -53,14 +53,14 @@
         renewals.last_write_at + renewals.write_delay.max(MIN_WRITE_INTERVAL)
     }
 
-    /// The transaction that replaces all parts of our record, on the condition that the leadership is unchanged.
+    /// The transaction that replaces all parts of the record, on condition that the leader record is unchanged.
     fn build_record_write(&self) -> RecordWrite {
         let leadership = self.renewals.leadership;
         let limits = &self.settings.params.state;
         let machines = self.renewals.last_renewals.keys();
         let mut parts =
             RenewalsRecord::split(leadership.term, machines, limits.least_value_bytes());
-        // Machines that do not fit into one transaction are not named, and so their leases are not renewed.
+        // Machines that do not fit into one transaction are left out, so their leases are not renewed.
         parts.truncate(limits.least_txn_ops());
         let named: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
         let stored_parts = self.cache.renewals_of(&self.settings.node);
@@ -77,7 +77,7 @@
             if index > 0 && part.is_empty() && stored_is_empty {
                 continue;
             }
-            // A write whose response was lost and that is applied late must not replace a newer record.
+            // Prevents a delayed write whose response was lost from replacing a newer record.
             let stored_version = stored.map_or(0, |(_, version)| *version);
             conditions.push(VersionCondition::new(&key, stored_version));
             changes.push(Change::put(&key, part, None));
@@ -132,14 +132,15 @@
         );
         renewals.record_version = revision;
         renewals.recorded_machines = machines.into_iter().collect();
-        // The commit proves that the term held. Cancellations up to now are known only after a read.
+        // The commit proves that the leadership was unchanged; the cache includes all earlier cancellations only after
+        // a read.
         if renewals.last_confirmed_read == Micros::ZERO {
             renewals.last_confirmed_read = sent_at;
         }
         self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
     }
 
-    /// Answers the heartbeats of machines that the record names now; the others wait for the next write.
+    /// Responds to the pending heartbeats of machines that the record now names; the others wait for the next write.
     fn respond_to_recorded_machines(
         &mut self,
         clock: Clock,
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Handles a completed read barrier whose read began at `sent_at`: confirms the renewals if both records are
-    /// unchanged, and ends them otherwise.
+    /// Handles a completed read barrier whose read was sent at `sent_at`: confirms the renewals if both the renewals
+    /// record and the leader record are unchanged, and ends them otherwise.
     pub fn confirm_renewals(&mut self, sent_at: Micros) {
         if !self.renewals.active() || self.renewals.recorded_machines.is_empty() {
             return;
@@ -191,7 +192,7 @@
         let unchanged = record_unchanged && self.renewal_leadership_unchanged();
         let renewals = &mut self.renewals;
         if renewals.write_in_flight && !unchanged {
-            // The read may have shown our next record before the response to its write has arrived.
+            // The read may already include the write in flight, whose response has not arrived yet.
             return;
         }
         if unchanged {
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Removes machines whose leases have expired since our last answer, and refreshes the record; returns when
-    /// to check again.
+    /// Removes machines whose last renewed leases have expired, and refreshes the record; returns when to check
+    /// again.
     pub fn maintain_renewals(&mut self, clock: Clock) -> Micros {
         if self.renewals.write_in_flight {
             return Micros::FAR;
@@ -221,17 +222,17 @@
         let count_before = renewals.last_renewals.len();
         renewals
             .last_renewals
-            .retain(|_, answered_at| clock.now.since(*answered_at) < lease);
-        let removed = renewals.last_renewals.len() != count_before;
-        if removed {
-            // These machines get no more answers from now on, whether or not the write succeeds.
+            .retain(|_, renewed_at| clock.now.since(*renewed_at) < lease);
+        let any_removed = renewals.last_renewals.len() != count_before;
+        if any_removed {
+            // The leases of the removed machines are no longer renewed, even if the write of the record fails.
             let remaining: BTreeSet<String> = renewals.last_renewals.keys().cloned().collect();
             renewals
                 .recorded_machines
                 .retain(|machine| remaining.contains(machine));
         }
         let refresh_at = renewals.last_write_at + RECORD_REFRESH_INTERVAL;
-        if removed
+        if any_removed
             || !renewals.pending_heartbeats.is_empty()
             || renewals.last_renewals.len() != renewals.recorded_machines.len()
             || refresh_at <= clock.now
@@ -240,12 +241,12 @@
             return self.next_record_write_at();
         }
         let last_renewals = renewals.last_renewals.values();
-        let next_expiry = last_renewals.map(|answered_at| *answered_at + lease).min();
+        let next_expiry = last_renewals.map(|renewed_at| *renewed_at + lease).min();
         next_expiry.unwrap_or(Micros::FAR).min(refresh_at)
     }
 
-    /// Clears the record of an earlier run of this process once the leases that it renewed have expired; returns
-    /// when to check again.
+    /// Clears the record of an earlier incarnation of this controller once the leases that it renewed have expired;
+    /// returns when to check again.
     fn clear_inherited_record(&mut self, clock: Clock, lease: Micros) -> Micros {
         let own_records = self.cache.renewals_of(&self.settings.node);
         let recorded_term = own_records
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Leader election: when this controller claims leadership, and when it gives leadership away.
+//! Leader election: when this controller claims leadership, and when it transfers leadership to another controller.
 
 use crate::controller::Controller;
 use crate::leadership::peers::PeerStatus;
@@ -14,24 +14,25 @@
 
 /// Time to live of the leader's lease in the store. Only liveness depends on it, not safety.
 pub(crate) const LEADER_LEASE_TTL: Micros = Micros::millis(4000);
-/// A leader that no peer has heard for this long is presumed dead.
+/// A leader that has sent no heartbeat to any reachable controller for this long is suspected to have failed. A peer
+/// without contact for this long counts as unreachable.
 pub(crate) const LEADER_SILENCE_LIMIT: Micros = Micros::millis(2500);
-/// Duration of an agent's failed heartbeat: a timeout of 4 s, and a pause of 1 s before it tries the next
+/// Duration of an agent's failed heartbeat: a timeout of 4 s, and a pause of 1 s before the agent tries the next
 /// controller.
 const FAILED_HEARTBEAT_DURATION: Micros = Micros::millis(5000);
-/// An agent sends a heartbeat at the latest after this multiple of its heartbeat interval.
+/// Maximum time between an agent's heartbeats, as a multiple of the heartbeat interval.
 const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
-/// A live leader is replaced only if the leader record has not changed for this long.
+/// A reachable leader is replaced only if the leader record has been unchanged for this long.
 const MIN_STABLE_LEADERSHIP: Micros = Micros::millis(10_000);
-/// How often a leader checks whether it should give leadership away.
+/// How often a leader checks whether it should transfer leadership.
 const TRANSFER_CHECK_INTERVAL: Micros = Micros::millis(1_000);
-/// How long a leader must have been unable to serve the agents before it gives leadership away.
+/// How long a leader must have been unable to serve most agents before it transfers leadership.
 const TRANSFER_DELAY: Micros = Micros::millis(2_000);
-/// After a transfer the former leader is no candidate for this long.
+/// How long the former leader is not a candidate after a transfer.
 const CANDIDACY_PAUSE_AFTER_TRANSFER: Micros = Micros::millis(6_000);
 
-/// Candidacy delays in milliseconds: the ranges order the candidates, and a random delay within a range keeps
-/// candidates of the same kind from claiming at once.
+/// Ranges of the delay, in milliseconds, before a candidate claims leadership. The ranges give some candidates
+/// priority, and a random delay within a range keeps candidates with the same range from claiming simultaneously.
 const DELAY_MS_RENEWING_LEASES: Range<u64> = 0..100;
 const DELAY_MS_PREFERRED_ZONE: Range<u64> = 0..150;
 const DELAY_MS_DEFAULT: Range<u64> = 250..400;
@@ -40,9 +41,9 @@
 /// Progress of this controller's candidacy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ElectionState {
-    /// It is no candidate.
+    /// It is not a candidate.
     Idle,
-    /// It claims leadership at this time if leadership is still vacant then.
+    /// It claims leadership at this time if there is still no live leader.
     Scheduled(Micros),
     /// It has requested a lease for the leader key, or has sent the claim.
     Claiming,
@@ -56,14 +57,14 @@
 }
 
 impl Controller {
-    /// Whether the leader record names an earlier run of this controller's own process.
+    /// Whether the leader record names an earlier incarnation of this controller.
     fn earlier_incarnation_leads(&self) -> bool {
         self.cache.leader.as_ref().is_some_and(|(record, _)| {
             record.node == self.settings.node && record.incarnation != self.incarnation
         })
     }
 
-    /// Whether no live controller appears to lead.
+    /// Whether there appears to be no live leader.
     pub(crate) fn leadership_vacant(&self, clock: Clock) -> bool {
         let Some((record, _)) = &self.cache.leader else {
             return true;
@@ -74,11 +75,11 @@
             || self.leader_suspected(clock, &record.node)
     }
 
-    /// Whether the controller that follows `node` in the order of names is in another zone.
+    /// Whether the controller after `node` in the cyclic order of names is in another zone.
     ///
-    /// An agent that cannot reach the leader tries the next controller, and its lease may outlast only one
-    /// failed attempt. If a network partition between zones is the cause, the next controller should be on the
-    /// agent's side of it.
+    /// An agent that cannot reach the leader tries the next controller, and its lease may outlast only one failed
+    /// attempt. In a network partition between zones, the next controller should therefore be on the agent's side of
+    /// the partition.
     fn next_controller_in_other_zone(&self, node: &str) -> bool {
         let settings = &self.settings;
         let peers = settings.peers.iter().map(|peer| (&peer.node, &peer.zone));
@@ -95,12 +96,12 @@
         successor.map(|(_, zone)| *zone) != own_zone
     }
 
-    /// Whether this controller should replace a live leader because of its place in the order of names.
+    /// Whether this controller should replace a live leader because it is preferred by the order of names.
     ///
-    /// Agents that a partition between zones separates from the leader would next try another controller of
-    /// the leader's zone, fail again and lose their leases; with this controller as leader they would next
-    /// reach a controller of their own zone. A takeover interrupts service briefly, so the leader is replaced
-    /// only while all peers are reachable, the store answers and leadership has been stable.
+    /// In a partition between zones, agents that cannot reach the leader would next try another controller of the
+    /// leader's zone, fail again and lose their leases. With this controller as leader they would next reach a
+    /// controller of their own zone. A takeover interrupts service briefly, so the leader is replaced only while all
+    /// peers are reachable, the store is available and leadership has been stable.
     pub(crate) fn should_replace_leader(&self, clock: Clock) -> bool {
         let Some((leader, _)) = &self.cache.leader else {
             return false;
@@ -115,7 +116,7 @@
             && self.all_peers_healthy(clock)
     }
 
-    /// Whether this controller is the first by name whose successor is in another zone.
+    /// Whether this controller is the first by name of those whose successor is in another zone.
     fn is_preferred_leader(&self) -> bool {
         let settings = &self.settings;
         self.next_controller_in_other_zone(&settings.node)
@@ -124,7 +125,7 @@
             })
     }
 
-    /// Whether every peer has been heard recently and reported that the store serves it.
+    /// Whether every peer is reachable and reports that the store is available to it.
     fn all_peers_healthy(&self, clock: Clock) -> bool {
         let healthy =
             |status: &PeerStatus| status.store_available && status.is_reachable(clock.now);
@@ -134,7 +135,7 @@
             .all(|peer| self.peers.status.get(&peer.node).is_some_and(healthy))
     }
 
-    /// Whether a peer has recorded that it renews leases under the current term: agents reach that peer.
+    /// Whether a peer has recorded that it renews leases under the current term, which shows that agents reach it.
     fn peer_renews_leases(&self) -> bool {
         let term = self.cache.leader.as_ref().map(|(record, _)| record.term);
         let mut records = self.cache.renewals.values();
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Delay between noticing that leadership is vacant and claiming it; controllers that reach agents claim
-    /// first.
+    /// Delay before this controller claims vacant leadership. An earlier leader that has restarted claims at once;
+    /// controllers that agents reach claim before the others.
     fn candidacy_delay(&mut self) -> Micros {
         let range = if self.earlier_incarnation_leads() {
             return Micros::ZERO;
@@ -197,7 +198,7 @@
         Micros::millis(self.rng.random_range(range))
     }
 
-    /// Requests the lease that the leader key will be attached to; the claim follows with its response.
+    /// Requests the lease to which the leader key will be attached; the claim is sent once the store has granted it.
     fn request_leader_lease(&mut self) {
         self.election = ElectionState::Claiming;
         self.store.enqueue(
@@ -207,11 +208,10 @@
         );
     }
 
-    /// Gives leadership away if peers reach the agents and this controller does not; returns when to check
-    /// again.
+    /// Transfers leadership if the agents reach peers but not this controller; returns when to check again.
     ///
-    /// A leader that reaches the store and its peers receives heartbeats relayed by them. If the controllers
-    /// cannot reach each other either, it would keep a leadership that it cannot use.
+    /// A leader that reaches its peers receives the agents' heartbeats relayed by them. If the controllers cannot
+    /// reach each other either, the leader would keep its lease in the store without being able to serve agents.
     pub(crate) fn check_leadership_transfer(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(leader) = &mut self.leader else {
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -1,4 +1,5 @@
-//! Which record formats all controllers read, and what happens when a controller's software is rolled back.
+//! Negotiation of the record format: records which format each controller reads, and lowers the recorded format of a
+//! controller whose software was rolled back.
 
 use crate::controller::Controller;
 use crate::messages::StoreRequestPurpose;
@@ -13,7 +14,7 @@
 /// Delay between a write of a format record and the next check of the format records.
 pub(crate) const FORMAT_CHECK_INTERVAL: Micros = Micros::millis(1000);
 
-/// A peer that reports an older format than the recorded one.
+/// A peer that reports an older format than its record.
 struct Downgrade<'a> {
     node: &'a str,
     format: u32,
@@ -22,16 +23,16 @@
 }
 
 impl Controller {
-    /// Whether every controller named in the settings has recorded that it reads this format, so that what the
-    /// format adds may be written.
+    /// Whether every controller in the settings has recorded that it reads this format or a newer one, so that
+    /// features of the format may be used in records.
     pub fn all_controllers_read(&self, format: u32) -> bool {
         let peers = self.settings.peers.iter().map(|peer| &peer.node);
         let mut controllers = peers.chain([&self.settings.node]);
         controllers.all(|node| self.cache.format_of(node).0 >= format)
     }
 
-    /// Records which format this controller reads, once per start, and lowers the record of a peer that was
-    /// rolled back to an older format; returns when to check again.
+    /// Records which format this controller reads, and lowers the record of a peer that was rolled back to an older
+    /// format; returns when to check again.
     pub(crate) fn negotiate_format(&mut self, clock: Clock) -> Micros {
         let Some(due_at) = self.format_record_due else {
             return Micros::FAR;
@@ -59,7 +60,7 @@
         Micros::FAR
     }
 
-    /// The transaction that records our own format; none if it is recorded.
+    /// The transaction that records this controller's format; `None` if it is already recorded.
     fn own_format_update(&self) -> Option<Transaction> {
         let (recorded, version) = self.cache.format_of(&self.settings.node);
         if recorded == format::NEWEST {
@@ -72,7 +73,8 @@
         })
     }
 
-    /// The transaction that lowers the recorded format of a peer that was rolled back, if there is one.
+    /// The transaction that lowers the recorded format of a peer that was rolled back; `None` if there is no such
+    /// peer.
     fn downgrade_update(&mut self, clock: Clock, due_at: Micros) -> Option<Transaction> {
         let downgrade = self.find_downgrade(clock)?;
         let older_format = downgrade.format;
@@ -82,7 +84,8 @@
                 downgrade.node
             );
         }
-        // The record is not deleted: its version would be reused, and a delayed first write could then succeed.
+        // The record is overwritten rather than deleted: deletion would reset its version, and a delayed write that is
+        // conditional on the record's absence could then succeed.
         let key = format_key(downgrade.node);
         let transaction = Transaction {
             conditions: vec![VersionCondition::new(&key, downgrade.record_version)],
@@ -92,14 +95,14 @@
         Some(transaction)
     }
 
-    /// The first recently heard peer whose format is older than its record says.
+    /// The first reachable peer whose format is older than the recorded one.
     fn find_downgrade(&self, clock: Clock) -> Option<Downgrade<'_>> {
-        let recent = self
+        let reachable_peers = self
             .peers
             .status
             .iter()
             .filter(|(_, status)| status.is_reachable(clock.now));
-        recent.into_iter().find_map(|(node, status)| {
+        reachable_peers.into_iter().find_map(|(node, status)| {
             let (recorded, record_version) = self.cache.format_of(node);
             let format = status
                 .downgraded_format
--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -1,11 +1,12 @@
-//! Heartbeats between controllers, and what this controller derives from them.
+//! Heartbeats between controllers, and the state that this controller derives from them.
 //!
-//! A heartbeat and its response carry leadership, cancellations, budget demand and format versions. Two questions
-//! about clients decide whether leases may be renewed without the store (see `crates/lease-delegation`):
+//! A heartbeat and its response carry leadership, cancellations, budget demand and format versions. Whether leases may
+//! be renewed without the store depends on two points in time (see `crates/lease-delegation`):
 //!
-//! - *Coverage*: until when does this controller know of everything that its peers have told clients?
-//! - *Silence pledge*: until when does a controller that the store does not serve promise its peers to tell
-//!   clients of no cancellation that the peers may not know?
+//! - *Coverage* is the time up to which this controller has every cancellation that its peers have reported to clients,
+//!   and every leadership change.
+//! - A *silence pledge* is a promise that a controller without access to the store gives to a peer: until the pledge
+//!   ends, it reports to clients no cancellation that the peer may not have received.
 
 mod cancellation_exchange;
 mod heartbeat_receiver;
@@ -26,85 +27,85 @@
 use lease_delegation::silence_pledges::SilencePledges;
 use std::collections::BTreeMap;
 
-/// How long a silence pledge is kept unless its holder acknowledges its end earlier.
+/// How long this controller keeps a silence pledge, unless the peer acknowledges its end earlier.
 const PLEDGE_DURATION: Micros = Micros::millis(15_000);
-/// How long a peer relies on a silence pledge: a little less, to allow for clock drift.
+/// How long a peer relies on a silence pledge: less than `PLEDGE_DURATION`, to allow for clock drift.
 const PLEDGE_RELIANCE_DURATION: Micros = Micros::millis(14_900);
 
-/// State that a peer reported with its last heartbeat or response.
+/// State that a peer reported in its last heartbeat or response.
 pub(crate) struct PeerStatus {
-    /// When it was last heard.
+    /// When its last heartbeat or response was received.
     pub(crate) last_contact: Micros,
-    /// Start of the current period without a silence of `LEADER_SILENCE_LIMIT` or more.
+    /// Since when it has been reachable without a gap of `LEADER_SILENCE_LIMIT` or more.
     pub(crate) reachable_since: Micros,
-    /// How long it had not heard the leader, in milliseconds; none: it never heard the leader.
+    /// Milliseconds since its last contact with the leader; `None` if it has had none.
     pub(crate) leader_silent_ms: Option<u64>,
-    /// It has read the records, and the store serves it.
+    /// Whether it has read the records and the store is available to it.
     pub(crate) store_available: bool,
     /// Its record format, if older than the recorded one: its software was rolled back.
     pub(crate) downgraded_format: Option<u32>,
-    /// The part of the write budget that it requests, in thousandths of changes per second.
+    /// Write rate that it requests beyond its fixed share, in thousandths of a write per second.
     pub(crate) requested_writes: u64,
 }
 
 impl PeerStatus {
-    /// Whether the peer was heard within the time that a leader may be silent.
+    /// Whether the last contact with the peer was less than `LEADER_SILENCE_LIMIT` ago.
     pub(crate) fn is_reachable(&self, now: Micros) -> bool {
         now.since(self.last_contact) < LEADER_SILENCE_LIMIT
     }
 }
 
-/// Heartbeats to one peer.
+/// State of the heartbeats to one peer.
 #[derive(Clone)]
 struct PeerLink {
-    /// A heartbeat is pending.
+    /// Whether a heartbeat waits for its response.
     in_flight: bool,
-    /// The last heartbeat said that the store does not serve this controller.
+    /// Whether the last heartbeat announced that the store is unavailable to this controller.
     announced_store_unavailable: bool,
-    /// The process that last responded.
+    /// The incarnation that last responded.
     last_incarnation: Option<ObservedIncarnation>,
 }
 
-/// A run of a peer's process that has responded to a heartbeat.
+/// An incarnation of a peer that has responded to a heartbeat.
 #[derive(Clone, Copy)]
 struct ObservedIncarnation {
     /// Identifier of the incarnation.
     incarnation: u64,
-    /// When the heartbeat was sent.
+    /// When that heartbeat was sent.
     request_sent_at: Micros,
 }
 
-/// A summary of the records that a peer has sent before this controller could read them.
+/// A summary of the records, received from a peer before this controller has read the records.
 pub(crate) struct ReceivedSummary {
     summary: RecordSummary,
-    /// Since when the leader named in the summary is known.
+    /// When this controller first received a summary with this leader.
     leader_observed_since: Micros,
 }
 
-/// The last sign of a leading controller.
+/// The last heartbeat or response of a controller that reported itself as leader.
 struct LeaderContact {
     node: String,
     at: Micros,
 }
 
-/// What peers have reported, and what this controller has promised to them.
+/// State that peers have reported, and pledges between this controller and its peers.
 pub struct Peers {
     next_heartbeat_at: Micros,
-    /// Heartbeats per peer, in the order of the settings.
+    /// State of the heartbeats per peer, in the order of the settings.
     links: Vec<PeerLink>,
-    /// Per peer: until when its answers to clients are known to be covered by our cache.
+    /// Per peer, the time up to which this controller has every cancellation that the peer has reported to clients.
     coverage: PeerCoverage,
-    /// Silence pledges given to peers.
+    /// Silence pledges that this controller has given to peers.
     pub(crate) silence_pledges: SilencePledges,
     /// The grant to renew leases that the leader has given to this controller.
     pub(crate) renewal_grant: LeaseGrantee,
-    /// A peer's summary of the records; only until this controller has read the records.
+    /// A peer's summary of the records; used only until this controller has read the records.
     pub(crate) record_summary: Option<ReceivedSummary>,
-    /// Cancellations known to this controller, for peers that ask for them.
+    /// Log of the cancellations that this controller has read or received, from which batches are sent to peers.
     cancellation_log: CancellationLog,
-    /// Cancellations reported by peers that the cache may not show yet.
+    /// Cancellations reported by peers, which the cache may not contain yet.
     pub(crate) reported_cancellations: ReportedCancellations,
-    /// A peer whose last batch of cancellations was incomplete: it is asked for the rest at once.
+    /// A peer whose last batch of cancellations was incomplete; the next batch is requested at once.
     incomplete_log_peer: Option<usize>,
     last_leader_contact: Option<LeaderContact>,
     /// Last reported state per peer name.
@@ -112,7 +113,7 @@
 }
 
 impl Peers {
-    /// The state of a controller that has not heard any of its peers yet.
+    /// The state of a controller that has had no contact with its peers yet.
     pub fn new(peer_count: usize, policy: &Policy, now: Micros) -> Peers {
         let if_enabled = |duration: Micros| {
             if silence_pledges_enabled(policy) {
@@ -156,14 +157,14 @@
             .position(|peer| peer.node == node)
     }
 
-    /// Time until which all answers to clients and all leadership changes are known, by a confirmed read of the
-    /// store or by the reports of all peers.
-    pub(crate) fn client_answers_covered_until(&self) -> Micros {
-        let by_peers = self
+    /// Time up to which this controller has every cancellation reported to clients and every leadership change, by a
+    /// confirmed read of the store or by the reports of all peers.
+    pub(crate) fn client_responses_covered_until(&self) -> Micros {
+        let covered_by_peers_until = self
             .peers
             .coverage
             .all_covered_until()
             .map_or(Micros::ZERO, Micros);
-        self.confirmed_read_at.max(by_peers)
+        self.confirmed_read_at.max(covered_by_peers_until)
     }
 }
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of cancellations between controllers, for the time when one of them cannot read the store.
+//! Exchange of cancellations between controllers, needed while one of them cannot read the store.
 
 use crate::controller::Controller;
 use crate::protocol::Clock;
@@ -7,7 +7,7 @@
 use lease_delegation::cancellations::ReportedCancellations;
 
 impl Controller {
-    /// Revision up to which all cancellations are known, from the records or from a peer's summary of them.
+    /// Revision up to which this controller has all cancellations, from the records or from a peer's summary of them.
     pub(super) fn cancellations_complete_to_revision(&self) -> Option<u64> {
         if self.cache.synced {
             return Some(self.cache.revision);
@@ -16,8 +16,8 @@
         Some(received.summary.revision)
     }
 
-    /// The part of our log that a peer with this cursor does not know; none if the log no longer holds all of
-    /// it.
+    /// The next batch of this controller's log for a peer with this cursor; `None` if the log no longer holds all
+    /// entries that the peer lacks.
     pub(super) fn cancellation_update(
         &mut self,
         clock: Clock,
@@ -37,17 +37,18 @@
         })
     }
 
-    /// Appends the cancellations that the cache has newly shown to our log.
+    /// Appends the cancellations that are new in the cache to this controller's log.
     pub(super) fn log_cancellations(&mut self) {
         for (job, version) in self.cache.take_cancelled() {
             self.peers.cancellation_log.append(&job, version);
         }
     }
 
-    /// Takes a batch of the log of this run of a peer: new cancellations are added to our own log, and the
-    /// machines of the cancelled jobs get their commands at once.
+    /// Applies a batch of the log of this incarnation of a peer. New cancellations are added to this controller's own
+    /// log, and a leader checks the machines of the cancelled jobs at once to send them their commands.
     ///
-    /// Returns whether this controller now knows of everything that the peer had told clients.
+    /// Returns whether this controller now has every cancellation and leadership change that the peer had when it
+    /// responded.
     pub(super) fn on_cancellation_update(
         &mut self,
         clock: Clock,
@@ -76,7 +77,7 @@
             self.peers.cancellation_log.append(&job, version);
         }
         if update.more {
-            // The rest is requested without waiting for the next heartbeat.
+            // The next batch is requested without waiting for the next regular heartbeat.
             self.peers.incomplete_log_peer = Some(peer);
         }
         let complete_to_revision = self.cancellations_complete_to_revision().unwrap_or(0);
@@ -84,7 +85,7 @@
             && update.lead <= self.leader_record_version().max(complete_to_revision)
     }
 
-    /// Version of the leader record in the cache; 0: there is none.
+    /// Version of the leader record in the cache; 0 if there is none.
     fn leader_record_version(&self) -> u64 {
         self.cache
             .leader
@@ -92,7 +93,7 @@
             .map_or(0, |(_, version)| *version)
     }
 
-    /// Whether a job is known to be cancelled, from the records or from a peer.
+    /// Whether a job is cancelled according to the records, peers' reports or a peer's record summary.
     pub(crate) fn is_cancelled(&self, job: &str) -> bool {
         let in_summary = || {
             let received = self.peers.record_summary.as_ref();
@@ -103,8 +104,8 @@
     }
 }
 
-/// Whether a job is cancelled according to the records or to peers' reports. A report does not count for a job
-/// that the records show as done.
+/// Whether a job is cancelled according to the records or peers' reports. A report is ignored if the job is done
+/// according to the records.
 pub fn recorded_or_reported_cancelled(
     cache: &RecordCache,
     reported: &ReportedCancellations,
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -1,4 +1,4 @@
-//! Evaluates heartbeats of peers and responds to them.
+//! Processes heartbeats of peers and responds to them.
 
 use super::{LeaderContact, PeerStatus};
 use crate::controller::Controller;
@@ -8,9 +8,9 @@
 impl Controller {
     /// Responds to a peer's heartbeat.
     ///
-    /// While the store does not serve this controller, the response is a silence pledge; if this controller
-    /// leads, the response also grants lease renewal. With both, peers can keep the agents' leases alive should
-    /// this controller fail.
+    /// While the store is unavailable to this controller, the response is a silence pledge; if this controller
+    /// leads, the response also grants lease renewal. With the pledge and the grant, peers can renew the agents'
+    /// leases if this controller fails.
     pub(crate) fn respond_to_heartbeat(
         &mut self,
         clock: Clock,
@@ -50,7 +50,7 @@
         response
     }
 
-    /// Evaluates the part that heartbeats and responses have in common.
+    /// Processes a peer's heartbeat or its response to a heartbeat.
     pub(super) fn on_heartbeat(&mut self, clock: Clock, heartbeat: PeerHeartbeat) {
         self.connectivity.on_peer_contact(clock.now);
         self.on_leading_term(clock, &heartbeat);
@@ -68,7 +68,7 @@
         self.update_peer_status(clock, heartbeat);
     }
 
-    /// Notes whether the sender leads, and steps down if its term is higher than ours.
+    /// Records contact with a sender that leads, and steps down if its term is higher than this controller's.
     fn on_leading_term(&mut self, clock: Clock, heartbeat: &PeerHeartbeat) {
         let Some(term) = heartbeat.leading else {
             return;
@@ -79,7 +79,7 @@
             .as_ref()
             .is_some_and(|leader| term > leader.term)
         {
-            // A leader without the store would learn of its successor late, and its agents would wait.
+            // A leader that cannot read the store would otherwise detect its successor late, and its agents would wait.
             self.step_down("another controller leads with a higher term");
         }
         self.peers.last_leader_contact = Some(LeaderContact {
@@ -107,7 +107,7 @@
         self.peers.status.insert(heartbeat.node, status);
     }
 
-    /// Updates the time until which peers confirm our leadership; it may become earlier.
+    /// Updates the time up to which the peers' reports confirm this controller's leadership; the time may move back.
     pub(super) fn update_leader_coverage(&mut self) {
         if let (Some(leader), Some(covered_until)) =
             (&mut self.leader, self.peers.coverage.all_covered_until())
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -1,4 +1,4 @@
-//! Sends heartbeats to peers and evaluates their responses.
+//! Sends heartbeats to peers and processes their responses.
 
 use super::{ObservedIncarnation, silence_pledges_enabled};
 use crate::controller::Controller;
@@ -15,8 +15,8 @@
     /// Sends the heartbeats that are due; returns when the next ones are.
     pub(crate) fn send_peer_heartbeats(&mut self, clock: Clock) -> Micros {
         if self.peers.next_heartbeat_at <= clock.now {
-            // Also without a request from a peer: the cache would keep the job names forever, while the log is
-            // bounded.
+            // Done even if no peer requests cancellations: otherwise the cache would keep the job names without bound,
+            // while the log is bounded.
             self.log_cancellations();
             self.peers.next_heartbeat_at = clock.now + HEARTBEAT_INTERVAL;
             for peer in 0..self.settings.peers.len() {
@@ -57,7 +57,7 @@
         );
     }
 
-    /// A heartbeat with this controller's current state; a response to a peer is extended from it.
+    /// A heartbeat with this controller's current state; also the base of a response to a peer's heartbeat.
     pub(super) fn new_heartbeat(&self, clock: Clock) -> PeerHeartbeat {
         let staleness_bound = self.staleness_bound();
         let store_available = self.store_available();
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Evaluates the outcome of the heartbeat that was sent to a peer at `sent_at`.
+    /// Processes the outcome of the heartbeat that was sent to a peer at `sent_at`.
     ///
-    /// If the peer knows of no cancellation and no leadership change that this controller does not know, its
-    /// response confirms our lease renewals as of `sent_at`.
+    /// If this controller has every cancellation and leadership change that the peer has, the response confirms this
+    /// controller's lease renewals as of `sent_at`.
     pub(crate) fn on_heartbeat_response(
         &mut self,
         clock: Clock,
@@ -122,7 +122,7 @@
             self.on_record_summary(clock, sent_at, summary);
         }
         if !self.peers.links[peer].announced_store_unavailable {
-            // The peer has responded to a heartbeat that announced the end of our pledges.
+            // The peer has responded to a heartbeat that announced the end of this controller's pledges.
             let pledges = &mut self.peers.silence_pledges;
             pledges.on_release_acknowledged(peer, sent_at.0, clock.now.0);
         }
@@ -134,7 +134,7 @@
         self.update_leader_coverage();
     }
 
-    /// The response in `outcome`, if there is one and it was written by this peer.
+    /// The response in `outcome`, if it is valid and this peer sent it.
     fn decode_heartbeat_response(&self, peer: usize, outcome: Outcome) -> Option<PeerHeartbeat> {
         let Outcome::Reply { status: 200, body } = outcome else {
             return None;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Updates until when answers to clients are covered; takes the cancellations out of the response.
+    /// Updates the coverage of a peer; takes the cancellations out of its response.
     fn update_coverage(
         &mut self,
         clock: Clock,
@@ -175,9 +175,9 @@
                     PeerKnowledge::Partial
                 }
             }
-            // The peer has an older format, or cannot send its whole log. Only the revision up to which the
-            // cache is complete counts: a commit of our own may have a higher revision than a peer's commit
-            // that we have not seen.
+            // The peer has an older format, or its log no longer holds all entries. The comparison uses the revision
+            // up to which the cache is complete, since a commit of this controller may have a higher revision than a
+            // peer's commit that it has not read yet.
             (Some(newest), ..)
                 if newest <= self.cancellations_complete_to_revision().unwrap_or(0) =>
             {
@@ -194,12 +194,12 @@
         if knowledge == PeerKnowledge::Complete
             && let Some(update) = update
         {
-            // What the peer knew of other peers is known here now, too.
+            // This controller now also has every cancellation on which the peer's coverage of other peers is based.
             self.extend_coverage(Some(peer), sent_at, &update.known);
         }
     }
 
-    /// Updates the peer's run, the grant that it gave or withdrew, and its use of a grant of ours.
+    /// Processes the peer's incarnation, the grant that it gave or withdrew, and its use of a grant of this controller.
     fn on_heartbeat_extension(
         &mut self,
         clock: Clock,
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -1,4 +1,4 @@
-//! Failure detection: whether the leader is alive, and which peers the store serves.
+//! Failure detection: whether the leader is alive, and which peers have access to the store.
 
 use super::PeerStatus;
 use crate::controller::Controller;
@@ -7,10 +7,10 @@
 use lease_delegation::lease_grantee::KnownLeader;
 
 impl Controller {
-    /// The recorded leader as far as it is known here, and whether its process has ended.
+    /// The leader according to the records or a peer's summary, and whether its process has ended.
     ///
-    /// A process has ended if another run of it responded to a heartbeat that was sent after the leadership was
-    /// known. A refused connection or silence proves nothing of the kind.
+    /// The process has ended if another incarnation responded to a heartbeat that was sent after this controller
+    /// first observed the leadership. A refused connection or a missing response does not prove that it has ended.
     pub(crate) fn known_leader(&self) -> Option<KnownLeader> {
         let leader = self.leader_identity()?;
         let ended = if leader.node == self.settings.node {
@@ -31,7 +31,7 @@
         })
     }
 
-    /// The leader according to the records, or to a peer's summary while the records have not been read.
+    /// The leader according to the records or, until they have been read, a peer's summary.
     fn leader_identity(&self) -> Option<LeaderIdentity<'_>> {
         if self.cache.synced {
             let (record, version) = self.cache.leader.as_ref()?;
@@ -53,13 +53,13 @@
         })
     }
 
-    /// Whether the leader's process has ended and another run of it has started.
+    /// Whether the leader's process has ended and another incarnation has started.
     pub(crate) fn leader_process_restarted(&self) -> bool {
         self.known_leader().is_some_and(|leader| leader.ended)
     }
 
-    /// Whether all controllers that can be asked have stopped hearing the leader. Replacing a leader that is
-    /// still alive interrupts service briefly and is safe: the term is a fencing token.
+    /// Whether this controller and all reachable peers have lost contact with the leader. Replacing a leader that is
+    /// still alive is safe, since the term is a fencing token, and interrupts service only briefly.
     pub(crate) fn leader_suspected(&self, clock: Clock, leader: &str) -> bool {
         let Some(contact) = &self.peers.last_leader_contact else {
             return false;
@@ -67,10 +67,10 @@
         if contact.node != leader || clock.now.since(contact.at) < LEADER_SILENCE_LIMIT {
             return false;
         }
-        // A controller that is isolated by itself must not take leadership from the others: at least one other
-        // controller has to miss the leader, too. Otherwise the lease in the store decides. When a partition
-        // between controllers heals, the order in which they hear each other is random: a peer's report counts
-        // only if the peer has been reachable for as long as a leader may be silent.
+        // An isolated controller must not take leadership from the others, so at least one peer must have lost the
+        // leader as well. Otherwise the leader is replaced only when its lease in the store expires. When a partition
+        // between controllers heals, they regain contact with each other in random order, so at least one report must
+        // come from a peer that has been reachable for `LEADER_SILENCE_LIMIT`.
         let reports: Vec<&PeerStatus> = self
             .peers
             .status
@@ -89,41 +89,47 @@
             && reports.iter().all(|status| lost_leader(status))
     }
 
-    /// Time since the controller named `leader` was last heard, whether it led then or not; none: it was never
-    /// heard.
+    /// Time since the last contact with the controller named `leader`, whether or not it led then; `None` if there
+    /// has been no contact.
     pub fn leader_silence(&self, clock: Clock, leader: &str) -> Option<Micros> {
         let status = self.peers.status.get(leader)?;
         Some(clock.now.since(status.last_contact))
     }
 
-    /// Whether this controller has read the records and the store serves it.
+    /// Whether this controller has read the records and the store responds to it.
     pub fn store_available(&self) -> bool {
         self.cache.synced && !self.store.is_unresponsive()
     }
 
-    /// Address of a peer that the store serves while it does not serve this controller; the leader is preferred.
+    /// Address of a reachable peer to which the store is available, preferably the leader; `None` if the store is
+    /// available to this controller.
     pub fn peer_with_store_access(&self, clock: Clock) -> Option<std::net::SocketAddr> {
         if self.store_available() {
             return None;
         }
         let leader = self.cache.leader.as_ref().map(|(record, _)| &record.node);
-        let served = |node: &String| {
+        let has_store_access = |node: &String| {
             let status = self.peers.status.get(node);
             status.is_some_and(|status| status.store_available && status.is_reachable(clock.now))
         };
-        let mut candidates = self.settings.peers.iter().filter(|peer| served(&peer.node));
+        let mut candidates = self
+            .settings
+            .peers
+            .iter()
+            .filter(|peer| has_store_access(&peer.node));
         let first = candidates.next()?;
-        let leading = candidates.find(|peer| leader == Some(&peer.node));
-        Some(leading.unwrap_or(first).address)
+        let leading_peer = candidates.find(|peer| leader == Some(&peer.node));
+        Some(leading_peer.unwrap_or(first).address)
     }
 }
 
-/// A leader, by the process that leads.
+/// A leader, identified by node, incarnation and term.
 struct LeaderIdentity<'a> {
     node: &'a str,
     /// Incarnation of the leader's process.
     incarnation: u64,
     term: u64,
-    /// Since when this leadership is known here; none: not known for the current record yet.
+    /// When this controller first observed this leadership; `None` if that is not recorded yet for the current leader
+    /// record.
     observed_since: Option<Micros>,
 }
--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries of the records for controllers that started while the store was out of reach.
+//! Summaries of the records for controllers that started while the store was unavailable.
 
 use super::ReceivedSummary;
 use crate::controller::Controller;
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// The summary for a peer that has not read the records. Sent only while no controller can read them, so
-    /// that it stays valid.
+    /// The summary for a peer that has not read the records. Sent only while the store is unavailable, so that the
+    /// summary stays valid.
     pub(super) fn record_summary_for_peer(&self, clock: Clock) -> Option<RecordSummary> {
-        let known = self.peer_coverage_ages(clock);
-        // The coverage in `known` rests on reported cancellations as well, so they belong to the summary.
+        let coverage_ages = self.peer_coverage_ages(clock);
+        // The coverage ages are based on reported cancellations as well, so the summary must contain them.
         let reported = self.peers.reported_cancellations.jobs();
         if !self.cache.synced {
             let received = &self.peers.record_summary.as_ref()?.summary;
             let cancelled: BTreeSet<&String> = received.cancelled.iter().chain(reported).collect();
             return Some(RecordSummary {
-                known,
+                known: coverage_ages,
                 cancelled: cancelled.into_iter().cloned().collect(),
                 ..received.clone()
             });
@@ -34,11 +34,11 @@
             lead: leader.clone(),
             revision: self.cache.revision,
             cancelled: recorded.chain(reported).cloned().collect(),
-            known,
+            known: coverage_ages,
         })
     }
 
-    /// Takes the summary of a peer to which a heartbeat was sent at `sent_at`.
+    /// Applies the summary in a peer's response to a heartbeat that was sent at `sent_at`.
     pub(super) fn on_record_summary(
         &mut self,
         clock: Clock,
@@ -59,8 +59,8 @@
             .filter(|previous| previous.summary.lead == summary.lead)
             .map(|previous| previous.leader_observed_since);
         if let Some(previous) = previous {
-            // The sender of newer records may not have heard of cancellations that an earlier sender had; a
-            // cancellation is final.
+            // The sender of a newer summary may lack cancellations that an earlier sender had. They stay valid, since
+            // a cancellation is final.
             summary.cancelled.extend(previous.summary.cancelled);
         }
         summary.cancelled.sort_unstable();
@@ -74,7 +74,8 @@
         });
     }
 
-    /// For each peer, how long ago everything that it had told clients was known here, in microseconds.
+    /// For each peer, the age of its coverage in microseconds: the time since this controller last had every
+    /// cancellation that the peer had reported to clients.
     pub(super) fn peer_coverage_ages(&self, clock: Clock) -> Vec<(String, u64)> {
         let age = |peer: usize| {
             let covered_until = self
@@ -90,8 +91,9 @@
             .collect()
     }
 
-    /// Extends the coverage of peers by the ages that a peer, asked at `sent_at`, has reported and whose underlying
-    /// cancellations are known here now. `reporter`: the peer itself, which is left out.
+    /// Extends the coverage of peers with the coverage ages in a response to a heartbeat that was sent at `sent_at`.
+    /// This controller must already have the cancellations on which the ages are based. `reporter` is the responding
+    /// peer if it is to be skipped.
     pub(super) fn extend_coverage(
         &mut self,
         reporter: Option<usize>,
