--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -74,7 +74,8 @@
 }
 
 impl Share {
-    /// The share of a controller; it includes its portion of the shares of unreachable peers.
+    /// The share of a controller. A leader also uses the shares of unreachable peers, and a follower without a leader
+    /// an equal share among the reachable controllers.
     fn of(cluster_view: ClusterView) -> Share {
         Share {
             requests: cluster_view.fraction(TOTAL_SHARE.requests, LEADER_SHARE.requests),
--- a/src/leadership/connectivity.rs
+++ b/src/leadership/connectivity.rs
@@ -10,7 +10,7 @@
 use crate::protocol::Micros;
 use std::collections::BTreeMap;
 
-/// Time without contact to the store and all peers after which a controller counts as isolated. A leader's lease in
+/// Time without contact with the store and all peers after which a controller counts as isolated. A leader's lease in
 /// the store has expired by then, and a follower, which sends a request every second, has had several chances of
 /// contact.
 const ISOLATION_TIMEOUT: Micros = Micros::millis(5_000);
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -13,7 +13,7 @@
 use crate::transport::{NetworkCommand, Outcome};
 use std::net::SocketAddr;
 
-/// Time without contact to the leader after which the leader may be unreachable for this controller's agents as well.
+/// Time without contact with the leader after which the leader may be unreachable for this controller's agents as well.
 const LEADER_UNREACHABLE_AFTER: Micros = Micros::millis(1_600);
 /// An agent that returns within this time after a redirect is assumed not to have reached the leader.
 const FAILED_REDIRECT_WINDOW: Micros = Micros::millis(12_000);
