--- a/src/leadership/peers.rs
+++ b/src/leadership/peers.rs
@@ -38,7 +38,7 @@
     pub(crate) last_contact: Micros,
     /// Since when it has been reachable without a gap of `LEADER_SILENCE_LIMIT` or more.
     pub(crate) reachable_since: Micros,
-    /// Milliseconds since its last contact with the leader; `None` if it has had none.
+    /// Milliseconds since its last contact with the leader at the time of its report; `None` if it has had none.
     pub(crate) leader_silent_ms: Option<u64>,
     /// Whether it has read the records and the store is available to it.
     pub(crate) store_available: bool,
