--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -273,13 +273,13 @@
         });
         let mut controller = leading_controller(machines, &pages, |_| false);
         group.bench_function(BenchmarkId::new("quiet pass", machines), |bencher| {
-            bencher.iter(|| controller.pass(clock()));
+            bencher.iter(|| controller.run_scheduling_pass(clock()));
         });
         group.bench_function(BenchmarkId::new("pass after a loss", machines), |bencher| {
             bencher.iter_batched(
                 || leading_controller(machines, &pages, |machine| machine % 4 < 2),
                 |mut controller| {
-                    controller.pass(clock());
+                    controller.run_scheduling_pass(clock());
                     controller
                 },
                 BatchSize::LargeInput,
@@ -398,7 +398,7 @@
     for jobs in [1_000, 10_000, 100_000] {
         let controller = controller_with_queue(1_250, jobs, 10, true);
         group.bench_function(BenchmarkId::new("kept from records", jobs), |bencher| {
-            bencher.iter(|| JobQueue::build(controller.cache.jobs.iter()).queued());
+            bencher.iter(|| JobQueue::build(controller.cache.jobs.iter()).queued_count());
         });
         let items: Vec<Item> = waiting_jobs(jobs, 10)
             .map(|(id, rec)| Item {
@@ -442,7 +442,7 @@
     let with_cache = resident_bytes();
     let queue = JobQueue::build(cache.jobs.iter());
     let with_queue = resident_bytes();
-    assert_eq!(queue.queued(), JOBS);
+    assert_eq!(queue.queued_count(), JOBS);
     let per_job = |bytes: u64| bytes / JOBS as u64;
     println!(
         "memory: {} bytes a waiting job in the cache, {} more in the queue",
--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -54,7 +54,7 @@
         }
         leader.dirty = false;
         leader.last_pass = now;
-        self.pass(clock);
+        self.run_scheduling_pass(clock);
         Micros::FAR
     }
 
@@ -67,7 +67,7 @@
         for id in changed {
             leader.dirty = true;
             let job = self.cache.jobs.get(&id);
-            leader.pass_state.backlog.update(&id, job);
+            leader.pass_state.job_queue.update(&id, job);
             let Some(job) = job else { continue };
             for machine in job.entries().filter_map(TaskEntry::machine) {
                 if !leader.machines_to_check.contains(machine) {
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -16,11 +16,11 @@
 /// A stop that has not been observed after this time is decided on again.
 const STOP_EXPIRY: Micros = Micros::millis(60_000);
 /// The order of task starts is kept for at most this many jobs.
-const MAX_START_ORDERS: usize = 5_000;
+const MAX_JOBS_WITH_START_ORDER: usize = 5_000;
 
 impl Controller {
     /// Runs one scheduling pass, if this controller is the leader.
-    pub fn pass(&mut self, clock: Clock) {
+    pub fn run_scheduling_pass(&mut self, clock: Clock) {
         self.on_changed_jobs();
         let Some(leader) = &mut self.leader else {
             return;
@@ -37,7 +37,7 @@
         };
         let decision = decide(&inputs, &mut state, None);
         if cfg!(debug_assertions) {
-            let consistent = state.backlog.check_consistency(self.cache.jobs.iter());
+            let consistent = state.job_queue.check_consistency(self.cache.jobs.iter());
             debug_assert_eq!(consistent, Ok(()));
         }
         leader.pass_state = state;
@@ -172,7 +172,7 @@
     fn forget_ended_jobs(&mut self, cache: &RecordCache) {
         let jobs = &cache.jobs;
         self.incomplete_gangs.retain(|id, _| jobs.contains_key(id));
-        if self.start_order.len() > MAX_START_ORDERS {
+        if self.start_order.len() > MAX_JOBS_WITH_START_ORDER {
             self.start_order.retain(|id, _| jobs.contains_key(id));
         }
     }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -91,7 +91,7 @@
         quotas,
         largest_demand: largest_demand.max(MIN_LARGEST_DEMAND),
         preemption_attempts_left: MAX_PREEMPTION_ATTEMPTS,
-        infeasible: vec![InfeasibleRequests::default(); pending.feasibility_classes()],
+        infeasible: vec![InfeasibleRequests::default(); pending.feasibility_class_count()],
         refused_requests: Vec::new(),
         wide_array_budget: WIDE_ARRAY_BUDGET,
         deferred_wide_arrays: Vec::new(),
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -39,7 +39,8 @@
         };
         let pending = [service, other].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
-            Recovery::is_urgent(entry) || pending.is_none_or(|first| entry.position() < first)
+            Recovery::has_lost_replicas(entry)
+                || pending.is_none_or(|first| entry.position() < first)
         };
         if let Some((index, entry)) = self.active.next_if(active_is_next) {
             return Some((QueueCandidate::Active(index), entry.position()));
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -43,7 +43,7 @@
         let profile = self.pending.profile_of(summary);
         let gang = profile.kind == JobKind::Gang;
         let requested = max_startable_tasks(gang, summary);
-        let permitted = self.quotas.slots(profile.team, &summary.need);
+        let permitted = self.quotas.max_tasks(profile.team, &summary.need);
         let permitted = permitted.min(requested);
         if permitted == 0 || (gang && permitted < requested) {
             return 0;
@@ -52,7 +52,7 @@
         let at_once = if gang { requested } else { 1 };
         let infeasible = &mut self.infeasible[profile.feasibility_class as usize];
         let mut no_room = infeasible.covers(&summary.need, at_once);
-        if !no_room && !self.hosts.has_room(&summary.need, &profile.allow) {
+        if !no_room && !self.hosts.has_room(&summary.need, &profile.constraints) {
             infeasible.add(&summary.need, 1);
             no_room = true;
         }
@@ -80,7 +80,7 @@
         backfilled: bool,
     ) -> u32 {
         let requested = entry.tasks.len() as u32;
-        let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
+        let permitted = self.quotas.max_tasks(entry.team, &entry.requirements.need);
         let permitted = permitted.min(requested);
         if wide_arrays::is_wide(entry) {
             return self.start_wide_array(candidate, entry, permitted, backfilled);
@@ -211,7 +211,7 @@
     fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
         let requirements = &entry.requirements;
         self.hosts.take(host, &requirements.need);
-        self.quotas.take(entry.team, &requirements.need);
+        self.quotas.deduct(entry.team, &requirements.need);
         self.hosts.add_image(host, requirements.image);
         self.plan.placements.push(TaskPlacement {
             job: entry.id.to_string(),
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -91,11 +91,11 @@
 ) -> SchedulingPlan<'static> {
     let backlog = JobQueue::default();
     let context = SchedulingContext {
-        backlog: &backlog,
+        job_queue: &backlog,
         jobs: &BTreeMap::new(),
-        guarantees: Default::default(),
+        guarantee_cutoffs: Default::default(),
         inherited_priorities: InheritedPriorities::default(),
-        fetch_rate: 1.0,
+        slowest_fetch_gb_per_s: 1.0,
         wall_clock: Micros::ZERO,
     };
     let pending = PendingJobs::new(&context, [].into_iter());
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -89,7 +89,7 @@
                 continue;
             };
             let rest = &entry.tasks[deferred.started as usize..];
-            let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
+            let permitted = self.quotas.max_tasks(entry.team, &entry.requirements.need);
             let placed = self.plan.placements.len();
             let left_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
             let tasks = permitted.min(left_in_pass).min(rest.len() as u32);
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -9,7 +9,7 @@
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{Clock, JobKind, JobSpec, Micros, Priority};
 use crate::scheduling::backfill::{PreemptibleTask, QueueEntry};
-use crate::scheduling::findings::{BrokenGang, JobFindings, TaskStop};
+use crate::scheduling::findings::{IncompleteGang, JobFindings, TaskStop};
 use crate::scheduling::job_profile::JobProfile;
 use crate::scheduling::job_queue::{QueueState, QueuedJob, Slot};
 use crate::scheduling::pass::PassInputs;
@@ -130,9 +130,9 @@
 
     /// Inspects all jobs with placed tasks, pending record changes, failures or reservations.
     pub fn build(mut self) -> ClusterSnapshot<'a> {
-        let backlog = self.context.backlog;
+        let job_queue = self.context.job_queue;
         let mut unplaced = self.unplaced_jobs_to_inspect().peekable();
-        let mut placed = backlog.placed().peekable();
+        let mut placed = job_queue.placed().peekable();
         // Both are merged in the order of ids, so that which job takes resources first does not depend
         // on why it is inspected.
         loop {
@@ -145,7 +145,7 @@
             };
             let Some((id, slot)) = next else { break };
             if let Some((id, job)) = self.context.jobs.get_key_value(id)
-                && let Some(queued) = backlog.job(slot)
+                && let Some(queued) = job_queue.job(slot)
             {
                 self.snapshot.inspected.push(slot);
                 let entry = self.inspect(id, job, queued);
@@ -162,9 +162,9 @@
         let mut ids: BTreeSet<&str> = leader.record_writer.jobs().collect();
         ids.extend(leader.failure_histories.keys().map(String::as_str));
         ids.extend(leader.reserved.values().map(|(job, _)| job.as_str()));
-        let backlog = self.context.backlog;
+        let job_queue = self.context.job_queue;
         let find_unplaced = move |id: &str| {
-            let (slot, queued) = backlog.find(id)?;
+            let (slot, queued) = job_queue.find(id)?;
             (queued.state != QueueState::Placed).then_some((&*queued.id, slot))
         };
         ids.into_iter().filter_map(find_unplaced)
@@ -186,7 +186,7 @@
         let inspected = self.inspected_job(id, job, queued);
         let tally = self.tally_attempts(&inspected);
         let findings = &mut self.snapshot.findings;
-        findings.placed_tasks += tally.present.len() + tally.lost;
+        findings.placed_tasks += tally.present.len() + tally.ended_attempts;
         if !queued.active {
             if tally.present.is_empty() && !inspected.in_flight {
                 findings.cleanable_jobs.push(id.to_string());
@@ -199,8 +199,8 @@
             return None;
         }
         if inspected.kind() == JobKind::Gang && !tally.present.is_empty() {
-            if tally.lost > 0 {
-                self.add_broken_gang(id, &tally);
+            if tally.ended_attempts > 0 {
+                self.add_incomplete_gang(id, &tally);
             }
             return None;
         }
@@ -216,13 +216,16 @@
             id,
             job,
             queued,
-            profile: self.context.backlog.profile_of(queued),
+            profile: self.context.job_queue.profile_of(queued),
             pending_placements: leader.record_writer.unrecorded_places(id).collect(),
             in_flight: leader.record_writer.in_flight(id),
             stops: leader.stopping.get(id),
             start_order: leader.start_order.get(id),
             guaranteed: self.context.guaranteed(queued),
-            priority: self.context.inherited_priorities.of(id, job),
+            priority: self
+                .context
+                .inherited_priorities
+                .effective_priority(id, job),
         }
     }
 
@@ -238,15 +241,18 @@
 
     /// Takes note of a gang that has lost a member, and stops the other members at once, unless one of
     /// them is saving a checkpoint.
-    fn add_broken_gang(&mut self, id: &str, tally: &AttemptTally) {
-        self.snapshot.findings.incomplete_gangs.push(BrokenGang {
-            job: id.to_string(),
-            attempt: tally.latest_attempt,
-        });
+    fn add_incomplete_gang(&mut self, id: &str, tally: &AttemptTally) {
+        self.snapshot
+            .findings
+            .incomplete_gangs
+            .push(IncompleteGang {
+                job: id.to_string(),
+                attempt: tally.latest_attempt,
+            });
         let saving = TaskLiveness::Present(TaskPhase::Saving);
-        let mut members = tally.members.iter();
+        let mut members = tally.gang_members.iter();
         if members.all(|(_, liveness)| *liveness != saving) {
-            let tasks = tally.members.iter().map(|(task, _)| *task);
+            let tasks = tally.gang_members.iter().map(|(task, _)| *task);
             self.add_stops(id, tasks, 0.0);
         }
     }
@@ -258,7 +264,7 @@
         // The retry backoff of a failing job does not apply while tasks of it are running.
         let failures = self.leader.failure_histories.get(inspected.id);
         let in_backoff = failures.is_some_and(|failures| failures.retry_at > self.clock.now)
-            && !tally.is_running
+            && !tally.has_running_task
             && queued.unfinished == queued.tasks;
         // Replicas of a service may be placed while others are being written: if they had to wait, jobs
         // that arrived later would take their resources. For other jobs the pending change may be an
@@ -281,15 +287,15 @@
         if tasks.is_empty() {
             return None;
         }
-        let is_displaced = |task: &&u32| tally.displaced.binary_search(task).is_ok();
-        let lost = tasks.iter().filter(is_displaced).count();
+        let is_lost = |task: &&u32| tally.lost_tasks.binary_search(task).is_ok();
+        let lost_count = tasks.iter().filter(is_lost).count();
         let lost_tasks = &mut self.snapshot.findings.lost_tasks;
-        lost_tasks.add(inspected.kind(), lost);
+        lost_tasks.add(inspected.kind(), lost_count);
         let mut entry =
             self.context
                 .queue_entry(inspected.id, inspected.job, inspected.queued, tasks);
         entry.present = tally.present;
-        entry.lost_tasks = lost as u32;
+        entry.lost_tasks = lost_count as u32;
         if let Some(failures) = self.leader.failure_histories.get(inspected.id) {
             let machines = failures.machines.keys();
             let host_table = &self.snapshot.host_table;
@@ -314,20 +320,20 @@
                     host.open = false;
                     continue;
                 };
-                let places_it = |entry: &TaskEntry| {
+                let matches_placement = |entry: &TaskEntry| {
                     let attempt = (entry.task(), entry.attempt());
                     attempt == (status.task, status.attempt) && entry.machine().is_some()
                 };
-                if !job.entry(status.task).is_some_and(places_it)
+                if !job.entry(status.task).is_some_and(matches_placement)
                     && !leader
                         .record_writer
                         .unrecorded_places(&status.job)
-                        .any(places_it)
-                    && let Some((_, queued)) = context.backlog.find(&status.job)
+                        .any(matches_placement)
+                    && let Some((_, queued)) = context.job_queue.find(&status.job)
                 {
                     host.take(&queued.need);
-                    let team = context.backlog.profile_of(queued).team;
-                    quotas.take(team, &queued.need);
+                    let team = context.job_queue.profile_of(queued).team;
+                    quotas.deduct(team, &queued.need);
                 }
             }
         }
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -28,34 +28,34 @@
     /// Tasks that must not be started: they are presumed to run, or done. Sorted.
     pub(super) occupied: Vec<u32>,
     /// Tasks that were lost with their machine or with their gang. Sorted.
-    pub(super) displaced: Vec<u32>,
+    pub(super) lost_tasks: Vec<u32>,
     /// Number of attempts that have ended or are gone.
-    pub(super) lost: usize,
+    pub(super) ended_attempts: usize,
     pub(super) latest_attempt: u64,
     /// An attempt runs on a machine whose zone is unknown.
     pub(super) has_unknown_zone: bool,
     /// A gang of which a member has reported that it is done.
     pub(super) gang_is_done: bool,
     /// A task is running.
-    pub(super) is_running: bool,
+    pub(super) has_running_task: bool,
     /// Members of a gang that must be presumed to run.
-    pub(super) members: Vec<(u32, TaskLiveness)>,
+    pub(super) gang_members: Vec<(u32, TaskLiveness)>,
 }
 
 impl AttemptTally {
     /// Takes note of an attempt that is on record.
-    fn add_recorded(&mut self, task: u32, liveness: TaskLiveness, presumed: bool) {
-        if presumed || liveness == TaskLiveness::Ended(ExitReason::Done) {
+    fn add_recorded(&mut self, task: u32, liveness: TaskLiveness, presumed_running: bool) {
+        if presumed_running || liveness == TaskLiveness::Ended(ExitReason::Done) {
             self.occupied.push(task);
             return;
         }
-        // A task that was stopped or has failed does not count as displaced.
-        let displaced = matches!(
+        // A task that was stopped or has failed does not count as lost_tasks.
+        let is_lost = matches!(
             liveness,
             TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::GangMemberGone)
         );
-        if displaced {
-            self.displaced.push(task);
+        if is_lost {
+            self.lost_tasks.push(task);
         }
     }
 }
@@ -91,13 +91,13 @@
         let task = attempt.task();
         let active = inspected.queued.active;
         let LocatedAttempt { liveness, host } = self.locate(inspected.id, attempt, machine);
-        let presumed =
+        let presumed_running =
             liveness.may_be_running(|| active && self.leader.may_be_started(inspected.id, attempt));
         if is_recorded {
-            tally.add_recorded(task, liveness, presumed);
+            tally.add_recorded(task, liveness, presumed_running);
         }
-        if !presumed {
-            tally.lost += 1;
+        if !presumed_running {
+            tally.ended_attempts += 1;
             let is_done = liveness == TaskLiveness::Ended(ExitReason::Done);
             if is_done && active && !inspected.in_flight {
                 tally.gang_is_done = inspected.kind() == JobKind::Gang;
@@ -109,19 +109,19 @@
             return;
         }
         tally.latest_attempt = tally.latest_attempt.max(attempt.attempt());
-        tally.is_running |= liveness == TaskLiveness::Present(TaskPhase::Running);
+        tally.has_running_task |= liveness == TaskLiveness::Present(TaskPhase::Running);
         if inspected.kind() == JobKind::Gang {
-            tally.members.push((task, liveness));
+            tally.gang_members.push((task, liveness));
         }
         let zone = match host {
             Some(host) => Some(self.occupy_host(inspected, attempt, host, liveness)),
-            None => self.zone_off_table(machine),
+            None => self.zone_of_unlisted_machine(machine),
         };
         tally.has_unknown_zone |= zone.is_none();
         tally.present.push((zone.unwrap_or(UNKNOWN_ZONE), host));
         let need = &inspected.queued.need;
         let class = inspected.profile.class;
-        self.snapshot.quotas.take(inspected.profile.team, need);
+        self.snapshot.quotas.deduct(inspected.profile.team, need);
         *self.snapshot.usage_by_class.entry(class).or_default() +=
             dominant_share(&self.cluster_total, need);
     }
@@ -160,7 +160,7 @@
         }
         let zone = host.zone;
         if liveness == TaskLiveness::Present(TaskPhase::Running) {
-            self.save_before_reclaim(inspected, task, host_index);
+            self.checkpoint_before_reclaim(inspected, task, host_index);
         }
         if inspected.is_preemptible(task) {
             let preemptible = preemptible_task(inspected, attempt, host_index);
@@ -171,7 +171,7 @@
 
     /// Stops a running task that can save if its spot instance is about to be reclaimed and enough time
     /// for that is left. A gang stops as a whole.
-    fn save_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
+    fn checkpoint_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
         let spec = inspected.spec();
         let grace_s = stop_grace_s(inspected.job);
         let reclaimed_at = self.snapshot.host_table.agents[host].preemption_at;
@@ -183,9 +183,9 @@
     }
 
     /// The zone of a machine that is not in the host table, if it is known.
-    fn zone_off_table(&self, machine: &str) -> Option<u32> {
+    fn zone_of_unlisted_machine(&self, machine: &str) -> Option<u32> {
         let zone = self.leader.zone_of(machine)?;
-        self.context.backlog.names.find(&zone)
+        self.context.job_queue.names.find(&zone)
     }
 }
 
--- a/src/scheduling/cluster_snapshot/startable.rs
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -25,7 +25,8 @@
         let mut tasks = unfinished_tasks(inspected.job, is_taken);
         let failures = leader.failure_histories.get(inspected.id);
         let is_failing = failures.is_some_and(|failures| {
-            let recovered = tally.is_running && failures.has_not_failed_recently(self.clock.now);
+            let recovered =
+                tally.has_running_task && failures.has_not_failed_recently(self.clock.now);
             failures.is_at_fault() && !recovered
         });
         if inspected.kind() == JobKind::Array && is_failing {
@@ -50,8 +51,9 @@
         let first = chunk * TASKS_PER_CHUNK;
         let done = job.chunk_of(first).map_or(0, |chunk| chunk.done);
         let chunk_tasks = first..spec.tasks.min(first + TASKS_PER_CHUNK);
-        let is_open = |task: &u32| done & (1 << (task % TASKS_PER_CHUNK)) == 0 && !is_taken(*task);
-        tasks.extend(chunk_tasks.filter(is_open).take(limit - tasks.len()));
+        let is_startable =
+            |task: &u32| done & (1 << (task % TASKS_PER_CHUNK)) == 0 && !is_taken(*task);
+        tasks.extend(chunk_tasks.filter(is_startable).take(limit - tasks.len()));
         if tasks.len() >= limit {
             break;
         }
--- a/src/scheduling/findings.rs
+++ b/src/scheduling/findings.rs
@@ -26,7 +26,7 @@
 
 /// A gang that has lost a member.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BrokenGang {
+pub struct IncompleteGang {
     /// Job id.
     pub job: String,
     /// The latest attempt that is known to be affected.
@@ -43,7 +43,7 @@
     /// Tasks to stop.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
-    pub incomplete_gangs: Vec<BrokenGang>,
+    pub incomplete_gangs: Vec<IncompleteGang>,
     /// A job waits for its retry backoff, so another pass is needed.
     pub has_backoff: bool,
     /// Tasks that have lost their machine and are waiting for a new one.
--- a/src/scheduling/guarantee.rs
+++ b/src/scheduling/guarantee.rs
@@ -11,9 +11,9 @@
 /// By team with a guarantee: the last of its jobs, in order of arrival, that fits into the guarantee
 /// together with all earlier ones. `None` if not even the first does.
 #[derive(Debug, Default)]
-pub struct GuaranteeWindow(HashMap<u32, Option<Arrival>>);
+pub struct GuaranteeCutoffs(HashMap<u32, Option<Arrival>>);
 
-impl GuaranteeWindow {
+impl GuaranteeCutoffs {
     /// Whether a job fits into its team's guarantee.
     pub fn covers(&self, team: u32, accepted_at: Micros, id: &str) -> bool {
         match self.0.get(&team) {
@@ -27,29 +27,29 @@
 
 impl JobQueue {
     /// Determines how far the guarantee of each team reaches.
-    pub fn guarantee_window(&self, teams: &[Team]) -> GuaranteeWindow {
-        let mut window = HashMap::new();
+    pub fn guarantee_cutoffs(&self, teams: &[Team]) -> GuaranteeCutoffs {
+        let mut last_covered = HashMap::new();
         for team in teams {
             let has_guarantee = team.cpus > 0.0 || team.gpus > 0.0;
             if has_guarantee && let Some(team_id) = self.names.find(&team.name) {
-                let last = self.last_guaranteed(team, self.jobs_of_team(team_id));
-                window.insert(team_id, last.cloned());
+                let last = self.last_covered_job(team, self.jobs_of_team(team_id));
+                last_covered.insert(team_id, last.cloned());
             }
         }
-        GuaranteeWindow(window)
+        GuaranteeCutoffs(last_covered)
     }
 
     /// The last job that fits into a guarantee. The unfinished tasks of jobs add up in order of arrival,
     /// so past the first job that does not fit none does, and the walk ends there however long the
     /// queue is.
-    fn last_guaranteed<'q>(
+    fn last_covered_job<'q>(
         &'q self,
         team: &Team,
         jobs: impl Iterator<Item = (&'q Arrival, Slot)>,
     ) -> Option<&'q Arrival> {
-        let guaranteed = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
-        let mut cpus = guaranteed(team.cpus);
-        let mut gpus = guaranteed(team.gpus);
+        let or_unlimited = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+        let mut remaining_cpus = or_unlimited(team.cpus);
+        let mut remaining_gpus = or_unlimited(team.gpus);
         let mut last = None;
         for (arrival, slot) in jobs {
             let Some(QueuedJob {
@@ -59,9 +59,9 @@
                 continue;
             };
             let tasks = f64::from(*unfinished);
-            cpus -= need[0] * tasks;
-            gpus -= need[1] * tasks;
-            if cpus < -TOLERANCE || gpus < -TOLERANCE {
+            remaining_cpus -= need[0] * tasks;
+            remaining_gpus -= need[1] * tasks;
+            if remaining_cpus < -TOLERANCE || remaining_gpus < -TOLERANCE {
                 break;
             }
             last = Some(arrival);
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -48,7 +48,8 @@
         };
         for (name, agent) in &leader.agents {
             let mut types = cache.machine_types.iter().flatten();
-            let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
+            let Some(machine_type) = types.find(|candidate| candidate.name == agent.machine_type)
+            else {
                 continue;
             };
             if agent.epoch_ended() || leader.fleet.is_gone(name) {
@@ -95,11 +96,13 @@
     let leader = inputs.leader;
     let now = inputs.clock.now;
     let report_interval_s = inputs.settings.params.agents.report_s;
-    let fresh = Micros::secs(report_interval_s * FRESH_REPORTS);
+    let max_answer_age = Micros::secs(report_interval_s * FRESH_REPORTS);
     // Only answers to heartbeats renew an agent's lease: an agent that answers direct commands but
     // reaches no controller is about to lose all of its tasks.
     agent.term == leader.term
-        && agent.last_answered_at.is_some_and(|at| now < at + fresh)
+        && agent
+            .last_answered_at
+            .is_some_and(|at| now < at + max_answer_age)
         && agent.preemption_at.is_none()
         && agent.reachability.receives()
         && !leader.fleet.leaving(name)
@@ -120,7 +123,7 @@
 }
 
 /// When more machines than this are known, all are dropped, and with them those that are gone.
-const MAX_KNOWN_MACHINES: usize = 8_000;
+const MAX_CACHED_MACHINES: usize = 8_000;
 
 impl ImageAvailability {
     fn images_on(
@@ -131,22 +134,22 @@
         names: &mut NameTable,
     ) -> Arc<Vec<u32>> {
         let version = cache.image_caches.version(machine);
-        if let Some(known) = self.0.get(machine)
-            && (known.version, known.cache_gb) == (version, cache_gb)
+        if let Some(cached) = self.0.get(machine)
+            && (cached.version, cached.cache_gb) == (version, cache_gb)
         {
-            return known.images.clone();
+            return cached.images.clone();
         }
-        if self.0.len() > MAX_KNOWN_MACHINES {
+        if self.0.len() > MAX_CACHED_MACHINES {
             self.0.clear();
         }
         let image_names = cache.image_caches.of(machine, cache_gb);
         let images: Arc<Vec<u32>> = Arc::new(image_names.map(|name| names.id(name)).collect());
-        let known = CachedImages {
+        let cached = CachedImages {
             version,
             cache_gb,
             images: images.clone(),
         };
-        self.0.insert(machine.into(), known);
+        self.0.insert(machine.into(), cached);
         images
     }
 
--- a/src/scheduling/job_profile.rs
+++ b/src/scheduling/job_profile.rs
@@ -17,11 +17,11 @@
     /// Priority of the job itself, without what it inherits.
     pub priority: Priority,
     /// Machines that the job may use.
-    pub allow: Arc<PlacementConstraints>,
+    pub constraints: Arc<PlacementConstraints>,
     /// Its tasks save checkpoints.
-    pub saves: bool,
+    pub saves_checkpoints: bool,
     /// Its tasks start one by one, and the zones of those that run restrict the zones of the others.
-    pub zoned: bool,
+    pub has_zone_constraint: bool,
     /// Number of everything besides amounts that the search for free resources depends on: jobs with
     /// the same number fit on the same machines.
     pub feasibility_class: u32,
@@ -40,21 +40,21 @@
 #[derive(Debug, Default)]
 pub(crate) struct ProfileTable {
     profiles: Vec<JobProfile>,
-    numbers: HashMap<JobProfile, u32>,
+    ids: HashMap<JobProfile, u32>,
     feasibility_classes: HashMap<FeasibilityClass, u32>,
 }
 
 impl ProfileTable {
     /// The number of a job's profile. Adds the profile if it is new.
-    pub(crate) fn number(&mut self, spec: &JobSpec, names: &mut NameTable) -> u32 {
+    pub(crate) fn id_of(&mut self, spec: &JobSpec, names: &mut NameTable) -> u32 {
         let profile = self.profile(spec, names);
-        if let Some(number) = self.numbers.get(&profile) {
-            return *number;
+        if let Some(id) = self.ids.get(&profile) {
+            return *id;
         }
-        let number = self.profiles.len() as u32;
+        let id = self.profiles.len() as u32;
         self.profiles.push(profile.clone());
-        self.numbers.insert(profile, number);
-        number
+        self.ids.insert(profile, id);
+        id
     }
 
     fn profile(&mut self, spec: &JobSpec, names: &mut NameTable) -> JobProfile {
@@ -71,20 +71,20 @@
             team: names.id(&spec.team),
             class: names.id(&spec.class),
             priority: spec.priority,
-            allow: constraints,
-            saves: spec.saves_checkpoints(),
-            zoned: spec.has_zone_constraint(),
+            constraints,
+            saves_checkpoints: spec.saves_checkpoints(),
+            has_zone_constraint: spec.has_zone_constraint(),
             feasibility_class: *self.feasibility_classes.entry(class).or_insert(next_class),
         }
     }
 
     /// The profile with this number.
-    pub(crate) fn get(&self, number: u32) -> &JobProfile {
-        &self.profiles[number as usize]
+    pub(crate) fn get(&self, id: u32) -> &JobProfile {
+        &self.profiles[id as usize]
     }
 
     /// How many different searches for free resources there are.
-    pub(crate) fn feasibility_classes(&self) -> usize {
+    pub(crate) fn feasibility_class_count(&self) -> usize {
         self.feasibility_classes.len()
     }
 }
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-pub use crate::scheduling::guarantee::GuaranteeWindow;
+pub use crate::scheduling::guarantee::GuaranteeCutoffs;
 pub use crate::scheduling::job_profile::JobProfile;
 
 mod consistency;
@@ -37,7 +37,7 @@
     /// Slot of the job.
     pub slot: Slot,
     /// Number of its profile.
-    pub profile: u32,
+    pub profile_id: u32,
     /// Resources that one task needs.
     pub need: Resources,
     /// Number of tasks that are not done.
@@ -87,7 +87,7 @@
     /// Resources that one task needs.
     pub need: Resources,
     /// Number of its profile.
-    pub profile: u32,
+    pub profile_id: u32,
     /// Image, as the number of its name.
     pub image: u32,
     /// Number of tasks.
@@ -108,14 +108,14 @@
     fn summary(&self, slot: Slot) -> JobSummary {
         JobSummary {
             slot,
-            profile: self.profile,
+            profile_id: self.profile_id,
             need: self.need,
             unfinished: self.unfinished,
         }
     }
 
     /// Whether the job counts towards its team's guarantee.
-    fn counts_for_team(&self) -> bool {
+    fn counts_towards_guarantee(&self) -> bool {
         self.active && self.state != QueueState::AwaitingDependencies
     }
 
@@ -131,9 +131,9 @@
     /// Numbers of names that the queued jobs refer to.
     pub names: NameTable,
     /// Size of the name table after the first pass.
-    initial_names: Option<usize>,
+    initial_name_count: Option<usize>,
     is_built: bool,
-    jobs: Vec<Option<QueuedJob>>,
+    slots: Vec<Option<QueuedJob>>,
     unused_slots: Vec<Slot>,
     // Clients choose the ids: unlike the others, the standard hasher resists deliberate collisions.
     by_id: std::collections::HashMap<Arc<str>, Slot>,
@@ -171,13 +171,14 @@
     /// Whether the queue must be rebuilt: it was never built, or most of its names are probably no
     /// longer in use.
     pub fn needs_rebuild(&self) -> bool {
-        let has_grown = |initial: usize| self.names.len() > 2 * initial + MAX_NAME_GROWTH;
-        !self.is_built || self.initial_names.is_some_and(has_grown)
+        let has_grown =
+            |initial_count: usize| self.names.len() > 2 * initial_count + MAX_NAME_GROWTH;
+        !self.is_built || self.initial_name_count.is_some_and(has_grown)
     }
 
     /// Notes that a pass has added the names of machines, teams and images.
     pub fn mark_names_complete(&mut self) {
-        self.initial_names = self.initial_names.or(Some(self.names.len()));
+        self.initial_name_count = self.initial_name_count.or(Some(self.names.len()));
     }
 
     /// Replaces a job whose record has changed. `None` removes it.
@@ -195,13 +196,13 @@
         let Some(slot) = self.by_id.remove(id) else {
             return;
         };
-        let Some(queued) = self.jobs[slot as usize].take() else {
+        let Some(queued) = self.slots[slot as usize].take() else {
             return;
         };
         self.unused_slots.push(slot);
-        let profile = self.profiles.get(queued.profile);
+        let profile = self.profiles.get(queued.profile_id);
         let arrival = queued.arrival();
-        if queued.counts_for_team()
+        if queued.counts_towards_guarantee()
             && let Some(team_jobs) = self.by_team.get_mut(&profile.team)
         {
             team_jobs.remove(&arrival);
@@ -223,35 +224,35 @@
 
     fn insert(&mut self, id: &str, job: &Job) {
         let spec = &job.record.spec;
-        let profile = self.profiles.number(spec, &mut self.names);
+        let profile_id = self.profiles.id_of(spec, &mut self.names);
         let queued = QueuedJob {
             id: id.into(),
             accepted_at: job.record.at,
             released_at: job.released_at,
             estimate: Estimate(spec.estimate_s),
             need: task_resources(spec),
-            profile,
+            profile_id,
             image: self.names.id(&spec.image),
             tasks: spec.tasks,
             unfinished: u64::from(spec.tasks).saturating_sub(job.done_count()) as u32,
             state: queue_state(job),
             active: job.active(),
         };
-        let next_slot = self.jobs.len() as Slot;
+        let next_slot = self.slots.len() as Slot;
         let slot = self.unused_slots.pop().unwrap_or(next_slot);
-        self.add_to_orders(&queued, slot);
+        self.add_to_indexes(&queued, slot);
         self.by_id.insert(queued.id.clone(), slot);
-        match self.jobs.get_mut(slot as usize) {
+        match self.slots.get_mut(slot as usize) {
             Some(unused) => *unused = Some(queued),
-            None => self.jobs.push(Some(queued)),
+            None => self.slots.push(Some(queued)),
         }
     }
 
-    fn add_to_orders(&mut self, queued: &QueuedJob, slot: Slot) {
-        let profile = self.profiles.get(queued.profile);
+    fn add_to_indexes(&mut self, queued: &QueuedJob, slot: Slot) {
+        let profile = self.profiles.get(queued.profile_id);
         let arrival = queued.arrival();
         let summary = queued.summary(slot);
-        if queued.counts_for_team() {
+        if queued.counts_towards_guarantee() {
             let demand = queued.demand(&self.typical_host);
             self.largest_demand = self.largest_demand.max(demand);
             let team_jobs = self.by_team.entry(profile.team).or_default();
@@ -275,7 +276,7 @@
 
     /// The job in a slot.
     pub fn job(&self, slot: Slot) -> Option<&QueuedJob> {
-        self.jobs.get(slot as usize)?.as_ref()
+        self.slots.get(slot as usize)?.as_ref()
     }
 
     /// The job with this id, and its slot.
@@ -286,12 +287,12 @@
 
     /// The profile of a job.
     pub fn profile_of(&self, queued: &QueuedJob) -> &JobProfile {
-        self.profiles.get(queued.profile)
+        self.profiles.get(queued.profile_id)
     }
 
     /// The profile with this number.
-    pub fn profile(&self, number: u32) -> &JobProfile {
-        self.profiles.get(number)
+    pub fn profile(&self, id: u32) -> &JobProfile {
+        self.profiles.get(id)
     }
 
     /// What the placement of a job's tasks depends on.
@@ -299,25 +300,25 @@
         let profile = self.profile_of(queued);
         TaskRequirements {
             need: queued.need,
-            allow: profile.allow.clone(),
-            saves: profile.saves,
+            allow: profile.constraints.clone(),
+            saves: profile.saves_checkpoints,
             image: queued.image,
             avoid: Vec::new(),
         }
     }
 
     /// How many different searches for free resources there are. Profiles number them from 0.
-    pub fn feasibility_classes(&self) -> usize {
-        self.profiles.feasibility_classes()
+    pub fn feasibility_class_count(&self) -> usize {
+        self.profiles.feasibility_class_count()
     }
 
     /// Upper bound of all slots.
     pub fn slot_count(&self) -> usize {
-        self.jobs.len()
+        self.slots.len()
     }
 
     /// Number of jobs in the queue that have no placed task.
-    pub fn queued(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.services.len() + self.batch_jobs.len()
     }
 
@@ -352,9 +353,9 @@
     pub fn largest_demand(&mut self, typical_host: Resources) -> f64 {
         if self.typical_host != typical_host {
             self.typical_host = typical_host;
-            let jobs = self.jobs.iter().flatten();
+            let jobs = self.slots.iter().flatten();
             self.largest_demand = jobs
-                .filter(|queued| queued.counts_for_team())
+                .filter(|queued| queued.counts_towards_guarantee())
                 .map(|queued| queued.demand(&typical_host))
                 .fold(0.0, f64::max);
         }
--- a/src/scheduling/job_queue/consistency.rs
+++ b/src/scheduling/job_queue/consistency.rs
@@ -5,32 +5,32 @@
 use std::collections::BTreeMap;
 
 impl JobQueue {
-    /// Compares the queue with one that is built from `jobs`. The error names the first order that
+    /// Compares the queue with one that is built from `jobs`. The error names the first index that
     /// differs, and how.
     pub fn check_consistency<'a>(
         &self,
         jobs: impl Iterator<Item = (&'a String, &'a Job)>,
     ) -> Result<(), String> {
-        let actual = self.describe_orders();
-        let expected = JobQueue::build(jobs).describe_orders();
-        for order in actual.keys().chain(expected.keys()) {
-            let (actual, expected) = (actual.get(order), expected.get(order));
+        let actual = self.describe_indexes();
+        let expected = JobQueue::build(jobs).describe_indexes();
+        for index in actual.keys().chain(expected.keys()) {
+            let (actual, expected) = (actual.get(index), expected.get(index));
             if actual != expected {
                 return Err(format!(
-                    "order {order}: the queue has {actual:?}, the records give {expected:?}"
+                    "index {index}: the queue has {actual:?}, the records give {expected:?}"
                 ));
             }
         }
         Ok(())
     }
 
-    /// By name: every order that is not empty, with a description of each job.
-    fn describe_orders(&self) -> BTreeMap<String, Vec<String>> {
+    /// By name: every index that is not empty, with a description of each job.
+    fn describe_indexes(&self) -> BTreeMap<String, Vec<String>> {
         let services = self.services().map(|(_, summary)| summary.slot);
         let batch_jobs = self.batch_jobs().map(|(_, summary)| summary.slot);
         let by_estimate = self.batch_by_estimate().map(|(_, summary)| summary.slot);
         let placed = self.placed().map(|(_, slot)| slot);
-        let mut orders = BTreeMap::from([
+        let mut indexes = BTreeMap::from([
             ("services".to_string(), self.describe(services)),
             ("batch jobs".to_string(), self.describe(batch_jobs)),
             (
@@ -40,11 +40,11 @@
             ("placed".to_string(), self.describe(placed)),
         ]);
         for (team, jobs) in &self.by_team {
-            let order = format!("team {}", self.names.name(*team));
-            orders.insert(order, self.describe(jobs.values().copied()));
+            let index = format!("team {}", self.names.name(*team));
+            indexes.insert(index, self.describe(jobs.values().copied()));
         }
-        orders.retain(|_, jobs| !jobs.is_empty());
-        orders
+        indexes.retain(|_, jobs| !jobs.is_empty());
+        indexes
     }
 
     fn describe(&self, slots: impl Iterator<Item = Slot>) -> Vec<String> {
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -107,11 +107,11 @@
         ("d".to_string(), red_job(4, 1, 0)),
     ]);
     let queue = JobQueue::build(jobs.iter());
-    let window = queue.guarantee_window(&[team]);
+    let cutoffs = queue.guarantee_cutoffs(&[team]);
     let red = queue.names.find("red").expect("a team of a job is named");
     let covered: Vec<&String> = jobs
         .iter()
-        .filter(|(id, job)| window.covers(red, job.record.at, id))
+        .filter(|(id, job)| cutoffs.covers(red, job.record.at, id))
         .map(|(id, _)| id)
         .collect();
     assert_eq!(covered, ["a", "b"]);
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -22,7 +22,7 @@
 use std::collections::HashSet;
 
 /// Lower bound of the image fetch rate, in GB a second: fetch times are divided by it.
-const MIN_FETCH_RATE: f64 = 1e-3;
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// A task that is to be started.
 #[derive(Debug, Clone, PartialEq)]
@@ -90,15 +90,15 @@
 #[derive(Default)]
 pub struct PassState {
     /// The queue of jobs.
-    pub backlog: JobQueue,
+    pub job_queue: JobQueue,
     images: ImageAvailability,
 }
 
 impl PassState {
     /// Rebuilds the state from the records if it was never built or its name table has grown too far.
     fn refresh(&mut self, cache: &RecordCache) {
-        if self.backlog.needs_rebuild() {
-            self.backlog = JobQueue::build(cache.jobs.iter());
+        if self.job_queue.needs_rebuild() {
+            self.job_queue = JobQueue::build(cache.jobs.iter());
             self.images.clear();
         }
     }
@@ -108,7 +108,7 @@
         let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
         let mut quotas = QuotaTracker::default();
         for team in &settings.params.teams {
-            let team_id = self.backlog.names.id(&team.name);
+            let team_id = self.job_queue.names.id(&team.name);
             quotas.set_limit(team_id, [limit(team.cpus_max), limit(team.gpus_max)]);
         }
         quotas
@@ -124,15 +124,15 @@
 ) -> PassDecision {
     let PassInputs { leader, cache, .. } = *inputs;
     state.refresh(cache);
-    let host_table = HostTable::build(inputs, &mut state.backlog.names, &mut state.images);
+    let host_table = HostTable::build(inputs, &mut state.job_queue.names, &mut state.images);
     let quotas = state.team_quotas(inputs.settings);
-    autoscaler::assign_name_ids(leader, cache, &mut state.backlog.names);
-    let queue_demand = state.backlog.largest_demand(host_table.typical_host());
+    autoscaler::assign_name_ids(leader, cache, &mut state.job_queue.names);
+    let queue_demand = state.job_queue.largest_demand(host_table.typical_host());
     let largest_demand = leader.max_demand.max(queue_demand);
-    let context = scheduling_context(inputs, &state.backlog);
+    let context = scheduling_context(inputs, &state.job_queue);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
-    let knows_agents = leader.agents_known(inputs.settings, inputs.clock.now);
-    prepare_snapshot(&mut snapshot, knows_agents);
+    let agents_known = leader.agents_known(inputs.settings, inputs.clock.now);
+    prepare_snapshot(&mut snapshot, agents_known);
     let ClusterSnapshot {
         mut host_table,
         mut quotas,
@@ -152,15 +152,15 @@
         &mut quotas,
         largest_demand,
     );
-    let placed = PlacedQueue {
+    let outcome = PlacementOutcome {
         entries: &entries,
         pending: &pending,
         host_table: &host_table,
         capacity: &capacity,
         plan: &plan,
-        knows_agents,
+        agents_known,
     };
-    let scaling = placed.scaling_plan(inputs, &context.backlog.names, unplaced);
+    let scaling = outcome.scaling_plan(inputs, &context.job_queue.names, unplaced);
     let decision = PassDecision {
         starts: task_starts(plan.placements, &host_table, &capacity, cache),
         preemptions: task_refs(plan.preemptions),
@@ -172,12 +172,12 @@
         waiting_jobs: entries.len() + pending.count(),
         machine_count: capacity.len(),
     };
-    state.backlog.mark_names_complete();
+    state.job_queue.mark_names_complete();
     decision
 }
 
 /// The queue and the machines after tasks have been placed.
-struct PlacedQueue<'p, 'a> {
+struct PlacementOutcome<'p, 'a> {
     /// Entries of the inspected jobs.
     entries: &'p [QueueEntry<'a>],
     /// All other queued jobs.
@@ -187,10 +187,10 @@
     capacity: &'p CapacityIndex,
     plan: &'p SchedulingPlan<'a>,
     /// The leader has been in office long enough to know all agents.
-    knows_agents: bool,
+    agents_known: bool,
 }
 
-impl PlacedQueue<'_, '_> {
+impl PlacementOutcome<'_, '_> {
     /// Plans which machines to rent and to return. `unplaced` receives the jobs with unmet demand.
     fn scaling_plan(
         &self,
@@ -216,31 +216,34 @@
             clock: inputs.clock,
             hosts: self.host_table,
             rooms: self.capacity,
-            agents_known: self.knows_agents,
+            agents_known: self.agents_known,
         };
         autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.unmet_demands)
     }
 }
 
 /// What a pass has to know about any job besides its record.
-fn scheduling_context<'a>(inputs: &PassInputs<'a>, backlog: &'a JobQueue) -> SchedulingContext<'a> {
+fn scheduling_context<'a>(
+    inputs: &PassInputs<'a>,
+    job_queue: &'a JobQueue,
+) -> SchedulingContext<'a> {
     let types = inputs.cache.machine_types.iter().flatten();
-    let slowest_fetch = types
+    let slowest_gb_per_s = types
         .map(|machine_type| machine_type.fetch_gb_per_s)
         .fold(f64::INFINITY, f64::min);
     SchedulingContext {
-        backlog,
+        job_queue,
         jobs: &inputs.cache.jobs,
-        guarantees: backlog.guarantee_window(&inputs.settings.params.teams),
+        guarantee_cutoffs: job_queue.guarantee_cutoffs(&inputs.settings.params.teams),
         inherited_priorities: InheritedPriorities::new(inputs.cache),
-        fetch_rate: slowest_fetch.max(MIN_FETCH_RATE),
+        slowest_fetch_gb_per_s: slowest_gb_per_s.max(MIN_FETCH_GB_PER_S),
         wall_clock: inputs.clock.wall,
     }
 }
 
 /// Sorts the queue entries, releases reservations of jobs that no longer wait, and determines which
 /// tasks may be preempted: none while the leader does not know all agents yet.
-fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, knows_agents: bool) {
+fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, agents_known: bool) {
     Recovery::sort_entries(&mut snapshot.entries);
     let waiting: HashSet<&str> = snapshot.entries.iter().map(|entry| entry.id).collect();
     for host in &mut snapshot.host_table.hosts {
@@ -250,7 +253,7 @@
             host.reserved = None;
         }
     }
-    if !knows_agents {
+    if !agents_known {
         snapshot.preemptible.clear();
     }
     backfill::mark_exempt_tasks(&mut snapshot.preemptible, &snapshot.usage_by_class);
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{JobKind, Micros, Priority};
 use crate::scheduling::backfill::{QueueEntry, max_startable_tasks};
 use crate::scheduling::job_queue::{
-    Arrival, GuaranteeWindow, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
+    Arrival, GuaranteeCutoffs, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
 };
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use crate::state::record_cache::Job;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// A guaranteed job that has waited this long may also preempt gangs that other teams run beyond their
-/// guarantees. Longer than machines usually take to boot.
+/// guarantee_cutoffs. Longer than machines usually take to boot.
 const OVERDUE_AFTER: Micros = Micros::millis(60_000);
 
 /// Behind a blocked job the shortest jobs are backfilled first, but jobs that have waited this long come
@@ -27,15 +27,15 @@
 /// What a pass has to know about any job besides its record.
 pub struct SchedulingContext<'a> {
     /// The queue.
-    pub backlog: &'a JobQueue,
+    pub job_queue: &'a JobQueue,
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
     /// How far the guarantee of each team reaches.
-    pub guarantees: GuaranteeWindow,
+    pub guarantee_cutoffs: GuaranteeCutoffs,
     /// Priorities of jobs that other jobs depend on.
     pub inherited_priorities: InheritedPriorities<'a>,
     /// The slowest image fetch of any machine type, in GB a second.
-    pub fetch_rate: f64,
+    pub slowest_fetch_gb_per_s: f64,
     /// Wall-clock time.
     pub wall_clock: Micros,
 }
@@ -43,8 +43,9 @@
 impl<'a> SchedulingContext<'a> {
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, queued: &QueuedJob) -> bool {
-        let team = self.backlog.profile_of(queued).team;
-        self.guarantees.covers(team, queued.accepted_at, &queued.id)
+        let team = self.job_queue.profile_of(queued).team;
+        self.guarantee_cutoffs
+            .covers(team, queued.accepted_at, &queued.id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -76,20 +77,20 @@
         tasks: Vec<u32>,
     ) -> QueueEntry<'a> {
         let spec = &job.record.spec;
-        let profile = self.backlog.profile_of(queued);
+        let profile = self.job_queue.profile_of(queued);
         QueueEntry {
             id,
             at: queued.accepted_at,
             spec,
-            requirements: self.backlog.requirements(queued),
+            requirements: self.job_queue.requirements(queued),
             team: profile.team,
             feasibility_class: profile.feasibility_class,
             lost_tasks: 0,
             tasks,
             present: Vec::new(),
-            fetch_s: spec.image_gb / self.fetch_rate,
+            fetch_s: spec.image_gb / self.slowest_fetch_gb_per_s,
             estimate_s: spec.estimate_s,
-            priority: self.inherited_priorities.of(id, job),
+            priority: self.inherited_priorities.effective_priority(id, job),
             guaranteed: self.guaranteed(queued),
             overdue: self.overdue(queued),
             aged: self.aged(queued),
@@ -150,14 +151,14 @@
         context: &'a SchedulingContext<'a>,
         inspected: impl Iterator<Item = Slot>,
     ) -> PendingJobs<'a> {
-        let backlog = context.backlog;
-        let mut is_inspected = vec![false; backlog.slot_count()];
-        let mut count = backlog.queued();
+        let job_queue = context.job_queue;
+        let mut is_inspected = vec![false; job_queue.slot_count()];
+        let mut count = job_queue.queued_count();
         for slot in inspected {
             if let Some(mark) = is_inspected.get_mut(slot as usize) {
                 *mark = true;
             }
-            let queued = backlog.job(slot);
+            let queued = job_queue.job(slot);
             let is_queued = queued.is_some_and(|queued| queued.state == QueueState::Queued);
             count -= usize::from(is_queued);
         }
@@ -173,7 +174,7 @@
     }
 
     fn queued_job(&self, summary: &JobSummary) -> Option<&'a QueuedJob> {
-        self.context.backlog.job(summary.slot)
+        self.context.job_queue.job(summary.slot)
     }
 
     /// Number of jobs.
@@ -183,12 +184,12 @@
 
     /// Services in order of arrival.
     pub fn services(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
-        self.in_order_of_arrival(self.context.backlog.services())
+        self.in_order_of_arrival(self.context.job_queue.services())
     }
 
     /// Gangs and arrays in order of arrival.
     pub fn batch_jobs(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
-        self.in_order_of_arrival(self.context.backlog.batch_jobs())
+        self.in_order_of_arrival(self.context.job_queue.batch_jobs())
     }
 
     fn in_order_of_arrival(
@@ -208,7 +209,7 @@
             .batch_jobs()
             .filter(|(_, summary)| self.starved(summary))
             .map(|(position, summary)| (BackfillOrder::new(true, 0.0, position), summary));
-        let by_estimate = self.context.backlog.batch_by_estimate();
+        let by_estimate = self.context.job_queue.batch_by_estimate();
         let not_starved = by_estimate
             .filter(|(_, summary)| self.is_pending(summary) && !self.starved(summary))
             .map(|((estimate, arrival), summary)| {
@@ -222,17 +223,17 @@
 
     /// The profile of a job.
     pub fn profile_of(&self, summary: &JobSummary) -> &'a JobProfile {
-        self.context.backlog.profile(summary.profile)
+        self.context.job_queue.profile(summary.profile_id)
     }
 
     /// How many different searches for free resources there are. Profiles number them from 0.
-    pub fn feasibility_classes(&self) -> usize {
-        self.context.backlog.feasibility_classes()
+    pub fn feasibility_class_count(&self) -> usize {
+        self.context.job_queue.feasibility_class_count()
     }
 
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, team: u32, (accepted_at, id): QueuePosition<'_>) -> bool {
-        self.context.guarantees.covers(team, accepted_at, id)
+        self.context.guarantee_cutoffs.covers(team, accepted_at, id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -256,7 +257,7 @@
     pub fn priority(&self, profile: &JobProfile, id: &str) -> Priority {
         self.context
             .inherited_priorities
-            .highest(id, profile.priority)
+            .effective_priority_from(id, profile.priority)
     }
 
     /// The job with this id.
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -20,19 +20,21 @@
         }
         // A priority is passed on along the dependencies as long as it raises that of another job. There
         // are only four priorities, so this ends even if the dependencies contain a cycle.
-        let mut raised: Vec<(&Job, Priority)> = cache
+        let mut worklist: Vec<(&Job, Priority)> = cache
             .waiting_jobs()
             .map(|job| (job, job.record.spec.priority))
             .collect();
-        while let Some((job, priority)) = raised.pop() {
+        while let Some((job, priority)) = worklist.pop() {
             for dependency in &job.record.spec.needs {
-                let Some((id, needed)) = cache.jobs.get_key_value(dependency) else {
+                let Some((id, needed_job)) = cache.jobs.get_key_value(dependency) else {
                     continue;
                 };
-                let current = inherited.entry(id).or_insert(needed.record.spec.priority);
-                if needed.active() && *current < priority {
+                let current = inherited
+                    .entry(id)
+                    .or_insert(needed_job.record.spec.priority);
+                if needed_job.active() && *current < priority {
                     *current = priority;
-                    raised.push((needed, priority));
+                    worklist.push((needed_job, priority));
                 }
             }
         }
@@ -40,16 +42,16 @@
     }
 
     /// The highest priority of a job and of all jobs that depend on it.
-    pub fn of(&self, id: &str, job: &Job) -> Priority {
-        self.highest(id, job.record.spec.priority)
+    pub fn effective_priority(&self, id: &str, job: &Job) -> Priority {
+        self.effective_priority_from(id, job.record.spec.priority)
     }
 
     /// The same for a job whose own priority is `own`.
-    pub fn highest(&self, id: &str, own: Priority) -> Priority {
+    pub fn effective_priority_from(&self, id: &str, own_priority: Priority) -> Priority {
         if self.0.is_empty() {
-            return own;
+            return own_priority;
         }
         let inherited = self.0.get(id);
-        inherited.map_or(own, |inherited| own.max(*inherited))
+        inherited.map_or(own_priority, |inherited| own_priority.max(*inherited))
     }
 }
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -32,7 +32,7 @@
     }
 
     /// Deducts the resources of a task from its team's quota.
-    pub fn take(&mut self, team: u32, need: &Resources) {
+    pub fn deduct(&mut self, team: u32, need: &Resources) {
         let [cpus, gpus, _] = need;
         if let Some(remaining) = self.by_team.get_mut(team as usize) {
             remaining.cpus -= cpus;
@@ -41,7 +41,7 @@
     }
 
     /// Number of tasks with these needs that the team's quota permits.
-    pub(crate) fn slots(&self, team: u32, need: &Resources) -> u32 {
+    pub(crate) fn max_tasks(&self, team: u32, need: &Resources) -> u32 {
         let Some(remaining) = self.by_team.get(team as usize) else {
             return u32::MAX;
         };
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -137,13 +137,13 @@
     }
 
     /// Whether a job is considered before all others: a service that has lost replicas.
-    pub fn is_urgent(entry: &QueueEntry<'_>) -> bool {
+    pub fn has_lost_replicas(entry: &QueueEntry<'_>) -> bool {
         entry.lost_tasks > 0 && entry.spec.kind == JobKind::Service
     }
 
     /// Sorts queue entries into the order in which a pass considers them.
     pub fn sort_entries(entries: &mut [QueueEntry<'_>]) {
-        entries.sort_by_key(|entry| (!Recovery::is_urgent(entry), entry.at, entry.id));
+        entries.sort_by_key(|entry| (!Recovery::has_lost_replicas(entry), entry.at, entry.id));
     }
 }
 
--- a/src/scheduling/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_few_lost_tasks_are_no_recovery() {
+fn a_few_lost_tasks_do_not_start_a_recovery() {
     let mut recovery = Recovery::default();
     assert_eq!(recovery.observe(at(1), lost(3, 12), 100), None);
     assert_eq!(recovery.observe(at(2), lost(10, 20), 4_000), None);
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -74,20 +74,20 @@
             return None;
         }
         let placed = self.placed_zones.get(id).into_iter().flatten();
-        let occupied: Vec<u32> = present
+        let occupied_zones: Vec<u32> = present
             .iter()
             .map(|(zone, _)| zone)
             .chain(placed)
             .copied()
             .collect();
-        if occupied.is_empty() {
+        if occupied_zones.is_empty() {
             return None;
         }
-        let most_per_zone = spec.tasks.div_ceil(2) as usize;
+        let max_per_zone = spec.tasks.div_ceil(2) as usize;
         let is_allowed = |zone: &u32| {
-            let in_zone = occupied.iter().filter(|other| *other == zone).count();
-            let elsewhere = in_zone < occupied.len();
-            (!spec.one_zone || !elsewhere) && (!spec.spread || in_zone < most_per_zone)
+            let tasks_in_zone = occupied_zones.iter().filter(|other| *other == zone).count();
+            let runs_elsewhere = tasks_in_zone < occupied_zones.len();
+            (!spec.one_zone || !runs_elsewhere) && (!spec.spread || tasks_in_zone < max_per_zone)
         };
         Some(self.zones.iter().copied().filter(is_allowed).collect())
     }
@@ -111,7 +111,7 @@
             QueueCandidate::Pending(summary) => summary,
         };
         let profile = self.pending.profile_of(summary);
-        let zoned_job = if profile.zoned {
+        let constrained_job = if profile.has_zone_constraint {
             self.pending.job_of(summary)
         } else {
             None
@@ -120,8 +120,9 @@
             gang: profile.kind == JobKind::Gang,
             feasibility_class: profile.feasibility_class,
             need: &summary.need,
-            allow: &profile.allow,
-            zones: zoned_job.and_then(|(id, job)| self.allowed_zones(id, &job.record.spec, &[])),
+            allow: &profile.constraints,
+            zones: constrained_job
+                .and_then(|(id, job)| self.allowed_zones(id, &job.record.spec, &[])),
         }
     }
 
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -41,7 +41,7 @@
 fn queue_length(sim: &Simulation) -> usize {
     let leads = sim.leader().and_then(|i| sim.controller(i));
     let leader = leads.and_then(|n| n.leader.as_ref());
-    leader.map_or(0, |l| l.pass_state.backlog.queued())
+    leader.map_or(0, |l| l.pass_state.job_queue.queued_count())
 }
 
 /// Asserts that jobs started in the order of their submission, except for jobs submitted at about the same time: up to
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -359,7 +359,7 @@
     fn compare_with_reference(&mut self, step: &str) -> PassDecision {
         for id in self.cache.take_changed() {
             let job = self.cache.jobs.get(&id);
-            self.pass_state.backlog.update(&id, job);
+            self.pass_state.job_queue.update(&id, job);
         }
         let policy = Policy::default();
         let inputs = PassInputs {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -16,7 +16,7 @@
 use walnuttrestle::protocol::records::{TASKS_PER_CHUNK, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
-use walnuttrestle::scheduling::findings::{BrokenGang, TaskRef, TaskStop};
+use walnuttrestle::scheduling::findings::{IncompleteGang, TaskRef, TaskStop};
 use walnuttrestle::scheduling::pass::{PassInputs, Reservation, TaskStart};
 use walnuttrestle::scheduling::placement::{
     self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, accepts_task, slots,
@@ -63,7 +63,7 @@
     /// Tasks to stop for other reasons than preemption.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
-    pub incomplete_gangs: Vec<BrokenGang>,
+    pub incomplete_gangs: Vec<IncompleteGang>,
 }
 
 /// The machines. All lists are in the same order.
@@ -307,7 +307,7 @@
         // no resources and no position in the queue, and blocks no other job.
         return None;
     }
-    let priority = inherited.of(id, job);
+    let priority = inherited.effective_priority(id, job);
     let team = names.id(&job.record.spec.team);
     let now = clock.now;
     let spec = &job.record.spec;
@@ -445,7 +445,7 @@
     }
     if spec.kind == JobKind::Gang && !present.is_empty() {
         if lost > 0 {
-            decision.incomplete_gangs.push(BrokenGang {
+            decision.incomplete_gangs.push(IncompleteGang {
                 job: id.to_string(),
                 attempt: latest_attempt,
             });
