--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -1,4 +1,4 @@
-//! Carries out the decision of a pass: turns it into record changes, stop commands and reservations.
+//! Applies the decision of a scheduling pass: turns it into record changes, stop requests and reservations.
 
 use crate::agents::leader_state::{LeaderState, stop_grace_s};
 use crate::cloud::autoscaler::ScalingPlan;
@@ -10,12 +10,13 @@
 use crate::scheduling::pass::{PassDecision, PassInputs, Reservation, TaskStart, decide};
 use crate::state::record_cache::{Job, RecordCache};
 
-/// How long a machine stays reserved for a job. The stops that clear it take a checkpoint and one or
-/// two heartbeats.
+/// How long a machine stays reserved for a job. Stopping the preempted tasks on it takes the time of a
+/// checkpoint and of one or two heartbeats.
 const RESERVATION_TTL: Micros = Micros::millis(20_000);
-/// A stop that has not been observed after this time is decided on again.
+/// A requested stop is dropped after this time, so that a later pass can request it again if the task
+/// still has to stop.
 const STOP_EXPIRY: Micros = Micros::millis(60_000);
-/// The order of task starts is kept for at most this many jobs.
+/// When the order of task starts is stored for more jobs than this, ended jobs are removed from it.
 const MAX_JOBS_WITH_START_ORDER: usize = 5_000;
 
 impl Controller {
@@ -47,7 +48,7 @@
 }
 
 impl LeaderState {
-    /// Carries out a decision, except for the scaling plan, which is returned.
+    /// Applies a decision, except for its scaling plan, which the caller applies.
     fn apply_decision(
         &mut self,
         decision: PassDecision,
@@ -64,7 +65,8 @@
         );
         let findings = decision.findings;
         self.max_demand = decision.largest_demand;
-        // A full pass may have left startable tasks behind, and a job in backoff needs another pass.
+        // Another pass is needed if this one reached its placement limit and may have skipped startable
+        // tasks, or if a job is in retry backoff.
         self.dirty |= findings.has_backoff || decision.starts.len() >= MAX_PLACEMENTS;
         let event = self
             .recovery
@@ -80,12 +82,12 @@
         for job in findings.cleanable_jobs {
             self.record_writer.pending_write_mut(&job, now).clean = true;
         }
-        self.record_done(findings.done_tasks, cache, now);
+        self.record_done_tasks(findings.done_tasks, cache, now);
         let preemptions = preemption_stops(decision.preemptions, cache);
         self.request_stops(findings.stops, cache, now);
         self.request_stops(preemptions, cache, now);
         self.expire_stops(now);
-        self.forget_ended_jobs(cache);
+        self.remove_ended_jobs(cache);
         decision.scaling
     }
 
@@ -117,8 +119,8 @@
             job.record.spec.image
         );
         self.started += 1;
-        let start_orders = self.start_order.entry(start.job.clone()).or_default();
-        start_orders.insert(start.task, self.started);
+        let job_start_order = self.start_order.entry(start.job.clone()).or_default();
+        job_start_order.insert(start.task, self.started);
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
         }
@@ -136,8 +138,8 @@
             .push(entry);
     }
 
-    /// Records tasks as done; the tasks of a gang complete together.
-    fn record_done(&mut self, done_tasks: Vec<TaskRef>, cache: &RecordCache, now: Micros) {
+    /// Records tasks as done. The members of a gang complete together.
+    fn record_done_tasks(&mut self, done_tasks: Vec<TaskRef>, cache: &RecordCache, now: Micros) {
         for TaskRef { job: id, task } in done_tasks {
             if let Some(job) = cache.jobs.get(&id) {
                 let tasks = tasks_stopped_with(&job.record.spec, task);
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Requests stops of tasks. A stop that was requested earlier keeps its grace and its time.
+    /// Requests stops of tasks. A stop that is already requested keeps its grace period and request time.
     fn request_stops(&mut self, stops: Vec<TaskStop>, cache: &RecordCache, now: Micros) {
         for TaskStop { job, task, grace_s } in stops {
             let entry = cache.jobs.get(&job).and_then(|job| job.entry(task));
@@ -168,8 +170,8 @@
         });
     }
 
-    /// Drops what is kept about jobs that are no longer in the cache.
-    fn forget_ended_jobs(&mut self, cache: &RecordCache) {
+    /// Removes the scheduling state of jobs that are no longer in the cache.
+    fn remove_ended_jobs(&mut self, cache: &RecordCache) {
         let jobs = &cache.jobs;
         self.incomplete_gangs.retain(|id, _| jobs.contains_key(id));
         if self.start_order.len() > MAX_JOBS_WITH_START_ORDER {
@@ -178,8 +180,8 @@
     }
 }
 
-/// The stops that carry out preemptions, with the grace that each task needs to save. A gang stops as
-/// a whole.
+/// Task stops for the preemptions of a pass, each with the grace period that the task needs to save a
+/// checkpoint. A gang stops as a whole.
 fn preemption_stops(preemptions: Vec<TaskRef>, cache: &RecordCache) -> Vec<TaskStop> {
     let mut stops = Vec::new();
     for TaskRef { job: id, task } in preemptions {
@@ -198,7 +200,7 @@
     stops
 }
 
-/// The number of the next attempt of a task. The tasks of a gang share their attempts.
+/// The number of the next attempt of a task. The members of a gang share attempt numbers.
 fn next_attempt(job: &Job, task: u32) -> u64 {
     let last_attempt = if job.record.spec.kind == JobKind::Gang {
         job.entries().map(TaskEntry::attempt).max()
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -1,7 +1,7 @@
 //! The snapshot that a pass works on: free resources, quotas, preemptible tasks and queue entries.
 //!
 //! It inspects each job that has a placed task, a pending record change, failures or a reservation.
-//! Building it changes nothing: `apply_decision` acts on what it finds.
+//! Building it changes no state of the leader: `apply_decision` acts on its findings.
 
 use self::attempts::AttemptTally;
 use crate::agents::leader_state::LeaderState;
@@ -30,9 +30,9 @@
 pub struct ClusterSnapshot<'a> {
     /// The machines, with their free resources.
     pub host_table: HostTable<'a>,
-    /// Resources that each team may still take.
+    /// Resources that each team may still allocate.
     pub quotas: QuotaTracker,
-    /// By job class: the sum over its tasks of the fraction of the cluster that each takes.
+    /// By job class: the sum of the dominant shares of its tasks, as fractions of the cluster.
     pub usage_by_class: HashMap<u32, f64>,
     /// Tasks that may be preempted.
     pub preemptible: Vec<PreemptibleTask<'a>>,
@@ -40,7 +40,7 @@
     pub entries: Vec<QueueEntry<'a>>,
     /// Slots of all inspected jobs.
     pub inspected: Vec<Slot>,
-    /// What else was found.
+    /// Other results of inspecting the jobs.
     pub findings: JobFindings,
 }
 
@@ -54,7 +54,7 @@
     snapshot: ClusterSnapshot<'a>,
 }
 
-/// A job under inspection, with what the leader knows about it.
+/// A job under inspection, with the leader's state for it.
 struct InspectedJob<'a> {
     id: &'a str,
     job: &'a Job,
@@ -62,9 +62,9 @@
     profile: &'a JobProfile,
     /// Placements that are not on record yet.
     pending_placements: Vec<&'a TaskEntry>,
-    /// A change of its record is being written.
+    /// A write of its record is in flight.
     in_flight: bool,
-    /// By task: requested stops, with their grace and time of request.
+    /// By task: requested stops, with grace period in seconds and request time.
     stops: Option<&'a BTreeMap<u32, (f64, Micros)>>,
     /// By task: its position in the order of all task starts.
     start_order: Option<&'a BTreeMap<u32, u64>>,
@@ -100,7 +100,7 @@
 }
 
 impl<'s, 'a> SnapshotBuilder<'s, 'a> {
-    /// Starts with machines on which all resources are free, and quotas from which nothing is taken.
+    /// Starts from machines with all resources free and quotas of which nothing is used.
     pub fn new(
         inputs: &PassInputs<'a>,
         context: &'s SchedulingContext<'a>,
@@ -133,8 +133,8 @@
         let job_queue = self.context.job_queue;
         let mut unplaced = self.unplaced_jobs_to_inspect().peekable();
         let mut placed = job_queue.placed().peekable();
-        // Both are merged in the order of ids, so that which job takes resources first does not depend
-        // on why it is inspected.
+        // Merges both lists in the order of ids, so that the order in which jobs are inspected does not
+        // depend on which list they come from.
         loop {
             let next = match (placed.peek(), unplaced.peek()) {
                 (Some((placed_id, _)), Some((unplaced_id, _))) if unplaced_id < placed_id => {
@@ -170,8 +170,8 @@
         ids.into_iter().filter_map(find_unplaced)
     }
 
-    /// Inspects one job: takes the resources of its tasks, takes note of what is to be done about it,
-    /// and returns its queue entry if it has tasks to start.
+    /// Inspects one job: deducts the resources of its tasks, adds findings that need an action, and
+    /// returns its queue entry if it has tasks to start.
     fn inspect(
         &mut self,
         id: &'a str,
@@ -179,8 +179,8 @@
         queued: &'a QueuedJob,
     ) -> Option<QueueEntry<'a>> {
         if queued.state == QueueState::AwaitingDependencies {
-            // None of its tasks starts before the jobs that it depends on are recorded as done, so it
-            // takes no resources and no position in the queue, and blocks no other job.
+            // Its tasks start only after the jobs that it depends on are recorded as done. Until then it
+            // uses no resources, has no position in the queue and blocks no other job.
             return None;
         }
         let inspected = self.inspected_job(id, job, queued);
@@ -193,8 +193,8 @@
             }
             return None;
         }
-        // The members of a gang complete together: when one has reported that it is done, the others
-        // are not lost.
+        // The members of a gang complete together: once one of them is reported done, missing members
+        // do not make the gang incomplete.
         if tally.gang_is_done {
             return None;
         }
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Requests stops of some tasks of a job.
+    /// Adds stops of some tasks of a job to the findings.
     fn add_stops(&mut self, id: &str, tasks: impl Iterator<Item = u32>, grace_s: f64) {
         let stops = tasks.map(|task| TaskStop {
             job: id.to_string(),
@@ -239,8 +239,8 @@
         self.snapshot.findings.stops.extend(stops);
     }
 
-    /// Takes note of a gang that has lost a member, and stops the other members at once, unless one of
-    /// them is saving a checkpoint.
+    /// Adds a gang that has lost a member to the findings, and stops the other members at once unless one
+    /// of them is saving a checkpoint.
     fn add_incomplete_gang(&mut self, id: &str, tally: &AttemptTally) {
         self.snapshot
             .findings
@@ -257,23 +257,23 @@
         }
     }
 
-    /// Whether no task of a job may start now.
+    /// Whether all tasks of a job have to wait in this pass.
     fn must_wait(&mut self, inspected: &InspectedJob<'a>, tally: &AttemptTally) -> bool {
         let queued = inspected.queued;
         let spec = inspected.spec();
-        // The retry backoff of a failing job does not apply while tasks of it are running.
+        // The retry backoff applies only while the job runs no task and has completed none.
         let failures = self.leader.failure_histories.get(inspected.id);
         let in_backoff = failures.is_some_and(|failures| failures.retry_at > self.clock.now)
             && !tally.has_running_task
             && queued.unfinished == queued.tasks;
-        // Replicas of a service may be placed while others are being written: if they had to wait, jobs
-        // that arrived later would take their resources. For other jobs the pending change may be an
-        // end.
+        // A service may place replicas while a write of its record is in flight: if they had to wait,
+        // jobs that arrived later would take the resources. For other jobs the write may record
+        // completion.
         if (inspected.in_flight && spec.kind != JobKind::Service) || in_backoff {
             self.snapshot.findings.has_backoff |= in_backoff;
             return true;
         }
-        // Zone constraints cannot be checked against tasks whose zones are unknown.
+        // A zone constraint cannot be checked while the zone of a placed task is unknown.
         spec.has_zone_constraint() && tally.has_unknown_zone
     }
 
@@ -306,8 +306,9 @@
         Some(entry)
     }
 
-    /// Takes the resources of tasks that agents report but no record places, on their machines and from
-    /// the quotas of their teams. Nothing is placed on a machine with a task of an unknown job.
+    /// Deducts the resources of tasks that agents report but that have no placement on record or pending,
+    /// both on their machines and from the quotas of their teams. A machine with a task of an unknown job
+    /// accepts no new tasks.
     fn add_unrecorded_tasks(&mut self) {
         let context = self.context;
         let leader = self.leader;
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -1,4 +1,4 @@
-//! The recorded and pending attempts of a job: whether each still runs, and the resources that it takes.
+//! The recorded and pending attempts of a job: whether each still runs, and the resources that it uses.
 
 use super::{InspectedJob, SnapshotBuilder};
 use crate::agents::leader_state::stop_grace_s;
@@ -10,46 +10,47 @@
 use crate::scheduling::placement::{add_resources, dominant_share};
 use crate::state::agent::TaskLiveness;
 
-/// Number of a zone that is not known.
+/// Stands for the id of a zone that is not known.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
-/// Where an attempt runs, and whether it does.
+/// The machine and the liveness of an attempt.
 struct LocatedAttempt {
     liveness: TaskLiveness,
-    /// Index of its machine, if it is in the host table.
+    /// Index of its machine in the host table, if listed.
     host: Option<usize>,
 }
 
-/// What the attempts of a job add up to.
+/// Summary of the attempts of a job.
 #[derive(Default)]
 pub(super) struct AttemptTally {
-    /// Zone and host of each attempt that must be presumed to run.
+    /// Zone id and host index of each attempt that is presumed to run.
     pub(super) present: Vec<(u32, Option<usize>)>,
-    /// Tasks that must not be started: they are presumed to run, or done. Sorted.
+    /// Tasks that must not be started because they are done or presumed to run. Sorted.
     pub(super) occupied: Vec<u32>,
-    /// Tasks that were lost with their machine or with their gang. Sorted.
+    /// Tasks that were lost with their machine or because their gang lost a member. Sorted.
     pub(super) lost_tasks: Vec<u32>,
-    /// Number of attempts that have ended or are gone.
+    /// Number of attempts that are not presumed to run.
     pub(super) ended_attempts: usize,
+    /// The highest attempt number among those presumed to run.
     pub(super) latest_attempt: u64,
     /// An attempt runs on a machine whose zone is unknown.
     pub(super) has_unknown_zone: bool,
-    /// A gang of which a member has reported that it is done.
+    /// The job is a gang, and a member is reported done.
     pub(super) gang_is_done: bool,
     /// A task is running.
     pub(super) has_running_task: bool,
-    /// Members of a gang that must be presumed to run.
+    /// Members of a gang that are presumed to run.
     pub(super) gang_members: Vec<(u32, TaskLiveness)>,
 }
 
 impl AttemptTally {
-    /// Takes note of an attempt that is on record.
+    /// Adds an attempt that is on record.
     fn add_recorded(&mut self, task: u32, liveness: TaskLiveness, presumed_running: bool) {
         if presumed_running || liveness == TaskLiveness::Ended(ExitReason::Done) {
             self.occupied.push(task);
             return;
         }
-        // A task that was stopped or has failed does not count as lost_tasks.
+        // A task that was stopped or has failed does not count as lost.
         let is_lost = matches!(
             liveness,
             TaskLiveness::Gone | TaskLiveness::Ended(ExitReason::GangMemberGone)
@@ -61,12 +62,11 @@
 }
 
 impl<'a> SnapshotBuilder<'_, 'a> {
-    /// Adds up all attempts of a job, and takes their resources.
+    /// Summarizes all attempts of a job and deducts their resources.
     pub(super) fn tally_attempts(&mut self, inspected: &InspectedJob<'a>) -> AttemptTally {
         let mut tally = AttemptTally::default();
-        // A task with a pending placement has been proven gone from its recorded machine. If the
-        // recorded attempt counted as lost beside the new one, a gang would be taken for broken before
-        // it has started.
+        // A task with a pending placement is proven not to run on its recorded machine. Counting the
+        // recorded attempt as ended would make a gang appear incomplete before its new attempt starts.
         for attempt in inspected.job.entries() {
             if !inspected.has_pending_placement(attempt.task()) {
                 self.tally_attempt(inspected, attempt, true, &mut tally);
@@ -126,7 +126,7 @@
             dominant_share(&self.cluster_total, need);
     }
 
-    /// Finds out whether an attempt runs, with a single lookup of its machine.
+    /// Determines the liveness of an attempt with a single lookup of its machine.
     fn locate(&self, id: &str, attempt: &'a TaskEntry, machine: &str) -> LocatedAttempt {
         let host = self.snapshot.host_table.find(machine);
         let liveness = match host {
@@ -142,7 +142,7 @@
         LocatedAttempt { liveness, host }
     }
 
-    /// Takes the resources of an attempt on its host, and returns the host's zone.
+    /// Deducts the resources of an attempt on its host, and returns the zone id of the host.
     fn occupy_host(
         &mut self,
         inspected: &InspectedJob<'a>,
@@ -169,8 +169,8 @@
         zone
     }
 
-    /// Stops a running task that can save if its spot instance is about to be reclaimed and enough time
-    /// for that is left. A gang stops as a whole.
+    /// Stops a running task that can save a checkpoint if its spot instance is about to be reclaimed and
+    /// there is enough time left to save. A gang stops as a whole.
     fn checkpoint_before_reclaim(&mut self, inspected: &InspectedJob<'a>, task: u32, host: usize) {
         let spec = inspected.spec();
         let grace_s = stop_grace_s(inspected.job);
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The zone of a machine that is not in the host table, if it is known.
+    /// Zone id of a machine that is not in the host table, if the zone is known.
     fn zone_of_unlisted_machine(&self, machine: &str) -> Option<u32> {
         let zone = self.leader.zone_of(machine)?;
         self.context.job_queue.names.find(&zone)
--- a/src/scheduling/cluster_snapshot/startable.rs
+++ b/src/scheduling/cluster_snapshot/startable.rs
@@ -1,4 +1,4 @@
-//! Which tasks of a job may start.
+//! Selection of the tasks of a job that may start.
 
 use super::attempts::AttemptTally;
 use super::{InspectedJob, SnapshotBuilder};
@@ -8,7 +8,7 @@
 use crate::state::record_cache::Job;
 
 impl<'a> SnapshotBuilder<'_, 'a> {
-    /// The tasks of a job that may start now. A failing array starts a single task.
+    /// The tasks of a job that may start now. A failing array runs at most one task at a time.
     pub(super) fn startable_tasks(
         &self,
         inspected: &InspectedJob<'a>,
@@ -30,16 +30,16 @@
             failures.is_at_fault() && !recovered
         });
         if inspected.kind() == JobKind::Array && is_failing {
-            // One task shows whether the job still fails. A hundred would take a hundred places, and as
-            // many writes to the store.
+            // A single task is enough to find out whether the job still fails. Starting a hundred would
+            // use the capacity for a hundred tasks and cost as many writes to the store.
             tasks.truncate(usize::from(tally.present.is_empty()));
         }
         tasks
     }
 }
 
-/// Tasks of a job that are neither done nor taken. At most as many as one pass would start, except for
-/// gangs.
+/// Tasks of a job that are neither done nor taken: all of a gang, otherwise at most as many as one pass
+/// starts.
 fn unfinished_tasks(job: &Job, is_taken: impl Fn(u32) -> bool) -> Vec<u32> {
     let spec = &job.record.spec;
     let limit = match spec.kind {
--- a/src/scheduling/findings.rs
+++ b/src/scheduling/findings.rs
@@ -1,4 +1,4 @@
-//! What a pass finds out about jobs besides what it places: tasks to stop, to record as done, to clean.
+//! Findings of a pass besides its placements: tasks to stop or to record as done, and records to clean.
 
 use crate::protocol::{JobKind, JobSpec};
 use crate::scheduling::recovery::LostTasks;
@@ -20,7 +20,7 @@
     pub job: String,
     /// Index of the task in its job.
     pub task: u32,
-    /// Seconds that the task gets to save a checkpoint.
+    /// Grace period in seconds in which the task can save a checkpoint.
     pub grace_s: f64,
 }
 
@@ -29,30 +29,31 @@
 pub struct IncompleteGang {
     /// Job id.
     pub job: String,
-    /// The latest attempt that is known to be affected.
+    /// The latest attempt that is affected.
     pub attempt: u64,
 }
 
-/// What inspecting the jobs has found besides their queue entries.
+/// Results of inspecting the jobs besides their queue entries.
 #[derive(Debug, Default)]
 pub struct JobFindings {
-    /// Jobs that have ended and have no task on any machine: their records can be cleaned.
+    /// Jobs that have ended and have no task left on any machine: their records can be cleaned.
     pub cleanable_jobs: Vec<String>,
-    /// Tasks that agents have reported as done, but whose records do not say so yet.
+    /// Tasks that agents have reported as done but that are not yet recorded as done.
     pub done_tasks: Vec<TaskRef>,
     /// Tasks to stop.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
     pub incomplete_gangs: Vec<IncompleteGang>,
-    /// A job waits for its retry backoff, so another pass is needed.
+    /// A job is in retry backoff, so another pass is needed.
     pub has_backoff: bool,
     /// Tasks that have lost their machine and are waiting for a new one.
     pub lost_tasks: LostTasks,
-    /// Number of tasks that are placed on record.
+    /// Number of placed tasks, whether or not they still run.
     pub placed_tasks: usize,
 }
 
-/// The tasks that stop, and are recorded as done, together with one: all of a gang, else itself.
+/// The tasks that are stopped, or recorded as done, together with a task: all members of a gang,
+/// otherwise the task alone.
 pub(crate) fn tasks_stopped_with(spec: &JobSpec, task: u32) -> Range<u32> {
     match spec.kind {
         JobKind::Gang => 0..spec.tasks,
--- a/src/scheduling/guarantee.rs
+++ b/src/scheduling/guarantee.rs
@@ -1,15 +1,15 @@
-//! Which jobs of a team fit into the resources that the team is guaranteed.
+//! Determines which jobs of a team fit into the resources that the team is guaranteed.
 
 use crate::protocol::Micros;
 use crate::protocol::settings::Team;
 use crate::scheduling::job_queue::{Arrival, JobQueue, QueuedJob, Slot};
 use foldhash::{HashMap, HashMapExt};
 
-/// Sums of resource amounts may be off by this much.
+/// Tolerance for rounding errors in sums of resource amounts.
 const TOLERANCE: f64 = 1e-6;
 
-/// By team with a guarantee: the last of its jobs, in order of arrival, that fits into the guarantee
-/// together with all earlier ones. `None` if not even the first does.
+/// For each team with a guarantee, the last job in order of arrival that fits into the guarantee together
+/// with all earlier jobs of the team. `None` if its first job does not fit.
 #[derive(Debug, Default)]
 pub struct GuaranteeCutoffs(HashMap<u32, Option<Arrival>>);
 
@@ -26,7 +26,7 @@
 }
 
 impl JobQueue {
-    /// Determines how far the guarantee of each team reaches.
+    /// Determines for each team with a guarantee the last job that it covers.
     pub fn guarantee_cutoffs(&self, teams: &[Team]) -> GuaranteeCutoffs {
         let mut last_covered = HashMap::new();
         for team in teams {
@@ -39,9 +39,9 @@
         GuaranteeCutoffs(last_covered)
     }
 
-    /// The last job that fits into a guarantee. The unfinished tasks of jobs add up in order of arrival,
-    /// so past the first job that does not fit none does, and the walk ends there however long the
-    /// queue is.
+    /// The last job that fits into a guarantee. Adds up the unfinished tasks of jobs in order of arrival
+    /// and ends at the first job that does not fit, since no later one can: the cost does not depend on
+    /// the length of the queue.
     fn last_covered_job<'q>(
         &'q self,
         team: &Team,
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -10,7 +10,7 @@
 use foldhash::{HashMap, HashMapExt};
 use std::sync::Arc;
 
-/// The machines as a pass sees them. All lists are in the same order.
+/// The machines that a pass considers. All lists are in the same order.
 pub struct HostTable<'a> {
     /// The machines, with the resources that are free on each.
     pub hosts: Vec<Host>,
@@ -27,16 +27,16 @@
         self.index.get(machine).map(|index| *index as usize)
     }
 
-    /// Resources of the machine in which demands are measured.
+    /// Total resources of the first machine, in units of which the demand of jobs is expressed.
     pub(crate) fn typical_host(&self) -> Resources {
         self.hosts.first().map_or([1.0; 3], |host| host.total)
     }
 
-    /// Lists the machines of all agents that may still run tasks, with all their resources free.
+    /// Builds the table of all machines whose agents may still run tasks, with all resources free.
     pub(crate) fn build(
         inputs: &PassInputs<'a>,
         names: &mut NameTable,
-        images: &mut ImageAvailability,
+        images: &mut ImageIdCache,
     ) -> HostTable<'a> {
         let PassInputs { leader, cache, .. } = *inputs;
         let count = leader.agents.len();
@@ -65,14 +65,14 @@
     }
 }
 
-/// An empty machine.
+/// A host with all of its resources free.
 fn host(
     inputs: &PassInputs<'_>,
     name: &str,
     agent: &Agent,
     machine_type: &MachineType,
     names: &mut NameTable,
-    images: &mut ImageAvailability,
+    images: &mut ImageIdCache,
 ) -> Host {
     let total = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
     let reservation = inputs.leader.reserved.get(name);
@@ -97,8 +97,8 @@
     let now = inputs.clock.now;
     let report_interval_s = inputs.settings.params.agents.report_s;
     let max_answer_age = Micros::secs(report_interval_s * FRESH_REPORTS);
-    // Only answers to heartbeats renew an agent's lease: an agent that answers direct commands but
-    // reaches no controller is about to lose all of its tasks.
+    // Only responses to its heartbeats renew the lease of an agent. An agent that answers direct commands
+    // but cannot reach a controller is about to lose all of its tasks.
     agent.term == leader.term
         && agent
             .last_answered_at
@@ -110,10 +110,10 @@
         && !leader.failed_recently(agent, now)
 }
 
-/// By machine: the images in its cache, as numbers. An entry is valid while the images on record for
-/// the machine do not change.
+/// Cache, by machine, of the ids of the images that are stored on it. An entry is valid until the images
+/// on record for the machine change.
 #[derive(Debug, Default)]
-pub struct ImageAvailability(HashMap<Arc<str>, CachedImages>);
+pub struct ImageIdCache(HashMap<Arc<str>, CachedImages>);
 
 #[derive(Debug)]
 struct CachedImages {
@@ -122,10 +122,11 @@
     images: Arc<Vec<u32>>,
 }
 
-/// When more machines than this are known, all are dropped, and with them those that are gone.
+/// When the cache holds more machines than this, it is cleared, which also evicts machines that no longer
+/// exist.
 const MAX_CACHED_MACHINES: usize = 8_000;
 
-impl ImageAvailability {
+impl ImageIdCache {
     fn images_on(
         &mut self,
         machine: &str,
@@ -153,7 +154,7 @@
         images
     }
 
-    /// Drops everything, because names have been numbered anew.
+    /// Removes all entries. Required when the name table has been rebuilt, which assigns new ids.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/src/scheduling/job_profile.rs
+++ b/src/scheduling/job_profile.rs
@@ -1,33 +1,33 @@
-//! What many jobs have in common, stored once and referred to by number.
+//! Job properties that many jobs share, stored once and referred to by id.
 
 use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::scheduling::placement::{NameTable, PlacementConstraints};
 use foldhash::HashMap;
 use std::sync::Arc;
 
-/// Properties that many jobs share. A queued job refers to its profile by number.
+/// Properties that many jobs share. A queued job refers to its profile by id.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct JobProfile {
     /// Kind of job.
     pub kind: JobKind,
-    /// Team, as the number of its name.
+    /// Id of the team in the name table.
     pub team: u32,
-    /// Job class, as the number of its name.
+    /// Id of the job class in the name table.
     pub class: u32,
-    /// Priority of the job itself, without what it inherits.
+    /// Priority of the job itself, without priority inheritance.
     pub priority: Priority,
-    /// Machines that the job may use.
+    /// Constraints on the machines that the job may use.
     pub constraints: Arc<PlacementConstraints>,
-    /// Its tasks save checkpoints.
+    /// The tasks save checkpoints.
     pub saves_checkpoints: bool,
-    /// Its tasks start one by one, and the zones of those that run restrict the zones of the others.
+    /// The tasks start one by one, and the zones of running tasks restrict the zones of the others.
     pub has_zone_constraint: bool,
-    /// Number of everything besides amounts that the search for free resources depends on: jobs with
-    /// the same number fit on the same machines.
+    /// Id of the feasibility class: jobs of the same class with the same resource amounts fit on the
+    /// same machines.
     pub feasibility_class: u32,
 }
 
-/// What the search for free resources depends on besides amounts.
+/// The job properties, besides resource amounts, that the search for free resources depends on.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct FeasibilityClass {
     constraints: Arc<PlacementConstraints>,
@@ -36,7 +36,7 @@
     spread: bool,
 }
 
-/// All profiles of the jobs in a queue, each with its number.
+/// Interns the profiles of all jobs in a queue and assigns their ids.
 #[derive(Debug, Default)]
 pub(crate) struct ProfileTable {
     profiles: Vec<JobProfile>,
@@ -45,7 +45,7 @@
 }
 
 impl ProfileTable {
-    /// The number of a job's profile. Adds the profile if it is new.
+    /// Id of a job's profile. Adds the profile if it is new.
     pub(crate) fn id_of(&mut self, spec: &JobSpec, names: &mut NameTable) -> u32 {
         let profile = self.profile(spec, names);
         if let Some(id) = self.ids.get(&profile) {
@@ -78,12 +78,12 @@
         }
     }
 
-    /// The profile with this number.
+    /// The profile with this id.
     pub(crate) fn get(&self, id: u32) -> &JobProfile {
         &self.profiles[id as usize]
     }
 
-    /// How many different searches for free resources there are.
+    /// Number of feasibility classes.
     pub(crate) fn feasibility_class_count(&self) -> usize {
         self.feasibility_classes.len()
     }
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -1,13 +1,13 @@
 //! The job queue, which is updated from pass to pass instead of being rebuilt for each.
 //!
-//! For every live job it stores what a pass needs, in numbers, and keeps the orders in which passes
-//! iterate: by arrival, by estimate, and by arrival within a team. A change of a job's record moves that
-//! job alone. Jobs with a task on a machine are listed separately: the size of the fleet bounds their
-//! number, while nothing bounds the number of the others. So a pass inspects the former, and only
-//! iterates over the latter.
+//! It stores the job data that a pass needs in compact form, and maintains the ordered indexes over which
+//! passes iterate: by arrival, by estimate, and by arrival within a team. A change of a job's record
+//! updates the index entries of that job only. Jobs with a placed task have a separate index: their number
+//! is bounded by the size of the fleet, while the number of the other jobs is unbounded. A pass therefore
+//! inspects every job with a placed task, but only iterates over the others.
 //!
-//! All of it follows from the records. A new leader builds the queue from them, and in debug builds each
-//! pass compares the queue with one that is built anew.
+//! The queue is derived from the records. A new leader builds it from them, and in debug builds each pass
+//! compares it with a newly built one.
 
 use crate::protocol::{JobKind, Micros};
 use crate::scheduling::job_profile::ProfileTable;
@@ -27,11 +27,11 @@
 
 /// Position in the queue: wall-clock time of acceptance, then the job id.
 pub type Arrival = (Micros, Arc<str>);
-/// Index of a job in the queue's table. Slots are reused.
+/// Index of a job in the slot table of the queue. Slots are reused.
 pub type Slot = u32;
 
-/// The part of a job that iterating over it needs. The orders store it themselves: looking up each job
-/// in the table would cost more than the rest of the iteration.
+/// The fields of a job that iteration over the queue reads. The indexes store a copy, because looking up
+/// each job in the slot table would cost more than the rest of the iteration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobSummary {
     /// Slot of the job.
@@ -62,14 +62,14 @@
     }
 }
 
-/// Why a live job is, or is not, in the queue.
+/// Whether a live job is in the queue, and why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueState {
     /// Depends on jobs that are not done: not in the queue.
     AwaitingDependencies,
     /// In the queue, and none of its tasks is placed on record.
     Queued,
-    /// A task of it is placed on record, whether or not the job has ended.
+    /// Has a task that is placed on record, or has ended or been cancelled.
     Placed,
 }
 
@@ -80,7 +80,8 @@
     pub id: Arc<str>,
     /// Wall-clock time of acceptance.
     pub accepted_at: Micros,
-    /// Wall-clock time when the last job that it depends on was done, or its acceptance.
+    /// Wall-clock time at which the last job that it depends on was done; without dependencies, that of
+    /// acceptance.
     pub released_at: Micros,
     /// The owner's estimate of the run time.
     pub estimate: Estimate,
@@ -88,7 +89,7 @@
     pub need: Resources,
     /// Number of its profile.
     pub profile_id: u32,
-    /// Image, as the number of its name.
+    /// Id of the image in the name table.
     pub image: u32,
     /// Number of tasks.
     pub tasks: u32,
@@ -119,23 +120,23 @@
         self.active && self.state != QueueState::AwaitingDependencies
     }
 
-    /// Its demand, in machines of the typical size.
+    /// Resources of all tasks, as a multiple of `typical_host`.
     fn demand(&self, typical_host: &Resources) -> f64 {
         f64::from(self.tasks) * dominant_share(typical_host, &self.need)
     }
 }
 
-/// The queue.
+/// All live jobs, indexed in the orders in which passes iterate.
 #[derive(Debug, Default)]
 pub struct JobQueue {
-    /// Numbers of names that the queued jobs refer to.
+    /// Ids of the names that the queued jobs refer to.
     pub names: NameTable,
     /// Size of the name table after the first pass.
     initial_name_count: Option<usize>,
     is_built: bool,
     slots: Vec<Option<QueuedJob>>,
     unused_slots: Vec<Slot>,
-    // Clients choose the ids: unlike the others, the standard hasher resists deliberate collisions.
+    // Job ids are chosen by clients. The standard hasher resists deliberate collisions, foldhash does not.
     by_id: std::collections::HashMap<Arc<str>, Slot>,
     profiles: ProfileTable,
     /// Queued services.
@@ -144,9 +145,11 @@
     batch_jobs: BTreeMap<Arrival, JobSummary>,
     /// Queued gangs and arrays by estimate.
     batch_by_estimate: BTreeMap<(Estimate, Arrival), JobSummary>,
+    /// Jobs in the state `Placed`, by id.
     placed: BTreeMap<Arc<str>, Slot>,
+    /// Active jobs without open dependencies, by team id and arrival.
     by_team: HashMap<u32, BTreeMap<Arrival, Slot>>,
-    /// Resources of the machine in which demands are measured.
+    /// Total resources of the machine in units of which demand is expressed.
     typical_host: Resources,
     largest_demand: f64,
 }
@@ -168,20 +171,21 @@
         queue
     }
 
-    /// Whether the queue must be rebuilt: it was never built, or most of its names are probably no
-    /// longer in use.
+    /// Whether the queue must be rebuilt: it was never built, or its name table has grown so far that most
+    /// names are probably unused.
     pub fn needs_rebuild(&self) -> bool {
         let has_grown =
             |initial_count: usize| self.names.len() > 2 * initial_count + MAX_NAME_GROWTH;
         !self.is_built || self.initial_name_count.is_some_and(has_grown)
     }
 
-    /// Notes that a pass has added the names of machines, teams and images.
+    /// Must be called after each pass. The first call stores the size of the name table, which by then
+    /// holds the names of machines, teams and images.
     pub fn mark_names_complete(&mut self) {
         self.initial_name_count = self.initial_name_count.or(Some(self.names.len()));
     }
 
-    /// Replaces a job whose record has changed. `None` removes it.
+    /// Updates a job whose record has changed. `None` removes the job.
     pub fn update(&mut self, id: &str, job: Option<&Job>) {
         if !self.is_built {
             return;
@@ -290,12 +294,12 @@
         self.profiles.get(queued.profile_id)
     }
 
-    /// The profile with this number.
+    /// The profile with this id.
     pub fn profile(&self, id: u32) -> &JobProfile {
         self.profiles.get(id)
     }
 
-    /// What the placement of a job's tasks depends on.
+    /// The requirements that decide where the tasks of a job can be placed.
     pub fn requirements(&self, queued: &QueuedJob) -> TaskRequirements {
         let profile = self.profile_of(queued);
         TaskRequirements {
@@ -307,12 +311,12 @@
         }
     }
 
-    /// How many different searches for free resources there are. Profiles number them from 0.
+    /// Number of feasibility classes. Their ids count from 0.
     pub fn feasibility_class_count(&self) -> usize {
         self.profiles.feasibility_class_count()
     }
 
-    /// Upper bound of all slots.
+    /// Size of the slot table: all slots are less than this.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
@@ -337,19 +341,19 @@
         self.batch_by_estimate.iter()
     }
 
-    /// Jobs with a task that is placed on record, by id.
+    /// Jobs in the state `Placed`, by id.
     pub fn placed(&self) -> impl Iterator<Item = (&str, Slot)> {
         self.placed.iter().map(|(id, slot)| (&**id, *slot))
     }
 
-    /// Live jobs of a team in order of arrival, except those that depend on others.
+    /// Active jobs of a team without open dependencies, in order of arrival.
     pub(crate) fn jobs_of_team(&self, team: u32) -> impl Iterator<Item = (&Arrival, Slot)> {
         let jobs = self.by_team.get(&team).into_iter().flatten();
         jobs.map(|(arrival, slot)| (arrival, *slot))
     }
 
-    /// The largest demand of any job that has been in the queue, in machines of the typical size. Only
-    /// current jobs count after that size has changed.
+    /// The largest demand of any job that has been in the queue, as a multiple of `typical_host`. When
+    /// `typical_host` changes, the value is recomputed from the current jobs.
     pub fn largest_demand(&mut self, typical_host: Resources) -> f64 {
         if self.typical_host != typical_host {
             self.typical_host = typical_host;
--- a/src/scheduling/job_queue/consistency.rs
+++ b/src/scheduling/job_queue/consistency.rs
@@ -1,12 +1,12 @@
-//! Comparison of a queue that has been updated with one that is built anew.
+//! Compares an incrementally updated queue with one that is rebuilt from the records.
 
 use super::{JobQueue, QueuedJob, Slot};
 use crate::state::record_cache::Job;
 use std::collections::BTreeMap;
 
 impl JobQueue {
-    /// Compares the queue with one that is built from `jobs`. The error names the first index that
-    /// differs, and how.
+    /// Compares the queue with one that is built from `jobs`. The error describes the first index that
+    /// differs.
     pub fn check_consistency<'a>(
         &self,
         jobs: impl Iterator<Item = (&'a String, &'a Job)>,
@@ -17,14 +17,14 @@
             let (actual, expected) = (actual.get(index), expected.get(index));
             if actual != expected {
                 return Err(format!(
-                    "index {index}: the queue has {actual:?}, the records give {expected:?}"
+                    "index {index}: the queue has {actual:?}, a queue rebuilt from the records has {expected:?}"
                 ));
             }
         }
         Ok(())
     }
 
-    /// By name: every index that is not empty, with a description of each job.
+    /// All indexes that are not empty, by name, with a description of each job.
     fn describe_indexes(&self) -> BTreeMap<String, Vec<String>> {
         let services = self.services().map(|(_, summary)| summary.slot);
         let batch_jobs = self.batch_jobs().map(|(_, summary)| summary.slot);
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -68,19 +68,22 @@
             queue.update(&id, jobs.get(&id));
         }
         assert_eq!(queue.check_consistency(jobs.iter()), Ok(()), "seed {seed}");
-        let counted = jobs
+        let active_jobs = jobs
             .values()
             .filter(|job| job.active() && !job.waits_for_dependencies());
-        let largest = counted
+        let largest = active_jobs
             .map(|job| job.record.spec.tasks as f64 * job.record.spec.gpus / 8.0)
             .fold(0.0, f64::max);
         let largest_demand = queue.largest_demand([1e9, 8.0, 1e9]);
-        assert!(largest_demand >= largest, "seed {seed}");
+        assert!(
+            largest_demand >= largest,
+            "seed {seed}: the queue has a largest demand of {largest_demand}, its jobs {largest}"
+        );
     }
 }
 
-/// Fails if the walk over a team's jobs continues past the first one that does not fit, or if done tasks
-/// count.
+/// Guards against covering jobs after the first one that does not fit, and against counting tasks that are
+/// done.
 #[test]
 fn a_guarantee_covers_unfinished_tasks_up_to_the_first_job_that_does_not_fit() {
     let team = Team {
@@ -108,11 +111,14 @@
     ]);
     let queue = JobQueue::build(jobs.iter());
     let cutoffs = queue.guarantee_cutoffs(&[team]);
-    let red = queue.names.find("red").expect("a team of a job is named");
+    let red = queue
+        .names
+        .find("red")
+        .expect("the name table holds the teams of all queued jobs");
     let covered: Vec<&String> = jobs
         .iter()
         .filter(|(id, job)| cutoffs.covers(red, job.record.at, id))
         .map(|(id, _)| id)
         .collect();
-    assert_eq!(covered, ["a", "b"]);
+    assert_eq!(covered, ["a", "b"], "jobs that the guarantee covers");
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,4 +1,4 @@
-//! Scheduling passes: snapshot of the cluster, order of the queue, bin packing, preemption and quotas.
+//! Scheduling passes: cluster snapshot, queue order, bin packing, preemption and quotas.
 
 mod apply_decision;
 pub mod backfill;
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -1,6 +1,6 @@
-//! One scheduling pass: takes a snapshot of the cluster and the queue, runs the pure algorithm of
-//! `backfill::run_pass` on it, and returns the decision. `decide` changes nothing but the state that is
-//! cached between passes; `apply_decision` carries the decision out.
+//! One scheduling pass: takes a snapshot of the cluster and the queue, runs the pure algorithm
+//! `backfill::run_pass` on it, and returns the decision. `decide` modifies only the `PassState` that is
+//! cached between passes; `apply_decision` applies the decision.
 
 use crate::agents::leader_state::LeaderState;
 use crate::cloud::autoscaler::{self, ScalingPlan};
@@ -10,7 +10,7 @@
 use crate::scheduling::capacity_index::CapacityIndex;
 use crate::scheduling::cluster_snapshot::{ClusterSnapshot, SnapshotBuilder};
 use crate::scheduling::findings::{JobFindings, TaskRef};
-use crate::scheduling::host_table::{HostTable, ImageAvailability};
+use crate::scheduling::host_table::{HostTable, ImageIdCache};
 use crate::scheduling::job_queue::JobQueue;
 use crate::scheduling::pending_jobs::{PendingJobs, SchedulingContext};
 use crate::scheduling::placement::NameTable;
@@ -33,13 +33,13 @@
     pub task: u32,
     /// Name of the machine.
     pub machine: String,
-    /// Epoch of the agent that the start is addressed to.
+    /// Epoch of the agent that is to start the task.
     pub agent_epoch: u64,
-    /// The task was started ahead of a job that had arrived earlier.
+    /// The task starts ahead of a job that arrived earlier.
     pub backfilled: bool,
 }
 
-/// A machine that is held for a job while tasks on it are stopped.
+/// A machine that is reserved for a job while tasks on it are being stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
     /// Name of the machine.
@@ -55,15 +55,15 @@
     pub starts: Vec<TaskStart>,
     /// Tasks to preempt.
     pub preemptions: Vec<TaskRef>,
-    /// Machines to hold for jobs whose room is being cleared.
+    /// Machines to reserve for jobs while preempted tasks on them are being stopped.
     pub reservations: Vec<Reservation>,
     /// Number of jobs with tasks that could not be placed.
     pub unplaced_jobs: usize,
-    /// The largest demand of any job so far, in machines of the typical size.
+    /// The largest demand of any job so far, as a multiple of `HostTable::typical_host`.
     pub largest_demand: f64,
-    /// What inspecting placed jobs has found.
+    /// Results of inspecting the jobs.
     pub findings: JobFindings,
-    /// Machines to rent and to return.
+    /// Machines to rent and to release.
     pub scaling: ScalingPlan,
     /// Number of jobs with tasks to start.
     pub waiting_jobs: usize,
@@ -71,16 +71,16 @@
     pub machine_count: usize,
 }
 
-/// What a pass reads. None of it is changed.
+/// Read-only inputs of a pass.
 #[derive(Clone, Copy)]
 pub struct PassInputs<'a> {
     /// State of the leader.
     pub leader: &'a LeaderState,
-    /// Records of the store.
+    /// Cached records of the store.
     pub cache: &'a RecordCache,
     /// Settings of the cluster.
     pub settings: &'a Settings,
-    /// Policy set by the operators.
+    /// The operators' policy.
     pub policy: &'a Policy,
     /// Current time.
     pub clock: Clock,
@@ -89,9 +89,9 @@
 /// State that the leader caches between passes. It can be rebuilt from records and heartbeats.
 #[derive(Default)]
 pub struct PassState {
-    /// The queue of jobs.
+    /// All live jobs.
     pub job_queue: JobQueue,
-    images: ImageAvailability,
+    images: ImageIdCache,
 }
 
 impl PassState {
@@ -103,19 +103,22 @@
         }
     }
 
-    /// The limits of all teams, with nothing taken from them.
+    /// The quotas of all teams, of which nothing is used yet.
     fn team_quotas(&mut self, settings: &Settings) -> QuotaTracker {
-        let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+        let or_unlimited = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
         let mut quotas = QuotaTracker::default();
         for team in &settings.params.teams {
             let team_id = self.job_queue.names.id(&team.name);
-            quotas.set_limit(team_id, [limit(team.cpus_max), limit(team.gpus_max)]);
+            quotas.set_limit(
+                team_id,
+                [or_unlimited(team.cpus_max), or_unlimited(team.gpus_max)],
+            );
         }
         quotas
     }
 }
 
-/// Decides on one pass. `unplaced` receives the jobs with tasks that could not be placed, in the
+/// Runs a pass and returns its decision. `unplaced` receives the jobs with tasks that could not be placed, in the
 /// order in which the pass considered them.
 pub fn decide(
     inputs: &PassInputs<'_>,
@@ -176,22 +179,22 @@
     decision
 }
 
-/// The queue and the machines after tasks have been placed.
+/// The queue and the machines after the pass has placed tasks.
 struct PlacementOutcome<'p, 'a> {
     /// Entries of the inspected jobs.
     entries: &'p [QueueEntry<'a>],
-    /// All other queued jobs.
+    /// Queued jobs that were not inspected.
     pending: &'p PendingJobs<'a>,
     host_table: &'p HostTable<'a>,
     /// The machines, with the resources that are free after the pass.
     capacity: &'p CapacityIndex,
     plan: &'p SchedulingPlan<'a>,
-    /// The leader has been in office long enough to know all agents.
+    /// The leader has had time to receive a heartbeat from every reachable agent.
     agents_known: bool,
 }
 
 impl PlacementOutcome<'_, '_> {
-    /// Plans which machines to rent and to return. `unplaced` receives the jobs with unmet demand.
+    /// Plans which machines to rent and to release. `unplaced` receives the jobs with unmet demand.
     fn scaling_plan(
         &self,
         inputs: &PassInputs<'_>,
@@ -222,7 +225,7 @@
     }
 }
 
-/// What a pass has to know about any job besides its record.
+/// The data, besides job records, that queue entries are built from.
 fn scheduling_context<'a>(
     inputs: &PassInputs<'a>,
     job_queue: &'a JobQueue,
@@ -242,12 +245,12 @@
 }
 
 /// Sorts the queue entries, releases reservations of jobs that no longer wait, and determines which
-/// tasks may be preempted: none while the leader does not know all agents yet.
+/// tasks may be preempted. No task may be until every reachable agent has had time to send a heartbeat.
 fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, agents_known: bool) {
     Recovery::sort_entries(&mut snapshot.entries);
     let waiting: HashSet<&str> = snapshot.entries.iter().map(|entry| entry.id).collect();
     for host in &mut snapshot.host_table.hosts {
-        // Every job that holds a reservation has been inspected, so it is among the entries if it waits.
+        // Every job with a reservation has been inspected, so if it still waits it has an entry.
         let reserved = host.reserved.as_deref();
         if reserved.is_some_and(|job| !waiting.contains(job)) {
             host.reserved = None;
@@ -259,7 +262,7 @@
     backfill::mark_exempt_tasks(&mut snapshot.preemptible, &snapshot.usage_by_class);
 }
 
-/// The numbers of all zones in which machines are offered, sorted.
+/// Sorted ids of all zones in which machines are offered.
 fn offered_zones(cache: &RecordCache, names: &NameTable) -> Vec<u32> {
     let zone_names = cache
         .machine_types
@@ -272,7 +275,7 @@
     zones
 }
 
-/// Resolves host indexes to machine names and agent epochs.
+/// Converts placements: resolves host indexes to machine names and agent epochs.
 fn task_starts(
     placements: Vec<TaskPlacement>,
     host_table: &HostTable<'_>,
@@ -286,13 +289,13 @@
         task: placement.task,
         backfilled: placement.backfilled,
     };
-    // A record that cannot be decoded may hold other placements or the end of the job, and the
-    // controller could not write a new placement beside it.
+    // A record that cannot be decoded may contain other placements or the end of the job, and the
+    // controller could not add a placement to it.
     let readable = |placement: &TaskPlacement| !cache.is_unreadable(&placement.job);
     placements.into_iter().filter(readable).map(start).collect()
 }
 
-/// Names the fields of the tasks that a plan preempts.
+/// Converts the preempted tasks of a plan.
 fn task_refs(stops: Vec<(String, u32)>) -> Vec<TaskRef> {
     stops
         .into_iter()
@@ -300,7 +303,7 @@
         .collect()
 }
 
-/// Resolves host indexes to machine names.
+/// Converts reservations: resolves host indexes to machine names.
 fn reservations(reserved: Vec<(usize, String)>, host_table: &HostTable<'_>) -> Vec<Reservation> {
     reserved
         .into_iter()
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -1,5 +1,4 @@
-//! The jobs over which a pass iterates without inspecting them: those in the queue that have no placed
-//! task.
+//! The queued jobs without a placed task, over which a pass iterates without inspecting them.
 
 use crate::protocol::{JobKind, Micros, Priority};
 use crate::scheduling::backfill::{QueueEntry, max_startable_tasks};
@@ -12,29 +11,29 @@
 use std::collections::BTreeMap;
 
 /// A guaranteed job that has waited this long may also preempt gangs that other teams run beyond their
-/// guarantee_cutoffs. Longer than machines usually take to boot.
+/// guarantees. Longer than machines usually take to boot.
 const OVERDUE_AFTER: Micros = Micros::millis(60_000);
 
-/// Behind a blocked job the shortest jobs are backfilled first, but jobs that have waited this long come
-/// before them, in order of arrival. Otherwise the longest jobs would wait as long as shorter ones keep
+/// Behind a blocked job the shortest jobs are backfilled first, except that jobs that have waited this long
+/// come before them, in order of arrival. Otherwise the longest jobs would starve while shorter ones keep
 /// arriving.
 const STARVED_AFTER: Micros = Micros::millis(120_000);
 
-/// A gang that has waited this long no longer waits for other tasks to end. About as long as it takes
-/// for a place to become free by itself where tasks are short.
+/// A gang that has waited this long may preempt tasks that cannot save checkpoints instead of waiting for
+/// them to end. About the time in which capacity becomes free without preemption where tasks are short.
 const AGED_AFTER: Micros = Micros::millis(20_000);
 
-/// What a pass has to know about any job besides its record.
+/// The data, besides job records, that queue entries are built from.
 pub struct SchedulingContext<'a> {
-    /// The queue.
+    /// Index of all live jobs.
     pub job_queue: &'a JobQueue,
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
-    /// How far the guarantee of each team reaches.
+    /// By team: the last job that its guarantee covers.
     pub guarantee_cutoffs: GuaranteeCutoffs,
-    /// Priorities of jobs that other jobs depend on.
+    /// Priorities that jobs inherit from the jobs that depend on them.
     pub inherited_priorities: InheritedPriorities<'a>,
-    /// The slowest image fetch of any machine type, in GB a second.
+    /// The lowest image fetch rate of any machine type, in GB per second.
     pub slowest_fetch_gb_per_s: f64,
     /// Wall-clock time.
     pub wall_clock: Micros,
@@ -53,7 +52,7 @@
         self.waited(queued) > OVERDUE_AFTER
     }
 
-    /// Whether a gang has waited long enough to preempt tasks that cannot save.
+    /// Whether a gang has waited long enough to preempt tasks that cannot save checkpoints.
     pub fn aged(&self, queued: &QueuedJob) -> bool {
         self.waited(queued) > AGED_AFTER
     }
@@ -67,8 +66,8 @@
         self.wall_clock.since(queued.released_at)
     }
 
-    /// The queue entry of a job with the given tasks to start. The caller fills in the tasks that are
-    /// placed or lost, and the machines to avoid.
+    /// The queue entry of a job with the given tasks to start. The caller sets the placed tasks, the lost
+    /// tasks and the machines to avoid.
     pub fn queue_entry(
         &self,
         id: &'a str,
@@ -106,7 +105,7 @@
     (*accepted_at, id)
 }
 
-/// The sort key of backfilling: starved jobs by arrival, then the others by estimate.
+/// Sort key for backfilling: starved jobs by arrival, then the others by estimate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackfillOrder<'a> {
     /// The job has waited long enough to come before shorter ones.
@@ -155,8 +154,8 @@
         let mut is_inspected = vec![false; job_queue.slot_count()];
         let mut count = job_queue.queued_count();
         for slot in inspected {
-            if let Some(mark) = is_inspected.get_mut(slot as usize) {
-                *mark = true;
+            if let Some(is_inspected) = is_inspected.get_mut(slot as usize) {
+                *is_inspected = true;
             }
             let queued = job_queue.job(slot);
             let is_queued = queued.is_some_and(|queued| queued.state == QueueState::Queued);
@@ -226,7 +225,7 @@
         self.context.job_queue.profile(summary.profile_id)
     }
 
-    /// How many different searches for free resources there are. Profiles number them from 0.
+    /// Number of feasibility classes. Their ids count from 0.
     pub fn feasibility_class_count(&self) -> usize {
         self.context.job_queue.feasibility_class_count()
     }
@@ -242,7 +241,7 @@
         queued.is_some_and(|queued| self.context.overdue(queued))
     }
 
-    /// Whether a gang has waited long enough to preempt tasks that cannot save.
+    /// Whether a gang has waited long enough to preempt tasks that cannot save checkpoints.
     pub fn aged(&self, summary: &JobSummary) -> bool {
         let queued = self.queued_job(summary);
         queued.is_some_and(|queued| self.context.aged(queued))
@@ -270,7 +269,7 @@
         self.job(&self.queued_job(summary)?.id)
     }
 
-    /// The queue entry of a job, with as many of its tasks as one pass would start.
+    /// The queue entry of a job, with at most as many of its tasks as one pass starts.
     pub fn queue_entry(&self, summary: &JobSummary) -> Option<QueueEntry<'a>> {
         debug_assert!(self.is_pending(summary));
         let queued = self.queued_job(summary)?;
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -6,8 +6,8 @@
 
 /// By job id: the priorities of jobs that other jobs depend on, directly or transitively.
 ///
-/// Computed anew for each pass from the waiting jobs, so that it is right whatever jobs have arrived,
-/// been done or been cancelled in the meantime.
+/// Recomputed in each pass from the jobs that wait for dependencies, so that no update is needed when a
+/// job arrives, completes or is cancelled.
 #[derive(Debug, Default)]
 pub struct InheritedPriorities<'a>(HashMap<&'a str, Priority>);
 
@@ -18,8 +18,8 @@
         if !cache.has_waiting_jobs() {
             return InheritedPriorities(inherited);
         }
-        // A priority is passed on along the dependencies as long as it raises that of another job. There
-        // are only four priorities, so this ends even if the dependencies contain a cycle.
+        // Propagates priorities along the dependencies while they raise the priority of a job. There are
+        // only four priorities, so this terminates even if the dependencies contain a cycle.
         let mut worklist: Vec<(&Job, Priority)> = cache
             .waiting_jobs()
             .map(|job| (job, job.record.spec.priority))
@@ -41,12 +41,12 @@
         InheritedPriorities(inherited)
     }
 
-    /// The highest priority of a job and of all jobs that depend on it.
+    /// The effective priority of a job: the highest of its own and those of all jobs that depend on it.
     pub fn effective_priority(&self, id: &str, job: &Job) -> Priority {
         self.effective_priority_from(id, job.record.spec.priority)
     }
 
-    /// The same for a job whose own priority is `own`.
+    /// Like `effective_priority`, for a caller that has no record of the job but its own priority.
     pub fn effective_priority_from(&self, id: &str, own_priority: Priority) -> Priority {
         if self.0.is_empty() {
             return own_priority;
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -1,4 +1,4 @@
-//! Remaining quotas of teams during a pass.
+//! Tracks the remaining quotas of teams during a pass.
 
 use crate::scheduling::placement::{Resources, slots};
 
@@ -15,7 +15,7 @@
     gpus: f64::INFINITY,
 };
 
-/// Resources that teams may still allocate. Teams are numbers of the `NameTable`.
+/// Resources that teams may still allocate. Teams are identified by their ids in the `NameTable`.
 #[derive(Debug, Default, Clone)]
 pub struct QuotaTracker {
     by_team: Vec<RemainingQuota>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Number of tasks with these needs that the team's quota permits.
+    /// Maximum number of tasks with these resources that the remaining quota of the team permits.
     pub(crate) fn max_tasks(&self, team: u32, need: &Resources) -> u32 {
         let Some(remaining) = self.by_team.get(team as usize) else {
             return u32::MAX;
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -1,29 +1,30 @@
 //! The order in which jobs are considered after many tasks have been lost at once.
 //!
-//! A zone that falls silent, or many machines that restart together, displace hundreds of tasks within a
-//! second or two. This module is pure: a pass reports how many displaced tasks it has found; it orders
-//! the queue entries, and tells operators when a recovery begins, grows and ends. Placements, rentals
-//! and writes are paced where they are made (`backfill`, `fleet`, `bundling`); rentals count machines that
-//! may come back as free.
+//! The failure of a zone, or a simultaneous restart of many machines, loses hundreds of tasks within a second
+//! or two. This module performs no I/O: it receives the number of lost tasks from each pass, sorts the
+//! queue entries, and returns events to be logged when a recovery starts, grows and finishes. Placements,
+//! rentals and writes are rate limited where they are made (`scheduling::backfill`, `cloud`,
+//! `records::placement_batching`). Rentals count machines that may come back as free capacity.
 //!
-//! - Replicas of services come back first, since clients miss them by the second. All other jobs keep
-//!   the order of their acceptance, so none gains by its machines being lost first.
-//! - Passes keep their usual size. Machines come back over a report interval; a pass that placed all
-//!   displaced tasks at once crowded the machines that came back first, which had fewer of the images
-//!   (journal of 2026-12-01).
-//! - A second loss during a recovery joins it. A new leader starts a recovery from what records and
-//!   heartbeats show; nothing about it is kept in the store, since it all follows from those.
+//! - Services with lost replicas are considered first, since clients notice every second without them. All
+//!   other jobs keep the order of their acceptance, so that a job gains nothing from losing its machines
+//!   before others do.
+//! - Passes keep their usual placement limit. Machines come back spread over a report interval: a pass that
+//!   placed all lost tasks at once overloaded the machines that came back first, which had fewer of the
+//!   images (journal of 2026-12-01).
+//! - A further loss during a recovery becomes part of it. The state of a recovery is not stored, since a new
+//!   leader can derive it from records and heartbeats.
 
 use crate::protocol::{JobKind, Micros};
 use crate::scheduling::backfill::QueueEntry;
 use std::fmt;
 
-/// Fewer lost tasks than this are not a recovery.
+/// A recovery starts only if at least this many tasks are lost.
 const MIN_LOST_TASKS: usize = 16;
-/// Less than this fraction of all placed tasks is not a recovery.
+/// A recovery starts only if at least this fraction of all placed tasks is lost.
 const MIN_LOST_FRACTION: f64 = 0.02;
 
-/// Number of displaced tasks, by the kind of their jobs.
+/// Numbers of lost tasks by kind of job.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct LostTasks {
     /// Replicas of services.
@@ -58,21 +59,21 @@
     peak: usize,
 }
 
-/// A change in a recovery that operators should know about.
+/// A change of a recovery that is logged for operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RecoveryEvent {
     /// Many tasks have been lost.
     Started(LostTasks),
-    /// More tasks are lost than before.
+    /// More tasks are lost than at any earlier time of the recovery.
     Grown {
         /// Number of tasks that are lost now.
         lost: usize,
     },
-    /// All tasks have been placed again.
+    /// No lost task is left.
     Finished {
         /// The largest number of tasks that were lost at the same time.
         peak: usize,
-        /// Time since the loss was seen.
+        /// Time since the recovery started.
         duration: Micros,
     },
 }
@@ -95,15 +96,15 @@
     }
 }
 
-/// Tracks whether a recovery is in progress.
+/// Tracks the recovery in progress, if any.
 #[derive(Debug, Default)]
 pub struct Recovery {
     ongoing: Option<OngoingRecovery>,
 }
 
 impl Recovery {
-    /// Takes the result of a pass: the displaced tasks that it has found, and the number of tasks that
-    /// are placed on record.
+    /// Updates the recovery with the results of a pass: the lost tasks that wait for a new placement, and
+    /// the number of placed tasks. Returns an event if the recovery has changed.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -130,13 +131,13 @@
             self.ongoing = None;
             return Some(finished);
         }
-        // A second loss joins the recovery.
+        // A further loss is part of the same recovery.
         let has_grown = lost > ongoing.peak;
         ongoing.peak = ongoing.peak.max(lost);
         has_grown.then_some(RecoveryEvent::Grown { lost })
     }
 
-    /// Whether a job is considered before all others: a service that has lost replicas.
+    /// Whether the job is a service that has lost replicas. Such jobs are considered before all others.
     pub fn has_lost_replicas(entry: &QueueEntry<'_>) -> bool {
         entry.lost_tasks > 0 && entry.spec.kind == JobKind::Service
     }
--- a/src/scheduling/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -28,10 +28,10 @@
     let started = recovery.observe(at(3), lost(10, 80), 4_000);
     assert_eq!(started, Some(RecoveryEvent::Started(lost(10, 80))));
     assert!(recovery.ongoing.is_some());
-    // It continues while any task is lost.
+    // The recovery continues while any task is lost.
     assert_eq!(recovery.observe(at(4), lost(0, 1), 4_000), None);
     assert!(recovery.ongoing.is_some());
-    // A second loss is reported.
+    // A second loss that exceeds the first is reported.
     let second = recovery.observe(at(5), lost(100, 20), 4_000);
     assert_eq!(second, Some(RecoveryEvent::Grown { lost: 120 }));
     let finished = recovery.observe(at(9), LostTasks::default(), 4_000);
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Demand that a pass could not place, as the autoscaler asks for it.
+//! The demand that a pass could not place, in the form in which the autoscaler reads it.
 
 use crate::cloud::autoscaler::{CapacityDemand, DemandSource};
 use crate::protocol::{JobKind, JobSpec};
@@ -17,11 +17,11 @@
     pub tasks: u32,
 }
 
-/// Resolves queue candidates to what their tasks require.
+/// Resolves queue candidates to the capacity that their tasks require.
 pub(crate) struct QueueDemand<'p, 'a> {
     /// Entries of the jobs that the pass has inspected.
     pub(crate) entries: &'p [QueueEntry<'a>],
-    /// The other queued jobs.
+    /// Queued jobs that the pass has not inspected.
     pub(crate) pending: &'p PendingJobs<'a>,
     /// By job: the zones of the tasks that this pass has placed.
     pub(crate) placed_zones: HashMap<&'p str, Vec<u32>>,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> QueueDemand<'_, 'a> {
-    /// The jobs behind unmet demands, in their order.
+    /// The jobs of the unmet demands, in the same order.
     pub(crate) fn unplaced_jobs(
         &self,
         unmet: &[UnmetDemand<'_>],
@@ -61,9 +61,9 @@
         })
     }
 
-    /// The only zones in which further tasks of a job may run, or `None` if its placed tasks do not
-    /// restrict it. Machines rented in other zones would never get the tasks, and would keep the
-    /// machines that they need from being rented.
+    /// The zones in which further tasks of a job may run, or `None` if its placed tasks do not restrict the
+    /// choice. Machines rented in other zones could never run the tasks, but would count as capacity for
+    /// them, so that machines in the allowed zones would not be rented.
     fn allowed_zones(
         &self,
         id: &str,
