--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -28,7 +28,7 @@
         };
         let now = clock.now;
         leader.expire_failures(now);
-        let mut state = std::mem::take(&mut leader.pass_state);
+        let mut pass_state = std::mem::take(&mut leader.pass_state);
         let inputs = PassInputs {
             leader,
             cache: &self.cache,
@@ -36,12 +36,14 @@
             policy: &self.policy,
             clock,
         };
-        let decision = decide(&inputs, &mut state, None);
+        let decision = decide(&inputs, &mut pass_state, None);
         if cfg!(debug_assertions) {
-            let consistent = state.job_queue.check_consistency(self.cache.jobs.iter());
+            let consistent = pass_state
+                .job_queue
+                .check_consistency(self.cache.jobs.iter());
             debug_assert_eq!(consistent, Ok(()));
         }
-        leader.pass_state = state;
+        leader.pass_state = pass_state;
         let scaling = leader.apply_decision(decision, &self.cache, now);
         self.apply_scaling_plan(scaling);
     }
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -155,7 +155,7 @@
             head_found |= at_head;
             self.preempt_for(&BlockedJob {
                 candidate,
-                position: rank.at,
+                position: rank.position,
                 unplaced,
                 at_head,
                 backfilling: true,
@@ -206,7 +206,7 @@
     });
     let behind = pending
         .in_backfill_order()
-        .filter(move |(order, _)| order.at > position);
+        .filter(move |(order, _)| order.position > position);
     BackfillMerge {
         active,
         deferred: deferred.into_iter().peekable(),
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -55,7 +55,7 @@
             if agent.epoch_ended() || leader.fleet.is_gone(name) {
                 continue;
             }
-            let host = host(inputs, name, agent, machine_type, names, images);
+            let host = empty_host(inputs, name, agent, machine_type, names, images);
             table.index.insert(name, table.hosts.len() as u32);
             table.names.push(name);
             table.agents.push(agent);
@@ -66,7 +66,7 @@
 }
 
 /// A host with all of its resources free.
-fn host(
+fn empty_host(
     inputs: &PassInputs<'_>,
     name: &str,
     agent: &Agent,
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -36,7 +36,7 @@
 pub struct JobSummary {
     /// Slot of the job.
     pub slot: Slot,
-    /// Number of its profile.
+    /// Id of its profile.
     pub profile_id: u32,
     /// Resources that one task needs.
     pub need: Resources,
@@ -87,7 +87,7 @@
     pub estimate: Estimate,
     /// Resources that one task needs.
     pub need: Resources,
-    /// Number of its profile.
+    /// Id of its profile.
     pub profile_id: u32,
     /// Id of the image in the name table.
     pub image: u32,
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -21,7 +21,7 @@
 use crate::state::record_cache::RecordCache;
 use std::collections::HashSet;
 
-/// Lower bound of the image fetch rate, in GB a second: fetch times are divided by it.
+/// Lower bound of the image fetch rate, by which image sizes are divided.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// A task that is to be started.
@@ -118,8 +118,8 @@
     }
 }
 
-/// Runs a pass and returns its decision. `unplaced` receives the jobs with tasks that could not be placed, in the
-/// order in which the pass considered them.
+/// Runs a pass and returns its decision. `unplaced` receives the jobs with tasks that could not be placed,
+/// in the order in which the pass considered them.
 pub fn decide(
     inputs: &PassInputs<'_>,
     state: &mut PassState,
@@ -245,7 +245,8 @@
 }
 
 /// Sorts the queue entries, releases reservations of jobs that no longer wait, and determines which
-/// tasks may be preempted. No task may be until every reachable agent has had time to send a heartbeat.
+/// tasks may be preempted. None is preempted before every reachable agent has had time to send a
+/// heartbeat, since machines that are not known yet may have free resources.
 fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, agents_known: bool) {
     Recovery::sort_entries(&mut snapshot.entries);
     let waiting: HashSet<&str> = snapshot.entries.iter().map(|entry| entry.id).collect();
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -25,7 +25,7 @@
 
 /// The data, besides job records, that queue entries are built from.
 pub struct SchedulingContext<'a> {
-    /// Index of all live jobs.
+    /// Queue state of all live jobs.
     pub job_queue: &'a JobQueue,
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
@@ -113,16 +113,16 @@
     /// Estimated run time in seconds; 0 for starved jobs.
     estimate_s: f64,
     /// Position in the queue.
-    pub at: QueuePosition<'a>,
+    pub position: QueuePosition<'a>,
 }
 
 impl<'a> BackfillOrder<'a> {
     /// The sort key of a job.
-    pub fn new(starved: bool, estimate_s: f64, at: QueuePosition<'a>) -> BackfillOrder<'a> {
+    pub fn new(starved: bool, estimate_s: f64, position: QueuePosition<'a>) -> BackfillOrder<'a> {
         BackfillOrder {
             starved,
             estimate_s: if starved { 0.0 } else { estimate_s },
-            at,
+            position,
         }
     }
 
@@ -132,7 +132,7 @@
         let shorter_first = self.estimate_s.total_cmp(&other.estimate_s);
         starved_first
             .then(shorter_first)
-            .then(self.at.cmp(&other.at))
+            .then(self.position.cmp(&other.position))
     }
 }
 
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -1,10 +1,11 @@
 //! The order in which jobs are considered after many tasks have been lost at once.
 //!
-//! The failure of a zone, or a simultaneous restart of many machines, loses hundreds of tasks within a second
-//! or two. This module performs no I/O: it receives the number of lost tasks from each pass, sorts the
-//! queue entries, and returns events to be logged when a recovery starts, grows and finishes. Placements,
-//! rentals and writes are rate limited where they are made (`scheduling::backfill`, `cloud`,
-//! `records::placement_batching`). Rentals count machines that may come back as free capacity.
+//! The failure of a zone, or a simultaneous restart of many machines, causes the loss of hundreds of
+//! tasks within a second or two. This module performs no I/O: it receives the number of lost tasks
+//! from each pass, sorts the queue entries, and returns events to be logged when a recovery starts,
+//! grows and finishes. Placements, rentals and writes are rate limited where they are made
+//! (`scheduling::backfill`, `cloud`, `records::placement_batching`). The autoscaler counts machines
+//! that may come back as free capacity.
 //!
 //! - Services with lost replicas are considered first, since clients notice every second without them. All
 //!   other jobs keep the order of their acceptance, so that a job gains nothing from losing its machines
--- a/src/scheduling/recovery/tests.rs
+++ b/src/scheduling/recovery/tests.rs
@@ -18,7 +18,10 @@
     let mut recovery = Recovery::default();
     assert_eq!(recovery.observe(at(1), lost(3, 12), 100), None);
     assert_eq!(recovery.observe(at(2), lost(10, 20), 4_000), None);
-    assert!(recovery.ongoing.is_none());
+    assert!(
+        recovery.ongoing.is_none(),
+        "still in progress: {recovery:?}"
+    );
 }
 
 #[test]
@@ -27,10 +30,10 @@
     assert_eq!(recovery.observe(at(2), lost(10, 20), 4_000), None);
     let started = recovery.observe(at(3), lost(10, 80), 4_000);
     assert_eq!(started, Some(RecoveryEvent::Started(lost(10, 80))));
-    assert!(recovery.ongoing.is_some());
+    assert!(recovery.ongoing.is_some(), "no recovery is in progress");
     // The recovery continues while any task is lost.
     assert_eq!(recovery.observe(at(4), lost(0, 1), 4_000), None);
-    assert!(recovery.ongoing.is_some());
+    assert!(recovery.ongoing.is_some(), "no recovery is in progress");
     // A second loss that exceeds the first is reported.
     let second = recovery.observe(at(5), lost(100, 20), 4_000);
     assert_eq!(second, Some(RecoveryEvent::Grown { lost: 120 }));
@@ -40,7 +43,10 @@
         duration: at(6),
     };
     assert_eq!(finished, Some(expected));
-    assert!(recovery.ongoing.is_none());
+    assert!(
+        recovery.ongoing.is_none(),
+        "still in progress: {recovery:?}"
+    );
 }
 
 #[test]
