--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -39,7 +39,8 @@
         };
         let pending = [service, other].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
-            Recovery::is_urgent(entry) || pending.is_none_or(|first| entry.position() < first)
+            Recovery::has_lost_replicas(entry)
+                || pending.is_none_or(|first| entry.position() < first)
         };
         if let Some((index, entry)) = self.active.next_if(active_is_next) {
             return Some((QueueCandidate::Active(index), entry.position()));
@@ -154,7 +155,7 @@
             head_found |= at_head;
             self.preempt_for(&BlockedJob {
                 candidate,
-                position: rank.at,
+                position: rank.position,
                 unplaced,
                 at_head,
                 backfilling: true,
@@ -205,7 +206,7 @@
     });
     let behind = pending
         .in_backfill_order()
-        .filter(move |(order, _)| order.at > position);
+        .filter(move |(order, _)| order.position > position);
     BackfillMerge {
         active,
         deferred: deferred.into_iter().peekable(),
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -1,10 +1,9 @@
-//! The jobs over which a pass iterates without inspecting them: those in the queue that have no placed
-//! task.
+//! The queued jobs without a placed task, over which a pass iterates without inspecting them.
 
 use crate::protocol::{JobKind, Micros, Priority};
 use crate::scheduling::backfill::{QueueEntry, max_startable_tasks};
 use crate::scheduling::job_queue::{
-    Arrival, GuaranteeWindow, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
+    Arrival, GuaranteeCutoffs, JobProfile, JobQueue, JobSummary, QueueState, QueuedJob, Slot,
 };
 use crate::scheduling::priority_inheritance::InheritedPriorities;
 use crate::state::record_cache::Job;
@@ -15,27 +14,27 @@
 /// guarantees. Longer than machines usually take to boot.
 const OVERDUE_AFTER: Micros = Micros::millis(60_000);
 
-/// Behind a blocked job the shortest jobs are backfilled first, but jobs that have waited this long come
-/// before them, in order of arrival. Otherwise the longest jobs would wait as long as shorter ones keep
+/// Behind a blocked job the shortest jobs are backfilled first, except that jobs that have waited this long
+/// come before them, in order of arrival. Otherwise the longest jobs would starve while shorter ones keep
 /// arriving.
 const STARVED_AFTER: Micros = Micros::millis(120_000);
 
-/// A gang that has waited this long no longer waits for other tasks to end. About as long as it takes
-/// for a place to become free by itself where tasks are short.
+/// A gang that has waited this long may preempt tasks that cannot save checkpoints instead of waiting for
+/// them to end. About the time in which capacity becomes free without preemption where tasks are short.
 const AGED_AFTER: Micros = Micros::millis(20_000);
 
-/// What a pass has to know about any job besides its record.
+/// The data, besides job records, that queue entries are built from.
 pub struct SchedulingContext<'a> {
-    /// The queue.
-    pub backlog: &'a JobQueue,
+    /// Queue state of all live jobs.
+    pub job_queue: &'a JobQueue,
     /// All live jobs.
     pub jobs: &'a BTreeMap<String, Job>,
-    /// How far the guarantee of each team reaches.
-    pub guarantees: GuaranteeWindow,
-    /// Priorities of jobs that other jobs depend on.
+    /// By team: the last job that its guarantee covers.
+    pub guarantee_cutoffs: GuaranteeCutoffs,
+    /// Priorities that jobs inherit from the jobs that depend on them.
     pub inherited_priorities: InheritedPriorities<'a>,
-    /// The slowest image fetch of any machine type, in GB a second.
-    pub fetch_rate: f64,
+    /// The lowest image fetch rate of any machine type, in GB per second.
+    pub slowest_fetch_gb_per_s: f64,
     /// Wall-clock time.
     pub wall_clock: Micros,
 }
@@ -43,8 +42,9 @@
 impl<'a> SchedulingContext<'a> {
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, queued: &QueuedJob) -> bool {
-        let team = self.backlog.profile_of(queued).team;
-        self.guarantees.covers(team, queued.accepted_at, &queued.id)
+        let team = self.job_queue.profile_of(queued).team;
+        self.guarantee_cutoffs
+            .covers(team, queued.accepted_at, &queued.id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -52,7 +52,7 @@
         self.waited(queued) > OVERDUE_AFTER
     }
 
-    /// Whether a gang has waited long enough to preempt tasks that cannot save.
+    /// Whether a gang has waited long enough to preempt tasks that cannot save checkpoints.
     pub fn aged(&self, queued: &QueuedJob) -> bool {
         self.waited(queued) > AGED_AFTER
     }
@@ -66,8 +66,8 @@
         self.wall_clock.since(queued.released_at)
     }
 
-    /// The queue entry of a job with the given tasks to start. The caller fills in the tasks that are
-    /// placed or lost, and the machines to avoid.
+    /// The queue entry of a job with the given tasks to start. The caller sets the placed tasks, the lost
+    /// tasks and the machines to avoid.
     pub fn queue_entry(
         &self,
         id: &'a str,
@@ -76,20 +76,20 @@
         tasks: Vec<u32>,
     ) -> QueueEntry<'a> {
         let spec = &job.record.spec;
-        let profile = self.backlog.profile_of(queued);
+        let profile = self.job_queue.profile_of(queued);
         QueueEntry {
             id,
             at: queued.accepted_at,
             spec,
-            requirements: self.backlog.requirements(queued),
+            requirements: self.job_queue.requirements(queued),
             team: profile.team,
             feasibility_class: profile.feasibility_class,
             lost_tasks: 0,
             tasks,
             present: Vec::new(),
-            fetch_s: spec.image_gb / self.fetch_rate,
+            fetch_s: spec.image_gb / self.slowest_fetch_gb_per_s,
             estimate_s: spec.estimate_s,
-            priority: self.inherited_priorities.of(id, job),
+            priority: self.inherited_priorities.effective_priority(id, job),
             guaranteed: self.guaranteed(queued),
             overdue: self.overdue(queued),
             aged: self.aged(queued),
@@ -105,7 +105,7 @@
     (*accepted_at, id)
 }
 
-/// The sort key of backfilling: starved jobs by arrival, then the others by estimate.
+/// Sort key for backfilling: starved jobs by arrival, then the others by estimate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackfillOrder<'a> {
     /// The job has waited long enough to come before shorter ones.
@@ -113,16 +113,16 @@
     /// Estimated run time in seconds; 0 for starved jobs.
     estimate_s: f64,
     /// Position in the queue.
-    pub at: QueuePosition<'a>,
+    pub position: QueuePosition<'a>,
 }
 
 impl<'a> BackfillOrder<'a> {
     /// The sort key of a job.
-    pub fn new(starved: bool, estimate_s: f64, at: QueuePosition<'a>) -> BackfillOrder<'a> {
+    pub fn new(starved: bool, estimate_s: f64, position: QueuePosition<'a>) -> BackfillOrder<'a> {
         BackfillOrder {
             starved,
             estimate_s: if starved { 0.0 } else { estimate_s },
-            at,
+            position,
         }
     }
 
@@ -132,7 +132,7 @@
         let shorter_first = self.estimate_s.total_cmp(&other.estimate_s);
         starved_first
             .then(shorter_first)
-            .then(self.at.cmp(&other.at))
+            .then(self.position.cmp(&other.position))
     }
 }
 
@@ -150,14 +150,14 @@
         context: &'a SchedulingContext<'a>,
         inspected: impl Iterator<Item = Slot>,
     ) -> PendingJobs<'a> {
-        let backlog = context.backlog;
-        let mut is_inspected = vec![false; backlog.slot_count()];
-        let mut count = backlog.queued();
+        let job_queue = context.job_queue;
+        let mut is_inspected = vec![false; job_queue.slot_count()];
+        let mut count = job_queue.queued_count();
         for slot in inspected {
-            if let Some(mark) = is_inspected.get_mut(slot as usize) {
-                *mark = true;
+            if let Some(is_inspected) = is_inspected.get_mut(slot as usize) {
+                *is_inspected = true;
             }
-            let queued = backlog.job(slot);
+            let queued = job_queue.job(slot);
             let is_queued = queued.is_some_and(|queued| queued.state == QueueState::Queued);
             count -= usize::from(is_queued);
         }
@@ -173,7 +173,7 @@
     }
 
     fn queued_job(&self, summary: &JobSummary) -> Option<&'a QueuedJob> {
-        self.context.backlog.job(summary.slot)
+        self.context.job_queue.job(summary.slot)
     }
 
     /// Number of jobs.
@@ -183,12 +183,12 @@
 
     /// Services in order of arrival.
     pub fn services(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
-        self.in_order_of_arrival(self.context.backlog.services())
+        self.in_order_of_arrival(self.context.job_queue.services())
     }
 
     /// Gangs and arrays in order of arrival.
     pub fn batch_jobs(&self) -> impl Iterator<Item = (QueuePosition<'a>, &'a JobSummary)> + '_ {
-        self.in_order_of_arrival(self.context.backlog.batch_jobs())
+        self.in_order_of_arrival(self.context.job_queue.batch_jobs())
     }
 
     fn in_order_of_arrival(
@@ -208,7 +208,7 @@
             .batch_jobs()
             .filter(|(_, summary)| self.starved(summary))
             .map(|(position, summary)| (BackfillOrder::new(true, 0.0, position), summary));
-        let by_estimate = self.context.backlog.batch_by_estimate();
+        let by_estimate = self.context.job_queue.batch_by_estimate();
         let not_starved = by_estimate
             .filter(|(_, summary)| self.is_pending(summary) && !self.starved(summary))
             .map(|((estimate, arrival), summary)| {
@@ -222,17 +222,17 @@
 
     /// The profile of a job.
     pub fn profile_of(&self, summary: &JobSummary) -> &'a JobProfile {
-        self.context.backlog.profile(summary.profile)
+        self.context.job_queue.profile(summary.profile_id)
     }
 
-    /// How many different searches for free resources there are. Profiles number them from 0.
-    pub fn feasibility_classes(&self) -> usize {
-        self.context.backlog.feasibility_classes()
+    /// Number of feasibility classes. Their ids count from 0.
+    pub fn feasibility_class_count(&self) -> usize {
+        self.context.job_queue.feasibility_class_count()
     }
 
     /// Whether a job fits into its team's guarantee.
     pub fn guaranteed(&self, team: u32, (accepted_at, id): QueuePosition<'_>) -> bool {
-        self.context.guarantees.covers(team, accepted_at, id)
+        self.context.guarantee_cutoffs.covers(team, accepted_at, id)
     }
 
     /// Whether a job has waited long enough to preempt gangs beyond another team's guarantee.
@@ -241,7 +241,7 @@
         queued.is_some_and(|queued| self.context.overdue(queued))
     }
 
-    /// Whether a gang has waited long enough to preempt tasks that cannot save.
+    /// Whether a gang has waited long enough to preempt tasks that cannot save checkpoints.
     pub fn aged(&self, summary: &JobSummary) -> bool {
         let queued = self.queued_job(summary);
         queued.is_some_and(|queued| self.context.aged(queued))
@@ -256,7 +256,7 @@
     pub fn priority(&self, profile: &JobProfile, id: &str) -> Priority {
         self.context
             .inherited_priorities
-            .highest(id, profile.priority)
+            .effective_priority_from(id, profile.priority)
     }
 
     /// The job with this id.
@@ -269,7 +269,7 @@
         self.job(&self.queued_job(summary)?.id)
     }
 
-    /// The queue entry of a job, with as many of its tasks as one pass would start.
+    /// The queue entry of a job, with at most as many of its tasks as one pass starts.
     pub fn queue_entry(&self, summary: &JobSummary) -> Option<QueueEntry<'a>> {
         debug_assert!(self.is_pending(summary));
         let queued = self.queued_job(summary)?;
