--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -14,7 +14,7 @@
 /// A submission that is not written within this time is refused; its client waits 5 s.
 const SUBMISSION_TIMEOUT: Micros = Micros::millis(4000);
 /// The queue holds what the store can take in this many seconds.
-const QUEUE_LENGTH_S: f64 = 2.5;
+const QUEUE_CAPACITY_S: f64 = 2.5;
 /// After a lost response the same record is written again this much later.
 const RETRY_DELAY: Micros = Micros::millis(150);
 /// Transactions of acceptances in flight at most.
@@ -42,7 +42,7 @@
     conns_while_in_flight: Vec<u64>,
     record: JobRecord,
     /// When this controller queued it.
-    submitted_at: Micros,
+    queued_at: Micros,
     /// When the client submitted the job first, as far as we know.
     first_attempt: Micros,
     stage: AcceptanceStage,
@@ -77,8 +77,12 @@
 fn team_weight(settings: &Settings, name: &str) -> f64 {
     let share = |guarantee: fn(&Team) -> f64| {
         let total: f64 = settings.params.teams.iter().map(guarantee).sum();
-        let own = settings.team(name).map_or(0.0, guarantee);
-        if total > 0.0 { own / total } else { 0.0 }
+        let team_guarantee = settings.team(name).map_or(0.0, guarantee);
+        if total > 0.0 {
+            team_guarantee / total
+        } else {
+            0.0
+        }
     };
     1.0 + share(|team| team.cpus).max(share(|team| team.gpus))
 }
@@ -105,13 +109,13 @@
             .push(team, weight, class, first_attempt.0, id.clone())
         {
             PushOutcome::Queued(ticket) => ticket,
-            PushOutcome::Evicted(ticket, displaced) => {
-                self.refuse_acceptance(clock, &displaced);
+            PushOutcome::Evicted(ticket, evicted) => {
+                self.refuse_acceptance(clock, &evicted);
                 ticket
             }
             PushOutcome::Rejected(_) => {
                 let retry_after = self.record_refusal(clock, &id, first_attempt, &spec);
-                self.refuse_until(conn, QUEUE_FULL, retry_after);
+                self.refuse_with_retry_after(conn, QUEUE_FULL, retry_after);
                 return;
             }
         };
@@ -119,7 +123,7 @@
             conns: vec![conn],
             conns_while_in_flight: Vec::new(),
             record: new_job_record(clock, spec),
-            submitted_at: clock.now,
+            queued_at: clock.now,
             first_attempt,
             stage: AcceptanceStage::Queued(ticket),
             maybe_written: false,
@@ -132,7 +136,7 @@
     /// Limits the queue to what can be written while clients wait. Beyond that the newest submission of the longest
     /// queue is refused at once, so that no class is refused on account of another.
     fn limit_acceptance_queue(&mut self) {
-        let capacity = (self.store.write_rate() * QUEUE_LENGTH_S) as usize + 1;
+        let capacity = (self.store.write_rate() * QUEUE_CAPACITY_S) as usize + 1;
         let api = &mut self.client_api;
         let outside_queue = api.acceptances.len() - api.queue.len();
         api.queue
@@ -148,7 +152,7 @@
         spec: &JobSpec,
     ) -> u32 {
         let api = &mut self.client_api;
-        api.refusal_rate.count(clock.now);
+        api.refusal_rate.record(clock.now);
         api.refusals.refuse(id, first_attempt.0, clock.now.0);
         let queued_before = api.queue.waiting(&spec.team, &spec.class);
         let rate = self.store.write_rate() / api.queue.busy().max(1) as f64;
@@ -164,7 +168,7 @@
         let retry_after =
             self.record_refusal(clock, id, acceptance.first_attempt, &acceptance.record.spec);
         for conn in acceptance.take_conns() {
-            self.refuse_until(conn, QUEUE_FULL, retry_after);
+            self.refuse_with_retry_after(conn, QUEUE_FULL, retry_after);
         }
     }
 
@@ -243,35 +247,35 @@
         &mut self,
         clock: Clock,
         ids: Vec<String>,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         self.client_api.transactions_in_flight -= 1;
         self.client_api.next_expiry_check = Micros::ZERO;
-        let alone = ids.len() == 1;
+        let only_job = ids.len() == 1;
         for id in ids {
-            self.on_job_acceptance_result(clock, &id, alone, &reply);
+            self.on_job_acceptance_result(clock, &id, only_job, &response);
         }
     }
 
-    /// Handles the result for one of the jobs; `alone`: the transaction held no other.
+    /// Handles the result for one of the jobs; `only_job`: the transaction held no other.
     fn on_job_acceptance_result(
         &mut self,
         clock: Clock,
         id: &str,
-        alone: bool,
-        reply: &StoreResponse,
+        only_job: bool,
+        response: &StoreResponse,
     ) {
         let Some(acceptance) = self.client_api.acceptances.get_mut(id) else {
             return;
         };
-        let expired = clock.now >= acceptance.submitted_at + SUBMISSION_TIMEOUT;
-        match reply {
+        let expired = clock.now >= acceptance.queued_at + SUBMISSION_TIMEOUT;
+        match response {
             StoreResponse::Committed(revision) => self.on_job_accepted(clock, id, *revision),
             StoreResponse::Conflict(failed) if failed.contains(&job_key(id)) => {
                 self.on_job_exists(clock, id);
             }
             StoreResponse::Conflict(_) => self.retry_acceptance(id, clock.now),
-            StoreResponse::Rejected if alone => {
+            StoreResponse::Rejected if only_job => {
                 self.fail_acceptance(id, "the state service does not take the record");
             }
             StoreResponse::Rejected => {
@@ -279,7 +283,7 @@
                 self.retry_acceptance(id, clock.now);
             }
             StoreResponse::Lost | StoreResponse::TooFast if !expired => {
-                acceptance.maybe_written |= *reply == StoreResponse::Lost;
+                acceptance.maybe_written |= *response == StoreResponse::Lost;
                 self.retry_acceptance(id, clock.now + RETRY_DELAY);
             }
             _ => self.fail_acceptance(id, "the state service does not answer"),
@@ -294,7 +298,7 @@
             "job accepted job={id} tasks={} class={} latency={}",
             acceptance.record.spec.tasks,
             acceptance.record.spec.class,
-            clock.now.since(acceptance.submitted_at)
+            clock.now.since(acceptance.queued_at)
         );
         self.cache.put_job(id, acceptance.record, revision);
         if let Some(leader) = &mut self.leader {
@@ -302,10 +306,10 @@
         }
         self.resume_as_resubmissions(clock, id, acceptance.conns_while_in_flight, 201);
         // The job may be over already: a job that it needs may have been cancelled.
-        let Some(known) = self.cache.job(id) else {
+        let Some(lookup) = self.cache.job(id) else {
             return;
         };
-        let state = job_status(id, &known).state;
+        let state = job_status(id, &lookup).state;
         for conn in acceptance.conns {
             self.respond_with_state(clock, conn, 201, &state);
         }
@@ -375,7 +379,7 @@
         let mut expired = Vec::new();
         let mut next = Micros::FAR;
         for (id, acceptance) in &self.client_api.acceptances {
-            let expiry = acceptance.submitted_at + SUBMISSION_TIMEOUT;
+            let expiry = acceptance.queued_at + SUBMISSION_TIMEOUT;
             match acceptance.stage {
                 AcceptanceStage::InFlight(_) => {}
                 _ if expiry <= clock.now => expired.push(id.clone()),
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -24,11 +24,11 @@
         }
         match self.cache.job(&id) {
             Some(JobLookup::Live(job)) if job.active() => {
-                let transaction = self.cancellation(clock, &id, job);
+                let transaction = self.cancellation_transaction(clock, &id, job);
                 self.request_cancellation(conn, id, transaction);
             }
-            Some(known) => {
-                let state = job_status(&id, &known).state;
+            Some(lookup) => {
+                let state = job_status(&id, &lookup).state;
                 self.respond_with_state(clock, conn, 200, &state);
             }
             None if freshness == CacheFreshness::Unconfirmed && valid_id(&id) => {
@@ -39,7 +39,7 @@
     }
 
     /// The transaction that cancels a job.
-    fn cancellation(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
+    fn cancellation_transaction(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
         let record = JobRecord {
             stage: JobStage::Cancelled,
             end: clock.wall,
@@ -49,12 +49,12 @@
         let version = job.version;
         // The entries written here must include what placement batches hold at this moment, or the job would look as
         // if none of its tasks were anywhere.
-        let bundled = VersionCondition::new(
+        let batch_condition = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
             self.cache.placement_batches.head(),
         );
         Transaction {
-            conditions: vec![VersionCondition::new(&key, version), bundled],
+            conditions: vec![VersionCondition::new(&key, version), batch_condition],
             changes: vec![Change::put(&key, &record, None)],
         }
     }
@@ -79,16 +79,16 @@
         clock: Clock,
         id: String,
         request: StoreRequest,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         let conns = self
             .client_api
             .cancellations
             .remove(&id)
             .unwrap_or_default();
-        match reply {
+        match response {
             StoreResponse::Committed(_) => {
-                self.apply_if_committed(&request, &reply);
+                self.apply_if_committed(&request, &response);
                 self.on_changed_jobs();
                 for conn in conns {
                     self.on_cancel(clock, conn, id.clone(), CacheFreshness::Confirmed);
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -53,7 +53,7 @@
     }
 
     /// Submissions refused in the last full second.
-    pub fn refused_lately(&self, now: Micros) -> f64 {
+    pub fn refusals_last_second(&self, now: Micros) -> f64 {
         self.refusal_rate.last_second(now)
     }
 }
@@ -76,7 +76,7 @@
 /// A job's state as the cache has it.
 pub(super) struct JobStatus {
     /// The job is done or cancelled: its state does not change any more.
-    pub(super) over: bool,
+    pub(super) terminal: bool,
     /// State for the client.
     pub(super) state: JobState,
 }
@@ -91,12 +91,12 @@
 }
 
 /// The state of a job that the cache holds.
-pub(super) fn job_status(id: &str, known: &JobLookup<'_>) -> JobStatus {
-    match known {
+pub(super) fn job_status(id: &str, lookup: &JobLookup<'_>) -> JobStatus {
+    match lookup {
         JobLookup::Finished(job) => {
             let done = (job.stage == JobStage::Done).then_some(job.tasks as u64);
             JobStatus {
-                over: true,
+                terminal: true,
                 state: JobState {
                     id: id.to_string(),
                     status: status_text(job.stage).to_string(),
@@ -124,7 +124,7 @@
         status_text(stage)
     };
     JobStatus {
-        over: stage != JobStage::Active,
+        terminal: stage != JobStage::Active,
         state: JobState {
             id: id.to_string(),
             status: status.to_string(),
@@ -144,9 +144,12 @@
         status: u16,
         state: &JobState,
     ) {
-        let newest = self.cache.last_cancellation_or_claim;
+        let last_cancellation_or_claim = self.cache.last_cancellation_or_claim;
         if state.status == status_text(JobStage::Cancelled)
-            && !self.peers.silence_pledges.may_tell(newest, clock.now.0)
+            && !self
+                .peers
+                .silence_pledges
+                .may_tell(last_cancellation_or_claim, clock.now.0)
         {
             self.refuse(conn, 503, "not all controllers have heard that we are back");
             return;
@@ -179,9 +182,9 @@
         if self.refuse_if_unreadable(conn, &id) {
             return;
         }
-        let status = self.cache.job(&id).map(|known| job_status(&id, &known));
+        let status = self.cache.job(&id).map(|lookup| job_status(&id, &lookup));
         match status {
-            Some(status) if status.over || freshness == CacheFreshness::Confirmed => {
+            Some(status) if status.terminal || freshness == CacheFreshness::Confirmed => {
                 self.respond_with_state(clock, conn, 200, &status.state);
             }
             None if freshness == CacheFreshness::Confirmed => {
@@ -197,8 +200,8 @@
             return;
         }
         match self.cache.job(id) {
-            Some(known) => {
-                let state = job_status(id, &known).state;
+            Some(lookup) => {
+                let state = job_status(id, &lookup).state;
                 self.respond_with_state(clock, conn, status, &state);
             }
             None => self.refuse(conn, 503, "the job's record cannot be read yet"),
@@ -225,7 +228,7 @@
     }
 
     /// Ends a request whose read barrier has failed.
-    pub(super) fn fail_without_barrier(&mut self, request: PendingRequest) {
+    pub(super) fn abort_request(&mut self, request: PendingRequest) {
         match request {
             PendingRequest::Status { conn, .. }
             | PendingRequest::Resubmit { conn, .. }
@@ -240,10 +243,14 @@
 }
 
 /// An update of a job's record, and its condition: that the record still has the version of the cache.
-pub fn put_job(id: &str, job: &Job, rec: &JobRecord) -> (VersionCondition, Change) {
+pub fn conditional_job_update(
+    id: &str,
+    job: &Job,
+    record: &JobRecord,
+) -> (VersionCondition, Change) {
     let key = job_key(id);
     (
         VersionCondition::new(&key, job.version),
-        Change::put(&key, rec, None),
+        Change::put(&key, record, None),
     )
 }
--- a/src/api/forwarding.rs
+++ b/src/api/forwarding.rs
@@ -26,8 +26,8 @@
         if let Some(JobLookup::Finished(_)) = self.cache.job(id) {
             return false;
         }
-        let submits = request.method == "POST" && job_path.is_empty();
-        if submits && self.needs_pipeline_support(request.body) {
+        let is_submission = request.method == "POST" && job_path.is_empty();
+        if is_submission && self.needs_pipeline_support(request.body) {
             return false;
         }
         let (method, timeout) = match request.method {
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -93,7 +93,7 @@
         self.read_barrier.last_attempt = clock.now;
         let waiting = std::mem::take(&mut self.read_barrier.waiting);
         if !self.cache.synced {
-            self.fail_all_without_barrier(waiting);
+            self.abort_requests(waiting);
             return;
         }
         self.read_barrier.in_flight = true;
@@ -114,10 +114,10 @@
         &mut self,
         clock: Clock,
         sent: Micros,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         self.read_barrier.in_flight = false;
-        if let StoreResponse::Events(changes) = reply {
+        if let StoreResponse::Events(changes) = response {
             self.cache.apply_watch_response(changes);
             self.on_confirmed_read(sent);
             self.on_cache_updated(clock);
@@ -125,18 +125,18 @@
                 self.resume_request(clock, request);
             }
         } else {
-            if reply == StoreResponse::TooOld {
+            if response == StoreResponse::TooOld {
                 self.reload_records(clock);
             }
             let covered = std::mem::take(&mut self.read_barrier.covered);
-            self.fail_all_without_barrier(covered);
+            self.abort_requests(covered);
         }
         self.send_read_barrier(clock);
     }
 
-    fn fail_all_without_barrier(&mut self, requests: Vec<PendingRequest>) {
+    fn abort_requests(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
-            self.fail_without_barrier(request);
+            self.abort_request(request);
         }
     }
 }
--- a/src/api/refusal_rate.rs
+++ b/src/api/refusal_rate.rs
@@ -9,38 +9,38 @@
 #[derive(Debug, Default)]
 pub(super) struct RefusalRate {
     /// Number of the present second since the start of the clock.
-    second: u64,
+    current_second: u64,
     /// Refusals in the present second.
-    present: u32,
+    current: u32,
     /// Refusals in the second before.
     previous: u32,
 }
 
 impl RefusalRate {
     /// Counts a refusal.
-    pub(super) fn count(&mut self, now: Micros) {
+    pub(super) fn record(&mut self, now: Micros) {
         let second = now.0 / WINDOW_US;
-        if second == self.second {
-            self.present += 1;
+        if second == self.current_second {
+            self.current += 1;
             return;
         }
-        self.previous = if second == self.second + 1 {
-            self.present
+        self.previous = if second == self.current_second + 1 {
+            self.current
         } else {
             0
         };
-        self.second = second;
-        self.present = 1;
+        self.current_second = second;
+        self.current = 1;
     }
 
     /// Refusals in the last full second, or in the present one if these are more already.
     pub(super) fn last_second(&self, now: Micros) -> f64 {
         let second = now.0 / WINDOW_US;
-        if second == self.second {
-            return self.previous.max(self.present) as f64;
+        if second == self.current_second {
+            return self.previous.max(self.current) as f64;
         }
-        if second == self.second + 1 {
-            return self.present as f64;
+        if second == self.current_second + 1 {
+            return self.current as f64;
         }
         0.0
     }
--- a/src/api/request_scheduler.rs
+++ b/src/api/request_scheduler.rs
@@ -185,7 +185,7 @@
     }
 
     /// Whether any request waits.
-    pub fn waiting(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.oldest_arrival().is_some()
     }
 
--- a/src/api/request_scheduler/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -41,20 +41,20 @@
             outcome: Outcome::Lost,
         },
     ]);
-    let first = conns(&scheduler.step(at(0), flood));
-    assert_eq!(first[..6], [3, 4, 0, 2, 1, 5]);
-    assert_eq!(first.len(), 3 + MAX_REQUESTS_PER_STEP);
+    let first_step = conns(&scheduler.step(at(0), flood));
+    assert_eq!(first_step[..6], [3, 4, 0, 2, 1, 5]);
+    assert_eq!(first_step.len(), 3 + MAX_REQUESTS_PER_STEP);
     assert_eq!(scheduler.longest_delay(at(300)), Micros::millis(300));
     // A vital event that arrives later is handled before all that wait.
-    let second = conns(&scheduler.step(at(300), vec![request(8, "POST", "/hello")]));
+    let second_step = conns(&scheduler.step(at(300), vec![request(8, "POST", "/hello")]));
     assert_eq!(
-        (second[0], second[1]),
+        (second_step[0], second_step[1]),
         (8, 100 + (MAX_REQUESTS_PER_STEP as i64 - 3))
     );
     // Status requests whose clients have given up are all refused in one step; none of them is handled.
-    let third = conns(&scheduler.step(at(1_700), Vec::new()));
-    assert!(third.len() > 800 && third.iter().all(|conn| *conn < 0));
-    assert!(!scheduler.waiting());
+    let third_step = conns(&scheduler.step(at(1_700), Vec::new()));
+    assert!(third_step.len() > 800 && third_step.iter().all(|conn| *conn < 0));
+    assert!(!scheduler.has_waiting_requests());
 }
 
 #[test]
@@ -62,10 +62,11 @@
     let mut scheduler = RequestScheduler::default();
     let flood = (0..500).map(|index| request(1_000 + index, "POST", "/submissions"));
     let status_requests = (0..40).map(|index| request(1 + index, "GET", "/submissions/req-1"));
-    let first = conns(&scheduler.step(Micros::millis(1), flood.chain(status_requests).collect()));
-    assert_eq!(first.len(), MAX_REQUESTS_PER_STEP);
+    let first_step =
+        conns(&scheduler.step(Micros::millis(1), flood.chain(status_requests).collect()));
+    assert_eq!(first_step.len(), MAX_REQUESTS_PER_STEP);
     assert_eq!(
-        first.iter().filter(|conn| **conn < 1_000).count(),
+        first_step.iter().filter(|conn| **conn < 1_000).count(),
         MIN_STATUS_REQUESTS_PER_STEP
     );
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -23,7 +23,7 @@
 
 /// Space that a job's record needs besides the description: for all tasks of the first chunk if they have to be placed
 /// together, else for a part of them.
-fn task_entries_bytes(spec: &JobSpec) -> usize {
+fn record_bytes_excluding_spec(spec: &JobSpec) -> usize {
     let max_entries = match spec.kind {
         JobKind::Array => TASKS_PER_CHUNK / ARRAY_CHUNK_DIVISOR,
         JobKind::Gang | JobKind::Service => TASKS_PER_CHUNK,
@@ -77,11 +77,11 @@
 }
 
 /// What becomes of a submission of a job that the cache does not hold.
-enum Verdict {
+enum SubmissionDecision {
     /// Write its record.
     Accept,
     /// Decide again after a read barrier: another controller may know more than our cache.
-    Confirm,
+    ConfirmCache,
     /// Refuse it with this status and error text.
     Refuse(u16, &'static str),
 }
@@ -112,57 +112,57 @@
         if self.refuse_if_unreadable(conn, &id) {
             return;
         }
-        if let Some(known) = self.cache.job(&id) {
-            let known = job_status(&id, &known);
-            if known.over || freshness == CacheFreshness::Confirmed {
-                self.respond_with_state(clock, conn, 200, &known.state);
+        if let Some(lookup) = self.cache.job(&id) {
+            let job = job_status(&id, &lookup);
+            if job.terminal || freshness == CacheFreshness::Confirmed {
+                self.respond_with_state(clock, conn, 200, &job.state);
                 return;
             }
             let status = 200;
             self.request_read_barrier(clock, PendingRequest::Resubmit { conn, id, status });
             return;
         }
-        match self.submission_verdict(&spec, freshness) {
-            Verdict::Accept => self.accept_job(clock, conn, id, spec),
-            Verdict::Confirm => {
+        match self.submission_decision(&spec, freshness) {
+            SubmissionDecision::Accept => self.accept_job(clock, conn, id, spec),
+            SubmissionDecision::ConfirmCache => {
                 let spec = Box::new(spec);
                 self.request_read_barrier(clock, PendingRequest::Submit { conn, id, spec });
             }
-            Verdict::Refuse(status, error) => self.refuse(conn, status, error),
+            SubmissionDecision::Refuse(status, error) => self.refuse(conn, status, error),
         }
     }
 
-    fn submission_verdict(&self, spec: &JobSpec, freshness: CacheFreshness) -> Verdict {
+    fn submission_decision(&self, spec: &JobSpec, freshness: CacheFreshness) -> SubmissionDecision {
         if !self.cache.synced {
-            return Verdict::Refuse(503, "still reading the records");
+            return SubmissionDecision::Refuse(503, "still reading the records");
         }
         let Some(types) = &self.cache.machine_types else {
-            return Verdict::Refuse(503, "machine types are not known yet");
+            return SubmissionDecision::Refuse(503, "machine types are not known yet");
         };
         let unconfirmed = freshness == CacheFreshness::Unconfirmed;
         let reject = reject_reason(&self.settings, types, spec);
         match reject {
             // Another controller may have accepted it under other machine types.
-            Some(_) if unconfirmed => return Verdict::Confirm,
-            Some(error) => return Verdict::Refuse(422, error),
+            Some(_) if unconfirmed => return SubmissionDecision::ConfirmCache,
+            Some(error) => return SubmissionDecision::Refuse(422, error),
             None => {}
         }
         let too_large = self.record_too_large(spec);
         if too_large && !unconfirmed {
             let error = "the job fits into no record: its description or awaits is too long, \
                          or the gang is too wide";
-            return Verdict::Refuse(400, error);
+            return SubmissionDecision::Refuse(400, error);
         }
         if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
             // A controller of the first version drops fields that it does not know from a record.
             let error = "jobs can wait for jobs once all controllers run this version";
-            return Verdict::Refuse(503, error);
+            return SubmissionDecision::Refuse(503, error);
         }
-        match self.needs_known(spec) {
-            Err(error) => Verdict::Refuse(422, error),
-            Ok(true) if !too_large => Verdict::Accept,
-            Ok(_) if unconfirmed => Verdict::Confirm,
-            Ok(_) => Verdict::Refuse(422, "awaits names a job that was never accepted"),
+        match self.all_needs_cached(spec) {
+            Err(error) => SubmissionDecision::Refuse(422, error),
+            Ok(true) if !too_large => SubmissionDecision::Accept,
+            Ok(_) if unconfirmed => SubmissionDecision::ConfirmCache,
+            Ok(_) => SubmissionDecision::Refuse(422, "awaits names a job that was never accepted"),
         }
     }
 
@@ -172,16 +172,17 @@
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
             && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.least_txn_ops();
-        gang_too_wide || json_len(spec) + task_entries_bytes(spec) > limits.least_value_bytes()
+        gang_too_wide
+            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.least_value_bytes()
     }
 
     /// Whether the cache holds all jobs that a submission needs; an error if one of them is a service.
-    fn needs_known(&self, spec: &JobSpec) -> Result<bool, &'static str> {
-        let mut all_known = true;
+    fn all_needs_cached(&self, spec: &JobSpec) -> Result<bool, &'static str> {
+        let mut all_cached = true;
         for need in &spec.needs {
             let is_service = match self.cache.job(need) {
                 None => {
-                    all_known = false;
+                    all_cached = false;
                     false
                 }
                 Some(JobLookup::Finished(job)) => job.service,
@@ -191,6 +192,6 @@
                 return Err("awaits names a service, which is never done");
             }
         }
-        Ok(all_known)
+        Ok(all_cached)
     }
 }
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -70,8 +70,8 @@
     }
 
     /// Handles the lease that a candidate requested to claim leadership with.
-    pub(super) fn on_candidate_lease_response(&mut self, clock: Clock, reply: StoreResponse) {
-        let StoreResponse::Lease(id) = reply else {
+    pub(super) fn on_candidate_lease_response(&mut self, clock: Clock, response: StoreResponse) {
+        let StoreResponse::Lease(id) = response else {
             self.election = ElectionState::Idle;
             return;
         };
@@ -89,10 +89,10 @@
         &mut self,
         clock: Clock,
         sent: Micros,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         self.leader_lease.renewal_in_flight = false;
-        match reply {
+        match response {
             StoreResponse::Lease(_) => self.leader_lease.renewal_due = sent + RENEWAL_INTERVAL,
             StoreResponse::LeaseGone => self.request_replacement_lease(),
             _ => self.leader_lease.renewal_due = clock.now + RENEWAL_RETRY_DELAY,
@@ -100,8 +100,8 @@
     }
 
     /// Handles a lease in place of one that has expired: attaches the leader's liveness key to it.
-    pub(super) fn on_replacement_lease_response(&mut self, clock: Clock, reply: StoreResponse) {
-        let StoreResponse::Lease(id) = reply else {
+    pub(super) fn on_replacement_lease_response(&mut self, clock: Clock, response: StoreResponse) {
+        let StoreResponse::Lease(id) = response else {
             self.retry_leader_lease(clock);
             return;
         };
@@ -126,11 +126,11 @@
         &mut self,
         clock: Clock,
         request: &StoreRequest,
-        reply: &StoreResponse,
+        response: &StoreResponse,
     ) {
         self.retry_leader_lease(clock);
-        self.apply_if_committed(request, reply);
-        if matches!(reply, StoreResponse::Conflict(_)) {
+        self.apply_if_committed(request, response);
+        if matches!(response, StoreResponse::Conflict(_)) {
             self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
         }
     }
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -8,11 +8,11 @@
 use crate::state::store_client::{StoreRequest, StoreResponse};
 
 /// The version of the leader record that the cache holds.
-pub(crate) struct LeaderRecordSeen {
+pub(crate) struct ObservedLeaderRecord {
     /// Version in the store; 0: there is no record.
     pub(crate) version: u64,
     /// Since when we know this version.
-    pub(crate) since: Micros,
+    pub(crate) observed_at: Micros,
 }
 
 /// Leadership that the leader record grants to this run of our process.
@@ -27,26 +27,26 @@
     /// Follows up on a change of the cache: takes office or steps down as the leader record says, and passes changed
     /// jobs on to the leader's components.
     pub(crate) fn on_cache_updated(&mut self, clock: Clock) {
-        self.note_leader_record(clock);
+        self.observe_leader_record(clock);
         match (self.granted_leadership(), self.leader.is_some()) {
             (None, true) => self.step_down("another controller leads"),
             (Some(granted), true) => self.update_leadership(clock, granted),
-            (Some(granted), false) => self.begin_leading(clock, granted),
+            (Some(granted), false) => self.become_leader(clock, granted),
             (None, false) => {}
         }
         self.on_changed_jobs();
     }
 
-    fn note_leader_record(&mut self, clock: Clock) {
+    fn observe_leader_record(&mut self, clock: Clock) {
         let version = self
             .cache
             .leader
             .as_ref()
             .map_or(0, |(_, version)| *version);
-        if self.leader_record_seen.version != version {
-            self.leader_record_seen = LeaderRecordSeen {
+        if self.observed_leader_record.version != version {
+            self.observed_leader_record = ObservedLeaderRecord {
                 version,
-                since: clock.now,
+                observed_at: clock.now,
             };
         }
     }
@@ -66,7 +66,7 @@
             })
     }
 
-    fn begin_leading(&mut self, clock: Clock, granted: GrantedLeadership) {
+    fn become_leader(&mut self, clock: Clock, granted: GrantedLeadership) {
         log::info!("leadership acquired term={}", granted.term);
         self.leader = Some(LeaderState::new(granted.term, granted.version, clock));
         self.leader_lease.renewal_due = clock.now;
@@ -106,11 +106,11 @@
         &mut self,
         clock: Clock,
         request: &StoreRequest,
-        reply: &StoreResponse,
+        response: &StoreResponse,
     ) {
         self.election = ElectionState::Idle;
         // After a lost response the records decide: a second claim fails if the first was carried out.
-        if self.apply_if_committed(request, reply) {
+        if self.apply_if_committed(request, response) {
             self.on_cache_updated(clock);
             // The commit proves that the term is ours. It does not show which jobs were cancelled before it, so it
             // counts as no newer a read than the last one.
@@ -126,9 +126,9 @@
         &mut self,
         clock: Clock,
         request: &StoreRequest,
-        reply: &StoreResponse,
+        response: &StoreResponse,
     ) {
-        if self.apply_if_committed(request, reply) {
+        if self.apply_if_committed(request, response) {
             self.on_cache_updated(clock);
         } else {
             self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
@@ -143,10 +143,10 @@
         &mut self,
         clock: Clock,
         request: &StoreRequest,
-        reply: &StoreResponse,
+        response: &StoreResponse,
     ) {
-        if self.apply_if_committed(request, reply) {
-            self.transferred_at = Some(clock.now);
+        if self.apply_if_committed(request, response) {
+            self.leadership_transferred_at = Some(clock.now);
             self.step_down("other controllers reach the agents");
         } else if let Some(leader) = &mut self.leader {
             leader.unable_to_serve_since = None;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 use crate::api::read_barrier::ReadBarrier;
 use crate::api::request_scheduler::{RequestScheduler, ScheduledRequest};
 use crate::controller::leader_lease::LeaderLease;
-use crate::controller::leadership_steps::LeaderRecordSeen;
+use crate::controller::leadership_steps::ObservedLeaderRecord;
 use crate::controller::record_sync::RecordSync;
 use crate::controller::record_writes::RecordKind;
 use crate::controller::routing::HttpRequest;
@@ -66,7 +66,7 @@
     /// Client requests that wait for the processor.
     pub request_scheduler: RequestScheduler,
     /// Commands to the network, gathered in the present call of `handle`.
-    pub out: Vec<NetworkCommand>,
+    pub commands: Vec<NetworkCommand>,
     /// Id of the last call.
     pub last_call_id: u64,
     /// Calls in flight to machines other than the key-value store, by id.
@@ -94,11 +94,11 @@
     /// Our share of the budgets of the key-value store.
     pub(crate) budget: BudgetShares,
     /// When we last gave leadership up in favour of another controller.
-    pub(crate) transferred_at: Option<Micros>,
+    pub(crate) leadership_transferred_at: Option<Micros>,
     /// When this process started.
     pub(crate) started_at: Micros,
     /// The leader record that the cache holds.
-    pub(crate) leader_record_seen: LeaderRecordSeen,
+    pub(crate) observed_leader_record: ObservedLeaderRecord,
     /// When our record of the format we read is checked next; `None`: it is being written.
     pub(crate) format_record_due: Option<Micros>,
     /// It has been logged that all controllers read our format.
@@ -131,7 +131,7 @@
             leader: None,
             renewals: DelegatedRenewals::default(),
             request_scheduler: RequestScheduler::default(),
-            out: Vec::new(),
+            commands: Vec::new(),
             last_call_id: 0,
             pending_calls: BTreeMap::new(),
             election: ElectionState::Idle,
@@ -145,11 +145,11 @@
             connectivity,
             highest_term_seen: 0,
             budget,
-            transferred_at: None,
+            leadership_transferred_at: None,
             started_at: clock.now,
-            leader_record_seen: LeaderRecordSeen {
+            observed_leader_record: ObservedLeaderRecord {
                 version: 0,
-                since: clock.now,
+                observed_at: clock.now,
             },
             format_record_due: Some(clock.now),
             format_rollout_logged: false,
@@ -167,7 +167,7 @@
             self.dispatch(clock, request);
         }
         let mut next = self.run_timers(clock);
-        if self.request_scheduler.waiting() {
+        if self.request_scheduler.has_waiting_requests() {
             next = clock.now;
         }
         next = next.min(self.write_due_records(clock));
@@ -175,14 +175,18 @@
         if let Some(store_ready) = self.store.next_send_at(clock.now) {
             next = next.min(store_ready);
         }
-        (std::mem::take(&mut self.out), next)
+        (std::mem::take(&mut self.commands), next)
     }
 
     fn dispatch(&mut self, clock: Clock, request: ScheduledRequest) {
         match request {
             ScheduledRequest::Handle(event) => self.on_event(clock, event),
             ScheduledRequest::Refuse(conn) => {
-                self.refuse_until(conn, "too many requests at once", OVERLOAD_RETRY_AFTER_S);
+                self.refuse_with_retry_after(
+                    conn,
+                    "too many requests at once",
+                    OVERLOAD_RETRY_AFTER_S,
+                );
             }
         }
     }
@@ -219,7 +223,7 @@
                 completed.response,
                 StoreResponse::Refused | StoreResponse::Lost
             ) {
-                self.store_probe.heard_at = clock.now;
+                self.store_probe.last_response_at = clock.now;
                 self.connectivity.on_store_heard(clock.now);
             }
             self.on_store_response(clock, completed);
--- a/src/controller/outgoing.rs
+++ b/src/controller/outgoing.rs
@@ -20,15 +20,15 @@
     /// Responds with an error text; a 503 carries the default `Retry-After`.
     pub fn refuse(&mut self, conn: u64, status: u16, error: &str) {
         let retry_after = default_retry_after(status);
-        self.refuse_with(conn, status, error, retry_after);
+        self.send_refusal(conn, status, error, retry_after);
     }
 
     /// Responds with 503 and a `Retry-After` of `seconds`.
-    pub fn refuse_until(&mut self, conn: u64, error: &str, seconds: u32) {
-        self.refuse_with(conn, 503, error, Some(seconds));
+    pub fn refuse_with_retry_after(&mut self, conn: u64, error: &str, seconds: u32) {
+        self.send_refusal(conn, 503, error, Some(seconds));
     }
 
-    fn refuse_with(&mut self, conn: u64, status: u16, error: &str, retry_after: Option<u32>) {
+    fn send_refusal(&mut self, conn: u64, status: u16, error: &str, retry_after: Option<u32>) {
         let body = encode(&Problem {
             error: error.to_string(),
         });
@@ -43,7 +43,7 @@
         body: Vec<u8>,
         retry_after: Option<u32>,
     ) {
-        self.out.push(NetworkCommand::Respond {
+        self.commands.push(NetworkCommand::Respond {
             conn,
             status,
             body,
@@ -63,7 +63,7 @@
     ) {
         self.last_call_id += 1;
         self.pending_calls.insert(self.last_call_id, pending);
-        self.out.push(NetworkCommand::Call(Call {
+        self.commands.push(NetworkCommand::Call(Call {
             id: self.last_call_id,
             addr,
             method,
@@ -76,7 +76,7 @@
     /// Sends queued requests to the key-value store as far as its budgets allow.
     pub(crate) fn send_store_requests(&mut self, now: Micros) {
         self.store
-            .send_queued(now, &mut self.last_call_id, &mut self.out);
+            .send_queued(now, &mut self.last_call_id, &mut self.commands);
     }
 }
 
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -85,8 +85,8 @@
     }
 
     /// Handles the response to a page of the listing.
-    pub(super) fn on_listing_response(&mut self, clock: Clock, reply: StoreResponse) {
-        match reply {
+    pub(super) fn on_listing_response(&mut self, clock: Clock, response: StoreResponse) {
+        match response {
             StoreResponse::Page(page) => self.on_listing_page(clock, page),
             _ => self.record_sync.listing_due = Some(clock.now + LISTING_RETRY_DELAY),
         }
@@ -110,9 +110,14 @@
     }
 
     /// Handles the response to a watch that was sent at `sent`.
-    pub(super) fn on_watch_response(&mut self, clock: Clock, sent: Micros, reply: StoreResponse) {
+    pub(super) fn on_watch_response(
+        &mut self,
+        clock: Clock,
+        sent: Micros,
+        response: StoreResponse,
+    ) {
         self.record_sync.watch_open = false;
-        match reply {
+        match response {
             StoreResponse::Events(changes) => {
                 self.cache.apply_watch_response(changes);
                 self.on_confirmed_read(sent);
@@ -149,10 +154,10 @@
     pub(crate) fn apply_if_committed(
         &mut self,
         request: &StoreRequest,
-        reply: &StoreResponse,
+        response: &StoreResponse,
     ) -> bool {
         let (StoreRequest::Transaction(transaction), StoreResponse::Committed(revision)) =
-            (request, reply)
+            (request, response)
         else {
             return false;
         };
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -53,19 +53,19 @@
                 RecordKind::Acceptances => acceptances,
             };
             // Half a transaction is worth sending; less only if no more is due.
-            let worthwhile = due.min(max_changes / 2).max(1);
-            let room = self.store.sendable_changes(now, due.min(max_changes));
-            let worthwhile_at = self.store.changes_sendable_at(now, worthwhile);
-            if room < worthwhile && worthwhile_at > now {
-                return worthwhile_at.min(next);
+            let min_batch = due.min(max_changes / 2).max(1);
+            let sendable = self.store.sendable_changes(now, due.min(max_changes));
+            let min_batch_at = self.store.changes_sendable_at(now, min_batch);
+            if sendable < min_batch && min_batch_at > now {
+                return min_batch_at.min(next);
             }
-            if room == 0 {
+            if sendable == 0 {
                 // Something is queued already: the store client says when it can be sent.
                 return next;
             }
             match kind {
-                RecordKind::JobUpdates => self.write_job_records(clock, room),
-                RecordKind::Acceptances => self.write_acceptances(room),
+                RecordKind::JobUpdates => self.write_job_records(clock, sendable),
+                RecordKind::Acceptances => self.write_acceptances(sendable),
             }
             self.send_store_requests(now);
         }
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -130,49 +130,49 @@
     /// Handles an agent heartbeat that a peer relayed because it took us for the leader.
     fn on_relayed_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
         match (parse_agent_heartbeat(body), &self.leader) {
-            (Some(report), Some(leader)) if report.term <= leader.term => {
-                self.leader_heartbeat(clock, conn, report, true);
+            (Some(heartbeat), Some(leader)) if heartbeat.term <= leader.term => {
+                self.leader_heartbeat(clock, conn, heartbeat, true);
             }
             _ => self.refuse(conn, 503, "not leading"),
         }
     }
 
     fn on_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
-        let Some(report) = parse_agent_heartbeat(body) else {
+        let Some(heartbeat) = parse_agent_heartbeat(body) else {
             self.refuse(conn, 400, "not a report");
             return;
         };
-        if report.zone != self.settings.zone {
+        if heartbeat.zone != self.settings.zone {
             self.connectivity.on_remote_agent_heard(clock.now);
         }
         if self.leader.is_none() {
-            self.follower_heartbeat(clock, conn, report);
+            self.follower_heartbeat(clock, conn, heartbeat);
             return;
         }
         if self
             .connectivity
-            .should_redirect(&report.machine, clock.now)
+            .should_redirect(&heartbeat.machine, clock.now)
         {
             log::info!(
                 "agent heartbeat redirected machine={} reason=isolated",
-                report.machine
+                heartbeat.machine
             );
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        if self.leader_deposed_by(&report) {
-            self.highest_term_seen = self.highest_term_seen.max(report.term);
+        if self.leader_deposed_by(&heartbeat) {
+            self.highest_term_seen = self.highest_term_seen.max(heartbeat.term);
             self.step_down("an agent has seen a higher term");
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        self.leader_heartbeat(clock, conn, report, false);
+        self.leader_heartbeat(clock, conn, heartbeat, false);
     }
 
     /// Whether the heartbeat shows that another controller has led after us.
-    fn leader_deposed_by(&self, report: &AgentHeartbeat) -> bool {
+    fn leader_deposed_by(&self, heartbeat: &AgentHeartbeat) -> bool {
         self.leader
             .as_ref()
-            .is_some_and(|leader| report.term > leader.term)
+            .is_some_and(|leader| heartbeat.term > leader.term)
     }
 }
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -19,10 +19,10 @@
     Listen(std::net::SocketAddr, std::net::SocketAddr, std::io::Error),
     /// The network thread cannot be set up.
     #[error("network: {0}")]
-    Net(std::io::Error),
+    Network(std::io::Error),
     /// The network thread has ended.
     #[error("the network thread has ended")]
-    NetEnded,
+    NetworkThreadEnded,
 }
 
 /// Both ends of the connection to the network thread.
@@ -60,13 +60,13 @@
     let (event_sender, events) = crossbeam_channel::unbounded();
     let controller_thread = std::thread::current();
     let sockets = settings.params.limits.sockets;
-    let (net, commands) =
+    let (network_thread, commands) =
         NetworkThread::new(listeners, event_sender, controller_thread, sockets, started)
-            .map_err(RuntimeError::Net)?;
+            .map_err(RuntimeError::Network)?;
     std::thread::Builder::new()
         .name("network".into())
-        .spawn(move || net.run())
-        .map_err(RuntimeError::Net)?;
+        .spawn(move || network_thread.run())
+        .map_err(RuntimeError::Network)?;
     Ok(Network { commands, events })
 }
 
@@ -80,7 +80,7 @@
     loop {
         match receiver.try_recv() {
             Ok(batch) => events.extend(batch),
-            Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetEnded),
+            Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetworkThreadEnded),
             Err(TryRecvError::Empty) if !events.is_empty() => return Ok(events),
             Err(TryRecvError::Empty) => {
                 let now = read_clock(started).now;
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -17,50 +17,50 @@
             purpose,
             request,
             sent_at: sent,
-            response: reply,
+            response,
         } = completed;
         match purpose {
-            StoreRequestPurpose::ListRecords => self.on_listing_response(clock, reply),
-            StoreRequestPurpose::Watch => self.on_watch_response(clock, sent, reply),
+            StoreRequestPurpose::ListRecords => self.on_listing_response(clock, response),
+            StoreRequestPurpose::Watch => self.on_watch_response(clock, sent, response),
             StoreRequestPurpose::ReadBarrier => {
-                self.on_read_barrier_response(clock, sent, reply);
+                self.on_read_barrier_response(clock, sent, response);
             }
-            StoreRequestPurpose::AcceptJobs(ids) => self.on_acceptance_result(clock, ids, reply),
+            StoreRequestPurpose::AcceptJobs(ids) => self.on_acceptance_result(clock, ids, response),
             StoreRequestPurpose::CancelJob(id) => {
-                self.on_cancellation_result(clock, id, request, reply);
+                self.on_cancellation_result(clock, id, request, response);
             }
-            StoreRequestPurpose::LeaderLease => self.on_candidate_lease_response(clock, reply),
+            StoreRequestPurpose::LeaderLease => self.on_candidate_lease_response(clock, response),
             StoreRequestPurpose::ClaimLeadership => {
-                self.on_claim_response(clock, &request, &reply);
+                self.on_claim_response(clock, &request, &response);
             }
             StoreRequestPurpose::RenewLeaderLease => {
-                self.on_lease_renewal_response(clock, sent, reply);
+                self.on_lease_renewal_response(clock, sent, response);
             }
             StoreRequestPurpose::ReplacementLease => {
-                self.on_replacement_lease_response(clock, reply);
+                self.on_replacement_lease_response(clock, response);
             }
             StoreRequestPurpose::AttachReplacementLease => {
-                self.on_lease_attachment_response(clock, &request, &reply);
+                self.on_lease_attachment_response(clock, &request, &response);
             }
             StoreRequestPurpose::RaiseTerm => {
-                self.on_term_raise_response(clock, &request, &reply);
+                self.on_term_raise_response(clock, &request, &response);
             }
             StoreRequestPurpose::WriteJobs(batch) => {
-                self.on_job_writes_result(clock, batch, request, reply);
+                self.on_job_writes_result(clock, batch, request, response);
             }
             StoreRequestPurpose::BackgroundWrite => {
-                self.apply_if_committed(&request, &reply);
+                self.apply_if_committed(&request, &response);
             }
-            StoreRequestPurpose::BudgetShares => self.on_budget_shares(clock, request, reply),
+            StoreRequestPurpose::BudgetShares => self.on_budget_shares(clock, request, response),
             StoreRequestPurpose::TransferLeadership => {
-                self.on_transfer_response(clock, &request, &reply);
+                self.on_transfer_response(clock, &request, &response);
             }
             StoreRequestPurpose::RecordRenewals(machines) => {
-                self.on_renewals_result(clock, machines, request, sent, reply);
+                self.on_renewals_result(clock, machines, request, sent, response);
             }
             StoreRequestPurpose::RecordFormat => {
                 self.format_record_due = Some(clock.now + FORMAT_CHECK_INTERVAL);
-                self.apply_if_committed(&request, &reply);
+                self.apply_if_committed(&request, &response);
             }
         }
     }
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -21,23 +21,23 @@
 /// Responsiveness of the key-value store, as a follower probes it.
 pub(super) struct StoreProbe {
     /// When the store last responded.
-    pub(super) heard_at: Micros,
+    pub(super) last_response_at: Micros,
     /// When the last probe was sent.
-    sent_at: Micros,
+    last_probe_at: Micros,
 }
 
 impl StoreProbe {
     /// As if the store had responded at `now`.
     pub(super) fn new(now: Micros) -> StoreProbe {
         StoreProbe {
-            heard_at: now,
-            sent_at: now,
+            last_response_at: now,
+            last_probe_at: now,
         }
     }
 
     /// When the next probe is due.
     fn due(&self) -> Micros {
-        (self.heard_at + STORE_PROBE_AFTER).max(self.sent_at + STORE_PROBE_INTERVAL)
+        (self.last_response_at + STORE_PROBE_AFTER).max(self.last_probe_at + STORE_PROBE_INTERVAL)
     }
 }
 
@@ -68,7 +68,7 @@
         }
         if self.renewals.active() {
             let last_confirmed_read = self.renewals.last_confirmed_read();
-            next = next.min(self.confirm_state(clock, last_confirmed_read));
+            next = next.min(self.confirm_cache(clock, last_confirmed_read));
         }
         next
     }
@@ -79,7 +79,7 @@
         };
         let last_confirmed_read = leader.last_confirmed_read;
         let mut next = self.drive_leader_lease(clock.now);
-        next = next.min(self.confirm_state(clock, last_confirmed_read));
+        next = next.min(self.confirm_cache(clock, last_confirmed_read));
         next = next.min(self.drive_leader(clock));
         next.min(self.consider_transfer(clock))
     }
@@ -88,14 +88,14 @@
     fn probe_store(&mut self, clock: Clock) -> Micros {
         let due = self.store_probe.due();
         if due <= clock.now {
-            self.store_probe.sent_at = clock.now;
+            self.store_probe.last_probe_at = clock.now;
             self.request_confirmation(clock);
         }
         due.max(clock.now + STORE_PROBE_INTERVAL)
     }
 
     /// Confirms the cache if the last confirmed read is too old; returns when to look again.
-    fn confirm_state(&mut self, clock: Clock, last_confirmed_read: Micros) -> Micros {
+    fn confirm_cache(&mut self, clock: Clock, last_confirmed_read: Micros) -> Micros {
         let due = last_confirmed_read + CONFIRMATION_INTERVAL;
         if due > clock.now {
             return due;
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -259,7 +259,7 @@
         let job_writes = self.due_job_writes(clock.now).count;
         let queued =
             (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
-        let wanted = (queued + self.client_api.refused_lately(clock.now)) * MILLI;
+        let wanted = (queued + self.client_api.refusals_last_second(clock.now)) * MILLI;
         let lendable = grant_rules(&self.settings).whole;
         let own = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -163,7 +163,7 @@
         outcome: Outcome,
     ) {
         if let Outcome::Reply { status: 200, body } = outcome {
-            self.out.push(NetworkCommand::Respond {
+            self.commands.push(NetworkCommand::Respond {
                 conn: connection,
                 status: 200,
                 body,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -110,7 +110,7 @@
             && !lease_outlasts_two_failures(&self.settings)
             && !self.next_controller_in_other_zone(&leader.node)
             && self.is_preferred_leader()
-            && clock.now.since(self.leader_record_seen.since) >= MIN_STABLE_LEADERSHIP
+            && clock.now.since(self.observed_leader_record.observed_at) >= MIN_STABLE_LEADERSHIP
             && self.store_available()
             && self.all_peers_healthy(clock)
     }
@@ -147,7 +147,7 @@
             return Micros::FAR;
         }
         let pause_end = self
-            .transferred_at
+            .leadership_transferred_at
             .map(|transferred_at| transferred_at + CANDIDACY_PAUSE_AFTER_TRANSFER);
         if let Some(pause_end) = pause_end.filter(|end| clock.now < *end) {
             return pause_end;
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -35,12 +35,12 @@
     fn leader_identity(&self) -> Option<LeaderIdentity<'_>> {
         if self.cache.synced {
             let (record, version) = self.cache.leader.as_ref()?;
-            let seen = &self.leader_record_seen;
+            let seen = &self.observed_leader_record;
             return Some(LeaderIdentity {
                 node: &record.node,
                 run: record.incarnation,
                 term: record.term,
-                known_since: (seen.version == *version).then_some(seen.since),
+                known_since: (seen.version == *version).then_some(seen.observed_at),
             });
         }
         let received = self.peers.record_summary.as_ref()?;
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -1,6 +1,6 @@
 //! The changes of a transaction that bring pending changes into one job's records.
 
-use crate::api::client_api::put_job;
+use crate::api::client_api::conditional_job_update;
 use crate::protocol::codec::json_len;
 use crate::protocol::key_value_api::{Change, VersionCondition};
 use crate::protocol::records::{
@@ -218,7 +218,7 @@
     fn into_update(self, id: &str, merge_batched: bool) -> RecordUpdate {
         let must_write = |number: &u32| merge_batched && self.batched_chunks.contains(number);
         // The version of the job's own record is a condition in any case: it shows that nobody has cancelled the job.
-        let (condition, change) = put_job(id, self.job, &self.record);
+        let (condition, change) = conditional_job_update(id, self.job, &self.record);
         let mut conditions = vec![condition];
         let mut changes = Vec::new();
         if self.record != self.job.record || must_write(&0) {
