--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -1,5 +1,5 @@
-//! Acceptance of jobs: a submission waits in the queue of its team and class until its record is written, and is
-//! answered afterwards.
+//! Acceptance of jobs: a submission waits in the queue of its team and class until its record is committed to the
+//! key-value store. Only then does the client get a response.
 
 use crate::api::client_api::job_status;
 use crate::controller::Controller;
@@ -11,49 +11,51 @@
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::lanes::{PushOutcome, Ticket};
 
-/// A submission that is not written within this time is refused; its client waits 5 s.
+/// A submission whose record is not written within this time is refused. Clients time out after 5 s.
 const SUBMISSION_TIMEOUT: Micros = Micros::millis(4000);
-/// The queue holds what the store can take in this many seconds.
+/// Capacity of the queue, as the number of seconds the store needs to write all of it.
 const QUEUE_CAPACITY_S: f64 = 2.5;
-/// After a lost response the same record is written again this much later.
+/// Delay before a record is written again after the response was lost or the store was rate limiting.
 const RETRY_DELAY: Micros = Micros::millis(150);
-/// Transactions of acceptances in flight at most.
+/// Maximum number of acceptance transactions in flight.
 const MAX_TRANSACTIONS_IN_FLIGHT: usize = 2;
-/// Error text of a submission that the queue has no room for.
+/// Error text for a submission that is refused because the queue is full.
 const QUEUE_FULL: &str = "too many submissions at once";
 
 /// Progress of an acceptance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AcceptanceStage {
-    /// Waits in its queue.
+    /// Waits in the queue of its team and class.
     Queued(Ticket),
     /// Its transaction is in flight.
     InFlight(Ticket),
-    /// Its transaction was not carried out, or its response was lost; it is queued again at this time.
+    /// Its transaction was not committed, or the response was lost; it is queued again at this time.
     RetryAt(Ticket, Micros),
 }
 
-/// A submitted job whose record is not known to be written yet.
+/// A submitted job whose record has not been confirmed as written.
 pub(crate) struct PendingAcceptance {
-    /// Connections that asked before the record was sent. They get the state as of the write.
+    /// Connections whose request came before the record was sent. They get the job's state as of the write.
     conns: Vec<u64>,
-    /// Connections that asked while the record was in flight. The store may have written it before they asked, with a
-    /// late response, and the job may be over by then: they have to get the state as of their own request or later.
+    /// Connections whose request came while the record was in flight. If the store's response is late, the record may
+    /// have been written before the request came and the job may already have ended: these connections must get the
+    /// job's state as of their own request or later.
     conns_while_in_flight: Vec<u64>,
     record: JobRecord,
-    /// When this controller queued it.
+    /// When this controller queued the submission.
     queued_at: Micros,
-    /// When the client submitted the job first, as far as we know.
+    /// When the client first submitted the job, as far as this controller remembers.
     first_attempt: Micros,
     stage: AcceptanceStage,
-    /// The response to an earlier write was lost: the record may be there.
+    /// The response to an earlier write was lost, so the record may already exist in the store.
     maybe_written: bool,
-    /// The store rejected it in a transaction with others, which may have been too large.
+    /// The store rejected a transaction that held this record and others. The transaction may have been too large, so
+    /// the record is written in one of its own.
     write_alone: bool,
 }
 
 impl PendingAcceptance {
-    /// Takes the connections of all requests that wait for it.
+    /// Removes and returns the connections of all requests that wait for this acceptance.
     fn take_conns(&mut self) -> Vec<u64> {
         let mut conns = std::mem::take(&mut self.conns);
         conns.append(&mut self.conns_while_in_flight);
@@ -61,7 +63,7 @@
     }
 }
 
-/// The record of a job that is accepted now, with no task placed.
+/// Creates the record of a job that is accepted now; none of its tasks is placed.
 fn new_job_record(clock: Clock, spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
@@ -73,7 +75,7 @@
     }
 }
 
-/// A team's weight in the queue: from 1 to 2, by the larger of its shares of the guaranteed CPUs and GPUs.
+/// Weight of a team in the fair queue: 1 plus the larger of the team's shares of all guaranteed CPUs and GPUs.
 fn team_weight(settings: &Settings, name: &str) -> f64 {
     let share = |guarantee: fn(&Team) -> f64| {
         let total: f64 = settings.params.teams.iter().map(guarantee).sum();
@@ -88,7 +90,8 @@
 }
 
 impl Controller {
-    /// Queues a job for acceptance, or refuses it if the queue has no room. A repeated submission joins the first.
+    /// Queues a job for acceptance, or refuses it if the queue is full. A repeated submission is answered together with
+    /// the first one.
     pub(crate) fn accept_job(&mut self, clock: Clock, conn: u64, id: String, spec: JobSpec) {
         if let Some(acceptance) = self.client_api.acceptances.get_mut(&id) {
             match acceptance.stage {
@@ -133,8 +136,8 @@
         self.client_api.next_expiry_check = Micros::ZERO;
     }
 
-    /// Limits the queue to what can be written while clients wait. Beyond that the newest submission of the longest
-    /// queue is refused at once, so that no class is refused on account of another.
+    /// Limits the queue to what can be written before clients time out. When it is full, the newest submission of the
+    /// longest lane is refused at once, so that a flood in one class does not cause refusals in another.
     fn limit_acceptance_queue(&mut self) {
         let capacity = (self.store.write_rate() * QUEUE_CAPACITY_S) as usize + 1;
         let api = &mut self.client_api;
@@ -143,7 +146,7 @@
             .limit(capacity.saturating_sub(outside_queue).max(1));
     }
 
-    /// Remembers the first attempt of a submission that is refused; returns its `Retry-After` in seconds.
+    /// Records a refusal and the time of the submission's first attempt; returns the `Retry-After` in seconds.
     fn record_refusal(
         &mut self,
         clock: Clock,
@@ -160,7 +163,7 @@
             .retry_after(id, queued_before, rate, clock.now.0)
     }
 
-    /// Refuses an acceptance that is not in flight.
+    /// Removes an acceptance that is not in flight, and refuses its requests.
     fn refuse_acceptance(&mut self, clock: Clock, id: &str) {
         let Some(mut acceptance) = self.remove_acceptance(id) else {
             return;
@@ -172,7 +175,7 @@
         }
     }
 
-    /// How many acceptances can be written now.
+    /// Returns how many acceptances can be written now.
     pub(crate) fn acceptances_due(&mut self, now: Micros) -> usize {
         self.requeue_due_retries(now);
         if self.client_api.transactions_in_flight >= MAX_TRANSACTIONS_IN_FLIGHT {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Writes at most `limit` acceptances in one transaction, by turns of the queues.
+    /// Writes at most `limit` acceptances in one transaction, in the order of the fair queue.
     pub(crate) fn write_acceptances(&mut self, limit: usize) {
         let api = &mut self.client_api;
         let mut ids = Vec::new();
@@ -242,7 +245,7 @@
         );
     }
 
-    /// Handles the result of a transaction that accepts these jobs.
+    /// Handles the result of the transaction that writes the records of these jobs.
     pub(crate) fn on_acceptance_result(
         &mut self,
         clock: Clock,
@@ -257,7 +260,7 @@
         }
     }
 
-    /// Handles the result for one of the jobs; `only_job`: the transaction held no other.
+    /// Handles the result for one of the jobs. `only_job` is true if the transaction held no other job.
     fn on_job_acceptance_result(
         &mut self,
         clock: Clock,
@@ -305,7 +308,7 @@
             leader.dirty = true;
         }
         self.resume_as_resubmissions(clock, id, acceptance.conns_while_in_flight, 201);
-        // The job may be over already: a job that it needs may have been cancelled.
+        // The job may have ended already, because a job that it depends on was cancelled.
         let Some(lookup) = self.cache.job(id) else {
             return;
         };
@@ -315,7 +318,8 @@
         }
     }
 
-    /// The job has a record: it was known before, or our own earlier write was carried out after all.
+    /// Handles the case that the job already has a record: it was accepted before, or an earlier write of this
+    /// controller, whose response was lost, was committed.
     fn on_job_exists(&mut self, clock: Clock, id: &str) {
         let Some(mut acceptance) = self.remove_acceptance(id) else {
             return;
@@ -324,7 +328,7 @@
         self.resume_as_resubmissions(clock, id, acceptance.take_conns(), status);
     }
 
-    /// Answers these connections with `status` and the job's state after a read barrier.
+    /// Responds on these connections, after a read barrier, with `status` and the job's state.
     fn resume_as_resubmissions(&mut self, clock: Clock, id: &str, conns: Vec<u64>, status: u16) {
         for conn in conns {
             let id = id.to_string();
@@ -341,14 +345,14 @@
         }
     }
 
-    /// Queues an acceptance that was not written again at `retry_at`.
+    /// Schedules an acceptance that was in flight and not confirmed to be queued again at `retry_at`.
     fn retry_acceptance(&mut self, id: &str, retry_at: Micros) {
         let api = &mut self.client_api;
         if let Some(acceptance) = api.acceptances.get_mut(id)
             && let AcceptanceStage::InFlight(ticket) = acceptance.stage
         {
             acceptance.stage = AcceptanceStage::RetryAt(ticket, retry_at);
-            // The next write is sent after all of these have asked.
+            // All of these requests came before the next write is sent.
             let conns = std::mem::take(&mut acceptance.conns_while_in_flight);
             acceptance.conns.extend(conns);
             api.retries.insert((retry_at, id.to_string()));
@@ -371,7 +375,7 @@
         Some(acceptance)
     }
 
-    /// Refuses acceptances that have waited too long; returns when to look again.
+    /// Refuses acceptances that have waited longer than `SUBMISSION_TIMEOUT`; returns when to check again.
     pub(crate) fn expire_acceptances(&mut self, clock: Clock) -> Micros {
         if clock.now < self.client_api.next_expiry_check {
             return self.client_api.next_expiry_check;
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The transaction that cancels a job.
+    /// Builds the transaction that cancels a job.
     fn cancellation_transaction(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
         let record = JobRecord {
             stage: JobStage::Cancelled,
@@ -47,8 +47,8 @@
         };
         let key = job_key(id);
         let version = job.version;
-        // The entries written here must include what placement batches hold at this moment, or the job would look as
-        // if none of its tasks were anywhere.
+        // The task entries in this record must include the placements in all batches written so far; otherwise the job
+        // would appear to have no placed tasks. The condition fails if a newer batch exists.
         let batch_condition = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
             self.cache.placement_batches.head(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends a cancellation, unless one of this job is in flight; `conn` is answered with its result.
+    /// Sends a cancellation, unless one for this job is in flight already. `conn` gets the result of the one in flight.
     fn request_cancellation(&mut self, conn: u64, id: String, transaction: Transaction) {
         let conns = self.client_api.cancellations.entry(id.clone()).or_default();
         conns.push(conn);
@@ -95,7 +95,8 @@
                 }
             }
             StoreResponse::Conflict(_) | StoreResponse::Lost => {
-                // Another controller has changed the job, or our own transaction was carried out: the records show it.
+                // Another controller may have changed the job, or this transaction may have been committed although its
+                // response was lost. A read of the records shows which.
                 for conn in conns {
                     let id = id.clone();
                     self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -1,4 +1,4 @@
-//! The client API: status requests, and what all client requests share.
+//! The client API: status requests, and code that all client requests share.
 
 use crate::api::acceptance::PendingAcceptance;
 use crate::api::refusal_rate::RefusalRate;
@@ -14,45 +14,45 @@
 use admission_control::refusal::Refusals;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Refused submissions whose first attempt is remembered, at 16 bytes each.
+/// Number of refused submissions whose first attempt is remembered; each takes 16 bytes.
 const REMEMBERED_REFUSALS: usize = 8_192;
 
-/// Whether the cache is known to be at least as new as the request that is being answered.
+/// Whether the cache is confirmed to be at least as new as the request that is being answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CacheFreshness {
-    /// The cache may be behind: an answer that could change needs a read barrier first.
+    /// The cache may be stale: a response that newer records could change needs a read barrier first.
     Unconfirmed,
-    /// A read barrier has passed since the request came.
+    /// A read barrier has completed since the request arrived.
     Confirmed,
 }
 
 /// Client requests in progress.
 pub struct ClientApi {
-    /// Submitted jobs whose records are not known to be written, by job id.
+    /// Submitted jobs whose records have not been confirmed as written, by job id.
     pub(super) acceptances: BTreeMap<String, PendingAcceptance>,
-    /// Ids of those that wait to be written, by team and class.
+    /// Ids of the acceptances that wait to be written, by team and class.
     pub(super) queue: FairQueue<String, String, String>,
-    /// Ids of those that are queued again later, by that time.
+    /// Ids of the acceptances that are to be queued again, ordered by the time of the retry.
     pub(super) retries: BTreeSet<(Micros, String)>,
     /// First attempts of refused submissions.
     pub(super) refusals: Refusals,
-    /// Submissions refused a second.
+    /// Number of submissions refused per second.
     pub(super) refusal_rate: RefusalRate,
     /// No acceptance expires before this time.
     pub(super) next_expiry_check: Micros,
-    /// Transactions of acceptances in flight.
+    /// Number of acceptance transactions in flight.
     pub(super) transactions_in_flight: usize,
-    /// Connections that wait for a cancellation in flight, by job id.
+    /// Connections that wait for the result of a cancellation in flight, by job id.
     pub(super) cancellations: BTreeMap<String, Vec<u64>>,
 }
 
 impl ClientApi {
-    /// Number of acceptances that wait to be written.
+    /// Returns the number of acceptances that wait to be written.
     pub fn queued_acceptances(&self) -> usize {
         self.queue.len()
     }
 
-    /// Submissions refused in the last full second.
+    /// Returns the number of submissions refused in the last full second, or in the current one if that is higher.
     pub fn refusals_last_second(&self, now: Micros) -> f64 {
         self.refusal_rate.last_second(now)
     }
@@ -73,15 +73,15 @@
     }
 }
 
-/// A job's state as the cache has it.
+/// A job's state according to the cache.
 pub(super) struct JobStatus {
-    /// The job is done or cancelled: its state does not change any more.
+    /// The job is done or cancelled, so its state is final.
     pub(super) terminal: bool,
-    /// State for the client.
+    /// The state as it is sent to the client.
     pub(super) state: JobState,
 }
 
-/// The status text of a job of which no task runs.
+/// Returns the status text of a job that has no running tasks.
 fn status_text(stage: JobStage) -> &'static str {
     match stage {
         JobStage::Done => "done",
@@ -90,7 +90,7 @@
     }
 }
 
-/// The state of a job that the cache holds.
+/// Returns the state of a job that the cache holds.
 pub(super) fn job_status(id: &str, lookup: &JobLookup<'_>) -> JobStatus {
     match lookup {
         JobLookup::Finished(job) => {
@@ -135,8 +135,9 @@
 }
 
 impl Controller {
-    /// Responds with a job's state. That a job is cancelled is withheld while a peer relies on our pledge to tell
-    /// clients nothing new: it may be renewing the lease of an agent that runs the job.
+    /// Responds with a job's state. While a silence pledge of this controller is active, no cancellation is reported if
+    /// the cache holds a cancellation or leadership claim that is newer than the pledge: a peer may still be renewing
+    /// the lease of an agent that runs the job.
     pub(super) fn respond_with_state(
         &mut self,
         clock: Clock,
@@ -157,8 +158,8 @@
         self.respond(conn, status, state);
     }
 
-    /// Refuses a request for a job whose record cannot be read, and returns whether it did. Such a job was accepted,
-    /// and may be over.
+    /// Refuses the request if the job's record cannot be read, and returns whether it did. Such a job was accepted and
+    /// may have ended, so neither "no such job" nor a state would be a correct response.
     pub(super) fn refuse_if_unreadable(&mut self, conn: u64, id: &str) -> bool {
         let unreadable = self.cache.is_unreadable(id);
         if unreadable {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Answers the submission of a job that is known to have a record.
+    /// Responds to the submission of a job that already has a record in the store.
     fn respond_to_resubmission(&mut self, clock: Clock, conn: u64, id: &str, status: u16) {
         if self.refuse_if_unreadable(conn, id) {
             return;
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Resumes a request after its read barrier.
+    /// Resumes a request after its read barrier has completed.
     pub(super) fn resume_request(&mut self, clock: Clock, request: PendingRequest) {
         let freshness = CacheFreshness::Confirmed;
         match request {
@@ -242,7 +243,8 @@
     }
 }
 
-/// An update of a job's record, and its condition: that the record still has the version of the cache.
+/// Returns an update of a job's record, and the condition that the record in the store still has the cached version
+/// (compare-and-swap).
 pub fn conditional_job_update(
     id: &str,
     job: &Job,
--- a/src/api/forwarding.rs
+++ b/src/api/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding of client requests to a peer, while the key-value store serves the peer and not us.
+//! Forwarding of client requests to a peer while the key-value store serves the peer but not this controller.
 
 use crate::controller::routing::{HttpRequest, SUBMISSIONS_PATH};
 use crate::controller::{Controller, default_retry_after};
@@ -10,14 +10,14 @@
 use crate::state::record_cache::JobLookup;
 use crate::transport::Outcome;
 
-/// How long a peer may take over a status request; its client waits 2 s.
+/// Timeout of a forwarded status request. Clients time out after 2 s.
 const STATUS_TIMEOUT: Micros = Micros::millis(1500);
-/// How long a peer may take over a submission or a cancellation; its client waits 5 s.
+/// Timeout of a forwarded submission or cancellation. Clients time out after 5 s.
 const CHANGE_TIMEOUT: Micros = Micros::millis(4500);
 
 impl Controller {
-    /// Forwards a client request to a peer that reaches the store if we do not, and returns whether it did. What the
-    /// cache can answer for good is not forwarded.
+    /// If the store does not serve this controller, forwards a client request to a peer that the store serves; returns
+    /// whether it did. Requests about finished jobs are not forwarded, since the cache holds their final state.
     pub(crate) fn forward_to_peer(&mut self, clock: Clock, request: HttpRequest<'_>) -> bool {
         let Some(job_path) = request.path.strip_prefix(SUBMISSIONS_PATH) else {
             return false;
@@ -45,13 +45,13 @@
         true
     }
 
-    /// Whether a submission waits for other jobs and not all peers know of this: a peer of the first version would
-    /// accept it without the jobs that it needs.
+    /// Returns whether a submission depends on other jobs while some peer may not support dependencies: a peer of the
+    /// first version would accept the job and ignore them.
     fn needs_pipeline_support(&self, body: &[u8]) -> bool {
         !self.all_peers_read(PIPELINES) && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
     }
 
-    /// Passes the response of the peer on to the client.
+    /// Relays the response of the peer to the client.
     pub(crate) fn on_forwarded_response(&mut self, conn: u64, outcome: Outcome) {
         match outcome {
             Outcome::Reply { status, body } => {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: submission, status, cancellation, read barriers and load shedding.
+//! Client requests: submission, status, cancellation, read barriers and load shedding.
 
 pub mod acceptance;
 mod cancellation;
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -1,15 +1,16 @@
-//! Read barriers: requests that wait until the cache is at least as new as the moment at which they came.
+//! Read barriers: a request waits until the cache holds all changes that were committed before the request arrived.
 //!
 //! A barrier is a read of all changes since the revision of the cache. Requests that arrive while one is in flight wait
-//! for the next, and share it.
+//! for the next one and share it.
 
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
-/// Barriers that only clients wait for are sent at least this many request intervals apart (one over our request rate):
-/// the rest of the budget is for requests that clients wait for longer.
+/// Minimum distance between barriers that only client requests wait for, in request intervals (an interval is the
+/// reciprocal of this controller's request rate). The rest of the request budget is left for acceptances and leader
+/// work, which clients wait for longer.
 const BARRIER_REQUEST_INTERVALS: f64 = 3.0;
 /// Bounds of the interval between such barriers, in seconds.
 const BARRIER_INTERVAL_MIN_S: f64 = 0.03;
@@ -21,20 +22,20 @@
     in_flight: bool,
     /// Requests that the barrier in flight covers.
     covered: Vec<PendingRequest>,
-    /// Requests that came since, and wait for the next barrier.
+    /// Requests that arrived after it was sent, and wait for the next barrier.
     waiting: Vec<PendingRequest>,
-    /// When a barrier was last attempted.
+    /// When a barrier was last sent, or aborted because the cache was not synchronised.
     last_attempt: Micros,
 }
 
 impl ReadBarrier {
-    /// A barrier has been sent, and its response is outstanding.
+    /// Returns whether a barrier has been sent whose response is outstanding.
     pub(crate) fn in_flight(&self) -> bool {
         self.in_flight
     }
 }
 
-/// Whether a request must not wait until the next barrier for clients is due.
+/// Returns whether a request needs a barrier at once, regardless of the interval between client barriers.
 fn is_urgent(request: &PendingRequest) -> bool {
     matches!(
         request,
@@ -43,7 +44,7 @@
 }
 
 impl Controller {
-    /// Notes that the cache holds all changes up to a moment not before `sent`.
+    /// Records that the cache holds all changes that were committed before `sent`.
     pub(crate) fn on_confirmed_read(&mut self, sent: Micros) {
         self.confirmed_read_at = self.confirmed_read_at.max(sent);
         self.peers.reported_cancellations.on_records_read(sent.0);
@@ -56,13 +57,13 @@
         self.confirm_renewals(sent);
     }
 
-    /// Resumes `request` once the cache is at least as new as now.
+    /// Resumes `request` once the cache holds all changes that were committed before this call.
     pub fn request_read_barrier(&mut self, clock: Clock, request: PendingRequest) {
         self.read_barrier.waiting.push(request);
         self.send_read_barrier(clock);
     }
 
-    /// Sends the next barrier if requests wait for it; returns when to look again.
+    /// Sends the next barrier if requests wait for it; returns when to check again.
     pub(crate) fn drive_read_barrier(&mut self, clock: Clock) -> Micros {
         if self.read_barrier.in_flight || self.read_barrier.waiting.is_empty() {
             return Micros::FAR;
@@ -74,7 +75,7 @@
         self.read_barrier.last_attempt + self.barrier_interval()
     }
 
-    /// Least time between barriers that only clients wait for.
+    /// Returns the minimum time between barriers that only client requests wait for.
     fn barrier_interval(&self) -> Micros {
         let interval_s = BARRIER_REQUEST_INTERVALS / self.store.request_rate();
         Micros::secs(interval_s.clamp(BARRIER_INTERVAL_MIN_S, BARRIER_INTERVAL_MAX_S))
@@ -84,8 +85,8 @@
         if self.read_barrier.in_flight || self.read_barrier.waiting.is_empty() {
             return;
         }
-        // Clients can share a barrier; theirs must not use up the budget that acceptances and the work of the leader
-        // need.
+        // Client requests can share a barrier. Barriers for them must not use up the request budget that acceptances
+        // and the leader need.
         let urgent = self.read_barrier.waiting.iter().any(is_urgent);
         if clock.now < self.read_barrier.last_attempt + self.barrier_interval() && !urgent {
             return;
--- a/src/api/refusal_rate.rs
+++ b/src/api/refusal_rate.rs
@@ -1,16 +1,16 @@
-//! The rate at which submissions are refused, for the distribution of the write budget among controllers.
+//! The rate at which submissions are refused. It is an input to the distribution of the write budget among controllers.
 
 use crate::protocol::Micros;
 
-/// Microseconds of the window that refusals are counted in.
+/// Length of the window in which refusals are counted.
 const WINDOW_US: u64 = 1_000_000;
 
-/// Refusals in the present second and in the one before.
+/// Number of refusals in the current second and in the one before.
 #[derive(Debug, Default)]
 pub(super) struct RefusalRate {
-    /// Number of the present second since the start of the clock.
+    /// Index of the current second, counted from the start of the clock.
     current_second: u64,
-    /// Refusals in the present second.
+    /// Refusals in the current second.
     current: u32,
     /// Refusals in the second before.
     previous: u32,
@@ -33,7 +33,7 @@
         self.current = 1;
     }
 
-    /// Refusals in the last full second, or in the present one if these are more already.
+    /// Returns the number of refusals in the last full second, or in the current one if that is higher.
     pub(super) fn last_second(&self, now: Micros) -> f64 {
         let second = now.0 / WINDOW_US;
         if second == self.current_second {
--- a/src/api/request_scheduler.rs
+++ b/src/api/request_scheduler.rs
@@ -1,11 +1,12 @@
-//! Load shedding: the order in which events are handled when more arrive than the processor can handle.
+//! Load shedding: prioritises events when more arrive than the CPU can handle.
 //!
-//! Events that keep the service alive are handled first: responses (leadership and records depend on them), requests of
-//! peers, agent heartbeats, health checks. Cancellations, submissions and status requests of clients follow in that
-//! order, each in the order of arrival, and a limited number at a time, so that timers run in between. A request whose
-//! client has given up is refused, which costs next to nothing.
+//! Events that keep the service alive are handled first: responses (leadership and records depend on them), requests
+//! from peers, agent heartbeats and health checks. Client requests follow: cancellations, then submissions, then status
+//! requests, each kind in order of arrival. Their number per step is limited, so that timers run in between. A request
+//! whose client has timed out is refused, which takes hardly any CPU time.
 //!
-//! The queues are bounded: a connection has one request in progress, and the transport limits connections.
+//! The queues are bounded, because a connection has at most one request in progress and the transport limits the number
+//! of connections.
 
 use crate::controller::routing::{CANCEL_SUFFIX, SUBMISSIONS_PATH};
 use crate::protocol::Micros;
@@ -13,35 +14,34 @@
 use crate::transport::NetworkEvent;
 use std::collections::VecDeque;
 
-/// Client requests handled in one step, at most.
+/// Maximum number of client requests handled in one step.
 const MAX_REQUESTS_PER_STEP: usize = 64;
-/// Status requests that a step has room for in any case: a flood of submissions must not keep all clients from learning
-/// the states of their jobs.
+/// Number of status requests that each step reserves capacity for, so that a flood of submissions does not starve them.
 const MIN_STATUS_REQUESTS_PER_STEP: usize = MAX_REQUESTS_PER_STEP / 4;
-/// A status request is refused after this long; its client waits 2 s (PROTOCOL, "GET /submissions/{id}").
+/// A status request that has waited this long is refused. Clients time out after 2 s (PROTOCOL, "GET
+/// /submissions/{id}").
 const STATUS_TIMEOUT: Micros = Micros::millis(1_600);
-/// A submission or cancellation is refused after this long; its client waits 5 s.
+/// A submission or cancellation that has waited this long is refused. Clients time out after 5 s.
 const CHANGE_TIMEOUT: Micros = Micros::millis(4_000);
-/// Once a client request has waited this long for the processor, the interval between scheduling passes is
-/// widened.
+/// Once a client request has waited this long for CPU time, the interval between scheduling passes is increased.
 const MODERATE_DELAY: Micros = Micros::millis(1_000);
-/// Factor of the interval between passes from `MODERATE_DELAY` on.
+/// Factor by which the interval between passes is increased from `MODERATE_DELAY` on.
 const MODERATE_DELAY_FACTOR: f64 = 2.0;
-/// Once a client request has waited this long, the interval between passes is widened further.
+/// Once a client request has waited this long, the interval between passes is increased further.
 const LONG_DELAY: Micros = Micros::millis(2_500);
-/// Factor of the interval between passes from `LONG_DELAY` on.
+/// Factor by which the interval between passes is increased from `LONG_DELAY` on.
 const LONG_DELAY_FACTOR: f64 = 4.0;
 
 /// Classes of events, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestClass {
-    /// Keeps the service alive, and never waits.
+    /// Needed to keep the service alive; handled at once, whatever the load.
     Vital,
     /// Cancels a job.
     Cancel,
     /// Submits a job.
     Submit,
-    /// Asks for the state of a job.
+    /// Requests the state of a job.
     Status,
 }
 
@@ -55,7 +55,7 @@
     else {
         return RequestClass::Vital;
     };
-    // The path of a forwarded request has a prefix.
+    // The path of a request forwarded by a peer has a prefix before the submissions path.
     let Some((_, job_path)) = path.split_once(SUBMISSIONS_PATH) else {
         return RequestClass::Vital;
     };
@@ -74,18 +74,18 @@
 pub enum ScheduledRequest {
     /// Handle it.
     Handle(NetworkEvent),
-    /// Refuse the request on this connection: its client has given up.
+    /// Refuse the request on this connection, because its client has timed out.
     Refuse(u64),
 }
 
-/// A client request that waits for the processor.
+/// A client request that waits for CPU time.
 #[derive(Debug)]
 struct QueuedRequest {
     arrived: Micros,
     event: NetworkEvent,
 }
 
-/// Requests of one class, in the order of arrival.
+/// Requests of one class, in order of arrival.
 #[derive(Debug)]
 struct RequestQueue {
     requests: VecDeque<QueuedRequest>,
@@ -105,8 +105,8 @@
         self.requests.push_back(QueuedRequest { arrived, event });
     }
 
-    /// Schedules requests until `limit` of them are to be handled; those that have timed out do not count. Returns how
-    /// much of the limit is left.
+    /// Takes requests off the queue until `limit` of them are scheduled to be handled. Requests that have timed out are
+    /// scheduled to be refused and do not count. Returns how much of the limit is left.
     fn schedule(
         &mut self,
         now: Micros,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Client requests that wait for the processor.
+/// Queues of client requests that wait for CPU time.
 #[derive(Debug)]
 pub struct RequestScheduler {
     cancellations: RequestQueue,
@@ -150,7 +150,7 @@
 }
 
 impl RequestScheduler {
-    /// Takes the events that have arrived; returns what to do in this step, in order.
+    /// Queues the events that have arrived; returns the requests to handle or refuse in this step, in order.
     pub fn step(&mut self, now: Micros, events: Vec<NetworkEvent>) -> Vec<ScheduledRequest> {
         let capacity = events.len().min(2 * MAX_REQUESTS_PER_STEP);
         let mut scheduled = Vec::with_capacity(capacity);
@@ -172,7 +172,7 @@
         scheduled
     }
 
-    /// The factor by which scheduling passes are spaced out while clients wait for the processor.
+    /// Returns the factor by which the interval between scheduling passes is increased while client requests wait.
     pub fn pass_interval_factor(&self, now: Micros) -> f64 {
         let delay = self.longest_delay(now);
         if delay < MODERATE_DELAY {
@@ -184,12 +184,12 @@
         }
     }
 
-    /// Whether any request waits.
+    /// Returns whether any request is queued.
     pub fn has_waiting_requests(&self) -> bool {
         self.oldest_arrival().is_some()
     }
 
-    /// How long the request that arrived first has waited.
+    /// Returns how long the oldest queued request has waited.
     pub fn longest_delay(&self, now: Micros) -> Micros {
         self.oldest_arrival()
             .map_or(Micros::ZERO, |arrived| now.since(arrived))
--- a/src/api/request_scheduler/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -13,6 +13,7 @@
     }
 }
 
+/// Connection of each scheduled request, in order: negative if the request is to be refused, 0 for a response.
 fn conns(scheduled: &[ScheduledRequest]) -> Vec<i64> {
     let conn = |request: &ScheduledRequest| match request {
         ScheduledRequest::Handle(NetworkEvent::Request { conn, .. }) => *conn as i64,
@@ -22,7 +23,9 @@
     scheduled.iter().map(conn).collect()
 }
 
-/// A thousand status requests arrive before a response of the store, an agent heartbeat and a cancellation.
+/// A thousand status requests arrive before an agent heartbeat, a health check, a response of the store and a few
+/// client requests of higher priority. Handling events in order of arrival would delay the vital ones until leases
+/// expire.
 #[test]
 fn vital_events_do_not_wait_behind_a_flood_of_status_requests() {
     let mut scheduler = RequestScheduler::default();
@@ -45,16 +48,23 @@
     assert_eq!(first_step[..6], [3, 4, 0, 2, 1, 5]);
     assert_eq!(first_step.len(), 3 + MAX_REQUESTS_PER_STEP);
     assert_eq!(scheduler.longest_delay(at(300)), Micros::millis(300));
-    // A vital event that arrives later is handled before all that wait.
+    // A vital event that arrives later is handled before all queued requests.
     let second_step = conns(&scheduler.step(at(300), vec![request(8, "POST", "/hello")]));
     assert_eq!(
         (second_step[0], second_step[1]),
         (8, 100 + (MAX_REQUESTS_PER_STEP as i64 - 3))
     );
-    // Status requests whose clients have given up are all refused in one step; none of them is handled.
+    // Status requests whose clients have timed out are all refused in one step; none of them is handled.
     let third_step = conns(&scheduler.step(at(1_700), Vec::new()));
-    assert!(third_step.len() > 800 && third_step.iter().all(|conn| *conn < 0));
-    assert!(!scheduler.has_waiting_requests());
+    assert!(
+        third_step.len() > 800 && third_step.iter().all(|conn| *conn < 0),
+        "expected more than 800 refusals and no handled request, got {third_step:?}"
+    );
+    assert!(
+        !scheduler.has_waiting_requests(),
+        "requests are still queued after all of them timed out; the oldest has waited {:?}",
+        scheduler.longest_delay(at(1_700))
+    );
 }
 
 #[test]
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs: validation, and the decision to accept, refuse, or confirm the cache first.
+//! Submission of jobs: validation, and the decision to accept the job, refuse it, or confirm the cache first.
 
 use crate::api::client_api::{CacheFreshness, job_status};
 use crate::controller::Controller;
@@ -12,17 +12,18 @@
 use crate::scheduling::placement;
 use crate::state::record_cache::JobLookup;
 
-/// Size of a task's entry in a record, as JSON, with numbers of the length they reach in operation.
+/// Size of a task's entry in a record, as JSON, for numbers as long as they get in operation.
 const TASK_ENTRY_BYTES: usize = 27;
-/// Size of a record besides the job description and the task entries, as JSON.
+/// Size of a record as JSON, without the job description and the task entries.
 const RECORD_OVERHEAD_BYTES: usize = 100;
-/// The record of an array must have room for one in this many tasks of its first chunk, so that the array makes progress.
+/// The record of an array must have room for the entries of one in this many tasks of a full first chunk, so that the
+/// array can make progress.
 const ARRAY_CHUNK_DIVISOR: u32 = 4;
-/// Tolerance of the comparison with a quota, for sums of fractions.
+/// Tolerance of the comparison with a quota, to allow for rounding of fractional amounts.
 const QUOTA_TOLERANCE: f64 = 1e-6;
 
-/// Space that a job's record needs besides the description: for all tasks of the first chunk if they have to be placed
-/// together, else for a part of them.
+/// Returns the size that a job's record needs in addition to the description. All tasks of the first chunk count for a
+/// gang or a service, only a part of them for an array.
 fn record_bytes_excluding_spec(spec: &JobSpec) -> usize {
     let max_entries = match spec.kind {
         JobKind::Array => TASKS_PER_CHUNK / ARRAY_CHUNK_DIVISOR,
@@ -31,7 +32,7 @@
     RECORD_OVERHEAD_BYTES + spec.tasks.min(max_entries) as usize * TASK_ENTRY_BYTES
 }
 
-/// Whether a task of the job fits an empty machine of this type, and the job allows the type.
+/// Returns whether a task of the job fits on an empty machine of this type, and the job allows the type and its zones.
 fn fits_machine_type(machine_type: &MachineType, spec: &JobSpec) -> bool {
     let zone_allowed = spec
         .zone
@@ -47,7 +48,7 @@
         && placement::slots(&capacity, &placement::task_resources(spec)) > 0
 }
 
-/// Why a job can never run; `None` if it can.
+/// Returns why a job can never run, or `None` if it can.
 pub fn reject_reason(
     settings: &Settings,
     types: &[MachineType],
@@ -76,13 +77,13 @@
     None
 }
 
-/// What becomes of a submission of a job that the cache does not hold.
+/// How to proceed with the submission of a job that the cache does not hold.
 enum SubmissionDecision {
-    /// Write its record.
+    /// Accept the job: write its record.
     Accept,
-    /// Decide again after a read barrier: another controller may know more than our cache.
+    /// Decide again after a read barrier: the cache may lack changes that other controllers have written.
     ConfirmCache,
-    /// Refuse it with this status and error text.
+    /// Refuse the job with this status and error text.
     Refuse(u16, &'static str),
 }
 
@@ -142,7 +143,7 @@
         let unconfirmed = freshness == CacheFreshness::Unconfirmed;
         let reject = reject_reason(&self.settings, types, spec);
         match reject {
-            // Another controller may have accepted it under other machine types.
+            // Another controller may have accepted the job when other machine types were available.
             Some(_) if unconfirmed => return SubmissionDecision::ConfirmCache,
             Some(error) => return SubmissionDecision::Refuse(422, error),
             None => {}
@@ -154,7 +155,7 @@
             return SubmissionDecision::Refuse(400, error);
         }
         if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
-            // A controller of the first version drops fields that it does not know from a record.
+            // A controller of the first version drops unknown fields when it rewrites a record.
             let error = "jobs can wait for jobs once all controllers run this version";
             return SubmissionDecision::Refuse(503, error);
         }
@@ -166,8 +167,9 @@
         }
     }
 
-    /// Whether a job's record would not fit into a value of the store, or a gang's placements into a transaction. The
-    /// first version accepted longer ones: whether the job is one of them is looked up before it is refused.
+    /// Returns whether a job's record would exceed the store's limit on values, or a gang's placements the limit on
+    /// transactions. The first version accepted larger jobs, so the caller must check after a read barrier that the job
+    /// does not exist before it refuses it.
     fn record_too_large(&self, spec: &JobSpec) -> bool {
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
@@ -176,7 +178,7 @@
             || json_len(spec) + record_bytes_excluding_spec(spec) > limits.least_value_bytes()
     }
 
-    /// Whether the cache holds all jobs that a submission needs; an error if one of them is a service.
+    /// Returns whether the cache holds all jobs that a submission depends on, or an error if one of them is a service.
     fn all_needs_cached(&self, spec: &JobSpec) -> Result<bool, &'static str> {
         let mut all_cached = true;
         for need in &spec.needs {
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -1,6 +1,7 @@
 //! The leader's lease in the key-value store: acquisition, renewal, and replacement after it has expired.
 //!
-//! Only liveness depends on this lease: while it lives, other controllers do not claim leadership.
+//! The lease serves liveness only, not safety: until it expires, other controllers do not claim leadership. Safety
+//! depends on the term, which is a fencing token.
 
 use crate::controller::Controller;
 use crate::leadership::election::{ElectionState, LEADER_LEASE_TTL};
@@ -10,18 +11,18 @@
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
-/// The lease is renewed at this interval.
+/// Interval between renewals of the lease.
 const RENEWAL_INTERVAL: Micros = Micros::millis(1200);
-/// A renewal that failed is tried again after this long.
+/// Delay before a failed renewal is retried.
 const RENEWAL_RETRY_DELAY: Micros = Micros::millis(300);
 
-/// The lease that our leadership hangs on, and its renewal.
+/// The lease that this controller must hold while it leads, and its renewal.
 pub(crate) struct LeaderLease {
-    /// Id of the lease in the store; `None` before the first one was granted.
+    /// Id of the lease in the store; `None` until the first one is granted.
     pub(crate) id: Option<u64>,
-    /// When the lease is renewed next; `Micros::FAR` while we do not lead.
+    /// When the lease is renewed next; `Micros::FAR` while this controller does not lead.
     pub(super) renewal_due: Micros,
-    /// A renewal or a replacement is in flight.
+    /// A renewal or a replacement of the lease is in flight.
     renewal_in_flight: bool,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Controller {
-    /// Renews the lease if it is due; returns when to look again.
+    /// Renews the lease if its renewal is due; returns when to check again.
     pub(super) fn drive_leader_lease(&mut self, now: Micros) -> Micros {
         if self.leader_lease.renewal_in_flight {
             return Micros::FAR;
@@ -69,14 +70,14 @@
         );
     }
 
-    /// Handles the lease that a candidate requested to claim leadership with.
+    /// Handles the response to a candidate's request for a lease, which it needs to claim leadership.
     pub(super) fn on_candidate_lease_response(&mut self, clock: Clock, response: StoreResponse) {
         let StoreResponse::Lease(id) = response else {
             self.election = ElectionState::Idle;
             return;
         };
         self.leader_lease.id = Some(id);
-        // Another controller may have claimed leadership while the lease was requested.
+        // Another controller may have claimed leadership while the request was in flight.
         if self.leadership_vacant(clock) || self.should_replace_leader(clock) {
             self.claim_leadership();
         } else {
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Handles a lease in place of one that has expired: attaches the leader's liveness key to it.
+    /// Handles the response to a request for a lease that replaces an expired one: attaches the leader's liveness key
+    /// to the new lease.
     pub(super) fn on_replacement_lease_response(&mut self, clock: Clock, response: StoreResponse) {
         let StoreResponse::Lease(id) = response else {
             self.retry_leader_lease(clock);
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -1,4 +1,4 @@
-//! Leadership transitions of this controller: taking office, a raised term, stepping down.
+//! Leadership transitions of this controller: becoming leader, raising the term, stepping down.
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
@@ -9,13 +9,13 @@
 
 /// The version of the leader record that the cache holds.
 pub(crate) struct ObservedLeaderRecord {
-    /// Version in the store; 0: there is no record.
+    /// Version in the store; 0 if there is no record.
     pub(crate) version: u64,
-    /// Since when we know this version.
+    /// When this controller first saw this version.
     pub(crate) observed_at: Micros,
 }
 
-/// Leadership that the leader record grants to this run of our process.
+/// Leadership that the leader record grants to this incarnation of this controller.
 struct GrantedLeadership {
     /// Fencing token.
     term: u64,
@@ -24,8 +24,8 @@
 }
 
 impl Controller {
-    /// Follows up on a change of the cache: takes office or steps down as the leader record says, and passes changed
-    /// jobs on to the leader's components.
+    /// Reacts to a change of the cache: becomes leader or steps down according to the leader record, and notifies the
+    /// leader's components of changed jobs.
     pub(crate) fn on_cache_updated(&mut self, clock: Clock) {
         self.observe_leader_record(clock);
         match (self.granted_leadership(), self.leader.is_some()) {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The leadership that the record grants us. Below the highest term seen there is none: the cache is outdated.
+    /// Returns the leadership that the leader record grants to this controller. A record whose term is below the
+    /// highest term seen grants none, since the cache is stale.
     fn granted_leadership(&self) -> Option<GrantedLeadership> {
         self.cache
             .leader
@@ -84,7 +85,8 @@
                 leader.term,
                 granted.term
             );
-            // Followers may go on under the old term as long as after a takeover.
+            // As after a failover, followers may keep renewing leases under the old term for a while. The checks that
+            // wait for these leases to expire start again.
             leader.since = clock.now;
             leader.unmet_leases_expired = false;
             leader.next_full_check_at = clock.now;
@@ -101,7 +103,7 @@
         self.leader_lease.renewal_due = Micros::FAR;
     }
 
-    /// Handles the result of our claim of leadership.
+    /// Handles the result of the claim of leadership.
     pub(super) fn on_claim_response(
         &mut self,
         clock: Clock,
@@ -109,11 +111,12 @@
         response: &StoreResponse,
     ) {
         self.election = ElectionState::Idle;
-        // After a lost response the records decide: a second claim fails if the first was carried out.
+        // If the response was lost, the records show whether the claim succeeded. A second claim would fail if the
+        // first one was committed.
         if self.apply_if_committed(request, response) {
             self.on_cache_updated(clock);
-            // The commit proves that the term is ours. It does not show which jobs were cancelled before it, so it
-            // counts as no newer a read than the last one.
+            // The commit proves that this controller holds the term. It does not show which jobs were cancelled before
+            // it, so the time of the last confirmed read stays as it was.
             if let Some(leader) = &mut self.leader {
                 leader.last_confirmed_read = leader.last_confirmed_read.max(self.confirmed_read_at);
             }
@@ -121,7 +124,7 @@
         self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
     }
 
-    /// Handles the result of raising our own term.
+    /// Handles the result of the transaction by which this leader raises its own term.
     pub(super) fn on_term_raise_response(
         &mut self,
         clock: Clock,
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Handles the result of giving leadership up in favour of another controller.
+    /// Handles the result of transferring leadership to another controller.
     pub(super) fn on_transfer_response(
         &mut self,
         clock: Clock,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -40,16 +40,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// `Retry-After` of requests that waited too long for the processor, in seconds.
+/// `Retry-After` of requests that waited too long for CPU time, in seconds.
 const OVERLOAD_RETRY_AFTER_S: u32 = 2;
 
 /// A controller.
 pub struct Controller {
     /// Settings of the deployment.
     pub settings: Settings,
-    /// Policy of the operators.
+    /// Policy set by the operators.
     pub policy: Policy,
-    /// Random number that identifies this run of the process.
+    /// Random number that identifies this incarnation of the controller.
     pub incarnation: u64,
     /// Seeded random generator.
     pub rng: ChaCha8Rng,
@@ -63,50 +63,52 @@
     pub leader: Option<LeaderState>,
     /// Agent leases that this follower renews on behalf of the leader.
     pub renewals: DelegatedRenewals,
-    /// Client requests that wait for the processor.
+    /// Queues of client requests that wait for CPU time.
     pub request_scheduler: RequestScheduler,
-    /// Commands to the network, gathered in the present call of `handle`.
+    /// Commands to the network, collected during the current call of `handle`.
     pub commands: Vec<NetworkCommand>,
     /// Id of the last call.
     pub last_call_id: u64,
     /// Calls in flight to machines other than the key-value store, by id.
     pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
-    /// Progress of our candidacy.
+    /// Progress of this controller's candidacy.
     pub(crate) election: ElectionState,
-    /// The lease of our leadership in the key-value store.
+    /// The leader's lease in the key-value store, while this controller leads.
     pub(crate) leader_lease: LeaderLease,
     /// Synchronisation of the cache with the key-value store.
     record_sync: RecordSync,
     /// Requests that wait for a confirmed read.
     pub(crate) read_barrier: ReadBarrier,
-    /// Which kind of record was written last, so that both kinds get their share.
+    /// Kind of record that was written last. Kinds alternate, so that neither starves.
     last_record_kind: RecordKind,
     /// State exchanged with peers.
     pub(crate) peers: Peers,
-    /// Start of the last read that is known to have returned all changes.
+    /// When the last read was sent that returned all changes committed before it.
     pub(crate) confirmed_read_at: Micros,
     /// Responsiveness of the key-value store.
     store_probe: StoreProbe,
-    /// Which machines we still reach.
+    /// Reachability of the key-value store, the peers and the agents of other zones.
     pub(crate) connectivity: Connectivity,
-    /// Highest term that any machine has shown us. We never lead below it, even if an outdated cache says so.
+    /// Highest term that any machine has reported. This controller never leads with a lower one, even if a stale cache
+    /// holds a leader record that grants it.
     pub(crate) highest_term_seen: u64,
-    /// Our share of the budgets of the key-value store.
+    /// This controller's share of the request and write budgets of the key-value store.
     pub(crate) budget: BudgetShares,
-    /// When we last gave leadership up in favour of another controller.
+    /// When this controller last transferred leadership to another controller.
     pub(crate) leadership_transferred_at: Option<Micros>,
     /// When this process started.
     pub(crate) started_at: Micros,
-    /// The leader record that the cache holds.
+    /// Version of the leader record that the cache holds.
     pub(crate) observed_leader_record: ObservedLeaderRecord,
-    /// When our record of the format we read is checked next; `None`: it is being written.
+    /// When the record of the message format that this controller reads is checked next; `None` while it is being
+    /// written.
     pub(crate) format_record_due: Option<Micros>,
-    /// It has been logged that all controllers read our format.
+    /// It has been logged that all controllers read this controller's format.
     pub(crate) format_rollout_logged: bool,
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// Creates a controller that has just started.
     pub fn new(settings: Settings, policy: Policy, seed: u64, clock: Clock) -> Controller {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = rng.random::<u64>() >> 1;
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Takes a batch of events; returns commands for the network, and when to call again at the latest.
+    /// Handles a batch of events; returns commands for the network and the latest time of the next call.
     pub fn handle(
         &mut self,
         clock: Clock,
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Handles the outcome of a call.
+    /// Handles the outcome of an outgoing call.
     fn on_response(&mut self, clock: Clock, id: u64, outcome: Outcome) {
         if let Some(completed) = self.store.on_response(id, &outcome) {
             if !matches!(
--- a/src/controller/outgoing.rs
+++ b/src/controller/outgoing.rs
@@ -8,7 +8,7 @@
 use crate::transport::{Call, NetworkCommand};
 use std::net::SocketAddr;
 
-/// `Retry-After` of a 503 whose cause gives no better estimate, in seconds.
+/// `Retry-After` of a 503 response for which no better estimate is available, in seconds.
 const DEFAULT_RETRY_AFTER_S: u32 = 1;
 
 impl Controller {
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Calls a machine other than the key-value store; `pending` says how its response is handled.
+    /// Sends a call to a host other than the key-value store; `pending` determines how the response is handled.
     pub fn call(
         &mut self,
         pending: PendingCall,
@@ -73,14 +73,14 @@
         }));
     }
 
-    /// Sends queued requests to the key-value store as far as its budgets allow.
+    /// Sends queued requests to the key-value store, as far as this controller's budgets allow.
     pub(crate) fn send_store_requests(&mut self, now: Micros) {
         self.store
             .send_queued(now, &mut self.last_call_id, &mut self.commands);
     }
 }
 
-/// The `Retry-After` that goes with a status if nothing better is known, in seconds.
+/// Returns the default `Retry-After` of a response with this status, in seconds.
 pub(crate) fn default_retry_after(status: u16) -> Option<u32> {
     (status == 503).then_some(DEFAULT_RETRY_AFTER_S)
 }
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -6,14 +6,14 @@
 use crate::protocol::{Clock, Micros};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 
-/// A page of the listing that failed is requested again after this long.
+/// Delay before a failed request for a page of the listing is retried.
 const LISTING_RETRY_DELAY: Micros = Micros::millis(250);
-/// A watch that failed is opened again after this long.
+/// Delay before a failed watch is opened again.
 const WATCH_RETRY_DELAY: Micros = Micros::millis(300);
 /// How long the store holds a watch open while nothing changes, in milliseconds.
 const WATCH_BLOCK_MS: u64 = 10_000;
-/// Watches start at least this many request intervals apart (one over our request rate): the rest of the budget is for
-/// requests that clients wait for longer.
+/// Minimum distance between the starts of watches, in request intervals (an interval is the reciprocal of this
+/// controller's request rate). The rest of the request budget is left for requests that clients wait for longer.
 const WATCH_REQUEST_INTERVALS: f64 = 5.0;
 /// Bounds of the interval between watches, in seconds.
 const WATCH_INTERVAL_MIN_S: f64 = 0.04;
@@ -23,18 +23,18 @@
 pub(crate) struct RecordSync {
     /// All records are being listed, page by page.
     listing: bool,
-    /// Last key of the page before; empty at the first page.
+    /// Last key of the previous page; empty for the first page.
     listing_cursor: String,
-    /// When the next page is requested; `None`: a page is in flight, or the listing is complete.
+    /// When the next page is requested; `None` while a page is in flight and when the listing is complete.
     listing_due: Option<Micros>,
     /// A watch is in flight.
     watch_open: bool,
-    /// When the next watch is opened; `None`: one is in flight, or the listing comes first.
+    /// When the next watch is opened; `None` while one is in flight and until the listing is complete.
     watch_due: Option<Micros>,
 }
 
 impl RecordSync {
-    /// A listing that starts at `now`.
+    /// Creates the state for a listing that starts at `now`.
     pub(crate) fn new(now: Micros) -> RecordSync {
         RecordSync {
             listing: true,
@@ -47,7 +47,7 @@
 }
 
 impl Controller {
-    /// Requests the next page of the listing if it is due; returns when to look again.
+    /// Requests the next page of the listing if it is due; returns when to check again.
     pub(super) fn drive_listing(&mut self, now: Micros) -> Micros {
         match self.record_sync.listing_due {
             None => Micros::FAR,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Opens the watch if it is due; returns when to look again.
+    /// Opens the next watch if it is due; returns when to check again.
     pub(super) fn drive_watch(&mut self, now: Micros) -> Micros {
         match self.record_sync.watch_due {
             None => Micros::FAR,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Handles the response to a page of the listing.
+    /// Handles the response to a request for a page of the listing.
     pub(super) fn on_listing_response(&mut self, clock: Clock, response: StoreResponse) {
         match response {
             StoreResponse::Page(page) => self.on_listing_page(clock, page),
@@ -130,14 +130,15 @@
         }
     }
 
-    /// Least time between the starts of two watches.
+    /// Returns the minimum time between the starts of two watches.
     fn watch_interval(&self) -> Micros {
         let interval_s = WATCH_REQUEST_INTERVALS / self.store.request_rate();
         Micros::secs(interval_s.clamp(WATCH_INTERVAL_MIN_S, WATCH_INTERVAL_MAX_S))
     }
 
-    /// Lists all records again, unless a listing is running: its pages would move the cursor of the new listing past
-    /// keys that this one has not seen, and their records would be taken for deleted.
+    /// Lists all records again, unless a listing is in progress: a page of the old listing that is still in flight
+    /// would move the cursor of the new one past keys that the new one has not read, and their records would be treated
+    /// as deleted.
     pub(crate) fn reload_records(&mut self, clock: Clock) {
         let sync = &mut self.record_sync;
         if sync.listing {
@@ -150,7 +151,7 @@
         sync.listing_due = Some(clock.now);
     }
 
-    /// Applies our own transaction to the cache if it was committed; returns whether it was.
+    /// Applies a transaction of this controller to the cache if it was committed; returns whether it was.
     pub(crate) fn apply_if_committed(
         &mut self,
         request: &StoreRequest,
@@ -165,8 +166,8 @@
         true
     }
 
-    /// Applies a committed transaction of our own to the cache. The watch continues from where it was, so changes of
-    /// others before this revision are not skipped.
+    /// Applies a committed transaction of this controller to the cache. The revision that the watch continues from
+    /// stays as it is, so that changes which others committed before this transaction are not skipped.
     pub fn apply_own_commit(&mut self, transaction: &Transaction, revision: u64) {
         for change in &transaction.changes {
             match change {
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -1,10 +1,11 @@
-//! Record writes: acceptances of jobs and updates of job records share the write budget of the key-value store by turns.
+//! Record writes: acceptances of jobs and updates of job records alternate in using the write budget of the key-value
+//! store.
 
 use crate::controller::Controller;
 use crate::protocol::{Clock, Micros};
 use crate::records::record_writer::DueWrites;
 
-/// Kinds of records that take turns.
+/// Kinds of record writes that alternate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordKind {
     /// New jobs.
@@ -14,7 +15,7 @@
 }
 
 impl RecordKind {
-    /// The kind to write after `self`, given how many records of each kind are due; at least one is.
+    /// Returns the kind to write after `self`, given the number of records due of each kind; at least one must be due.
     fn next(self, acceptances: usize, job_updates: usize) -> RecordKind {
         match (acceptances, job_updates, self) {
             (0, _, _) => RecordKind::JobUpdates,
@@ -26,14 +27,14 @@
 }
 
 impl Controller {
-    /// Hands due records to the store as far as it can take them at once; the rest stays in larger batches for later.
-    /// Returns when to look again.
+    /// Sends due records to the store as far as the write budget allows now. The rest waits, so that later transactions
+    /// are larger. Returns when to check again.
     pub(super) fn write_due_records(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let max_changes = self.settings.params.state.least_txn_ops();
         loop {
-            // Under load hundreds of records wait and events come hundreds of times a second: which records are due is
-            // only determined when the store can take one.
+            // Finding the due records is expensive under load, when hundreds of records wait and hundreds of events
+            // arrive per second. It is skipped while the budget does not allow even one write.
             let writable_at = self.store.changes_sendable_at(now, 1);
             if writable_at > now {
                 return writable_at;
@@ -52,7 +53,7 @@
                 RecordKind::JobUpdates => job_updates,
                 RecordKind::Acceptances => acceptances,
             };
-            // Half a transaction is worth sending; less only if no more is due.
+            // A transaction is sent once it is at least half full, or holds all records that are due.
             let min_batch = due.min(max_changes / 2).max(1);
             let sendable = self.store.sendable_changes(now, due.min(max_changes));
             let min_batch_at = self.store.changes_sendable_at(now, min_batch);
@@ -60,7 +61,8 @@
                 return min_batch_at.min(next);
             }
             if sendable == 0 {
-                // Something is queued already: the store client says when it can be sent.
+                // Other requests are queued ahead; `StoreClient::next_send_at` gives the time at which they can be
+                // sent.
                 return next;
             }
             match kind {
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -1,4 +1,4 @@
-//! Request routing: which component handles a request, by listener, method and path.
+//! Request routing: dispatches a request to a component by listener, method and path.
 
 use crate::api::client_api::CacheFreshness;
 use crate::controller::Controller;
@@ -7,15 +7,15 @@
 use crate::protocol::peer_messages::{FORWARD_PREFIX, PeerHeartbeat};
 use crate::state::agent::parse_agent_heartbeat;
 
-/// Health check of the load balancer.
+/// Path of health checks from the load balancer.
 const HEALTH_PATH: &str = "/healthz";
-/// Heartbeats of agents; on the internal listener, heartbeats that a peer relays to the leader.
+/// Path of heartbeats from agents. On the internal listener, path of agent heartbeats that a peer relays to the leader.
 const AGENT_HEARTBEAT_PATH: &str = "/hello";
-/// Heartbeats of peers, on the internal listener.
+/// Path of heartbeats from peers, on the internal listener.
 const PEER_HEARTBEAT_PATH: &str = "/heartbeat";
-/// Submission of jobs.
+/// Path for the submission of jobs.
 pub(crate) const SUBMISSIONS_PATH: &str = "/submissions";
-/// Prefix of the path of one job.
+/// Prefix of the path of a job.
 const JOB_PREFIX: &str = "/submissions/";
 /// Suffix of the path that cancels a job.
 pub(crate) const CANCEL_SUFFIX: &str = "/cancel";
@@ -33,7 +33,7 @@
     pub body: &'a [u8],
 }
 
-/// Where a request on the public listener goes.
+/// Destination of a request on the public listener.
 enum Route<'a> {
     Health,
     AgentHeartbeat,
@@ -44,7 +44,7 @@
     NotFound,
 }
 
-/// Routes a request on the public listener; `path` has no query.
+/// Determines the destination of a request; `path` has no query.
 fn route<'a>(method: &str, path: &'a str) -> Route<'a> {
     let job_path = path.strip_prefix(JOB_PREFIX);
     match (method, path, job_path) {
@@ -64,14 +64,14 @@
 }
 
 impl Controller {
-    /// Handles a request on the public listener, or forwards it to a peer that reaches the store.
+    /// Handles a request on the public listener, or forwards it to a peer if the store does not serve this controller.
     pub(super) fn on_public_request(&mut self, clock: Clock, request: HttpRequest<'_>) {
         if !self.forward_to_peer(clock, request) {
             self.on_client_request(clock, request);
         }
     }
 
-    /// Handles a request on the internal listener: only peers can reach it.
+    /// Handles a request on the internal listener, which only peers can reach.
     pub(super) fn on_internal_request(&mut self, clock: Clock, request: HttpRequest<'_>) {
         match request.path {
             PEER_HEARTBEAT_PATH => self.on_peer_heartbeat(clock, request.conn, request.body),
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Handles an agent heartbeat that a peer relayed because it took us for the leader.
+    /// Handles an agent heartbeat that a peer relayed because it considers this controller the leader.
     fn on_relayed_agent_heartbeat(&mut self, clock: Clock, conn: u64, body: &[u8]) {
         match (parse_agent_heartbeat(body), &self.leader) {
             (Some(heartbeat), Some(leader)) if heartbeat.term <= leader.term => {
@@ -169,7 +169,7 @@
         self.leader_heartbeat(clock, conn, heartbeat, false);
     }
 
-    /// Whether the heartbeat shows that another controller has led after us.
+    /// Returns whether the heartbeat shows that a controller with a higher term has become leader.
     fn leader_deposed_by(&self, heartbeat: &AgentHeartbeat) -> bool {
         self.leader
             .as_ref()
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -8,10 +8,10 @@
 use crossbeam_channel::{Receiver, TryRecvError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Without events the controller is called at most this often.
+/// Minimum interval between calls of the controller when no events arrive.
 const MIN_TIMER_INTERVAL: Micros = Micros::millis(1);
 
-/// Why the service could not start or continue.
+/// Error that prevents the service from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// An address cannot be bound.
@@ -20,7 +20,7 @@
     /// The network thread cannot be set up.
     #[error("network: {0}")]
     Network(std::io::Error),
-    /// The network thread has ended.
+    /// The network thread has ended, so no more events can arrive.
     #[error("the network thread has ended")]
     NetworkThreadEnded,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Binds the listeners and starts the network thread, which wakes the calling thread up on events.
+/// Binds the listeners and starts the network thread, which unparks the calling thread when events arrive.
 fn start_network(settings: &Settings, started: Instant) -> Result<Network, RuntimeError> {
     let (public, internal) = (settings.serve_on, settings.internal_addr);
     let listeners = Listeners::bind(public, internal)
@@ -70,7 +70,7 @@
     Ok(Network { commands, events })
 }
 
-/// Takes all events that have arrived; waits for one until `deadline` at the latest.
+/// Returns all events that have arrived; if there are none, waits until one arrives or `deadline` has passed.
 fn wait_for_events(
     receiver: &Receiver<Vec<NetworkEvent>>,
     started: Instant,
@@ -98,7 +98,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or(Duration::ZERO);
     Clock {
-        // Never zero: zero stands for "never".
+        // Time starts at 1, because 0 means "never".
         now: Micros(started.elapsed().as_micros() as u64 + 1),
         wall: Micros(wall.as_micros() as u64),
     }
--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the key-value store, dispatched to the component that made the request.
+//! Dispatches responses of the key-value store to the components that made the requests.
 
 use crate::controller::Controller;
 use crate::leadership::format_negotiation::FORMAT_CHECK_INTERVAL;
@@ -7,7 +7,7 @@
 use crate::state::store_client::CompletedRequest;
 
 impl Controller {
-    /// Dispatches the response to a request by the purpose of the request.
+    /// Dispatches a response by the purpose of its request.
     pub(super) fn on_store_response(
         &mut self,
         clock: Clock,
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -1,24 +1,24 @@
-//! Timers: what falls due as time passes, and when the controller has to be called next.
+//! Timers: runs the work that is due and computes when the controller has to be called next.
 
 use crate::controller::Controller;
 use crate::messages::PendingRequest;
 use crate::protocol::{Clock, Micros};
 
-/// The controller is called at least this often.
+/// Maximum interval between calls of the controller.
 const MAX_CALL_INTERVAL: Micros = Micros::millis(1000);
-/// A follower that has had no response from the store for this long sends it a probe. Its watch stays open through an
-/// outage, so without clients it would not notice one, and would pledge nothing.
+/// A follower that has had no response from the store for this long sends a probe. Its watch stays open through an
+/// outage, so without client requests and probes it would not detect the outage, and would give no silence pledge.
 const STORE_PROBE_AFTER: Micros = Micros::millis(2000);
-/// Probes are at least this far apart.
+/// Minimum interval between probes.
 const STORE_PROBE_INTERVAL: Micros = Micros::millis(1000);
-/// A leader, and a follower that renews leases, confirm their state with the store at least this often.
+/// A leader, or a follower that renews agent leases, requests a read barrier when its last confirmed read is this old.
 const CONFIRMATION_INTERVAL: Micros = Micros::millis(1000);
 /// Safety margin of the staleness bound, in seconds.
 const STALENESS_MARGIN_S: f64 = 2.0;
 /// Safety margin of the staleness bound, as a share of the cancellation deadline.
 const STALENESS_MARGIN_SHARE: f64 = 0.002;
 
-/// Responsiveness of the key-value store, as a follower probes it.
+/// State of the probes by which a follower checks that the key-value store responds.
 pub(super) struct StoreProbe {
     /// When the store last responded.
     pub(super) last_response_at: Micros,
@@ -27,7 +27,7 @@
 }
 
 impl StoreProbe {
-    /// As if the store had responded at `now`.
+    /// Creates the initial state; the start of the process counts as a response.
     pub(super) fn new(now: Micros) -> StoreProbe {
         StoreProbe {
             last_response_at: now,
@@ -35,14 +35,15 @@
         }
     }
 
-    /// When the next probe is due.
+    /// Returns when the next probe is due.
     fn due(&self) -> Micros {
         (self.last_response_at + STORE_PROBE_AFTER).max(self.last_probe_at + STORE_PROBE_INTERVAL)
     }
 }
 
 impl Controller {
-    /// Does all that is due; returns when to call again at the latest. The order is fixed, so that runs can be replayed.
+    /// Runs all timers that are due; returns the latest time of the next call. The order is fixed, so that runs can be
+    /// replayed.
     pub(super) fn run_timers(&mut self, clock: Clock) -> Micros {
         let mut next = clock.now + MAX_CALL_INTERVAL;
         next = next.min(self.drive_listing(clock.now));
@@ -84,7 +85,7 @@
         next.min(self.consider_transfer(clock))
     }
 
-    /// Probes the store if it has been silent; returns when to look again.
+    /// Sends a probe if the store has not responded for `STORE_PROBE_AFTER`; returns when to check again.
     fn probe_store(&mut self, clock: Clock) -> Micros {
         let due = self.store_probe.due();
         if due <= clock.now {
@@ -94,7 +95,7 @@
         due.max(clock.now + STORE_PROBE_INTERVAL)
     }
 
-    /// Confirms the cache if the last confirmed read is too old; returns when to look again.
+    /// Requests a read barrier if the last confirmed read is too old; returns when to check again.
     fn confirm_cache(&mut self, clock: Clock, last_confirmed_read: Micros) -> Micros {
         let due = last_confirmed_read + CONFIRMATION_INTERVAL;
         if due > clock.now {
@@ -104,16 +105,16 @@
         Micros::FAR
     }
 
-    /// Requests a read barrier that nothing waits for, unless one is in flight.
+    /// Requests a read barrier for the sake of a confirmed read only, unless one is in flight.
     fn request_confirmation(&mut self, clock: Clock) {
         if !self.read_barrier.in_flight() {
             self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
         }
     }
 
-    /// How long after the start of the last confirmed read agent heartbeats may still be answered: tasks that were
-    /// cancelled since then have to be gone by the cancellation deadline, and a renewed agent keeps its tasks for one
-    /// lease duration.
+    /// Returns for how long after the start of the last confirmed read agent heartbeats may still be answered. Tasks
+    /// that were cancelled after that read must have stopped by the cancellation deadline, and an agent whose lease is
+    /// renewed keeps its tasks for one lease duration.
     pub fn staleness_bound(&self) -> Micros {
         let agents = &self.settings.params.agents;
         let margin_s = STALENESS_MARGIN_S + STALENESS_MARGIN_SHARE * agents.cancel_s;
