--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -44,7 +44,7 @@
     record: JobRecord,
     /// When this controller queued the submission.
     queued_at: Micros,
-    /// When the client first submitted the job, as far as this controller remembers.
+    /// When the client first submitted the job, or `queued_at` if no earlier refusal is remembered.
     first_attempt: Micros,
     stage: AcceptanceStage,
     /// The response to an earlier write was lost, so the record may already exist in the store.
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -38,7 +38,7 @@
     pub(super) refusals: Refusals,
     /// Number of submissions refused per second.
     pub(super) refusal_rate: RefusalRate,
-    /// No acceptance expires before this time.
+    /// When acceptances are checked for expiry next; none expires earlier.
     pub(super) next_expiry_check: Micros,
     /// Number of acceptance transactions in flight.
     pub(super) transactions_in_flight: usize,
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Ends a request whose read barrier has failed.
+    /// Aborts a request whose read barrier has failed. A write of job records is retried instead.
     pub(super) fn abort_request(&mut self, request: PendingRequest) {
         match request {
             PendingRequest::Status { conn, .. }
--- a/src/api/refusal_rate.rs
+++ b/src/api/refusal_rate.rs
@@ -17,7 +17,7 @@
 }
 
 impl RefusalRate {
-    /// Counts a refusal.
+    /// Records a refusal at `now`.
     pub(super) fn record(&mut self, now: Micros) {
         let second = now.0 / WINDOW_US;
         if second == self.current_second {
--- a/src/api/request_scheduler/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -24,8 +24,7 @@
 }
 
 /// A thousand status requests arrive before an agent heartbeat, a health check, a response of the store and a few
-/// client requests of higher priority. Handling events in order of arrival would delay the vital ones until leases
-/// expire.
+/// client requests of higher priority. Handling events in order of arrival would delay the vital events.
 #[test]
 fn vital_events_do_not_wait_behind_a_flood_of_status_requests() {
     let mut scheduler = RequestScheduler::default();
