--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs: validation, and the decision to accept, refuse, or confirm the cache first.
+//! Submission of jobs: validation, and the decision to accept the job, refuse it, or confirm the cache first.
 
 use crate::api::client_api::{CacheFreshness, job_status};
 use crate::controller::Controller;
@@ -12,18 +12,19 @@
 use crate::scheduling::placement;
 use crate::state::record_cache::JobLookup;
 
-/// Size of a task's entry in a record, as JSON, with numbers of the length they reach in operation.
+/// Size of a task's entry in a record, as JSON, for numbers as long as they get in operation.
 const TASK_ENTRY_BYTES: usize = 27;
-/// Size of a record besides the job description and the task entries, as JSON.
+/// Size of a record as JSON, without the job description and the task entries.
 const RECORD_OVERHEAD_BYTES: usize = 100;
-/// The record of an array must have room for one in this many tasks of its first chunk, so that the array makes progress.
+/// The record of an array must have room for the entries of one in this many tasks of a full first chunk, so that the
+/// array can make progress.
 const ARRAY_CHUNK_DIVISOR: u32 = 4;
-/// Tolerance of the comparison with a quota, for sums of fractions.
+/// Tolerance of the comparison with a quota, to allow for rounding of fractional amounts.
 const QUOTA_TOLERANCE: f64 = 1e-6;
 
-/// Space that a job's record needs besides the description: for all tasks of the first chunk if they have to be placed
-/// together, else for a part of them.
-fn task_entries_bytes(spec: &JobSpec) -> usize {
+/// Returns the size that a job's record needs in addition to the description. All tasks of the first chunk count for a
+/// gang or a service, only a part of them for an array.
+fn record_bytes_excluding_spec(spec: &JobSpec) -> usize {
     let max_entries = match spec.kind {
         JobKind::Array => TASKS_PER_CHUNK / ARRAY_CHUNK_DIVISOR,
         JobKind::Gang | JobKind::Service => TASKS_PER_CHUNK,
@@ -31,7 +32,7 @@
     RECORD_OVERHEAD_BYTES + spec.tasks.min(max_entries) as usize * TASK_ENTRY_BYTES
 }
 
-/// Whether a task of the job fits an empty machine of this type, and the job allows the type.
+/// Returns whether a task of the job fits on an empty machine of this type, and the job allows the type and its zones.
 fn fits_machine_type(machine_type: &MachineType, spec: &JobSpec) -> bool {
     let zone_allowed = spec
         .zone
@@ -47,7 +48,7 @@
         && placement::slots(&capacity, &placement::task_resources(spec)) > 0
 }
 
-/// Why a job can never run; `None` if it can.
+/// Returns why a job can never run, or `None` if it can.
 pub fn reject_reason(
     settings: &Settings,
     types: &[MachineType],
@@ -76,13 +77,13 @@
     None
 }
 
-/// What becomes of a submission of a job that the cache does not hold.
-enum Verdict {
-    /// Write its record.
+/// How to proceed with the submission of a job that the cache does not hold.
+enum SubmissionDecision {
+    /// Accept the job: write its record.
     Accept,
-    /// Decide again after a read barrier: another controller may know more than our cache.
-    Confirm,
-    /// Refuse it with this status and error text.
+    /// Decide again after a read barrier: the cache may lack changes that other controllers have written.
+    ConfirmCache,
+    /// Refuse the job with this status and error text.
     Refuse(u16, &'static str),
 }
 
@@ -112,76 +113,78 @@
         if self.refuse_if_unreadable(conn, &id) {
             return;
         }
-        if let Some(known) = self.cache.job(&id) {
-            let known = job_status(&id, &known);
-            if known.over || freshness == CacheFreshness::Confirmed {
-                self.respond_with_state(clock, conn, 200, &known.state);
+        if let Some(lookup) = self.cache.job(&id) {
+            let job = job_status(&id, &lookup);
+            if job.terminal || freshness == CacheFreshness::Confirmed {
+                self.respond_with_state(clock, conn, 200, &job.state);
                 return;
             }
             let status = 200;
             self.request_read_barrier(clock, PendingRequest::Resubmit { conn, id, status });
             return;
         }
-        match self.submission_verdict(&spec, freshness) {
-            Verdict::Accept => self.accept_job(clock, conn, id, spec),
-            Verdict::Confirm => {
+        match self.submission_decision(&spec, freshness) {
+            SubmissionDecision::Accept => self.accept_job(clock, conn, id, spec),
+            SubmissionDecision::ConfirmCache => {
                 let spec = Box::new(spec);
                 self.request_read_barrier(clock, PendingRequest::Submit { conn, id, spec });
             }
-            Verdict::Refuse(status, error) => self.refuse(conn, status, error),
+            SubmissionDecision::Refuse(status, error) => self.refuse(conn, status, error),
         }
     }
 
-    fn submission_verdict(&self, spec: &JobSpec, freshness: CacheFreshness) -> Verdict {
+    fn submission_decision(&self, spec: &JobSpec, freshness: CacheFreshness) -> SubmissionDecision {
         if !self.cache.synced {
-            return Verdict::Refuse(503, "still reading the records");
+            return SubmissionDecision::Refuse(503, "still reading the records");
         }
         let Some(types) = &self.cache.machine_types else {
-            return Verdict::Refuse(503, "machine types are not known yet");
+            return SubmissionDecision::Refuse(503, "machine types are not known yet");
         };
         let unconfirmed = freshness == CacheFreshness::Unconfirmed;
         let reject = reject_reason(&self.settings, types, spec);
         match reject {
-            // Another controller may have accepted it under other machine types.
-            Some(_) if unconfirmed => return Verdict::Confirm,
-            Some(error) => return Verdict::Refuse(422, error),
+            // Another controller may have accepted the job when other machine types were available.
+            Some(_) if unconfirmed => return SubmissionDecision::ConfirmCache,
+            Some(error) => return SubmissionDecision::Refuse(422, error),
             None => {}
         }
         let too_large = self.record_too_large(spec);
         if too_large && !unconfirmed {
             let error = "the job fits into no record: its description or awaits is too long, \
                          or the gang is too wide";
-            return Verdict::Refuse(400, error);
+            return SubmissionDecision::Refuse(400, error);
         }
         if !spec.needs.is_empty() && !self.all_controllers_read(PIPELINES) {
-            // A controller of the first version drops fields that it does not know from a record.
+            // A controller of the first version drops unknown fields when it rewrites a record.
             let error = "jobs can wait for jobs once all controllers run this version";
-            return Verdict::Refuse(503, error);
+            return SubmissionDecision::Refuse(503, error);
         }
-        match self.needs_known(spec) {
-            Err(error) => Verdict::Refuse(422, error),
-            Ok(true) if !too_large => Verdict::Accept,
-            Ok(_) if unconfirmed => Verdict::Confirm,
-            Ok(_) => Verdict::Refuse(422, "awaits names a job that was never accepted"),
+        match self.all_needs_cached(spec) {
+            Err(error) => SubmissionDecision::Refuse(422, error),
+            Ok(true) if !too_large => SubmissionDecision::Accept,
+            Ok(_) if unconfirmed => SubmissionDecision::ConfirmCache,
+            Ok(_) => SubmissionDecision::Refuse(422, "awaits names a job that was never accepted"),
         }
     }
 
-    /// Whether a job's record would not fit into a value of the store, or a gang's placements into a transaction. The
-    /// first version accepted longer ones: whether the job is one of them is looked up before it is refused.
+    /// Returns whether a job's record would exceed the store's limit on values, or a gang's placements the limit on
+    /// transactions. The first version accepted larger jobs, so the caller must check after a read barrier that the job
+    /// does not exist before it refuses it.
     fn record_too_large(&self, spec: &JobSpec) -> bool {
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
             && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.least_txn_ops();
-        gang_too_wide || json_len(spec) + task_entries_bytes(spec) > limits.least_value_bytes()
+        gang_too_wide
+            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.least_value_bytes()
     }
 
-    /// Whether the cache holds all jobs that a submission needs; an error if one of them is a service.
-    fn needs_known(&self, spec: &JobSpec) -> Result<bool, &'static str> {
-        let mut all_known = true;
+    /// Returns whether the cache holds all jobs that a submission depends on, or an error if one of them is a service.
+    fn all_needs_cached(&self, spec: &JobSpec) -> Result<bool, &'static str> {
+        let mut all_cached = true;
         for need in &spec.needs {
             let is_service = match self.cache.job(need) {
                 None => {
-                    all_known = false;
+                    all_cached = false;
                     false
                 }
                 Some(JobLookup::Finished(job)) => job.service,
@@ -191,6 +194,6 @@
                 return Err("awaits names a service, which is never done");
             }
         }
-        Ok(all_known)
+        Ok(all_cached)
     }
 }
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -272,7 +272,8 @@
         let due_job_writes = self.due_job_writes(clock.now).count;
         let queued =
             (self.client_api.queued_acceptances() + due_job_writes) as f64 / QUEUE_CLEARING_TIME_S;
-        let demand = (queued + self.client_api.refused_lately(clock.now)) * THOUSANDTHS_PER_UNIT;
+        let demand =
+            (queued + self.client_api.refusals_last_second(clock.now)) * THOUSANDTHS_PER_UNIT;
         let lendable = grant_rules(&self.settings).whole;
         let rate_without_grant = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
--- a/src/scheduling/quota.rs
+++ b/src/scheduling/quota.rs
@@ -1,4 +1,4 @@
-//! Remaining quotas of teams during a pass.
+//! Tracks the remaining quotas of teams during a pass.
 
 use crate::scheduling::placement::{Resources, slots};
 
@@ -15,7 +15,7 @@
     gpus: f64::INFINITY,
 };
 
-/// Resources that teams may still allocate. Teams are numbers of the `NameTable`.
+/// Resources that teams may still allocate. Teams are identified by their ids in the `NameTable`.
 #[derive(Debug, Default, Clone)]
 pub struct QuotaTracker {
     by_team: Vec<RemainingQuota>,
@@ -32,7 +32,7 @@
     }
 
     /// Deducts the resources of a task from its team's quota.
-    pub fn take(&mut self, team: u32, need: &Resources) {
+    pub fn deduct(&mut self, team: u32, need: &Resources) {
         let [cpus, gpus, _] = need;
         if let Some(remaining) = self.by_team.get_mut(team as usize) {
             remaining.cpus -= cpus;
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Number of tasks with these needs that the team's quota permits.
-    pub(crate) fn slots(&self, team: u32, need: &Resources) -> u32 {
+    /// Maximum number of tasks with these resources that the remaining quota of the team permits.
+    pub(crate) fn max_tasks(&self, team: u32, need: &Resources) -> u32 {
         let Some(remaining) = self.by_team.get(team as usize) else {
             return u32::MAX;
         };
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Demand that a pass could not place, as the autoscaler asks for it.
+//! The demand that a pass could not place, in the form in which the autoscaler reads it.
 
 use crate::cloud::autoscaler::{CapacityDemand, DemandSource};
 use crate::protocol::{JobKind, JobSpec};
@@ -17,11 +17,11 @@
     pub tasks: u32,
 }
 
-/// Resolves queue candidates to what their tasks require.
+/// Resolves queue candidates to the capacity that their tasks require.
 pub(crate) struct QueueDemand<'p, 'a> {
     /// Entries of the jobs that the pass has inspected.
     pub(crate) entries: &'p [QueueEntry<'a>],
-    /// The other queued jobs.
+    /// Queued jobs that the pass has not inspected.
     pub(crate) pending: &'p PendingJobs<'a>,
     /// By job: the zones of the tasks that this pass has placed.
     pub(crate) placed_zones: HashMap<&'p str, Vec<u32>>,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> QueueDemand<'_, 'a> {
-    /// The jobs behind unmet demands, in their order.
+    /// The jobs of the unmet demands, in the same order.
     pub(crate) fn unplaced_jobs(
         &self,
         unmet: &[UnmetDemand<'_>],
@@ -61,9 +61,9 @@
         })
     }
 
-    /// The only zones in which further tasks of a job may run, or `None` if its placed tasks do not
-    /// restrict it. Machines rented in other zones would never get the tasks, and would keep the
-    /// machines that they need from being rented.
+    /// The zones in which further tasks of a job may run, or `None` if its placed tasks do not restrict the
+    /// choice. Machines rented in other zones could never run the tasks, but would count as capacity for
+    /// them, so that machines in the allowed zones would not be rented.
     fn allowed_zones(
         &self,
         id: &str,
@@ -74,20 +74,20 @@
             return None;
         }
         let placed = self.placed_zones.get(id).into_iter().flatten();
-        let occupied: Vec<u32> = present
+        let occupied_zones: Vec<u32> = present
             .iter()
             .map(|(zone, _)| zone)
             .chain(placed)
             .copied()
             .collect();
-        if occupied.is_empty() {
+        if occupied_zones.is_empty() {
             return None;
         }
-        let most_per_zone = spec.tasks.div_ceil(2) as usize;
+        let max_per_zone = spec.tasks.div_ceil(2) as usize;
         let is_allowed = |zone: &u32| {
-            let in_zone = occupied.iter().filter(|other| *other == zone).count();
-            let elsewhere = in_zone < occupied.len();
-            (!spec.one_zone || !elsewhere) && (!spec.spread || in_zone < most_per_zone)
+            let tasks_in_zone = occupied_zones.iter().filter(|other| *other == zone).count();
+            let runs_elsewhere = tasks_in_zone < occupied_zones.len();
+            (!spec.one_zone || !runs_elsewhere) && (!spec.spread || tasks_in_zone < max_per_zone)
         };
         Some(self.zones.iter().copied().filter(is_allowed).collect())
     }
@@ -111,7 +111,7 @@
             QueueCandidate::Pending(summary) => summary,
         };
         let profile = self.pending.profile_of(summary);
-        let zoned_job = if profile.zoned {
+        let constrained_job = if profile.has_zone_constraint {
             self.pending.job_of(summary)
         } else {
             None
@@ -120,8 +120,9 @@
             gang: profile.kind == JobKind::Gang,
             feasibility_class: profile.feasibility_class,
             need: &summary.need,
-            allow: &profile.allow,
-            zones: zoned_job.and_then(|(id, job)| self.allowed_zones(id, &job.record.spec, &[])),
+            allow: &profile.constraints,
+            zones: constrained_job
+                .and_then(|(id, job)| self.allowed_zones(id, &job.record.spec, &[])),
         }
     }
 
