--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -1,10 +1,11 @@
 //! One scheduling pass: BgMBFSDF (algorithm 2 of "Bandwidth-Guaranteed Parallel Job Scheduling in the
 //! Cloud", as docs/design.md adapts it) over the queue in order of arrival.
 //!
-//! A pass meets two sorts of jobs. *Active* jobs have tasks that are placed, being written or in trouble;
-//! each of them has a `QueueEntry`. *Pending* jobs have none, and their number is not bounded; the pass
-//! walks past their summaries and builds an entry only if a machine may have room. A request that was
-//! found infeasible for one pending job is not searched for again for the next.
+//! A pass handles two kinds of jobs. An *active* job has placed tasks, record changes that are not written
+//! yet, failures or reserved machines; if it has tasks to start, it has a `QueueEntry`. All other jobs are
+//! *pending*. Their number is not bounded, so the pass reads only their summaries and builds a `QueueEntry`
+//! only if a machine may have room. If no machine has room for one pending job, the search is not repeated for other
+//! pending jobs that request at least as much.
 
 mod plan;
 mod preempt;
@@ -27,14 +28,15 @@
 use crate::scheduling::quota::QuotaTracker;
 use wide_arrays::{DeferredWideArray, WIDE_ARRAY_BUDGET};
 
-/// A pass ends when it has placed this many tasks. A gang may exceed it.
+/// A pass ends when it has placed this many tasks. Gangs are placed as a whole, so the last one may exceed
+/// the limit.
 pub const MAX_PLACEMENTS: usize = 128;
 
-/// A pass that continues with wide arrays places no more tasks than this.
+/// Limit of tasks that a pass places if it continues with wide arrays.
 pub const MAX_PLACEMENTS_WITH_WIDE_ARRAYS: usize = 2 * MAX_PLACEMENTS;
 
-/// Number of blocked jobs for which a pass looks for tasks to preempt, in queue order: the work of a pass
-/// must not grow with the length of the queue times the size of the cluster.
+/// Number of blocked jobs for which a pass looks for tasks to preempt, in queue order. Without this limit the
+/// work of a pass would grow with the length of the queue times the size of the cluster.
 const MAX_PREEMPTION_ATTEMPTS: usize = 8;
 
 /// Lower limit of `largest_demand`, which is a divisor.
@@ -42,7 +44,7 @@
 
 /// State of a pass.
 struct SchedulingPass<'p, 'a> {
-    /// Jobs with an entry, in the order of `Recovery::order`.
+    /// Active jobs with tasks to start, in the order of `Recovery::sort_entries`.
     active: &'p [QueueEntry<'a>],
     pending: &'p PendingJobs<'a>,
     hosts: &'p mut CapacityIndex,
@@ -50,25 +52,25 @@
     /// Preemptible tasks that stop alone and write a checkpoint.
     checkpointing_singles: Vec<&'p PreemptibleTask<'a>>,
     quotas: &'p mut QuotaTracker,
-    /// Resources of an empty machine; demands are measured in machines of this size.
+    /// Resources of an empty machine of the cluster. Demands are expressed in multiples of this machine.
     typical_host: Resources,
     /// Bmax of the paper, in typical machines.
     largest_demand: f64,
     preemption_attempts_left: usize,
-    /// Requests for which no machine had room, by `QueueEntry::reach`.
+    /// Requests for which no machine had room, by `QueueEntry::feasibility_class`.
     infeasible: Vec<InfeasibleRequests>,
     /// Requests for which no task may be preempted.
     refused_requests: Vec<PreemptionRequest>,
-    /// Number of tasks that wide arrays may still start in their turn.
+    /// Number of tasks that wide arrays may still start before all other jobs have been considered.
     wide_array_budget: u32,
     deferred_wide_arrays: Vec<DeferredWideArray<'a>>,
     plan: SchedulingPlan<'a>,
 }
 
-/// Runs one pass: starts what fits, in order, and preempts tasks for blocked jobs.
+/// Runs one pass: starts the tasks that fit, in queue order, and preempts tasks for blocked jobs.
 ///
-/// `active`: in the order of `Recovery::order`. `largest_demand`: Bmax of the paper, the largest demand of
-/// any job seen so far, including all jobs of this pass, in typical machines.
+/// `active` has to be in the order of `Recovery::sort_entries`. `largest_demand` is Bmax of the paper: the largest
+/// demand, in typical machines, of any job seen so far, including the jobs of this pass.
 pub fn run_pass<'a>(
     active: &[QueueEntry<'a>],
     pending: &PendingJobs<'a>,
@@ -103,7 +105,7 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Whether the pass has placed its limit of tasks.
+    /// Whether the pass has reached its limit of placed tasks.
     fn is_full(&self) -> bool {
         self.plan.placements.len() >= MAX_PLACEMENTS
     }
@@ -114,7 +116,6 @@
         entry.spec.tasks as f64 * task_size / self.largest_demand
     }
 
-    /// Kind of a job.
     fn kind_of(&self, candidate: QueueCandidate<'a>) -> JobKind {
         match candidate {
             QueueCandidate::Active(index) => self.active[index].spec.kind,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The queue entry of a job; that of a pending job is `built` for the call.
+    /// The queue entry of a job. The entry of a pending job is built by this call and stored in `built`.
     fn entry<'e>(
         &self,
         candidate: QueueCandidate<'a>,
--- a/src/scheduling/backfill/plan.rs
+++ b/src/scheduling/backfill/plan.rs
@@ -9,7 +9,7 @@
     pub job: String,
     /// Task number.
     pub task: u32,
-    /// Index of the machine among the hosts of the pass.
+    /// Index of the machine in the `CapacityIndex` of the pass.
     pub host: usize,
     /// The task starts ahead of an earlier job that is blocked.
     pub backfilled: bool,
@@ -18,9 +18,9 @@
 /// Tasks of a job for which the pass found no machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UnmetDemand<'a> {
-    /// The job.
+    /// The job whose tasks found no machine.
     pub of: QueueCandidate<'a>,
-    /// Number of tasks.
+    /// Number of tasks that found no machine.
     pub tasks: u32,
 }
 
@@ -31,8 +31,9 @@
     pub placements: Vec<TaskPlacement>,
     /// Tasks to preempt: job id and task number.
     pub preemptions: Vec<(String, u32)>,
-    /// Machines on which tasks are preempted, each with the job it is reserved for.
+    /// Machines on which tasks are preempted: index of the machine, and id of the job for which it is
+    /// reserved.
     pub reservations: Vec<(usize, String)>,
-    /// Demand that no machine could meet, in the order in which the pass met it.
+    /// Tasks that found no machine, in the order in which the pass considered their jobs.
     pub unmet_demands: Vec<UnmetDemand<'a>>,
 }
--- a/src/scheduling/backfill/preempt.rs
+++ b/src/scheduling/backfill/preempt.rs
@@ -11,14 +11,14 @@
     pub(super) position: QueuePosition<'a>,
     /// Number of tasks that found no machine.
     pub(super) unplaced: u32,
-    /// The job counts as the head of the queue, for which backfilled tasks are preempted.
+    /// The job counts as the head of the queue. Backfilled tasks may be preempted for it if it is a gang.
     pub(super) at_head: bool,
-    /// The job was reached while backfilling.
+    /// The pass reached the job while backfilling.
     pub(super) backfilling: bool,
 }
 
 impl BlockedJob<'_> {
-    /// Whether jobs of this kind may have tasks preempted for them.
+    /// Whether any tasks may be preempted for a job of this kind.
     fn may_preempt(&self, kind: JobKind, guaranteed: bool) -> bool {
         match kind {
             JobKind::Gang => true,
@@ -29,7 +29,8 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Preempts tasks for a blocked job if its kind and guarantee permit that and candidates exist.
+    /// Preempts tasks for a blocked job, if its kind and its team's guarantee permit that and there are tasks
+    /// that may be preempted for it.
     pub(super) fn preempt_for(&mut self, blocked: &BlockedJob<'a>) {
         if self.preemption_attempts_left == 0 || self.preemptible.is_empty() {
             return;
@@ -57,13 +58,13 @@
         );
         match outcome {
             PreemptionOutcome::AlreadyReserved => {}
-            // No task becomes a candidate later in the same pass.
+            // The set of preemptible tasks does not grow during a pass, so an equal request fails again.
             PreemptionOutcome::NoCandidates => self.refused_requests.push(request),
             PreemptionOutcome::Considered => self.preemption_attempts_left -= 1,
         }
     }
 
-    /// Whether a blocked job fits into its team's guarantee.
+    /// Whether a blocked job is within its team's guarantee.
     fn is_guaranteed(&self, blocked: &BlockedJob<'a>) -> bool {
         match blocked.candidate {
             QueueCandidate::Active(index) => self.active[index].guaranteed,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What decides which tasks may be preempted for a blocked job.
+    /// The properties of a blocked job that decide which tasks may be preempted for it.
     fn preemption_request(&self, blocked: &BlockedJob<'a>, guaranteed: bool) -> PreemptionRequest {
         let summary = match blocked.candidate {
             QueueCandidate::Active(index) => {
--- a/src/scheduling/backfill/queue_entry.rs
+++ b/src/scheduling/backfill/queue_entry.rs
@@ -1,4 +1,4 @@
-//! Jobs as a scheduling pass meets them.
+//! Jobs in the queue of a scheduling pass.
 
 use crate::protocol::{JobSpec, Micros, Priority};
 use crate::scheduling::job_queue::JobSummary;
@@ -12,21 +12,21 @@
     pub id: &'a str,
     /// Time of day at which the job was accepted.
     pub at: Micros,
-    /// The job as it was submitted.
+    /// The submitted specification of the job.
     pub spec: &'a JobSpec,
     /// Resources and constraints of one task.
     pub requirements: TaskRequirements,
-    /// Team, as a number of the `NameTable`.
+    /// Team, as an id of the `NameTable`.
     pub team: u32,
-    /// Jobs with the same number have the same constraints, so what is infeasible for one of them is
-    /// infeasible for the others.
+    /// Jobs of the same feasibility class have the same constraints, so a request that is infeasible for one
+    /// of them is infeasible for the others.
     pub feasibility_class: u32,
-    /// Number of tasks that have lost their machine.
+    /// Number of tasks that have to be placed again because their machine was lost.
     pub lost_tasks: u32,
     /// Tasks that may start. A gang starts all of them or none.
     pub tasks: Vec<u32>,
-    /// Locations of the tasks that are presumed to run: the zone, and the index of the machine if it is
-    /// among the hosts of the pass.
+    /// Locations of the tasks that are presumed to run: the zone, and the index of the machine if it takes
+    /// part in the pass.
     pub present: Vec<(u32, Option<usize>)>,
     /// Time that a machine takes to fetch the image, in seconds.
     pub fetch_s: f64,
@@ -34,11 +34,11 @@
     pub estimate_s: f64,
     /// Highest priority of the job and of the jobs that depend on it.
     pub priority: Priority,
-    /// The job fits into its team's guarantee together with the team's earlier unfinished jobs.
+    /// The job is within its team's guarantee: it fits together with the team's earlier unfinished jobs.
     pub guaranteed: bool,
     /// The job has waited so long that gangs beyond another team's guarantee may be preempted for it.
     pub overdue: bool,
-    /// The job has waited so long that tasks without checkpoints may be preempted for it, if it is a gang.
+    /// The job has waited so long that, if it is a gang, tasks without checkpoints may be preempted for it.
     pub aged: bool,
     /// The job has waited so long that it is backfilled ahead of shorter jobs.
     pub starved: bool,
@@ -56,7 +56,7 @@
         ZoneLimits::new(self.spec, occupied)
     }
 
-    /// Position of the job in the order of backfilling.
+    /// Sort key of the job in the order of backfilling.
     pub(super) fn backfill_order(&self) -> BackfillOrder<'a> {
         BackfillOrder::new(self.starved, self.estimate_s, self.position())
     }
@@ -67,6 +67,6 @@
 pub enum QueueCandidate<'a> {
     /// Index into the active jobs of the pass.
     Active(usize),
-    /// A pending job: nothing of it is placed or being written.
+    /// A pending job: it has no placed tasks and no record changes that are not written yet.
     Pending(&'a JobSummary),
 }
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -1,4 +1,5 @@
-//! Walk over the queue: by arrival up to the first blocked job, then in the order of backfilling.
+//! Walk over the queue: in order of arrival up to the first blocked gang or array, then in the order of
+//! backfilling.
 
 use crate::protocol::JobKind;
 use crate::scheduling::backfill::preempt::BlockedJob;
@@ -9,15 +10,15 @@
 use std::iter::{Enumerate, Peekable};
 use std::slice;
 
-/// The point at which the walk by arrival was blocked.
+/// The point of the queue from which on gangs and arrays are backfilled.
 struct Blockage<'a> {
     /// Position of the first gang or array that did not fit as a whole.
     position: QueuePosition<'a>,
-    /// Active gangs and arrays behind it, as indices.
+    /// Indices of the active gangs and arrays behind that job.
     deferred: Vec<usize>,
 }
 
-/// Merges active and pending jobs by arrival; services that have lost replicas come first.
+/// Merges active and pending jobs in order of arrival. Urgent active jobs (`Recovery::is_urgent`) come first.
 struct ArrivalOrder<'p, 'a, S: Iterator, O: Iterator> {
     active: Peekable<Enumerate<slice::Iter<'p, QueueEntry<'a>>>>,
     services: Peekable<S>,
@@ -29,8 +30,8 @@
     S: Iterator<Item = (QueuePosition<'a>, &'a JobSummary)>,
     O: Iterator<Item = (QueuePosition<'a>, &'a JobSummary)>,
 {
-    /// The next job and its position. Once the queue is `blocked`, pending gangs and arrays are left to
-    /// backfilling; active ones are still returned.
+    /// The next job and its position. Once the queue is `blocked`, pending gangs and arrays are skipped,
+    /// because backfilling considers them. Active ones are still returned, so that the caller can defer them.
     fn next(&mut self, blocked: bool) -> Option<(QueueCandidate<'a>, QueuePosition<'a>)> {
         let service = self.services.peek().map(|(position, _)| *position);
         let other = match blocked {
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Considers jobs by arrival; behind the first blocked gang or array only services.
+    /// Considers all jobs in order of arrival up to the first blocked gang or array, and only services behind
+    /// it.
     fn walk_by_arrival(&mut self) -> Option<Blockage<'a>> {
         let mut order = arrival_order(self.active, self.pending);
         let mut blocked: Option<QueuePosition<'a>> = None;
@@ -116,7 +118,8 @@
             }
             self.record_unmet_demand(candidate, unplaced);
             let kind = self.kind_of(candidate);
-            // Each task of an array starts by itself, wherever the others run.
+            // The tasks of an array are independent, so the unplaced ones may preempt others even if some
+            // were placed. A service of which some replicas were placed waits for a later pass.
             let nothing_placed = self.plan.placements.len() == placed_before;
             if nothing_placed || kind == JobKind::Array {
                 self.preempt_for(&BlockedJob {
@@ -134,7 +137,8 @@
         blocked.map(|position| Blockage { position, deferred })
     }
 
-    /// Backfills gangs and arrays behind the blocked job, shortest estimate first.
+    /// Backfills gangs and arrays behind the blocked job: starved jobs first, then by estimated run time,
+    /// shortest first.
     fn walk_backfill(&mut self, blockage: Blockage<'a>) {
         let mut order = backfill_order(self.active, self.pending, blockage);
         let mut head_found = false;
@@ -147,8 +151,8 @@
                 continue;
             }
             self.record_unmet_demand(candidate, unplaced);
-            // Behind a job that never fits as a whole, such as an array wider than the cluster, no other
-            // gang would ever count as the head of the queue.
+            // The first starved gang counts as the head of the queue, too: otherwise no gang would ever do
+            // so behind a job that never fits as a whole, such as an array larger than the cluster.
             let starved_gang = rank.starved && self.kind_of(candidate) == JobKind::Gang;
             let at_head = starved_gang && !head_found;
             head_found |= at_head;
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Adds tasks that found no machine to the plan.
+    /// Adds the number of tasks that found no machine to the plan.
     fn record_unmet_demand(&mut self, candidate: QueueCandidate<'a>, tasks: u32) {
         let demand = UnmetDemand {
             of: candidate,
@@ -172,7 +176,7 @@
     }
 }
 
-/// Active jobs and all pending jobs by arrival.
+/// Active jobs and all pending jobs in order of arrival.
 fn arrival_order<'p, 'a>(
     active: &'p [QueueEntry<'a>],
     pending: &'p PendingJobs<'a>,
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -1,4 +1,4 @@
-//! Starting the tasks of one job: gangs as a whole, arrays and services task by task.
+//! Starts the tasks of one job: gangs as a whole, arrays and services task by task.
 
 use crate::protocol::JobKind;
 use crate::scheduling::backfill::{
@@ -9,7 +9,7 @@
 use crate::scheduling::placement::{self, Host, HostPicker, ZoneLimits, slots};
 use crate::scheduling::preemption::find_image_holder;
 
-/// Number of tasks of a pending job that one pass would start at most.
+/// Upper limit of the number of tasks of a pending job that one pass starts.
 pub fn max_startable_tasks(gang: bool, summary: &JobSummary) -> u32 {
     if gang {
         summary.unfinished
@@ -21,8 +21,8 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Starts the tasks of a job that fit. Returns the number of tasks that found no machine, without
-    /// those that its team's quota excludes.
+    /// Starts the tasks of a job that fit. Returns the number of tasks that found no machine; tasks that
+    /// exceed the team's quota are not counted.
     pub(super) fn start_candidate(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Starts the tasks of a pending job that fit, as `start_candidate` does. Builds the queue entry only if
-    /// a machine may have room.
+    /// `start_candidate` for a pending job. Builds the queue entry only if a machine may have room, or if the
+    /// job may be a wide array.
     fn start_pending(&mut self, summary: &'a JobSummary, backfilled: bool) -> u32 {
         let profile = self.pending.profile_of(summary);
         let gang = profile.kind == JobKind::Gang;
@@ -48,7 +48,7 @@
         if permitted == 0 || (gang && permitted < requested) {
             return 0;
         }
-        // Tasks of arrays and services look for a machine one by one.
+        // The tasks of arrays and services are placed one by one, so room for a single task suffices.
         let at_once = if gang { requested } else { 1 };
         let infeasible = &mut self.infeasible[profile.feasibility_class as usize];
         let mut no_room = infeasible.covers(&summary.need, at_once);
@@ -72,7 +72,7 @@
         unplaced
     }
 
-    /// Starts the tasks of a job that fit and that its team's quota permits, as `start_candidate` does.
+    /// `start_candidate` for a job with a queue entry.
     fn start_job(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -158,10 +158,10 @@
     }
 
     /// Whether a replica waits for a machine that has its image instead of fetching the image elsewhere.
-    /// Preempts a task on such a machine if no machine is being cleared for the service already.
+    /// Preempts a task on such a machine if no machine is being cleared for this replica already.
     ///
-    /// `hosts_being_cleared`: how many machines are being cleared for further replicas, counted on the
-    /// first call.
+    /// `hosts_being_cleared` is the number of machines that are being cleared for further replicas of the
+    /// service. It is computed on the first call and decreases with each replica that waits.
     fn waits_for_image_holder(
         &mut self,
         entry: &QueueEntry<'_>,
@@ -188,8 +188,8 @@
         true
     }
 
-    /// Number of machines reserved for the job that are full now and have room once stopping tasks have
-    /// ended. Machines that the job's own tasks have filled do not count.
+    /// Number of machines reserved for the job that are full now but have room once the tasks that are being
+    /// stopped have ended. Machines that are filled by the job's own tasks do not count.
     fn count_hosts_being_cleared(&self, entry: &QueueEntry<'_>) -> usize {
         let need = &entry.requirements.need;
         let being_cleared = |host: &&Host| {
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of single passes.
+//! Tests that run a single scheduling pass.
 
 use super::*;
 use crate::protocol::{JobSpec, Micros, Priority};
@@ -120,14 +120,14 @@
         priority: Priority::Production,
         ..JobSpec::sample(JobKind::Service)
     };
-    // One machine has room without the image, the other the image without room.
+    // The first machine has room but not the image; the second has the image but no room.
     let hosts = || [host(4.0, &[]), host(0.0, &[IMAGE])];
     let low = [preemptible(Priority::Low)];
     let plan = run(entry(&service, 20.0), &hosts(), &low);
     assert_eq!(plan.preemptions, [("req-1".to_string(), 3)]);
     assert_eq!(plan.reservations, [(1, "req-2".to_string())]);
     assert!(plan.placements.is_empty() && plan.unmet_demands.is_empty());
-    // While the checkpoint is written nothing else is stopped, and the replica waits.
+    // While the preempted task writes its checkpoint, no other task is preempted and the replica waits.
     let mut clearing = hosts();
     clearing[1].reserved = Some("req-2".into());
     clearing[1].leaving = [1.0; 3];
@@ -135,11 +135,11 @@
     assert!(
         plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
     );
-    // Then the replica starts there.
+    // Once the preempted task has ended, the replica starts on its machine.
     clearing[1].free = [1.0; 3];
     let plan = run(entry(&service, 20.0), &clearing, &[]);
     assert_eq!(plan.placements[0].host, 1);
-    // Neither with a short fetch nor for a task of the same priority is anything stopped.
+    // No task is preempted if the fetch is short, or if the running task has the same priority.
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
         let tasks = [preemptible(priority)];
         let plan = run(entry(&service, fetch_s), &hosts(), &tasks);
@@ -147,8 +147,8 @@
     }
 }
 
-/// Fails if a job of many thousand short tasks takes each pass whole, as one did for minutes
-/// (inc-fb2d), or if half of a pass is left unused where no other job waits.
+/// Guards against an array of many thousand short tasks that uses up each pass, so that other jobs do not
+/// start for minutes (inc-fb2d), and against leaving half of a pass unused when no other job waits.
 #[test]
 fn a_wide_array_leaves_half_of_a_pass_to_the_jobs_behind_it() {
     let array = JobSpec::sample(JobKind::Array);
@@ -165,14 +165,14 @@
     let queue = [job("req-1", 128), job("req-2", 128), job("req-3", 20)];
     let plan = run_all(&queue, &hosts, &[]);
     assert_eq!(count(&plan, "req-3"), 20);
-    // The rest of the room goes to the wide arrays, in their order.
+    // The remaining room goes to the wide arrays, in queue order.
     assert_eq!((count(&plan, "req-1"), count(&plan, "req-2")), (128, 92));
     let plan = run_all(&queue[..1], &hosts, &[]);
     assert_eq!(count(&plan, "req-1"), 128);
 }
 
-/// Fails if a guarantee is restored machine by machine, or if a machine that the job's own tasks have
-/// filled counts as room that is still being made.
+/// Guards against restoring a team's guarantee on one machine at a time, and against counting a reserved
+/// machine that is filled by the job's own tasks as room that is still being cleared.
 #[test]
 fn a_guarantee_is_restored_on_several_machines_at_once() {
     let array = JobSpec::sample(JobKind::Array);
@@ -204,7 +204,7 @@
             .preemptions
             .is_empty()
     );
-    // One machine is reserved and full of the job's tasks; on another two guests are about to stop.
+    // Both machines are reserved. The job's own tasks fill the first; two tasks stop on the second.
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
     hosts[1].leaving = [2.0; 3];
@@ -232,7 +232,7 @@
     };
     assert!(stops(waiting(false), &array).is_empty());
     assert_eq!(stops(waiting(true), &array), [("req-1".to_string(), 3)]);
-    // Neither a task of an exempt class, nor one of the same priority, nor a member of a gang.
+    // Tasks of an exempt class, tasks of the same priority and members of a gang are not preempted.
     let exempt = PreemptibleTask {
         exempt: true,
         ..array.clone()
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -1,7 +1,8 @@
-//! Arrays with a full pass of tasks to start and more.
+//! Wide arrays: arrays with enough startable tasks to use up a whole pass.
 //!
-//! An array of 25,000 short tasks once held up all other jobs for minutes. In its turn a wide array gets a
-//! part of the pass and of the free room only; after all other jobs it continues with what is left.
+//! An array of 25,000 short tasks delayed all other jobs for minutes. At its position in the queue, a wide
+//! array therefore gets only a share of the pass and of the free room. After all other jobs have been
+//! considered, it continues with the remaining room.
 
 use crate::protocol::JobKind;
 use crate::scheduling::backfill::{
@@ -12,26 +13,26 @@
 /// An array with at least this many tasks to start is wide.
 pub(super) const MIN_WIDE_TASKS: u32 = MAX_PLACEMENTS as u32;
 
-/// Number of tasks that wide arrays start together before all other jobs have been considered.
+/// Total number of tasks that all wide arrays may start before all other jobs have been considered.
 pub(super) const WIDE_ARRAY_BUDGET: u32 = MAX_PLACEMENTS as u32 / 2;
 
 /// A wide array that continues after all other jobs have been considered.
 pub(super) struct DeferredWideArray<'a> {
     candidate: QueueCandidate<'a>,
-    /// Number of its tasks that have been started in its turn.
+    /// Number of its tasks that were started before all other jobs had been considered.
     started: u32,
-    /// It was reached while backfilling.
+    /// The pass reached the array while backfilling.
     backfilled: bool,
 }
 
 /// Free room for a wide array, in tasks.
 struct WideArrayRoom {
     free: u32,
-    /// Part of `free` that the array may use in its turn.
+    /// Part of `free` that the array may use before all other jobs have been considered.
     first_share: u32,
 }
 
-/// Whether an array is wide. Arrays with conditions on zones are not treated as wide.
+/// Whether a job is a wide array. Arrays with zone constraints are not treated as wide.
 pub(super) fn is_wide(entry: &QueueEntry<'_>) -> bool {
     let spec = entry.spec;
     let zone_conditions = spec.one_zone || spec.spread;
@@ -40,8 +41,8 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Starts the first share of a wide array. Returns by how many tasks the `permitted` ones exceed the
-    /// free room.
+    /// Starts the first share of a wide array. Returns the number of `permitted` tasks that do not fit into
+    /// the free room.
     pub(super) fn start_wide_array(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -64,9 +65,9 @@
 
     /// Free room for a wide array.
     ///
-    /// The first share is half of the free room: with more, the array would take each machine that
-    /// becomes free ahead of all other jobs for as long as it runs. It is at least one task, so that an
-    /// array of which nothing runs can begin.
+    /// The first share is half of the free room. With a larger share, the array would take each machine that
+    /// becomes free ahead of all other jobs for as long as it runs. If no task of the array runs yet, the
+    /// share is at least one task, so that the array can begin.
     fn wide_array_room(&self, entry: &QueueEntry<'_>) -> WideArrayRoom {
         let need = &entry.requirements.need;
         let candidates = self.candidates(entry);
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -1,8 +1,7 @@
-//! Index of the free room on machines, kept up to date while a pass fills it.
+//! Index of machines by free room, updated as a pass places tasks.
 //!
-//! Most jobs of a long queue find no room, and most machines of a full cluster have none. Machines are
-//! therefore indexed by their free room: whether any machine accepts a task, and which ones do, is found
-//! without visiting the full ones.
+//! Most jobs of a long queue find no room, and most machines of a full cluster have none. The index finds the
+//! machines that accept a task without visiting the full ones.
 
 mod infeasible_requests;
 
@@ -12,17 +11,17 @@
 use std::collections::BTreeMap;
 use std::ops::Deref;
 
-/// Levels of free room from an empty to a full machine.
+/// Number of levels into which the free room of a machine is divided.
 const LEVELS: f64 = 64.0;
 
-/// Tolerance added to free room before it is rounded down to a level; well above the tolerance of
-/// `placement::slots`, so that no machine that accepts a task is missed.
+/// Tolerance added to free room before it is rounded down to a level. It is well above the
+/// `RESOURCE_TOLERANCE` of `placement::slots`, so that the index misses no machine that accepts a task.
 const TOLERANCE: f64 = 1e-5;
 
 /// Free room of each of the three resources, in units of 1/`LEVELS` of an empty machine of the bucket.
 type CapacityLevel = [u8; 3];
 
-/// Level of an amount of room on a machine, rounded down.
+/// Level of an amount of room on a machine of size `total`, rounded down.
 fn level(total: &Resources, room: &Resources, tolerance: f64) -> CapacityLevel {
     std::array::from_fn(|resource| {
         if total[resource] <= 0.0 {
@@ -33,7 +32,7 @@
     })
 }
 
-/// Machines of the same type, zone and size that are all spot instances or all not.
+/// Machines of the same type, zone and size; either all or none of them are spot instances.
 #[derive(Debug, Clone)]
 struct HostBucket {
     kind: u32,
@@ -44,7 +43,7 @@
 }
 
 impl HostBucket {
-    /// An empty bucket for machines like this one.
+    /// An empty bucket for machines with the properties of `host`.
     fn of(host: &Host) -> HostBucket {
         HostBucket {
             kind: host.kind,
@@ -61,7 +60,7 @@
             && self.total == host.total
     }
 
-    /// Machines whose level has at least this much room, in ascending order of levels.
+    /// Machines whose level may have room for `need`, in ascending order of levels.
     fn with_room(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
         let least = level(&self.total, need, 0.0);
         // The map is ordered by the first resource, so levels with less of it are skipped.
@@ -99,7 +98,7 @@
 }
 
 impl CapacityIndex {
-    /// Indexes these machines.
+    /// Builds an index of `hosts`.
     pub fn new(hosts: Vec<Host>) -> CapacityIndex {
         let mut index = CapacityIndex::default();
         for host in hosts {
@@ -132,14 +131,14 @@
         self.hosts[host].reserved = Some(job.into());
     }
 
-    /// Whether any unreserved machine accepts a task with these needs.
+    /// Whether any unreserved machine accepts a task that needs these resources.
     pub fn has_room(&self, need: &Resources, constraints: &PlacementConstraints) -> bool {
         self.with_room(need, constraints)
             .any(|host| accepts_task(&self.hosts[host], "", need, constraints))
     }
 
-    /// Unreserved machines that together accept this many tasks, or all that accept any. Those with most
-    /// room come first, which are the ones rented last.
+    /// Unreserved machines that together accept this many tasks; if they accept fewer, all machines that
+    /// accept any. Within a bucket, machines with the most room come first, which are the ones rented last.
     pub fn hosts_for(
         &self,
         need: &Resources,
@@ -183,7 +182,7 @@
         self.buckets.iter().filter(permitted)
     }
 
-    /// Permitted machines whose level has at least this much room.
+    /// Machines that the constraints permit and whose level may have room for `need`.
     fn with_room(
         &self,
         need: &Resources,
--- a/src/scheduling/capacity_index/infeasible_requests.rs
+++ b/src/scheduling/capacity_index/infeasible_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that no machine has room for.
+//! Requests for which no machine has room.
 
 use crate::scheduling::placement::Resources;
 
-/// With more requests than this, the comparison costs more than the search that it avoids.
+/// With more requests than this, comparing with them costs more than the search that is avoided.
 const MAX_REQUESTS: usize = 24;
 
-/// A number of tasks and the resources of each.
+/// A request for room for a number of tasks that need the same resources.
 #[derive(Debug, Clone, Copy)]
 struct Request {
     need: Resources,
@@ -13,22 +13,22 @@
 }
 
 impl Request {
-    /// Whether `other` asks for at least as many tasks, and for at least as much for each.
+    /// Whether `other` requests at least as many tasks with at least the same resources each.
     fn is_contained_in(&self, other: &Request) -> bool {
         self.tasks <= other.tasks
             && (0..self.need.len()).all(|resource| self.need[resource] <= other.need[resource])
     }
 }
 
-/// Requests that found no room. A request that asks for as much or more finds none either, as long as free
-/// room only decreases.
+/// Requests that found no room. As long as free room only decreases, every request that contains one of them
+/// is infeasible, too.
 #[derive(Debug, Default, Clone)]
 pub struct InfeasibleRequests {
     requests: Vec<Request>,
 }
 
 impl InfeasibleRequests {
-    /// Whether `tasks` tasks with these needs are known to find no room.
+    /// Whether the recorded requests imply that `tasks` tasks with these needs find no room.
     pub fn covers(&self, need: &Resources, tasks: u32) -> bool {
         let asked = Request { need: *need, tasks };
         let mut requests = self.requests.iter();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Forgets all requests, when free room has increased.
+    /// Removes all requests. Has to be called when free room increases.
     pub fn clear(&mut self) {
         self.requests.clear();
     }
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the index against scans of all machines.
+//! Compares the results of the index with those of a scan of all machines.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
     (0..count).map(|_| random_host(rng)).collect()
 }
 
-/// A cluster in the index and as a plain list.
+/// The same machines in the index and in a plain list.
 struct Cluster {
     seed: u64,
     plain: Vec<Host>,
@@ -39,7 +39,7 @@
 }
 
 impl Cluster {
-    /// Machines that accept a task, found by a scan.
+    /// Machines that accept a task, found by a scan of the plain list.
     fn scan(&self, id: &str, need: &Resources) -> Vec<usize> {
         let fits = |host: &Host| {
             host.open
--- a/src/scheduling/placement.rs
+++ b/src/scheduling/placement.rs
@@ -1,7 +1,7 @@
 //! AdaBa: selection of the machines for a job's tasks (equation 7 and algorithm 1 of
 //! "Bandwidth-Guaranteed Parallel Job Scheduling in the Cloud", as docs/design.md adapts them).
 //!
-//! The paper's symbols, with the words that the code uses:
+//! The paper's symbols and the corresponding terms of the code:
 //! - `a`: free room of a machine, in tasks of the job (`slots` of `Host::free`);
 //! - `L`: room of the same machine when it is empty, in tasks of the job (`slots` of `Host::total`);
 //! - `B`: demand of the job, its number of tasks times the dominant share of one task;
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -4,10 +4,10 @@
 use crate::scheduling::placement::host_picker::HostScore;
 use crate::scheduling::placement::{Host, TaskRequirements, accepts_task, slots};
 
-/// Places all `members` of a gang or none: on one machine, else in one zone, else anywhere unless the job
-/// wants one zone. Returns the machine of each member.
+/// Places either all `members` of a gang or none. Tries one machine first, then one zone, then all zones
+/// unless the job requires one zone. Returns the machine of each member.
 ///
-/// `candidates` have to include all machines that accept a task of the job `id`.
+/// `candidates` has to include all machines that accept a task of the job `id`.
 pub fn place_gang(
     hosts: &[Host],
     candidates: impl Iterator<Item = usize>,
@@ -67,7 +67,7 @@
 }
 
 impl GangSearch<'_> {
-    /// Number of members that fit on a machine.
+    /// Number of members that fit on the machine with this score.
     fn slots_on(&self, score: &HostScore) -> u32 {
         slots(&self.hosts[score.host].free, &self.requirements.need)
     }
@@ -79,8 +79,8 @@
         Some(score.host)
     }
 
-    /// Zones of the ranked machines, in the order of the zones' first machines: the numbers of names
-    /// differ from leader to leader.
+    /// Zones of the ranked machines, ordered by the first machine in each zone. They are not ordered by zone
+    /// id, because ids in the `NameTable` differ between leaders.
     fn zones(&self) -> Vec<u32> {
         let zone_of = |score: &HostScore| self.hosts[score.host].zone;
         let mut ranked: Vec<u32> = self.ranked.iter().map(zone_of).collect();
@@ -98,8 +98,8 @@
         ordered
     }
 
-    /// Places all members in one zone. The slowest fetch decides when a gang starts, so the zone is
-    /// chosen in which most members find their image; among equals the first.
+    /// Places all members in one zone. A gang starts when the slowest image fetch has ended, so this chooses
+    /// the zone in which the fewest members have to fetch the image; among equals the first.
     fn in_one_zone(&self, zones: &[u32]) -> Option<Vec<usize>> {
         let fetches = |found: &Vec<usize>| {
             let image = self.requirements.image;
@@ -112,7 +112,7 @@
             .min_by_key(fetches)
     }
 
-    /// Places all members in these zones, on the best machines first.
+    /// Places all members in these zones, best machines first.
     fn fill(&self, zones: &[u32]) -> Option<Vec<usize>> {
         let mut chosen: Vec<usize> = Vec::new();
         let mut counts: Vec<ZoneCount> = zones
--- a/src/scheduling/placement/host.rs
+++ b/src/scheduling/placement/host.rs
@@ -4,14 +4,14 @@
 use crate::scheduling::placement::{NameTable, RESOURCE_TOLERANCE, Resources, add_resources};
 use std::sync::Arc;
 
-/// Conditions of a job on the machines that it may use. Names are numbers of the `NameTable`.
+/// A job's constraints on the machines that it may use. Names are ids of the `NameTable`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PlacementConstraints {
     /// Permitted machine types; `None` permits all.
     pub machine_types: Option<Vec<u32>>,
     /// The only permitted zone; `None` permits all.
     pub zone: Option<u32>,
-    /// Spot instances are permitted, too.
+    /// Spot instances are permitted in addition to on-demand ones.
     pub spot: bool,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the job may use machines of this type and zone, rented in this way.
+    /// Whether the job may use a machine of this type in this zone; `spot` is whether it is a spot instance.
     pub fn permit(&self, machine_type: u32, zone: u32, spot: bool) -> bool {
         let types = self.machine_types.as_ref();
         (self.spot || !spot)
@@ -36,14 +36,14 @@
     }
 }
 
-/// What the placement of a job's tasks depends on. Names are numbers of the `NameTable`.
+/// Resources, constraints and preferences for the placement of a job's tasks. Names are ids of the `NameTable`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequirements {
     /// Resources of one task.
     pub need: Resources,
     /// Machines that the job may use.
     pub allow: Arc<PlacementConstraints>,
-    /// The tasks write checkpoints by themselves, so that little work is lost with a spot instance.
+    /// The tasks write checkpoints periodically, so little work is lost when a spot instance is reclaimed.
     pub saves: bool,
     /// Image of the job.
     pub image: u32,
@@ -51,7 +51,7 @@
     pub avoid: Vec<usize>,
 }
 
-/// A machine, as a pass sees it. Names are numbers of the `NameTable`.
+/// A machine in a scheduling pass. Names are ids of the `NameTable`.
 #[derive(Debug, Clone)]
 pub struct Host {
     /// Machine type.
@@ -66,13 +66,13 @@
     pub total: Resources,
     /// Free resources.
     pub free: Resources,
-    /// Resources of tasks that have been told to stop.
+    /// Resources of tasks that are being stopped. They are not part of `free` until the tasks have ended.
     pub leaving: Resources,
     /// The machine accepts new tasks.
     pub open: bool,
-    /// Images that the machine has or fetches.
+    /// Images that the machine has or is fetching.
     pub images: Arc<Vec<u32>>,
-    /// Id of the only job that may start tasks on the machine, because tasks are preempted for it.
+    /// Id of the only job that may start tasks on the machine, because tasks were preempted there for it.
     pub reserved: Option<Arc<str>>,
 }
 
@@ -89,14 +89,14 @@
         add_resources(&mut self.free, need);
     }
 
-    /// Free resources once the tasks that have been told to stop have ended.
+    /// Free resources once the tasks that are being stopped have ended.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free;
         add_resources(&mut free, &self.leaving);
         free
     }
 
-    /// Whether the machine has or fetches an image.
+    /// Whether the machine has or is fetching an image.
     pub fn has_image(&self, image: u32) -> bool {
         self.images.contains(&image)
     }
--- a/src/scheduling/placement/host_picker.rs
+++ b/src/scheduling/placement/host_picker.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Weight of a machine (equation 7): -0.5a² + L·(B/Bmax)·a.
+/// Weight of a machine (equation 7 of the paper): -0.5a² + L·(B/Bmax)·a.
 ///
 /// `free_slots` is a, `total_slots` is L, and `demand_ratio` is B/Bmax.
 pub fn weight(free_slots: f64, total_slots: f64, demand_ratio: f64) -> f64 {
@@ -13,8 +13,9 @@
 
 /// Suitability of a machine for a task; the greatest is the best.
 ///
-/// A machine with the image starts the task at once, so the weight decides only among machines that agree
-/// in that. Among equals the machine with the smallest index is the best.
+/// Spot instances come first for tasks that write checkpoints, then machines that have the image, because the
+/// task starts there without a fetch. The weight decides only among machines that are equal in both. If the
+/// weights are equal, too, the machine with the smallest index is the best.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct HostScore {
     preferred_spot: bool,
@@ -59,15 +60,15 @@
     }
 }
 
-/// Picks machines for the tasks of one job one by one. The choice is the same as that of a scan of all
-/// machines for each task.
+/// Picks machines for the tasks of one job one by one. Each pick is the machine that a scan of all machines
+/// would find to be the best.
 pub struct HostPicker<'a> {
     id: &'a str,
     requirements: &'a TaskRequirements,
     demand_ratio: f64,
-    /// Machines to pick first.
+    /// Machines that are picked first.
     preferred: BinaryHeap<HostScore>,
-    /// Machines that run a task of a job whose tasks are kept apart.
+    /// Machines that run a task of the job already; used only with `keep_apart`.
     shared: BinaryHeap<HostScore>,
     keep_apart: bool,
 }
@@ -75,7 +76,7 @@
 impl<'a> HostPicker<'a> {
     /// A picker for the job `id`.
     ///
-    /// `candidates` have to include all machines that accept a task of the job. With `keep_apart`, machines
+    /// `candidates` has to include all machines that accept a task of the job. With `keep_apart`, machines
     /// that run a task of the job (`runs_on`) are picked last.
     pub fn new(
         hosts: &[Host],
@@ -112,8 +113,8 @@
         }
     }
 
-    /// The best machine for the next task. `zone_allowed` holds the job's conditions on zones; a zone that
-    /// is not allowed must never become allowed later.
+    /// Removes and returns the best machine for the next task. `zone_allowed` checks the job's zone
+    /// constraints. A zone that is not allowed must stay so, because its machines are dropped for good.
     pub fn pick(&mut self, hosts: &[Host], zone_allowed: impl Fn(u32) -> bool) -> Option<usize> {
         for scores in [&mut self.preferred, &mut self.shared] {
             while let Some(score) = scores.pop() {
@@ -125,13 +126,13 @@
         None
     }
 
-    /// Puts the machine picked last back: the task was not placed.
+    /// Returns the machine picked last to the picker, because the task was not placed on it.
     pub fn put_back(&mut self, hosts: &[Host], host: usize) {
         let score = self.score(hosts, host);
         self.preferred.push(score);
     }
 
-    /// Ranks the machine picked last anew: the task was placed on it.
+    /// Ranks the machine picked last again, because the task was placed on it.
     pub fn task_placed(&mut self, hosts: &[Host], host: usize) {
         let requirements = self.requirements;
         if !accepts_task(
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Score of a machine with its present free room.
+    /// Score of a machine with its current free room.
     fn score(&self, hosts: &[Host], host: usize) -> HostScore {
         HostScore::of(host, &hosts[host], self.requirements, self.demand_ratio)
     }
--- a/src/scheduling/placement/name_table.rs
+++ b/src/scheduling/placement/name_table.rs
@@ -3,9 +3,10 @@
 use foldhash::HashMap;
 use std::sync::Arc;
 
-/// Numbers for names of teams, machine types, zones and images, so that a pass compares no text.
+/// Assigns numeric ids to the names of teams, job classes, machine types, zones and images, so that a pass
+/// compares integers instead of strings.
 ///
-/// Names are never removed: a table that is kept between passes has to be replaced from time to time.
+/// Names are never removed, so a table that is kept between passes has to be replaced from time to time.
 #[derive(Debug, Default)]
 pub struct NameTable {
     ids: HashMap<Arc<str>, u32>,
@@ -13,7 +14,7 @@
 }
 
 impl NameTable {
-    /// The number of a name, which is added if it is new.
+    /// The id of a name. Adds the name if it is new.
     pub fn id(&mut self, name: &str) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -25,12 +26,12 @@
         id
     }
 
-    /// The number of a name, if it is in the table.
+    /// The id of a name, if it is in the table.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
 
-    /// The name with this number; empty if there is none.
+    /// The name with this id; empty if there is none.
     pub fn name(&self, id: u32) -> &str {
         self.names.get(id as usize).map_or("", |name| name)
     }
--- a/src/scheduling/placement/resources.rs
+++ b/src/scheduling/placement/resources.rs
@@ -1,14 +1,14 @@
-//! Amounts of resources.
+//! Resource amounts and arithmetic on them.
 
 use crate::protocol::JobSpec;
 
 /// CPUs, GPUs and memory in GB, in this order.
 pub type Resources = [f64; 3];
 
-/// Sums of amounts are exact within this tolerance.
+/// Tolerance for rounding errors in sums of resource amounts.
 pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// Upper limit of `slots`, for tasks that need nothing.
+/// Upper limit of `slots`, for tasks that need no resources.
 const MAX_SLOTS: f64 = 1e6;
 
 /// Resources that one task of the job needs.
@@ -34,7 +34,7 @@
     tasks.max(0.0) as u32
 }
 
-/// Dominant share of a task: its share of an empty machine on the scarcest resource.
+/// Dominant share of a task: the largest of its shares of the resources of an empty machine.
 pub fn dominant_share(total: &Resources, need: &Resources) -> f64 {
     total
         .iter()
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the picker against a scan for each task.
+//! Compares the machines that `HostPicker` picks with those that a scan finds for each task.
 
 use super::host_picker::HostScore;
 use super::*;
@@ -10,7 +10,7 @@
 const IMAGE: u32 = 21;
 const TASKS: usize = 30;
 
-/// The choice as the design states it: the best of all machines.
+/// The machine with the best score of all machines that accept the task.
 fn scan(
     hosts: &[Host],
     requirements: &TaskRequirements,
--- a/src/scheduling/placement/zone_limits.rs
+++ b/src/scheduling/placement/zone_limits.rs
@@ -1,18 +1,18 @@
-//! Conditions on the zones of tasks that are placed one by one.
+//! Zone constraints of jobs whose tasks are placed one by one.
 
 use crate::protocol::JobSpec;
 
 /// Zones in which further tasks of a job may be placed.
 pub(crate) struct ZoneLimits {
     one_zone: bool,
-    /// Limit of tasks in one zone, for a job that spreads over zones.
+    /// Limit of tasks in one zone, for a job that has to be spread over zones.
     max_per_zone: Option<usize>,
-    /// Zone of each task that has a place, with repetitions.
+    /// Zone of each placed task, with repetitions.
     occupied: Vec<u32>,
 }
 
 impl ZoneLimits {
-    /// Limits of a job of which tasks run in the `occupied` zones (one item per task).
+    /// Limits of a job whose placed tasks are in the `occupied` zones (one item per task).
     pub(crate) fn new(spec: &JobSpec, occupied: Vec<u32>) -> ZoneLimits {
         let half = spec.tasks.div_ceil(2) as usize;
         ZoneLimits {
@@ -31,7 +31,7 @@
         self.max_per_zone.is_none_or(|max| in_zone() < max)
     }
 
-    /// Records that a task has a place in the zone.
+    /// Records that a task is placed in the zone.
     pub(crate) fn occupy(&mut self, zone: u32) {
         self.occupied.push(zone);
     }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -6,21 +6,24 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BTreeMap;
 
-/// A job within its team's guarantee has tasks preempted on up to this many machines at once.
+/// For a job within its team's guarantee, tasks are preempted on up to this many machines at once.
 const MAX_HOSTS_FOR_GUARANTEE: usize = 16;
 
-/// Other jobs have tasks preempted on one machine at a time: preempted tasks may have to start anew.
+/// For other jobs, tasks are preempted on one machine at a time, because preempted tasks may have to start
+/// from scratch.
 const MAX_HOSTS_BEYOND_GUARANTEE: usize = 1;
 
-/// Time from stopping a task until its successor starts, without the checkpoint, in seconds: a stop, a
-/// report, a pass, a write and a start.
+/// Time in seconds from the decision to preempt a task until a task of another job starts in its place,
+/// without the time for the checkpoint: stop, report by the agent, scheduling pass, write to the store,
+/// and start.
 const STOP_S: f64 = 2.0;
 
-/// A replica waits for a machine with its image if fetching the image takes this many times as long.
+/// A replica waits for a machine that has its image if fetching the image takes more than this many times as
+/// long as clearing such a machine.
 const MIN_FETCH_FACTOR: f64 = 2.0;
 
-/// Demand ratio of a gang that preempts: as if its demand were the largest, so that the weight favours
-/// machines with much free room.
+/// Demand ratio used to rank machines for a gang that preempts: that of the largest demand, so that the weight
+/// favours machines with much free room.
 const GANG_DEMAND_RATIO: f64 = 1.0;
 
 /// Index of GPUs in `Resources`.
@@ -35,13 +38,14 @@
     pub(crate) kind: JobKind,
     pub(crate) priority: Priority,
     pub(crate) team: u32,
-    /// The job fits into its team's guarantee.
+    /// The job is within its team's guarantee.
     pub(crate) guaranteed: bool,
-    /// It does, and has waited so long that gangs beyond another team's guarantee may be preempted.
+    /// The job is `guaranteed` and has waited so long that gangs beyond another team's guarantee may be
+    /// preempted.
     pub(crate) overdue: bool,
-    /// It is a gang and has waited so long that tasks without checkpoints may be preempted.
+    /// The job is a gang and has waited so long that tasks without checkpoints may be preempted.
     pub(crate) aged: bool,
-    /// It counts as the head of the queue.
+    /// The job counts as the head of the queue.
     pub(crate) at_head: bool,
 }
 
@@ -68,32 +72,35 @@
             || self.has_waited_too_long_for(task)
     }
 
-    /// The task has a lower priority, and writes a checkpoint or makes room for a replica.
+    /// Whether the task may be preempted because its priority is lower. It has to write a checkpoint, unless
+    /// the job is a service. Arrays do not preempt by priority.
     fn outranks(&self, task: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
         let array = self.kind == JobKind::Array;
         task.priority < self.priority && (task.saves || service) && !array
     }
 
-    /// The job is within its team's guarantee and the task beyond that of another team. Single tasks lose
-    /// little and are preempted at once; gangs stop as a whole, so only when nothing else has helped.
+    /// Whether the task may be preempted because the job is within its team's guarantee and the task is beyond
+    /// the guarantee of another team. Tasks that stop alone lose little work and may be preempted at once. A
+    /// gang stops as a whole, so its members may be preempted only when the job is overdue.
     fn is_owed_by(&self, task: &PreemptibleTask<'_>) -> bool {
         let beyond_guarantee = task.beyond_guarantee && task.team != self.team;
         self.guaranteed && beyond_guarantee && (task.stops_alone || self.overdue)
     }
 
-    /// Under a flood of single tasks whole machines never become free by themselves: backfilled tasks of
-    /// the next job take each slot that becomes free. A gang that has waited for long therefore preempts
-    /// tasks that write no checkpoint, too.
+    /// Whether the task may be preempted because the job is a gang that has waited long. While many single
+    /// tasks are queued, backfilling takes each slot that becomes free, so that no machine ever becomes empty.
+    /// Such a gang therefore preempts tasks that write no checkpoint, too.
     fn has_waited_too_long_for(&self, task: &PreemptibleTask<'_>) -> bool {
         self.aged && task.stops_alone && !task.exempt && task.priority < self.priority
     }
 }
 
-/// Finds a task whose machine has the image of a service, and whose preemption lets a replica start in less
-/// than half the time that fetching the image elsewhere takes: the one that started last.
+/// Finds a task to preempt for a replica of a service: its machine has the service's image, and preempting it
+/// takes less than half as long as fetching the image on another machine. Of all such tasks, returns the one
+/// that started last.
 ///
-/// `checkpointing_singles`: tasks that stop alone and write a checkpoint.
+/// `checkpointing_singles` are the preemptible tasks that stop alone and write a checkpoint.
 pub(crate) fn find_image_holder<'t, 'a>(
     entry: &QueueEntry<'_>,
     hosts: &[Host],
@@ -133,14 +140,14 @@
     AlreadyReserved,
     /// No task may be preempted for such a job.
     NoCandidates,
-    /// Candidates have been considered. Tasks are preempted if the job fits without them.
+    /// Candidates were considered. Tasks are preempted if that makes room for the job.
     Considered,
 }
 
-/// Preempts tasks so that a blocked job fits, as far as its `request` permits, and reserves their machines
-/// until the job has started. On each machine the tasks that started last are preempted first.
+/// Preempts tasks to make room for a blocked job, as far as its `request` permits, and reserves their machines
+/// until the job has started. On each machine, the tasks that started last are preempted first.
 ///
-/// `unplaced`: number of the job's tasks that found no machine.
+/// `unplaced` is the number of the job's tasks that found no machine.
 pub(crate) fn preempt(
     entry: &QueueEntry<'_>,
     unplaced: u32,
@@ -181,8 +188,9 @@
     PreemptionOutcome::Considered
 }
 
-/// Number of unplaced tasks beyond those that fit on machines reserved for the job; `None` if there are
-/// none, or if a job that takes one machine at a time has a reserved one.
+/// Number of unplaced tasks that do not fit on the machines reserved for the job. `None` if there are no such
+/// tasks, or if any machine is reserved for a gang or for a job that is not within its team's guarantee: their
+/// preemption in progress has to end first.
 fn tasks_without_reservation(
     entry: &QueueEntry<'_>,
     unplaced: u32,
@@ -198,15 +206,15 @@
         if gang || !request.guaranteed {
             return None;
         }
-        // Only room that is free or becomes free counts, not a reserved machine that the job's own tasks
-        // have filled. When such machines counted, a team's guarantee was restored at the rate of one
-        // machine every twenty seconds.
+        // Only room that is free or becomes free counts, not reserved machines that the job's own tasks
+        // have filled. Counting those would restore a team's guarantee at a rate of only one machine every
+        // 20 seconds.
         tasks = tasks.saturating_sub(slots(&host.free_after_stops(), &entry.requirements.need));
     }
     (tasks > 0).then_some(tasks)
 }
 
-/// Tasks that may be preempted, on machines that are not reserved.
+/// Tasks that may be preempted for the request and run on machines that are not reserved.
 fn preemption_candidates<'t, 'a>(
     request: &PreemptionRequest,
     hosts: &[Host],
@@ -224,8 +232,8 @@
         .collect()
 }
 
-/// The machines as they would be without the `candidates`. Machines that are reserved in this pass accept
-/// no tasks.
+/// Copies of the machines with the resources of the `candidates` released. Machines that are reserved in this
+/// pass are marked as accepting no tasks.
 fn hosts_without(
     candidates: &[&PreemptibleTask<'_>],
     hosts: &[Host],
@@ -241,7 +249,7 @@
     cleared
 }
 
-/// Preempts tasks on a machine, latest start first, until `tasks` of the blocked job fit.
+/// Preempts tasks on a machine, latest start first, until `tasks` tasks of the blocked job fit.
 fn stop_tasks_on(
     host: usize,
     mut free: Resources,
@@ -265,7 +273,7 @@
     }
 }
 
-/// Machines on which all members of a gang fit once they are `cleared`; none if they do not fit.
+/// Machines on which all members of a gang fit once the candidates are preempted; empty if they do not fit.
 fn choose_hosts_for_gang(entry: &QueueEntry<'_>, members: u32, cleared: &[Host]) -> TasksByHost {
     let placed = placement::place_gang(
         cleared,
@@ -283,7 +291,7 @@
     chosen
 }
 
-/// At most `max_hosts` machines for tasks that start one by one, once the machines are `cleared`.
+/// At most `max_hosts` machines for tasks that are placed one by one once the candidates are preempted.
 fn choose_hosts_one_by_one(
     entry: &QueueEntry<'_>,
     tasks: u32,
@@ -309,7 +317,7 @@
         if !zones.allow(cleared[host].zone) {
             continue;
         }
-        // An array uses as much of a machine as it can; replicas are kept apart.
+        // An array fills the machine; the replicas of a service are kept on different machines.
         let max_on_host = if array { left } else { 1 };
         let on_host = slots(&cleared[host].free, &need).min(max_on_host);
         zones.occupy(cleared[host].zone);
@@ -319,8 +327,8 @@
     chosen
 }
 
-/// Machines that accept a task once they are `cleared`: those on which the fewest GPUs have to be cleared
-/// first, and among equals those with the image.
+/// Machines that accept a task once the candidates are preempted, cheapest first: by the number of GPUs that
+/// preemption releases, then machines that have the image before those that do not.
 fn rank_by_cost(entry: &QueueEntry<'_>, hosts: &[Host], cleared: &[Host]) -> Vec<usize> {
     let requirements = &entry.requirements;
     let cost = |host: usize| {
