--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -50,7 +50,7 @@
     hosts: &'p mut CapacityIndex,
     preemptible: &'p [PreemptibleTask<'a>],
     /// Preemptible tasks that stop alone and write a checkpoint.
-    checkpointing_singles: Vec<&'p PreemptibleTask<'a>>,
+    independent_checkpointing_tasks: Vec<&'p PreemptibleTask<'a>>,
     quotas: &'p mut QuotaTracker,
     /// Resources of an empty machine of the cluster. Demands are expressed in multiples of this machine.
     typical_host: Resources,
@@ -79,7 +79,7 @@
     quotas: &mut QuotaTracker,
     largest_demand: f64,
 ) -> SchedulingPlan<'a> {
-    let checkpointing_singles = preemptible
+    let independent_checkpointing_tasks = preemptible
         .iter()
         .filter(|task| task.stops_alone && task.saves)
         .collect();
@@ -89,7 +89,7 @@
         typical_host: hosts.first().map_or([1.0; 3], |host| host.total),
         hosts,
         preemptible,
-        checkpointing_singles,
+        independent_checkpointing_tasks,
         quotas,
         largest_demand: largest_demand.max(MIN_LARGEST_DEMAND),
         preemption_attempts_left: MAX_PREEMPTION_ATTEMPTS,
@@ -123,11 +123,12 @@
         }
     }
 
-    /// The queue entry of a job. The entry of a pending job is built by this call and stored in `built`.
+    /// The queue entry of a job. The entry of a pending job is built by this call and stored in
+    /// `pending_entry`.
     fn entry<'e>(
         &self,
         candidate: QueueCandidate<'a>,
-        built: &'e mut Option<QueueEntry<'a>>,
+        pending_entry: &'e mut Option<QueueEntry<'a>>,
     ) -> Option<&'e QueueEntry<'a>>
     where
         'p: 'e,
@@ -135,8 +136,8 @@
         match candidate {
             QueueCandidate::Active(index) => Some(&self.active[index]),
             QueueCandidate::Pending(summary) => {
-                *built = self.pending.queue_entry(summary);
-                built.as_ref()
+                *pending_entry = self.pending.queue_entry(summary);
+                pending_entry.as_ref()
             }
         }
     }
--- a/src/scheduling/backfill/preempt.rs
+++ b/src/scheduling/backfill/preempt.rs
@@ -44,8 +44,8 @@
         if self.refused_requests.contains(&request) {
             return;
         }
-        let mut built = None;
-        let Some(entry) = self.entry(blocked.candidate, &mut built) else {
+        let mut pending_entry = None;
+        let Some(entry) = self.entry(blocked.candidate, &mut pending_entry) else {
             return;
         };
         let outcome = preempt(
--- a/src/scheduling/backfill/preemptible_task.rs
+++ b/src/scheduling/backfill/preemptible_task.rs
@@ -6,7 +6,7 @@
 
 /// The tasks of a job class are exempt from preemption for long-waiting gangs while the class uses at most
 /// this share of the cluster.
-const EXEMPT_CLASS_SHARE: f64 = 0.1;
+const MAX_EXEMPT_CLASS_SHARE: f64 = 0.1;
 
 /// A running task that may be preempted.
 #[derive(Debug, Clone, PartialEq)]
@@ -42,12 +42,12 @@
     pub exempt: bool,
 }
 
-/// Sets `exempt` on the tasks of classes that use at most `EXEMPT_CLASS_SHARE` of the cluster.
+/// Sets `exempt` on the tasks of classes that use at most `MAX_EXEMPT_CLASS_SHARE` of the cluster.
 ///
 /// `class_shares` holds, by class, the sum of the dominant shares of its tasks in the whole cluster.
 pub fn mark_exempt_tasks(tasks: &mut [PreemptibleTask<'_>], class_shares: &HashMap<u32, f64>) {
     for task in tasks {
         let share = class_shares.get(&task.class);
-        task.exempt = share.is_none_or(|share| *share <= EXEMPT_CLASS_SHARE);
+        task.exempt = share.is_none_or(|share| *share <= MAX_EXEMPT_CLASS_SHARE);
     }
 }
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -40,18 +40,19 @@
         };
         let pending = [service, other].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
-            Recovery::is_urgent(entry) || pending.is_none_or(|first| entry.position() < first)
+            Recovery::is_urgent(entry)
+                || pending.is_none_or(|pending_position| entry.position() < pending_position)
         };
         if let Some((index, entry)) = self.active.next_if(active_is_next) {
             return Some((QueueCandidate::Active(index), entry.position()));
         }
         let position = pending?;
-        let row = if Some(position) == service {
+        let next = if Some(position) == service {
             self.services.next()
         } else {
             self.others.next()
         };
-        row.map(|(position, summary)| (QueueCandidate::Pending(summary), position))
+        next.map(|(position, summary)| (QueueCandidate::Pending(summary), position))
     }
 }
 
@@ -141,9 +142,9 @@
     /// shortest first.
     fn walk_backfill(&mut self, blockage: Blockage<'a>) {
         let mut order = backfill_order(self.active, self.pending, blockage);
-        let mut head_found = false;
+        let mut starved_gang_found = false;
         while !self.is_full() {
-            let Some((candidate, rank)) = order.next() else {
+            let Some((candidate, sort_key)) = order.next() else {
                 break;
             };
             let unplaced = self.start_candidate(candidate, true);
@@ -153,12 +154,12 @@
             self.record_unmet_demand(candidate, unplaced);
             // The first starved gang counts as the head of the queue, too: otherwise no gang would ever do
             // so behind a job that never fits as a whole, such as an array larger than the cluster.
-            let starved_gang = rank.starved && self.kind_of(candidate) == JobKind::Gang;
-            let at_head = starved_gang && !head_found;
-            head_found |= at_head;
+            let starved_gang = sort_key.starved && self.kind_of(candidate) == JobKind::Gang;
+            let at_head = starved_gang && !starved_gang_found;
+            starved_gang_found |= at_head;
             self.preempt_for(&BlockedJob {
                 candidate,
-                position: rank.at,
+                position: sort_key.at,
                 unplaced,
                 at_head,
                 backfilling: true,
@@ -207,12 +208,12 @@
         let right = active[*right].backfill_order();
         active[*left].backfill_order().compare(&right)
     });
-    let behind = pending
+    let pending_behind = pending
         .in_backfill_order()
         .filter(move |(order, _)| order.at > position);
     BackfillMerge {
         active,
         deferred: deferred.into_iter().peekable(),
-        pending: behind.peekable(),
+        pending: pending_behind.peekable(),
     }
 }
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -7,7 +7,7 @@
 };
 use crate::scheduling::job_queue::JobSummary;
 use crate::scheduling::placement::{self, Host, HostPicker, ZoneLimits, slots};
-use crate::scheduling::preemption::find_image_holder;
+use crate::scheduling::preemption::find_victim_with_image;
 
 /// Upper limit of the number of tasks of a pending job that one pass starts.
 pub fn max_startable_tasks(gang: bool, summary: &JobSummary) -> u32 {
@@ -49,9 +49,9 @@
             return 0;
         }
         // The tasks of arrays and services are placed one by one, so room for a single task suffices.
-        let at_once = if gang { requested } else { 1 };
+        let min_tasks = if gang { requested } else { 1 };
         let infeasible = &mut self.infeasible[profile.feasibility_class as usize];
-        let mut no_room = infeasible.covers(&summary.need, at_once);
+        let mut no_room = infeasible.covers(&summary.need, min_tasks);
         if !no_room && !self.hosts.has_room(&summary.need, &profile.allow) {
             infeasible.add(&summary.need, 1);
             no_room = true;
@@ -86,7 +86,11 @@
             return self.start_wide_array(candidate, entry, permitted, backfilled);
         }
         if entry.spec.kind != JobKind::Gang {
-            return self.start_each(entry, &entry.tasks[..permitted as usize], backfilled);
+            return self.start_tasks_one_by_one(
+                entry,
+                &entry.tasks[..permitted as usize],
+                backfilled,
+            );
         }
         if permitted < requested {
             return 0;
@@ -118,7 +122,7 @@
     }
 
     /// Starts tasks one by one. Returns the number of tasks that found no machine.
-    pub(super) fn start_each(
+    pub(super) fn start_tasks_one_by_one(
         &mut self,
         entry: &QueueEntry<'_>,
         tasks: &[u32],
@@ -127,7 +131,12 @@
         let requirements = &entry.requirements;
         let service = entry.spec.kind == JobKind::Service;
         let mut zones = entry.zone_limits();
-        let runs_on = |host: usize| entry.present.iter().any(|(_, at)| *at == Some(host));
+        let runs_on = |host: usize| {
+            entry
+                .present
+                .iter()
+                .any(|(_, host_index)| *host_index == Some(host))
+        };
         let candidates = self.candidates(entry);
         let mut picker = HostPicker::new(
             self.hosts,
@@ -145,7 +154,7 @@
             };
             if service
                 && !self.hosts[host].has_image(requirements.image)
-                && self.waits_for_image_holder(entry, &mut zones, &mut hosts_being_cleared)
+                && self.waits_for_host_with_image(entry, &mut zones, &mut hosts_being_cleared)
             {
                 picker.put_back(self.hosts, host);
                 continue;
@@ -162,7 +171,7 @@
     ///
     /// `hosts_being_cleared` is the number of machines that are being cleared for further replicas of the
     /// service. It is computed on the first call and decreases with each replica that waits.
-    fn waits_for_image_holder(
+    fn waits_for_host_with_image(
         &mut self,
         entry: &QueueEntry<'_>,
         zones: &mut ZoneLimits,
@@ -174,7 +183,12 @@
             *being_cleared -= 1;
             return true;
         }
-        let victim = find_image_holder(entry, self.hosts, &self.checkpointing_singles, zones);
+        let victim = find_victim_with_image(
+            entry,
+            self.hosts,
+            &self.independent_checkpointing_tasks,
+            zones,
+        );
         let Some(victim) = victim else {
             return false;
         };
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -122,22 +122,22 @@
     };
     // The first machine has room but not the image; the second has the image but no room.
     let hosts = || [host(4.0, &[]), host(0.0, &[IMAGE])];
-    let low = [preemptible(Priority::Low)];
-    let plan = run(entry(&service, 20.0), &hosts(), &low);
+    let low_priority = [preemptible(Priority::Low)];
+    let plan = run(entry(&service, 20.0), &hosts(), &low_priority);
     assert_eq!(plan.preemptions, [("req-1".to_string(), 3)]);
     assert_eq!(plan.reservations, [(1, "req-2".to_string())]);
     assert!(plan.placements.is_empty() && plan.unmet_demands.is_empty());
     // While the preempted task writes its checkpoint, no other task is preempted and the replica waits.
-    let mut clearing = hosts();
-    clearing[1].reserved = Some("req-2".into());
-    clearing[1].leaving = [1.0; 3];
-    let plan = run(entry(&service, 20.0), &clearing, &low);
+    let mut cleared_hosts = hosts();
+    cleared_hosts[1].reserved = Some("req-2".into());
+    cleared_hosts[1].leaving = [1.0; 3];
+    let plan = run(entry(&service, 20.0), &cleared_hosts, &low_priority);
     assert!(
         plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
     );
     // Once the preempted task has ended, the replica starts on its machine.
-    clearing[1].free = [1.0; 3];
-    let plan = run(entry(&service, 20.0), &clearing, &[]);
+    cleared_hosts[1].free = [1.0; 3];
+    let plan = run(entry(&service, 20.0), &cleared_hosts, &[]);
     assert_eq!(plan.placements[0].host, 1);
     // No task is preempted if the fetch is short, or if the running task has the same priority.
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
@@ -187,7 +187,7 @@
         host(0.0, &[]),
         host(0.0, &[]),
     ];
-    let guests: Vec<PreemptibleTask<'_>> = (0..16)
+    let beyond_guarantee: Vec<PreemptibleTask<'_>> = (0..16)
         .map(|number| PreemptibleTask {
             task: number as u32,
             host: number % 4,
@@ -197,10 +197,10 @@
             ..preemptible(Priority::Low)
         })
         .collect();
-    let plan = run(waiting(6, true), &hosts, &guests);
+    let plan = run(waiting(6, true), &hosts, &beyond_guarantee);
     assert_eq!((plan.preemptions.len(), plan.reservations.len()), (6, 2));
     assert!(
-        run(waiting(6, false), &hosts, &guests)
+        run(waiting(6, false), &hosts, &beyond_guarantee)
             .preemptions
             .is_empty()
     );
@@ -208,7 +208,7 @@
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
     hosts[1].leaving = [2.0; 3];
-    let plan = run(waiting(6, true), &hosts, &guests);
+    let plan = run(waiting(6, true), &hosts, &beyond_guarantee);
     assert_eq!((plan.preemptions.len(), plan.reservations.len()), (4, 1));
 }
 
@@ -227,25 +227,28 @@
         aged,
         ..entry(&gang, 1.0)
     };
-    let stops = |entry, task: &PreemptibleTask<'static>| {
+    let preemptions_for = |entry, task: &PreemptibleTask<'static>| {
         run(entry, &full, std::slice::from_ref(task)).preemptions
     };
-    assert!(stops(waiting(false), &array).is_empty());
-    assert_eq!(stops(waiting(true), &array), [("req-1".to_string(), 3)]);
+    assert!(preemptions_for(waiting(false), &array).is_empty());
+    assert_eq!(
+        preemptions_for(waiting(true), &array),
+        [("req-1".to_string(), 3)]
+    );
     // Tasks of an exempt class, tasks of the same priority and members of a gang are not preempted.
     let exempt = PreemptibleTask {
         exempt: true,
         ..array.clone()
     };
-    let equal = PreemptibleTask {
+    let same_priority = PreemptibleTask {
         priority: Priority::High,
         ..array.clone()
     };
-    let member = PreemptibleTask {
+    let gang_member = PreemptibleTask {
         stops_alone: false,
         ..array.clone()
     };
-    for task in [exempt, equal, member] {
-        assert!(stops(waiting(true), &task).is_empty());
+    for task in [exempt, same_priority, gang_member] {
+        assert!(preemptions_for(waiting(true), &task).is_empty());
     }
 }
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -52,7 +52,8 @@
     ) -> u32 {
         let room = self.wide_array_room(entry);
         let first = permitted.min(self.wide_array_budget).min(room.first_share);
-        let unplaced = self.start_each(entry, &entry.tasks[..first as usize], backfilled);
+        let unplaced =
+            self.start_tasks_one_by_one(entry, &entry.tasks[..first as usize], backfilled);
         let started = first - unplaced;
         self.wide_array_budget -= started;
         self.deferred_wide_arrays.push(DeferredWideArray {
@@ -75,26 +76,32 @@
             .into_iter()
             .map(|host| slots(&self.hosts[host].free, need))
             .sum();
-        let at_least = u32::from(entry.present.is_empty()).min(free);
+        let min_share = u32::from(entry.present.is_empty()).min(free);
         WideArrayRoom {
             free,
-            first_share: (free / 2).max(at_least),
+            first_share: (free / 2).max(min_share),
         }
     }
 
     /// Continues with wide arrays after all other jobs have been considered.
     pub(super) fn continue_wide_arrays(&mut self) {
         for deferred in std::mem::take(&mut self.deferred_wide_arrays) {
-            let mut built = None;
-            let Some(entry) = self.entry(deferred.candidate, &mut built) else {
+            let mut pending_entry = None;
+            let Some(entry) = self.entry(deferred.candidate, &mut pending_entry) else {
                 continue;
             };
-            let rest = &entry.tasks[deferred.started as usize..];
+            let remaining_tasks = &entry.tasks[deferred.started as usize..];
             let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
             let placed = self.plan.placements.len();
-            let left_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
-            let tasks = permitted.min(left_in_pass).min(rest.len() as u32);
-            self.start_each(entry, &rest[..tasks as usize], deferred.backfilled);
+            let remaining_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
+            let tasks = permitted
+                .min(remaining_in_pass)
+                .min(remaining_tasks.len() as u32);
+            self.start_tasks_one_by_one(
+                entry,
+                &remaining_tasks[..tasks as usize],
+                deferred.backfilled,
+            );
         }
     }
 }
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -12,13 +12,14 @@
 use std::ops::Deref;
 
 /// Number of levels into which the free room of a machine is divided.
-const LEVELS: f64 = 64.0;
+const CAPACITY_LEVELS: f64 = 64.0;
 
 /// Tolerance added to free room before it is rounded down to a level. It is well above the
 /// `RESOURCE_TOLERANCE` of `placement::slots`, so that the index misses no machine that accepts a task.
-const TOLERANCE: f64 = 1e-5;
+const LEVEL_TOLERANCE: f64 = 1e-5;
 
-/// Free room of each of the three resources, in units of 1/`LEVELS` of an empty machine of the bucket.
+/// Free room of each of the three resources, in units of 1/`CAPACITY_LEVELS` of an empty machine of the
+/// bucket.
 type CapacityLevel = [u8; 3];
 
 /// Level of an amount of room on a machine of size `total`, rounded down.
@@ -28,7 +29,7 @@
             return 0;
         }
         let share = (room[resource] + tolerance) / total[resource];
-        (share * LEVELS).floor().clamp(0.0, u8::MAX as f64) as u8
+        (share * CAPACITY_LEVELS).floor().clamp(0.0, u8::MAX as f64) as u8
     })
 }
 
@@ -62,11 +63,11 @@
 
     /// Machines whose level may have room for `need`, in ascending order of levels.
     fn with_room(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
-        let least = level(&self.total, need, 0.0);
+        let min_level = level(&self.total, need, 0.0);
         // The map is ordered by the first resource, so levels with less of it are skipped.
         self.levels
-            .range([least[0], 0, 0]..)
-            .filter(move |(level, _)| level[1] >= least[1] && level[2] >= least[2])
+            .range([min_level[0], 0, 0]..)
+            .filter(move |(level, _)| level[1] >= min_level[1] && level[2] >= min_level[2])
             .flat_map(|(_, hosts)| hosts.iter().map(|host| *host as usize))
     }
 }
@@ -145,15 +146,15 @@
         constraints: &PlacementConstraints,
         tasks: u32,
     ) -> Vec<usize> {
-        let mut left = tasks;
+        let mut remaining = tasks;
         let mut found = Vec::new();
         let buckets = self.permitted_buckets(constraints);
         for host in buckets.flat_map(|bucket| bucket.with_room(need).rev()) {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             if accepts_task(&self.hosts[host], "", need, constraints) {
-                left = left.saturating_sub(slots(&self.hosts[host].free, need));
+                remaining = remaining.saturating_sub(slots(&self.hosts[host].free, need));
                 found.push(host);
             }
         }
@@ -196,7 +197,7 @@
     fn reindex(&mut self, index: usize) {
         let host = &self.hosts[index];
         let open = host.open;
-        let level = level(&host.total, &host.free, TOLERANCE);
+        let level = level(&host.total, &host.free, LEVEL_TOLERANCE);
         if let Some(position) = self.positions[index] {
             if open && position.level == level {
                 return;
@@ -228,10 +229,10 @@
             return;
         };
         hosts.swap_remove(position.index as usize);
-        if let Some(moved) = hosts.get(position.index as usize)
-            && let Some(moved) = &mut self.positions[*moved as usize]
+        if let Some(moved_host) = hosts.get(position.index as usize)
+            && let Some(moved_position) = &mut self.positions[*moved_host as usize]
         {
-            moved.index = position.index;
+            moved_position.index = position.index;
         }
         if hosts.is_empty() {
             levels.remove(&position.level);
@@ -241,8 +242,8 @@
     /// The bucket of a machine, which is added if it is new.
     fn bucket_of(&mut self, index: usize) -> usize {
         let host = &self.hosts[index];
-        let known = self.buckets.iter().position(|bucket| bucket.contains(host));
-        known.unwrap_or_else(|| {
+        let existing = self.buckets.iter().position(|bucket| bucket.contains(host));
+        existing.unwrap_or_else(|| {
             self.buckets.push(HostBucket::of(host));
             self.buckets.len() - 1
         })
--- a/src/scheduling/capacity_index/infeasible_requests.rs
+++ b/src/scheduling/capacity_index/infeasible_requests.rs
@@ -30,9 +30,9 @@
 impl InfeasibleRequests {
     /// Whether the recorded requests imply that `tasks` tasks with these needs find no room.
     pub fn covers(&self, need: &Resources, tasks: u32) -> bool {
-        let asked = Request { need: *need, tasks };
+        let queried = Request { need: *need, tasks };
         let mut requests = self.requests.iter();
-        requests.any(|request| request.is_contained_in(&asked))
+        requests.any(|request| request.is_contained_in(&queried))
     }
 
     /// Records that `tasks` tasks with these needs found no room.
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -37,11 +37,11 @@
         },
     };
     let one_zone_suffices = search.max_per_zone == members;
-    if one_zone_suffices && let Some(host) = search.one_host() {
+    if one_zone_suffices && let Some(host) = search.host_for_all_members() {
         return Some(vec![host; members as usize]);
     }
     let zones = search.zones();
-    if one_zone_suffices && let Some(found) = search.in_one_zone(&zones) {
+    if one_zone_suffices && let Some(found) = search.place_in_one_zone(&zones) {
         return Some(found);
     }
     if spec.one_zone {
@@ -73,7 +73,7 @@
     }
 
     /// The best machine with room for all members.
-    fn one_host(&self) -> Option<usize> {
+    fn host_for_all_members(&self) -> Option<usize> {
         let mut ranked = self.ranked.iter();
         let score = ranked.find(|score| self.slots_on(score) >= self.members)?;
         Some(score.host)
@@ -83,15 +83,15 @@
     /// id, because ids in the `NameTable` differ between leaders.
     fn zones(&self) -> Vec<u32> {
         let zone_of = |score: &HostScore| self.hosts[score.host].zone;
-        let mut ranked: Vec<u32> = self.ranked.iter().map(zone_of).collect();
-        ranked.sort_unstable();
-        ranked.dedup();
-        let mut ordered: Vec<u32> = Vec::with_capacity(ranked.len());
+        let mut zone_ids: Vec<u32> = self.ranked.iter().map(zone_of).collect();
+        zone_ids.sort_unstable();
+        zone_ids.dedup();
+        let mut ordered: Vec<u32> = Vec::with_capacity(zone_ids.len());
         for host in self.hosts {
-            if ordered.len() == ranked.len() {
+            if ordered.len() == zone_ids.len() {
                 break;
             }
-            if ranked.contains(&host.zone) && !ordered.contains(&host.zone) {
+            if zone_ids.contains(&host.zone) && !ordered.contains(&host.zone) {
                 ordered.push(host.zone);
             }
         }
@@ -100,16 +100,16 @@
 
     /// Places all members in one zone. A gang starts when the slowest image fetch has ended, so this chooses
     /// the zone in which the fewest members have to fetch the image; among equals the first.
-    fn in_one_zone(&self, zones: &[u32]) -> Option<Vec<usize>> {
-        let fetches = |found: &Vec<usize>| {
+    fn place_in_one_zone(&self, zones: &[u32]) -> Option<Vec<usize>> {
+        let fetch_count = |found: &Vec<usize>| {
             let image = self.requirements.image;
-            let fetches = |host: &&usize| !self.hosts[**host].has_image(image);
-            found.iter().filter(fetches).count()
+            let fetches_image = |host: &&usize| !self.hosts[**host].has_image(image);
+            found.iter().filter(fetches_image).count()
         };
         zones
             .iter()
             .filter_map(|zone| self.fill(std::slice::from_ref(zone)))
-            .min_by_key(fetches)
+            .min_by_key(fetch_count)
     }
 
     /// Places all members in these zones, best machines first.
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -11,12 +11,12 @@
 
 /// For other jobs, tasks are preempted on one machine at a time, because preempted tasks may have to start
 /// from scratch.
-const MAX_HOSTS_BEYOND_GUARANTEE: usize = 1;
+const MAX_HOSTS_WITHOUT_GUARANTEE: usize = 1;
 
 /// Time in seconds from the decision to preempt a task until a task of another job starts in its place,
 /// without the time for the checkpoint: stop, report by the agent, scheduling pass, write to the store,
 /// and start.
-const STOP_S: f64 = 2.0;
+const PREEMPTION_OVERHEAD_S: f64 = 2.0;
 
 /// A replica waits for a machine that has its image if fetching the image takes more than this many times as
 /// long as clearing such a machine.
@@ -67,14 +67,14 @@
     fn may_preempt(&self, task: &PreemptibleTask<'_>) -> bool {
         let backfilled = self.at_head && self.kind == JobKind::Gang && task.backfilled;
         backfilled
-            || self.outranks(task)
-            || self.is_owed_by(task)
-            || self.has_waited_too_long_for(task)
+            || self.may_preempt_by_priority(task)
+            || self.may_preempt_by_guarantee(task)
+            || self.may_preempt_by_age(task)
     }
 
     /// Whether the task may be preempted because its priority is lower. It has to write a checkpoint, unless
     /// the job is a service. Arrays do not preempt by priority.
-    fn outranks(&self, task: &PreemptibleTask<'_>) -> bool {
+    fn may_preempt_by_priority(&self, task: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
         let array = self.kind == JobKind::Array;
         task.priority < self.priority && (task.saves || service) && !array
@@ -83,7 +83,7 @@
     /// Whether the task may be preempted because the job is within its team's guarantee and the task is beyond
     /// the guarantee of another team. Tasks that stop alone lose little work and may be preempted at once. A
     /// gang stops as a whole, so its members may be preempted only when the job is overdue.
-    fn is_owed_by(&self, task: &PreemptibleTask<'_>) -> bool {
+    fn may_preempt_by_guarantee(&self, task: &PreemptibleTask<'_>) -> bool {
         let beyond_guarantee = task.beyond_guarantee && task.team != self.team;
         self.guaranteed && beyond_guarantee && (task.stops_alone || self.overdue)
     }
@@ -91,7 +91,7 @@
     /// Whether the task may be preempted because the job is a gang that has waited long. While many single
     /// tasks are queued, backfilling takes each slot that becomes free, so that no machine ever becomes empty.
     /// Such a gang therefore preempts tasks that write no checkpoint, too.
-    fn has_waited_too_long_for(&self, task: &PreemptibleTask<'_>) -> bool {
+    fn may_preempt_by_age(&self, task: &PreemptibleTask<'_>) -> bool {
         self.aged && task.stops_alone && !task.exempt && task.priority < self.priority
     }
 }
@@ -100,11 +100,11 @@
 /// takes less than half as long as fetching the image on another machine. Of all such tasks, returns the one
 /// that started last.
 ///
-/// `checkpointing_singles` are the preemptible tasks that stop alone and write a checkpoint.
-pub(crate) fn find_image_holder<'t, 'a>(
+/// `independent_checkpointing_tasks` are the preemptible tasks that stop alone and write a checkpoint.
+pub(crate) fn find_victim_with_image<'t, 'a>(
     entry: &QueueEntry<'_>,
     hosts: &[Host],
-    checkpointing_singles: &[&'t PreemptibleTask<'a>],
+    independent_checkpointing_tasks: &[&'t PreemptibleTask<'a>],
     zones: &ZoneLimits,
 ) -> Option<&'t PreemptibleTask<'a>> {
     let requirements = &entry.requirements;
@@ -115,9 +115,9 @@
             placement::add_resources(&mut free, &task.need);
             free
         };
-        let runs_here = |(_, at): &(u32, Option<usize>)| *at == Some(task.host);
+        let runs_here = |(_, host_index): &(u32, Option<usize>)| *host_index == Some(task.host);
         task.priority < entry.priority
-            && entry.fetch_s > MIN_FETCH_FACTOR * (task.save_s + STOP_S)
+            && entry.fetch_s > MIN_FETCH_FACTOR * (task.save_s + PREEMPTION_OVERHEAD_S)
             && host.open
             && host.reserved.is_none()
             && host.has_image(requirements.image)
@@ -127,7 +127,7 @@
             && !entry.present.iter().any(runs_here)
             && zones.allow(host.zone)
     };
-    checkpointing_singles
+    independent_checkpointing_tasks
         .iter()
         .copied()
         .filter(suitable)
@@ -170,12 +170,12 @@
         let max_hosts = if request.guaranteed {
             MAX_HOSTS_FOR_GUARANTEE
         } else {
-            MAX_HOSTS_BEYOND_GUARANTEE
+            MAX_HOSTS_WITHOUT_GUARANTEE
         };
         choose_hosts_one_by_one(entry, tasks, max_hosts, hosts, &cleared)
     };
     for (host, tasks) in chosen {
-        stop_tasks_on(
+        preempt_tasks_on(
             host,
             hosts[host].free,
             &entry.requirements.need,
@@ -250,7 +250,7 @@
 }
 
 /// Preempts tasks on a machine, latest start first, until `tasks` tasks of the blocked job fit.
-fn stop_tasks_on(
+fn preempt_tasks_on(
     host: usize,
     mut free: Resources,
     need: &Resources,
@@ -258,13 +258,13 @@
     candidates: &[&PreemptibleTask<'_>],
     plan: &mut SchedulingPlan<'_>,
 ) {
-    let mut here: Vec<&PreemptibleTask<'_>> = candidates
+    let mut on_host: Vec<&PreemptibleTask<'_>> = candidates
         .iter()
         .copied()
         .filter(|task| task.host == host)
         .collect();
-    here.sort_by_key(|task| Reverse(task.start_order));
-    for task in here {
+    on_host.sort_by_key(|task| Reverse(task.start_order));
+    for task in on_host {
         if slots(&free, need) >= tasks {
             break;
         }
@@ -308,21 +308,21 @@
     for host in hosts.iter().filter(reserved_with_room) {
         zones.occupy(host.zone);
     }
-    let mut left = tasks;
+    let mut remaining = tasks;
     let mut chosen = TasksByHost::new();
     for host in rank_by_cost(entry, hosts, cleared) {
-        if left == 0 || chosen.len() >= max_hosts {
+        if remaining == 0 || chosen.len() >= max_hosts {
             break;
         }
         if !zones.allow(cleared[host].zone) {
             continue;
         }
         // An array fills the machine; the replicas of a service are kept on different machines.
-        let max_on_host = if array { left } else { 1 };
-        let on_host = slots(&cleared[host].free, &need).min(max_on_host);
+        let max_tasks_on_host = if array { remaining } else { 1 };
+        let tasks_on_host = slots(&cleared[host].free, &need).min(max_tasks_on_host);
         zones.occupy(cleared[host].zone);
-        chosen.insert(host, on_host);
-        left -= on_host;
+        chosen.insert(host, tasks_on_host);
+        remaining -= tasks_on_host;
     }
     chosen
 }
