--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -71,10 +71,10 @@
     pub(super) fn task_requirements(&self) -> TaskRequirements {
         TaskRequirements {
             need: *self.need,
-            allow: self.allow.clone(),
-            saves: false,
+            constraints: self.allow.clone(),
+            writes_checkpoints: false,
             image: NO_IMAGE,
-            avoid: Vec::new(),
+            avoided_hosts: Vec::new(),
         }
     }
 }
--- a/src/cloud/provisioning.rs
+++ b/src/cloud/provisioning.rs
@@ -69,7 +69,7 @@
         return tasks;
     };
     for host in placed {
-        hosts.take(host, demand.need);
+        hosts.allocate(host, demand.need);
     }
     0
 }
@@ -85,7 +85,7 @@
     for host in candidates {
         let placed = slots(&hosts[host].free, demand.need).min(unplaced);
         let taken = demand.need.map(|amount| amount * f64::from(placed));
-        hosts.take(host, &taken);
+        hosts.allocate(host, &taken);
         unplaced -= placed;
         if unplaced == 0 {
             break;
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -36,13 +36,13 @@
             break;
         }
         let requested_before = planner.requested;
-        let job = || source.job(demand.of).map(|(_, job)| job);
-        planner.cover(&source.need(demand.of), demand.tasks, job);
+        let job = || source.job(demand.candidate).map(|(_, job)| job);
+        planner.cover(&source.need(demand.candidate), demand.tasks, job);
         let requested = planner.requested - requested_before;
         if requested > 0 {
             log::debug!(
                 "scale out job={} tasks={} machines={requested}",
-                source.job(demand.of).map_or("", |(id, _)| id),
+                source.job(demand.candidate).map_or("", |(id, _)| id),
                 demand.tasks,
             );
         }
@@ -131,15 +131,15 @@
         };
         let total = capacity(machine_type);
         self.capacity.add(Host {
-            kind: self.names.find(kind).unwrap_or(NO_NAME),
+            machine_type: self.names.find(kind).unwrap_or(NO_NAME),
             zone: self.names.find(zone).unwrap_or(NO_NAME),
             spot,
             agent_epoch: 0,
             total,
             free: total,
-            open: true,
+            schedulable: true,
             images: Arc::default(),
-            leaving: NO_RESOURCES,
+            stopping: NO_RESOURCES,
             reserved: None,
         });
     }
@@ -150,7 +150,7 @@
             return;
         };
         let mut host = self.snapshot.rooms[index].clone();
-        host.open = true;
+        host.schedulable = true;
         host.reserved = None;
         self.capacity.add(host);
     }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -81,7 +81,7 @@
 ) -> SchedulingPlan<'a> {
     let independent_checkpointing_tasks = preemptible
         .iter()
-        .filter(|task| task.stops_alone && task.saves)
+        .filter(|task| task.stops_alone && task.writes_checkpoints)
         .collect();
     let mut pass = SchedulingPass {
         active,
--- a/src/scheduling/backfill/plan.rs
+++ b/src/scheduling/backfill/plan.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UnmetDemand<'a> {
     /// The job whose tasks found no machine.
-    pub of: QueueCandidate<'a>,
+    pub candidate: QueueCandidate<'a>,
     /// Number of tasks that found no machine.
     pub tasks: u32,
 }
--- a/src/scheduling/backfill/preemptible_task.rs
+++ b/src/scheduling/backfill/preemptible_task.rs
@@ -26,7 +26,7 @@
     /// Highest priority of the task's job and of the jobs that depend on it.
     pub priority: Priority,
     /// The task writes a checkpoint when it is stopped, so that little work is lost.
-    pub saves: bool,
+    pub writes_checkpoints: bool,
     /// Time that the checkpoint takes, in seconds.
     pub save_s: f64,
     /// Team, as an id of the `NameTable`.
--- a/src/scheduling/backfill/queue_entry.rs
+++ b/src/scheduling/backfill/queue_entry.rs
@@ -11,7 +11,7 @@
     /// Job id.
     pub id: &'a str,
     /// Time of day at which the job was accepted.
-    pub at: Micros,
+    pub accepted_at: Micros,
     /// The submitted specification of the job.
     pub spec: &'a JobSpec,
     /// Resources and constraints of one task.
@@ -27,7 +27,7 @@
     pub tasks: Vec<u32>,
     /// Locations of the tasks that are presumed to run: the zone, and the index of the machine if it takes
     /// part in the pass.
-    pub present: Vec<(u32, Option<usize>)>,
+    pub task_locations: Vec<(u32, Option<usize>)>,
     /// Time that a machine takes to fetch the image, in seconds.
     pub fetch_s: f64,
     /// Estimated run time in seconds, corrected by observed run times.
@@ -47,12 +47,12 @@
 impl<'a> QueueEntry<'a> {
     /// Position of the job in the queue.
     pub(super) fn position(&self) -> QueuePosition<'a> {
-        (self.at, self.id)
+        (self.accepted_at, self.id)
     }
 
     /// Zones in which further tasks may be placed.
     pub(crate) fn zone_limits(&self) -> ZoneLimits {
-        let occupied = self.present.iter().map(|(zone, _)| *zone).collect();
+        let occupied = self.task_locations.iter().map(|(zone, _)| *zone).collect();
         ZoneLimits::new(self.spec, occupied)
     }
 
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -169,10 +169,7 @@
 
     /// Adds the number of tasks that found no machine to the plan.
     fn record_unmet_demand(&mut self, candidate: QueueCandidate<'a>, tasks: u32) {
-        let demand = UnmetDemand {
-            of: candidate,
-            tasks,
-        };
+        let demand = UnmetDemand { candidate, tasks };
         self.plan.unmet_demands.push(demand);
     }
 }
--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -133,7 +133,7 @@
         let mut zones = entry.zone_limits();
         let runs_on = |host: usize| {
             entry
-                .present
+                .task_locations
                 .iter()
                 .any(|(_, host_index)| *host_index == Some(host))
         };
@@ -218,13 +218,13 @@
     pub(super) fn candidates(&self, entry: &QueueEntry<'_>) -> Vec<usize> {
         let requirements = &entry.requirements;
         self.hosts
-            .candidates(entry.id, &requirements.need, &requirements.allow)
+            .candidates(entry.id, &requirements.need, &requirements.constraints)
     }
 
     /// Starts one task on a machine.
     fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
         let requirements = &entry.requirements;
-        self.hosts.take(host, &requirements.need);
+        self.hosts.allocate(host, &requirements.need);
         self.quotas.take(entry.team, &requirements.need);
         self.hosts.add_image(host, requirements.image);
         self.plan.placements.push(TaskPlacement {
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -13,15 +13,15 @@
 
 fn host(free: f64, images: &[u32]) -> Host {
     Host {
-        kind: 1,
+        machine_type: 1,
         zone: 2,
         spot: false,
         agent_epoch: 1,
         total: [4.0; 3],
         free: [free; 3],
-        open: true,
+        schedulable: true,
         images: Arc::new(images.to_vec()),
-        leaving: [0.0; 3],
+        stopping: [0.0; 3],
         reserved: None,
     }
 }
@@ -29,24 +29,24 @@
 fn entry<'a>(spec: &'a JobSpec, fetch_s: f64) -> QueueEntry<'a> {
     QueueEntry {
         id: "req-2",
-        at: Micros::ZERO,
+        accepted_at: Micros::ZERO,
         spec,
         lost_tasks: 0,
         requirements: TaskRequirements {
             need: [1.0; 3],
-            allow: Arc::new(PlacementConstraints {
+            constraints: Arc::new(PlacementConstraints {
                 machine_types: None,
                 zone: None,
                 spot: false,
             }),
-            saves: false,
+            writes_checkpoints: false,
             image: IMAGE,
-            avoid: Vec::new(),
+            avoided_hosts: Vec::new(),
         },
         team: 0,
         feasibility_class: 0,
         tasks: vec![0],
-        present: Vec::new(),
+        task_locations: Vec::new(),
         fetch_s,
         estimate_s: 0.0,
         priority: spec.priority,
@@ -66,7 +66,7 @@
         start_order: 1,
         backfilled: false,
         priority,
-        saves: true,
+        writes_checkpoints: true,
         save_s: 3.0,
         team: 0,
         beyond_guarantee: false,
@@ -103,7 +103,7 @@
     let mut quotas = QuotaTracker::default();
     let mut plan = run_pass(entries, &pending, &mut index, preemptible, &mut quotas, 1.0);
     let unmet_demands = plan.unmet_demands.drain(..).map(|demand| UnmetDemand {
-        of: QueueCandidate::Active(0),
+        candidate: QueueCandidate::Active(0),
         tasks: demand.tasks,
     });
     SchedulingPlan {
@@ -130,7 +130,7 @@
     // While the preempted task writes its checkpoint, no other task is preempted and the replica waits.
     let mut cleared_hosts = hosts();
     cleared_hosts[1].reserved = Some("req-2".into());
-    cleared_hosts[1].leaving = [1.0; 3];
+    cleared_hosts[1].stopping = [1.0; 3];
     let plan = run(entry(&service, 20.0), &cleared_hosts, &low_priority);
     assert!(
         plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
@@ -207,7 +207,7 @@
     // Both machines are reserved. The job's own tasks fill the first; two tasks stop on the second.
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
-    hosts[1].leaving = [2.0; 3];
+    hosts[1].stopping = [2.0; 3];
     let plan = run(waiting(6, true), &hosts, &beyond_guarantee);
     assert_eq!((plan.preemptions.len(), plan.reservations.len()), (4, 1));
 }
@@ -220,7 +220,7 @@
     };
     let full = [host(0.0, &[]), host(0.0, &[])];
     let array = PreemptibleTask {
-        saves: false,
+        writes_checkpoints: false,
         ..preemptible(Priority::Normal)
     };
     let waiting = |aged| QueueEntry {
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -76,7 +76,7 @@
             .into_iter()
             .map(|host| slots(&self.hosts[host].free, need))
             .sum();
-        let min_share = u32::from(entry.present.is_empty()).min(free);
+        let min_share = u32::from(entry.task_locations.is_empty()).min(free);
         WideArrayRoom {
             free,
             first_share: (free / 2).max(min_share),
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -36,7 +36,7 @@
 /// Machines of the same type, zone and size; either all or none of them are spot instances.
 #[derive(Debug, Clone)]
 struct HostBucket {
-    kind: u32,
+    machine_type: u32,
     zone: u32,
     spot: bool,
     total: Resources,
@@ -47,7 +47,7 @@
     /// An empty bucket for machines with the properties of `host`.
     fn of(host: &Host) -> HostBucket {
         HostBucket {
-            kind: host.kind,
+            machine_type: host.machine_type,
             zone: host.zone,
             spot: host.spot,
             total: host.total,
@@ -57,7 +57,7 @@
 
     /// Whether a machine belongs to the bucket.
     fn contains(&self, host: &Host) -> bool {
-        (self.kind, self.zone, self.spot) == (host.kind, host.zone, host.spot)
+        (self.machine_type, self.zone, self.spot) == (host.machine_type, host.zone, host.spot)
             && self.total == host.total
     }
 
@@ -117,8 +117,8 @@
     }
 
     /// Allocates the resources of a task on a machine.
-    pub fn take(&mut self, host: usize, need: &Resources) {
-        self.hosts[host].take(need);
+    pub fn allocate(&mut self, host: usize, need: &Resources) {
+        self.hosts[host].allocate(need);
         self.reindex(host);
     }
 
@@ -178,8 +178,9 @@
         &self,
         constraints: &PlacementConstraints,
     ) -> impl Iterator<Item = &HostBucket> {
-        let permitted =
-            |bucket: &&HostBucket| constraints.permit(bucket.kind, bucket.zone, bucket.spot);
+        let permitted = |bucket: &&HostBucket| {
+            constraints.permit(bucket.machine_type, bucket.zone, bucket.spot)
+        };
         self.buckets.iter().filter(permitted)
     }
 
@@ -196,15 +197,15 @@
     /// Moves a machine to the level of its free room.
     fn reindex(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let open = host.open;
+        let schedulable = host.schedulable;
         let level = level(&host.total, &host.free, LEVEL_TOLERANCE);
         if let Some(position) = self.positions[index] {
-            if open && position.level == level {
+            if schedulable && position.level == level {
                 return;
             }
             self.remove(index, position);
         }
-        if open {
+        if schedulable {
             self.insert(index, level);
         }
     }
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -9,18 +9,18 @@
 const SIZES: [Resources; 2] = [[64.0, 8.0, 256.0], [24.0, 0.0, 10.0]];
 
 fn random_host(rng: &mut ChaCha8Rng) -> Host {
-    let kind = rng.random_range(0..2);
-    let total = SIZES[kind as usize];
+    let machine_type = rng.random_range(0..2);
+    let total = SIZES[machine_type as usize];
     Host {
-        kind,
+        machine_type,
         zone: rng.random_range(10..12),
         spot: rng.random_bool(0.3),
         agent_epoch: 1,
         total,
         free: total.map(|amount| (amount * rng.random_range(0.0..1.05)).round()),
-        open: rng.random_bool(0.8),
+        schedulable: rng.random_bool(0.8),
         images: Arc::default(),
-        leaving: [0.0; 3],
+        stopping: [0.0; 3],
         reserved: rng.random_bool(0.1).then(|| "req-9".into()),
     }
 }
@@ -42,10 +42,12 @@
     /// Machines that accept a task, found by a scan of the plain list.
     fn scan(&self, id: &str, need: &Resources) -> Vec<usize> {
         let fits = |host: &Host| {
-            host.open
+            host.schedulable
                 && slots(&host.free, need) > 0
                 && host.reserved.as_deref().is_none_or(|job| job == id)
-                && self.constraints.permit(host.kind, host.zone, host.spot)
+                && self
+                    .constraints
+                    .permit(host.machine_type, host.zone, host.spot)
         };
         let hosts = self.plain.iter().enumerate();
         hosts
@@ -100,8 +102,8 @@
                     cluster.check_hosts_for(&need, rng.random_range(1..40), &all);
                 }
                 if let Some(host) = all.first() {
-                    cluster.plain[*host].take(&need);
-                    cluster.index.take(*host, &need);
+                    cluster.plain[*host].allocate(&need);
+                    cluster.index.allocate(*host, &need);
                 }
             }
             if rng.random_bool(0.1) {
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -288,12 +288,12 @@
         let mut entry =
             self.context
                 .queue_entry(inspected.id, inspected.job, inspected.queued, tasks);
-        entry.present = tally.present;
+        entry.task_locations = tally.present;
         entry.lost_tasks = lost as u32;
         if let Some(failures) = self.leader.failure_histories.get(inspected.id) {
             let machines = failures.machines.keys();
             let host_table = &self.snapshot.host_table;
-            entry.requirements.avoid = machines
+            entry.requirements.avoided_hosts = machines
                 .filter_map(|machine| host_table.find(machine))
                 .collect();
         }
@@ -311,7 +311,7 @@
             let reported = agent.tasks.iter();
             for status in reported.filter(|status| status.phase != TaskPhase::Exited) {
                 let Some(job) = context.jobs.get(&status.job) else {
-                    host.open = false;
+                    host.schedulable = false;
                     continue;
                 };
                 let places_it = |entry: &TaskEntry| {
@@ -325,7 +325,7 @@
                         .any(places_it)
                     && let Some((_, queued)) = context.backlog.find(&status.job)
                 {
-                    host.take(&queued.need);
+                    host.allocate(&queued.need);
                     let team = context.backlog.profile_of(queued).team;
                     quotas.take(team, &queued.need);
                 }
--- a/src/scheduling/cluster_snapshot/attempts.rs
+++ b/src/scheduling/cluster_snapshot/attempts.rs
@@ -153,10 +153,10 @@
         let task = attempt.task();
         let need = &inspected.queued.need;
         let host = &mut self.snapshot.host_table.hosts[host_index];
-        host.take(need);
+        host.allocate(need);
         host.add_image(inspected.queued.image);
         if inspected.is_stopping(task) {
-            add_resources(&mut host.leaving, need);
+            add_resources(&mut host.stopping, need);
         }
         let zone = host.zone;
         if liveness == TaskLiveness::Present(TaskPhase::Running) {
@@ -206,7 +206,7 @@
         start_order: order.copied().unwrap_or(0),
         backfilled: attempt.backfilled(),
         priority: inspected.priority,
-        saves: stops_alone && spec.saves_checkpoints(),
+        writes_checkpoints: stops_alone && spec.saves_checkpoints(),
         save_s: spec.save_s,
         team: inspected.profile.team,
         beyond_guarantee: !inspected.guaranteed,
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -77,14 +77,14 @@
     let reservation = inputs.leader.reserved.get(name);
     let reserved = reservation.filter(|(_, until)| *until > inputs.clock.now);
     Host {
-        kind: names.id(&agent.machine_type),
+        machine_type: names.id(&agent.machine_type),
         zone: names.id(&agent.zone),
         spot: agent.spot,
         agent_epoch: agent.agent_epoch,
         total,
         free: total,
-        leaving: [0.0; 3],
-        open: accepts_tasks(inputs, name, agent),
+        stopping: [0.0; 3],
+        schedulable: accepts_tasks(inputs, name, agent),
         images: images.images_on(name, machine_type.cache_gb, inputs.cache, names),
         reserved: reserved.map(|(job, _)| job.as_str().into()),
     }
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -299,10 +299,10 @@
         let profile = self.profile_of(queued);
         TaskRequirements {
             need: queued.need,
-            allow: profile.allow.clone(),
-            saves: profile.saves,
+            constraints: profile.allow.clone(),
+            writes_checkpoints: profile.saves,
             image: queued.image,
-            avoid: Vec::new(),
+            avoided_hosts: Vec::new(),
         }
     }
 
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -79,14 +79,14 @@
         let profile = self.backlog.profile_of(queued);
         QueueEntry {
             id,
-            at: queued.accepted_at,
+            accepted_at: queued.accepted_at,
             spec,
             requirements: self.backlog.requirements(queued),
             team: profile.team,
             feasibility_class: profile.feasibility_class,
             lost_tasks: 0,
             tasks,
-            present: Vec::new(),
+            task_locations: Vec::new(),
             fetch_s: spec.image_gb / self.fetch_rate,
             estimate_s: spec.estimate_s,
             priority: self.inherited_priorities.of(id, job),
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -19,8 +19,12 @@
 ) -> Option<Vec<usize>> {
     let mut ranked: Vec<HostScore> = candidates
         .filter(|index| {
-            accepts_task(&hosts[*index], id, &requirements.need, &requirements.allow)
-                && !requirements.avoid.contains(index)
+            accepts_task(
+                &hosts[*index],
+                id,
+                &requirements.need,
+                &requirements.constraints,
+            ) && !requirements.avoided_hosts.contains(index)
         })
         .map(|index| HostScore::of(index, &hosts[index], requirements, demand_ratio))
         .collect();
--- a/src/scheduling/placement/host.rs
+++ b/src/scheduling/placement/host.rs
@@ -42,20 +42,20 @@
     /// Resources of one task.
     pub need: Resources,
     /// Machines that the job may use.
-    pub allow: Arc<PlacementConstraints>,
+    pub constraints: Arc<PlacementConstraints>,
     /// The tasks write checkpoints periodically, so little work is lost when a spot instance is reclaimed.
-    pub saves: bool,
+    pub writes_checkpoints: bool,
     /// Image of the job.
     pub image: u32,
     /// Indices of machines on which tasks of the job have failed.
-    pub avoid: Vec<usize>,
+    pub avoided_hosts: Vec<usize>,
 }
 
 /// A machine in a scheduling pass. Names are ids of the `NameTable`.
 #[derive(Debug, Clone)]
 pub struct Host {
     /// Machine type.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Zone.
     pub zone: u32,
     /// The machine is a spot instance.
@@ -67,9 +67,9 @@
     /// Free resources.
     pub free: Resources,
     /// Resources of tasks that are being stopped. They are not part of `free` until the tasks have ended.
-    pub leaving: Resources,
+    pub stopping: Resources,
     /// The machine accepts new tasks.
-    pub open: bool,
+    pub schedulable: bool,
     /// Images that the machine has or is fetching.
     pub images: Arc<Vec<u32>>,
     /// Id of the only job that may start tasks on the machine, because tasks were preempted there for it.
@@ -78,7 +78,7 @@
 
 impl Host {
     /// Allocates the resources of a task.
-    pub fn take(&mut self, need: &Resources) {
+    pub fn allocate(&mut self, need: &Resources) {
         for (free, need) in self.free.iter_mut().zip(need) {
             *free -= need;
         }
@@ -92,7 +92,7 @@
     /// Free resources once the tasks that are being stopped have ended.
     pub fn free_after_stops(&self) -> Resources {
         let mut free = self.free;
-        add_resources(&mut free, &self.leaving);
+        add_resources(&mut free, &self.stopping);
         free
     }
 
@@ -118,7 +118,7 @@
 
     /// Whether `constraints` permit this machine.
     pub(crate) fn is_permitted_by(&self, constraints: &PlacementConstraints) -> bool {
-        constraints.permit(self.kind, self.zone, self.spot)
+        constraints.permit(self.machine_type, self.zone, self.spot)
     }
 }
 
@@ -131,7 +131,7 @@
 ) -> bool {
     let fits =
         |(free, need): (&f64, &f64)| *need <= 0.0 || (free + RESOURCE_TOLERANCE) / need >= 1.0;
-    host.open
+    host.schedulable
         && host.free.iter().zip(need).all(fits)
         && host.reserved.as_deref().is_none_or(|job| job == id)
         && host.is_permitted_by(constraints)
--- a/src/scheduling/placement/host_picker.rs
+++ b/src/scheduling/placement/host_picker.rs
@@ -35,7 +35,7 @@
         let free_slots = slots(&host.free, &requirements.need) as f64;
         let total_slots = slots(&host.total, &requirements.need) as f64;
         HostScore {
-            preferred_spot: host.spot && requirements.saves,
+            preferred_spot: host.spot && requirements.writes_checkpoints,
             has_image: host.has_image(requirements.image),
             weight: weight(free_slots, total_slots, demand_ratio),
             host: index,
@@ -91,8 +91,8 @@
         let mut shared = Vec::new();
         for index in candidates {
             let host = &hosts[index];
-            if requirements.avoid.contains(&index)
-                || !accepts_task(host, id, &requirements.need, &requirements.allow)
+            if requirements.avoided_hosts.contains(&index)
+                || !accepts_task(host, id, &requirements.need, &requirements.constraints)
             {
                 continue;
             }
@@ -139,7 +139,7 @@
             &hosts[host],
             self.id,
             &requirements.need,
-            &requirements.allow,
+            &requirements.constraints,
         ) {
             return;
         }
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -18,7 +18,7 @@
     fits: impl Fn(usize, &Host) -> bool,
 ) -> Option<usize> {
     let accepts = |index: usize, host: &Host| {
-        accepts_task(host, JOB, &requirements.need, &requirements.allow) && fits(index, host)
+        accepts_task(host, JOB, &requirements.need, &requirements.constraints) && fits(index, host)
     };
     hosts
         .iter()
@@ -31,15 +31,15 @@
 
 fn random_host(rng: &mut ChaCha8Rng) -> Host {
     Host {
-        kind: rng.random_range(0..2),
+        machine_type: rng.random_range(0..2),
         zone: rng.random_range(10..12),
         spot: rng.random_bool(0.3),
         agent_epoch: 1,
         total: [64.0, 8.0, 256.0],
         free: [64.0, rng.random_range(0..9) as f64, 256.0],
-        open: rng.random_bool(0.9),
+        schedulable: rng.random_bool(0.9),
         images: Arc::new((20..24).filter(|_| rng.random_bool(0.4)).collect()),
-        leaving: [0.0; 3],
+        stopping: [0.0; 3],
         reserved: rng.random_bool(0.1).then(|| "other".into()),
     }
 }
@@ -47,14 +47,14 @@
 fn random_requirements(rng: &mut ChaCha8Rng) -> TaskRequirements {
     TaskRequirements {
         need: [rng.random_range(1..20) as f64, 1.0, 10.0],
-        allow: Arc::new(PlacementConstraints {
+        constraints: Arc::new(PlacementConstraints {
             machine_types: rng.random_bool(0.3).then(|| vec![1]),
             zone: rng.random_bool(0.2).then_some(10),
             spot: rng.random_bool(0.5),
         }),
-        saves: rng.random_bool(0.5),
+        writes_checkpoints: rng.random_bool(0.5),
         image: IMAGE,
-        avoid: Vec::new(),
+        avoided_hosts: Vec::new(),
     }
 }
 
@@ -70,7 +70,7 @@
 
 impl Scenario {
     fn place(&self, host: &mut Host, tasks_in_zone: &mut [u32; 32]) {
-        host.take(&self.requirements.need);
+        host.allocate(&self.requirements.need);
         host.add_image(IMAGE);
         tasks_in_zone[host.zone as usize] += 1;
     }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -77,7 +77,7 @@
     fn may_preempt_by_priority(&self, task: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
         let array = self.kind == JobKind::Array;
-        task.priority < self.priority && (task.saves || service) && !array
+        task.priority < self.priority && (task.writes_checkpoints || service) && !array
     }
 
     /// Whether the task may be preempted because the job is within its team's guarantee and the task is beyond
@@ -118,13 +118,13 @@
         let runs_here = |(_, host_index): &(u32, Option<usize>)| *host_index == Some(task.host);
         task.priority < entry.priority
             && entry.fetch_s > MIN_FETCH_FACTOR * (task.save_s + PREEMPTION_OVERHEAD_S)
-            && host.open
+            && host.schedulable
             && host.reserved.is_none()
             && host.has_image(requirements.image)
             && slots(&free_without_task(), &requirements.need) > 0
-            && host.is_permitted_by(&requirements.allow)
-            && !requirements.avoid.contains(&task.host)
-            && !entry.present.iter().any(runs_here)
+            && host.is_permitted_by(&requirements.constraints)
+            && !requirements.avoided_hosts.contains(&task.host)
+            && !entry.task_locations.iter().any(runs_here)
             && zones.allow(host.zone)
     };
     independent_checkpointing_tasks
@@ -241,7 +241,7 @@
 ) -> Vec<Host> {
     let mut cleared: Vec<Host> = hosts.to_vec();
     for (host, _) in &plan.reservations {
-        cleared[*host].open = false;
+        cleared[*host].schedulable = false;
     }
     for task in candidates {
         cleared[task.host].release(&task.need);
@@ -338,7 +338,12 @@
     };
     let accepts = |host: &usize| {
         let host = &cleared[*host];
-        accepts_task(host, entry.id, &requirements.need, &requirements.allow)
+        accepts_task(
+            host,
+            entry.id,
+            &requirements.need,
+            &requirements.constraints,
+        )
     };
     let mut ranked: Vec<usize> = (0..cleared.len()).filter(accepts).collect();
     ranked.sort_by(|left, right| {
--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -143,7 +143,7 @@
 
     /// Sorts queue entries into the order in which a pass considers them.
     pub fn sort_entries(entries: &mut [QueueEntry<'_>]) {
-        entries.sort_by_key(|entry| (!Recovery::is_urgent(entry), entry.at, entry.id));
+        entries.sort_by_key(|entry| (!Recovery::is_urgent(entry), entry.accepted_at, entry.id));
     }
 }
 
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -53,7 +53,7 @@
         unmet: &[UnmetDemand<'_>],
     ) -> impl Iterator<Item = UnplacedJob> {
         unmet.iter().filter_map(|demand| {
-            let (id, _) = self.job(demand.of)?;
+            let (id, _) = self.job(demand.candidate)?;
             Some(UnplacedJob {
                 job: id.clone(),
                 tasks: demand.tasks,
@@ -98,8 +98,8 @@
             gang: entry.spec.kind == JobKind::Gang,
             feasibility_class: entry.feasibility_class,
             need: &entry.requirements.need,
-            allow: &entry.requirements.allow,
-            zones: self.allowed_zones(entry.id, entry.spec, &entry.present),
+            allow: &entry.requirements.constraints,
+            zones: self.allowed_zones(entry.id, entry.spec, &entry.task_locations),
         }
     }
 }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -168,7 +168,7 @@
     add_unrecorded_tasks(leader, cache, &mut host_table, &mut quotas);
     let is_urgent =
         |entry: &QueueEntry<'_>| entry.lost_tasks > 0 && entry.spec.kind == JobKind::Service;
-    entries.sort_by_key(|entry| (!is_urgent(entry), entry.at, entry.id));
+    entries.sort_by_key(|entry| (!is_urgent(entry), entry.accepted_at, entry.id));
     for host in &mut host_table.hosts {
         let reserved = host.reserved.as_deref();
         if reserved.is_some_and(|job| entries.iter().all(|entry| entry.id != job)) {
@@ -260,14 +260,14 @@
             .insert(name.clone(), host_table.hosts.len());
         host_table.names.push(name.clone());
         host_table.hosts.push(Host {
-            kind: names.id(&agent.machine_type),
+            machine_type: names.id(&agent.machine_type),
             zone: names.id(&agent.zone),
             spot: agent.spot,
             agent_epoch: agent.agent_epoch,
             total,
             free: total,
-            leaving: [0.0; 3],
-            open,
+            stopping: [0.0; 3],
+            schedulable: open,
             images: cache
                 .image_caches
                 .of(name, machine_type.cache_gb)
@@ -313,10 +313,10 @@
     let spec = &job.record.spec;
     let requirements = TaskRequirements {
         need: placement::task_resources(spec),
-        allow: Arc::new(PlacementConstraints::of(spec, names)),
-        saves: spec.saves_checkpoints(),
+        constraints: Arc::new(PlacementConstraints::of(spec, names)),
+        writes_checkpoints: spec.saves_checkpoints(),
         image: names.id(&spec.image),
-        avoid: Vec::new(),
+        avoided_hosts: Vec::new(),
     };
     let in_flight = leader.record_writer.in_flight(id);
     let pending: Vec<TaskEntry> = leader
@@ -361,10 +361,10 @@
         let zone = match host_index {
             Some(index) => {
                 let host = &mut host_table.hosts[index];
-                host.take(&requirements.need);
+                host.allocate(&requirements.need);
                 host.add_image(requirements.image);
                 if leader.due_stop(id, attempt.task()).is_some() {
-                    placement::add_resources(&mut host.leaving, &requirements.need);
+                    placement::add_resources(&mut host.stopping, &requirements.need);
                 }
                 // The spot instance is about to be reclaimed: a task that can save does so now, a gang
                 // as a whole.
@@ -405,7 +405,7 @@
                         start_order: order.copied().unwrap_or(0),
                         backfilled: attempt.backfilled(),
                         priority,
-                        saves: stops_alone && spec.saves_checkpoints(),
+                        writes_checkpoints: stops_alone && spec.saves_checkpoints(),
                         save_s: spec.save_s,
                         team,
                         beyond_guarantee: !guaranteed,
@@ -479,7 +479,7 @@
             .collect()
     };
     let requirements = TaskRequirements {
-        avoid: failures.map(failed_hosts).unwrap_or_default(),
+        avoided_hosts: failures.map(failed_hosts).unwrap_or_default(),
         ..requirements
     };
     // Zone constraints cannot be checked against tasks whose zones are unknown.
@@ -511,14 +511,14 @@
     let lost = tasks.iter().filter(is_displaced).count();
     Some(QueueEntry {
         id,
-        at: job.record.at,
+        accepted_at: job.record.at,
         lost_tasks: lost as u32,
         spec,
         requirements,
         team,
         feasibility_class: 0,
         tasks,
-        present,
+        task_locations: present,
         fetch_s: spec.image_gb / fetch_rate,
         estimate_s: spec.estimate_s,
         priority,
@@ -544,7 +544,7 @@
         let reported = agent.tasks.iter();
         for status in reported.filter(|status| status.phase != TaskPhase::Exited) {
             let Some(job) = cache.jobs.get(&status.job) else {
-                host.open = false;
+                host.schedulable = false;
                 continue;
             };
             let places_it = |entry: &TaskEntry| {
@@ -558,7 +558,7 @@
                     .any(places_it);
             if !is_placed {
                 let spec = &job.record.spec;
-                host.take(&[spec.cpus, spec.gpus, spec.memory_gb]);
+                host.allocate(&[spec.cpus, spec.gpus, spec.memory_gb]);
                 if let Some([cpus, gpus]) = quotas.get_mut(&spec.team) {
                     *cpus -= spec.cpus;
                     *gpus -= spec.gpus;
@@ -656,7 +656,7 @@
 
 /// Takes the resources of one task of a job.
 fn take(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
-    host.take(&entry.requirements.need);
+    host.allocate(&entry.requirements.need);
     if let Some([cpus, gpus]) = quotas.get_mut(&entry.spec.team) {
         *cpus -= entry.spec.cpus;
         *gpus -= entry.spec.gpus;
@@ -810,7 +810,7 @@
         && !spec.one_zone
         && !spec.spread
         && wanted as usize >= MAX_PLACEMENTS;
-    let (need, constraints) = (&entry.requirements.need, &entry.requirements.allow);
+    let (need, constraints) = (&entry.requirements.need, &entry.requirements.constraints);
     let free: u32 = if is_wide {
         hosts
             .iter()
@@ -821,7 +821,7 @@
         0
     };
     let first = if is_wide {
-        let share = (free / 2).max(u32::from(entry.present.is_empty()).min(free));
+        let share = (free / 2).max(u32::from(entry.task_locations.is_empty()).min(free));
         allowed.min(plan.wide_budget).min(share)
     } else {
         allowed
@@ -866,9 +866,14 @@
     let spec = entry.spec;
     let need = &entry.requirements.need;
     let is_service = spec.kind == JobKind::Service;
-    let mut zones: Vec<u32> = entry.present.iter().map(|(zone, _)| *zone).collect();
+    let mut zones: Vec<u32> = entry.task_locations.iter().map(|(zone, _)| *zone).collect();
     let most_per_zone = spec.tasks.div_ceil(2) as usize;
-    let has_task = |host: usize| entry.present.iter().any(|(_, other)| *other == Some(host));
+    let has_task = |host: usize| {
+        entry
+            .task_locations
+            .iter()
+            .any(|(_, other)| *other == Some(host))
+    };
     let mut picker = HostPicker::new(
         hosts,
         0..hosts.len(),
@@ -946,20 +951,20 @@
             free
         };
         task.stops_alone
-            && task.saves
+            && task.writes_checkpoints
             && task.priority < entry.priority
             && entry.fetch_s > 2.0 * (task.save_s + STOP_S)
-            && host.open
+            && host.schedulable
             && host.reserved.is_none()
             && host.has_image(entry.requirements.image)
             && slots(&free_afterwards(), &entry.requirements.need) > 0
             && entry
                 .requirements
-                .allow
-                .permit(host.kind, host.zone, host.spot)
-            && !entry.requirements.avoid.contains(&task.host)
+                .constraints
+                .permit(host.machine_type, host.zone, host.spot)
+            && !entry.requirements.avoided_hosts.contains(&task.host)
             && entry
-                .present
+                .task_locations
                 .iter()
                 .all(|(_, other)| *other != Some(task.host))
             && fits_zone(host.zone)
@@ -1001,7 +1006,7 @@
     }
     let may_preempt = |task: &&PreemptibleTask<'_>| {
         let is_lower = task.priority < entry.priority;
-        let yields_to_priority = is_lower && (task.saves || is_service) && !is_array;
+        let yields_to_priority = is_lower && (task.writes_checkpoints || is_service) && !is_array;
         // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
         // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
         let is_surplus =
@@ -1020,7 +1025,7 @@
     }
     let mut cleared: Vec<Host> = hosts.to_vec();
     for (host, _) in &plan.reservations {
-        cleared[*host].open = false;
+        cleared[*host].schedulable = false;
     }
     for victim in &victims {
         cleared[victim.host].release(&victim.need);
@@ -1043,7 +1048,7 @@
         }
     } else {
         // The fullest machines come first, so that as few tasks as possible have to stop.
-        let mut zones: Vec<u32> = entry.present.iter().map(|(zone, _)| *zone).collect();
+        let mut zones: Vec<u32> = entry.task_locations.iter().map(|(zone, _)| *zone).collect();
         let reserved = hosts.iter().filter(is_reserved);
         let usable = reserved.filter(|host| slots(&host.free_after_stops(), &need) > 0);
         zones.extend(usable.map(|host| host.zone));
@@ -1065,7 +1070,12 @@
                 .filter(|host| {
                     !tasks_by_host.contains_key(host)
                         && fits_zone(&cleared[*host])
-                        && accepts_task(&cleared[*host], entry.id, &need, &entry.requirements.allow)
+                        && accepts_task(
+                            &cleared[*host],
+                            entry.id,
+                            &need,
+                            &entry.requirements.constraints,
+                        )
                 })
                 .min_by(|one, other| {
                     (gpus_lost(*one), lacks_image(*one))
