--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -126,14 +126,18 @@
     let plan = run(entry(&service, 20.0), &hosts(), &low_priority);
     assert_eq!(plan.preemptions, [("req-1".to_string(), 3)]);
     assert_eq!(plan.reservations, [(1, "req-2".to_string())]);
-    assert!(plan.placements.is_empty() && plan.unmet_demands.is_empty());
+    assert!(
+        plan.placements.is_empty() && plan.unmet_demands.is_empty(),
+        "expected neither placements nor unmet demand, found {plan:?}"
+    );
     // While the preempted task writes its checkpoint, no other task is preempted and the replica waits.
     let mut cleared_hosts = hosts();
     cleared_hosts[1].reserved = Some("req-2".into());
     cleared_hosts[1].stopping = [1.0; 3];
     let plan = run(entry(&service, 20.0), &cleared_hosts, &low_priority);
     assert!(
-        plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
+        plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty(),
+        "expected an empty plan, found {plan:?}"
     );
     // Once the preempted task has ended, the replica starts on its machine.
     cleared_hosts[1].free = [1.0; 3];
@@ -143,7 +147,10 @@
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
         let tasks = [preemptible(priority)];
         let plan = run(entry(&service, fetch_s), &hosts(), &tasks);
-        assert!(plan.preemptions.is_empty() && plan.placements[0].host == 0);
+        assert!(
+            plan.preemptions.is_empty() && plan.placements[0].host == 0,
+            "fetch {fetch_s} s, priority {priority:?}: expected a placement on machine 0 only, found {plan:?}"
+        );
     }
 }
 
@@ -204,7 +211,7 @@
             .preemptions
             .is_empty()
     );
-    // Both machines are reserved. The job's own tasks fill the first; two tasks stop on the second.
+    // Two machines are reserved. The job's own tasks fill the first; tasks are being stopped on the second.
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
     hosts[1].stopping = [2.0; 3];
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -65,10 +65,21 @@
         let seed = self.seed;
         let found = self.index.hosts_for(need, &self.constraints, tasks);
         let expected = tasks.min(self.slots_on(all, need));
-        assert!(self.slots_on(&found, need) >= expected, "seed {seed}");
-        assert!(found.iter().all(|host| all.contains(host)), "seed {seed}");
+        let slots_found = self.slots_on(&found, need);
+        assert!(
+            slots_found >= expected,
+            "seed {seed}: hosts_for() found {slots_found} slots, expected at least {expected}"
+        );
+        assert!(
+            found.iter().all(|host| all.contains(host)),
+            "seed {seed}: hosts_for() found {found:?}, but only {all:?} accept the task"
+        );
         let has_room = self.index.has_room(need, &self.constraints);
-        assert_eq!(has_room, !all.is_empty(), "seed {seed}");
+        assert_eq!(
+            has_room,
+            !all.is_empty(),
+            "seed {seed}: has_room() differs from the scan, which found {all:?}"
+        );
     }
 }
 
@@ -97,7 +108,10 @@
                 let all = cluster.scan(id, &need);
                 let mut found = cluster.index.candidates(id, &need, &cluster.constraints);
                 found.sort_unstable();
-                assert_eq!(found, all, "seed {seed}, step {step}");
+                assert_eq!(
+                    found, all,
+                    "seed {seed}, step {step}: the index and the scan found different machines"
+                );
                 if id.is_empty() {
                     cluster.check_hosts_for(&need, rng.random_range(1..40), &all);
                 }
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -134,6 +134,10 @@
             runs_on: hosts.iter().map(|_| rng.random_bool(0.2)).collect(),
         };
         let expected = scenario.choose_by_scans(hosts.clone());
-        assert_eq!(scenario.choose_by_picker(hosts), expected, "seed {seed}");
+        assert_eq!(
+            scenario.choose_by_picker(hosts),
+            expected,
+            "seed {seed}: the picker and the scan chose different machines"
+        );
     }
 }
