--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -19,26 +19,26 @@
 }
 
 /// Merges active and pending jobs in order of arrival. Urgent active jobs (`Recovery::is_urgent`) come first.
-struct ArrivalOrder<'p, 'a, S: Iterator, O: Iterator> {
+struct ArrivalOrder<'p, 'a, S: Iterator, B: Iterator> {
     active: Peekable<Enumerate<slice::Iter<'p, QueueEntry<'a>>>>,
     services: Peekable<S>,
-    others: Peekable<O>,
+    batch_jobs: Peekable<B>,
 }
 
-impl<'a, S, O> ArrivalOrder<'_, 'a, S, O>
+impl<'a, S, B> ArrivalOrder<'_, 'a, S, B>
 where
     S: Iterator<Item = (QueuePosition<'a>, &'a JobSummary)>,
-    O: Iterator<Item = (QueuePosition<'a>, &'a JobSummary)>,
+    B: Iterator<Item = (QueuePosition<'a>, &'a JobSummary)>,
 {
     /// The next job and its position. Once the queue is `blocked`, pending gangs and arrays are skipped,
     /// because backfilling considers them. Active ones are still returned, so that the caller can defer them.
     fn next(&mut self, blocked: bool) -> Option<(QueueCandidate<'a>, QueuePosition<'a>)> {
         let service = self.services.peek().map(|(position, _)| *position);
-        let other = match blocked {
+        let batch_job = match blocked {
             true => None,
-            false => self.others.peek().map(|(position, _)| *position),
+            false => self.batch_jobs.peek().map(|(position, _)| *position),
         };
-        let pending = [service, other].into_iter().flatten().min();
+        let pending = [service, batch_job].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
             Recovery::is_urgent(entry)
                 || pending.is_none_or(|pending_position| entry.position() < pending_position)
@@ -50,7 +50,7 @@
         let next = if Some(position) == service {
             self.services.next()
         } else {
-            self.others.next()
+            self.batch_jobs.next()
         };
         next.map(|(position, summary)| (QueueCandidate::Pending(summary), position))
     }
@@ -187,7 +187,7 @@
     ArrivalOrder {
         active: active.iter().enumerate().peekable(),
         services: pending.services().peekable(),
-        others: pending.batch_jobs().peekable(),
+        batch_jobs: pending.batch_jobs().peekable(),
     }
 }
 
