--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -72,7 +72,7 @@
         TaskRequirements {
             need: *self.need,
             constraints: self.allow.clone(),
-            writes_checkpoints: false,
+            saves_checkpoints: false,
             image: NO_IMAGE,
             avoided_hosts: Vec::new(),
         }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -81,7 +81,7 @@
 ) -> SchedulingPlan<'a> {
     let independent_checkpointing_tasks = preemptible
         .iter()
-        .filter(|task| task.stops_alone && task.writes_checkpoints)
+        .filter(|task| task.stops_alone && task.saves_checkpoints)
         .collect();
     let mut pass = SchedulingPass {
         active,
@@ -93,7 +93,7 @@
         quotas,
         largest_demand: largest_demand.max(MIN_LARGEST_DEMAND),
         preemption_attempts_left: MAX_PREEMPTION_ATTEMPTS,
-        infeasible: vec![InfeasibleRequests::default(); pending.feasibility_classes()],
+        infeasible: vec![InfeasibleRequests::default(); pending.feasibility_class_count()],
         refused_requests: Vec::new(),
         wide_array_budget: WIDE_ARRAY_BUDGET,
         deferred_wide_arrays: Vec::new(),
--- a/src/scheduling/backfill/queue_walk.rs
+++ b/src/scheduling/backfill/queue_walk.rs
@@ -18,7 +18,7 @@
     deferred: Vec<usize>,
 }
 
-/// Merges active and pending jobs in order of arrival. Urgent active jobs (`Recovery::is_urgent`) come first.
+/// Merges active and pending jobs in order of arrival. Urgent active jobs (`Recovery::has_lost_replicas`) come first.
 struct ArrivalOrder<'p, 'a, S: Iterator, B: Iterator> {
     active: Peekable<Enumerate<slice::Iter<'p, QueueEntry<'a>>>>,
     services: Peekable<S>,
@@ -40,7 +40,7 @@
         };
         let pending = [service, batch_job].into_iter().flatten().min();
         let active_is_next = |(_, entry): &(usize, &QueueEntry<'a>)| {
-            Recovery::is_urgent(entry)
+            Recovery::has_lost_replicas(entry)
                 || pending.is_none_or(|pending_position| entry.position() < pending_position)
         };
         if let Some((index, entry)) = self.active.next_if(active_is_next) {
@@ -159,7 +159,7 @@
             starved_gang_found |= at_head;
             self.preempt_for(&BlockedJob {
                 candidate,
-                position: sort_key.at,
+                position: sort_key.position,
                 unplaced,
                 at_head,
                 backfilling: true,
@@ -207,7 +207,7 @@
     });
     let pending_behind = pending
         .in_backfill_order()
-        .filter(move |(order, _)| order.at > position);
+        .filter(move |(order, _)| order.position > position);
     BackfillMerge {
         active,
         deferred: deferred.into_iter().peekable(),
--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -39,7 +39,7 @@
                 zone: None,
                 spot: false,
             }),
-            writes_checkpoints: false,
+            saves_checkpoints: false,
             image: IMAGE,
             avoided_hosts: Vec::new(),
         },
@@ -66,7 +66,7 @@
         start_order: 1,
         backfilled: false,
         priority,
-        writes_checkpoints: true,
+        saves_checkpoints: true,
         save_s: 3.0,
         team: 0,
         beyond_guarantee: false,
@@ -91,11 +91,11 @@
 ) -> SchedulingPlan<'static> {
     let backlog = JobQueue::default();
     let context = SchedulingContext {
-        backlog: &backlog,
+        job_queue: &backlog,
         jobs: &BTreeMap::new(),
-        guarantees: Default::default(),
+        guarantee_cutoffs: Default::default(),
         inherited_priorities: InheritedPriorities::default(),
-        fetch_rate: 1.0,
+        slowest_fetch_gb_per_s: 1.0,
         wall_clock: Micros::ZERO,
     };
     let pending = PendingJobs::new(&context, [].into_iter());
@@ -227,7 +227,7 @@
     };
     let full = [host(0.0, &[]), host(0.0, &[])];
     let array = PreemptibleTask {
-        writes_checkpoints: false,
+        saves_checkpoints: false,
         ..preemptible(Priority::Normal)
     };
     let waiting = |aged| QueueEntry {
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -91,7 +91,7 @@
                 continue;
             };
             let remaining_tasks = &entry.tasks[deferred.started as usize..];
-            let permitted = self.quotas.slots(entry.team, &entry.requirements.need);
+            let permitted = self.quotas.max_tasks(entry.team, &entry.requirements.need);
             let placed = self.plan.placements.len();
             let remaining_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
             let tasks = permitted
--- a/src/scheduling/job_profile.rs
+++ b/src/scheduling/job_profile.rs
@@ -1,33 +1,33 @@
-//! What many jobs have in common, stored once and referred to by number.
+//! Job properties that many jobs share, stored once and referred to by id.
 
 use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::scheduling::placement::{NameTable, PlacementConstraints};
 use foldhash::HashMap;
 use std::sync::Arc;
 
-/// Properties that many jobs share. A queued job refers to its profile by number.
+/// Properties that many jobs share. A queued job refers to its profile by id.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct JobProfile {
     /// Kind of job.
     pub kind: JobKind,
-    /// Team, as the number of its name.
+    /// Id of the team in the name table.
     pub team: u32,
-    /// Job class, as the number of its name.
+    /// Id of the job class in the name table.
     pub class: u32,
-    /// Priority of the job itself, without what it inherits.
+    /// Priority of the job itself, without priority inheritance.
     pub priority: Priority,
-    /// Machines that the job may use.
-    pub allow: Arc<PlacementConstraints>,
-    /// Its tasks save checkpoints.
-    pub saves: bool,
-    /// Its tasks start one by one, and the zones of those that run restrict the zones of the others.
-    pub zoned: bool,
-    /// Number of everything besides amounts that the search for free resources depends on: jobs with
-    /// the same number fit on the same machines.
+    /// Constraints on the machines that the job may use.
+    pub constraints: Arc<PlacementConstraints>,
+    /// The tasks save checkpoints.
+    pub saves_checkpoints: bool,
+    /// The tasks start one by one, and the zones of running tasks restrict the zones of the others.
+    pub has_zone_constraint: bool,
+    /// Id of the feasibility class: jobs of the same class with the same resource amounts fit on the
+    /// same machines.
     pub feasibility_class: u32,
 }
 
-/// What the search for free resources depends on besides amounts.
+/// The job properties, besides resource amounts, that the search for free resources depends on.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct FeasibilityClass {
     constraints: Arc<PlacementConstraints>,
@@ -36,25 +36,25 @@
     spread: bool,
 }
 
-/// All profiles of the jobs in a queue, each with its number.
+/// Interns the profiles of all jobs in a queue and assigns their ids.
 #[derive(Debug, Default)]
 pub(crate) struct ProfileTable {
     profiles: Vec<JobProfile>,
-    numbers: HashMap<JobProfile, u32>,
+    ids: HashMap<JobProfile, u32>,
     feasibility_classes: HashMap<FeasibilityClass, u32>,
 }
 
 impl ProfileTable {
-    /// The number of a job's profile. Adds the profile if it is new.
-    pub(crate) fn number(&mut self, spec: &JobSpec, names: &mut NameTable) -> u32 {
+    /// Id of a job's profile. Adds the profile if it is new.
+    pub(crate) fn id_of(&mut self, spec: &JobSpec, names: &mut NameTable) -> u32 {
         let profile = self.profile(spec, names);
-        if let Some(number) = self.numbers.get(&profile) {
-            return *number;
+        if let Some(id) = self.ids.get(&profile) {
+            return *id;
         }
-        let number = self.profiles.len() as u32;
+        let id = self.profiles.len() as u32;
         self.profiles.push(profile.clone());
-        self.numbers.insert(profile, number);
-        number
+        self.ids.insert(profile, id);
+        id
     }
 
     fn profile(&mut self, spec: &JobSpec, names: &mut NameTable) -> JobProfile {
@@ -71,20 +71,20 @@
             team: names.id(&spec.team),
             class: names.id(&spec.class),
             priority: spec.priority,
-            allow: constraints,
-            saves: spec.saves_checkpoints(),
-            zoned: spec.has_zone_constraint(),
+            constraints,
+            saves_checkpoints: spec.saves_checkpoints(),
+            has_zone_constraint: spec.has_zone_constraint(),
             feasibility_class: *self.feasibility_classes.entry(class).or_insert(next_class),
         }
     }
 
-    /// The profile with this number.
-    pub(crate) fn get(&self, number: u32) -> &JobProfile {
-        &self.profiles[number as usize]
+    /// The profile with this id.
+    pub(crate) fn get(&self, id: u32) -> &JobProfile {
+        &self.profiles[id as usize]
     }
 
-    /// How many different searches for free resources there are.
-    pub(crate) fn feasibility_classes(&self) -> usize {
+    /// Number of feasibility classes.
+    pub(crate) fn feasibility_class_count(&self) -> usize {
         self.feasibility_classes.len()
     }
 }
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -1,6 +1,6 @@
-//! One scheduling pass: takes a snapshot of the cluster and the queue, runs the pure algorithm of
-//! `backfill::run_pass` on it, and returns the decision. `decide` changes nothing but the state that is
-//! cached between passes; `apply_decision` carries the decision out.
+//! One scheduling pass: takes a snapshot of the cluster and the queue, runs the pure algorithm
+//! `backfill::run_pass` on it, and returns the decision. `decide` modifies only the `PassState` that is
+//! cached between passes; `apply_decision` applies the decision.
 
 use crate::agents::leader_state::LeaderState;
 use crate::cloud::autoscaler::{self, ScalingPlan};
@@ -10,7 +10,7 @@
 use crate::scheduling::capacity_index::CapacityIndex;
 use crate::scheduling::cluster_snapshot::{ClusterSnapshot, SnapshotBuilder};
 use crate::scheduling::findings::{JobFindings, TaskRef};
-use crate::scheduling::host_table::{HostTable, ImageAvailability};
+use crate::scheduling::host_table::{HostTable, ImageIdCache};
 use crate::scheduling::job_queue::JobQueue;
 use crate::scheduling::pending_jobs::{PendingJobs, SchedulingContext};
 use crate::scheduling::placement::NameTable;
@@ -21,8 +21,8 @@
 use crate::state::record_cache::RecordCache;
 use std::collections::HashSet;
 
-/// Lower bound of the image fetch rate, in GB a second: fetch times are divided by it.
-const MIN_FETCH_RATE: f64 = 1e-3;
+/// Lower bound of the image fetch rate, by which image sizes are divided.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// A task that is to be started.
 #[derive(Debug, Clone, PartialEq)]
@@ -33,13 +33,13 @@
     pub task: u32,
     /// Name of the machine.
     pub machine: String,
-    /// Epoch of the agent that the start is addressed to.
+    /// Epoch of the agent that is to start the task.
     pub agent_epoch: u64,
-    /// The task was started ahead of a job that had arrived earlier.
+    /// The task starts ahead of a job that arrived earlier.
     pub backfilled: bool,
 }
 
-/// A machine that is held for a job while tasks on it are stopped.
+/// A machine that is reserved for a job while tasks on it are being stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
     /// Name of the machine.
@@ -55,15 +55,15 @@
     pub starts: Vec<TaskStart>,
     /// Tasks to preempt.
     pub preemptions: Vec<TaskRef>,
-    /// Machines to hold for jobs whose room is being cleared.
+    /// Machines to reserve for jobs while preempted tasks on them are being stopped.
     pub reservations: Vec<Reservation>,
     /// Number of jobs with tasks that could not be placed.
     pub unplaced_jobs: usize,
-    /// The largest demand of any job so far, in machines of the typical size.
+    /// The largest demand of any job so far, as a multiple of `HostTable::typical_host`.
     pub largest_demand: f64,
-    /// What inspecting placed jobs has found.
+    /// Results of inspecting the jobs.
     pub findings: JobFindings,
-    /// Machines to rent and to return.
+    /// Machines to rent and to release.
     pub scaling: ScalingPlan,
     /// Number of jobs with tasks to start.
     pub waiting_jobs: usize,
@@ -71,16 +71,16 @@
     pub machine_count: usize,
 }
 
-/// What a pass reads. None of it is changed.
+/// Read-only inputs of a pass.
 #[derive(Clone, Copy)]
 pub struct PassInputs<'a> {
     /// State of the leader.
     pub leader: &'a LeaderState,
-    /// Records of the store.
+    /// Cached records of the store.
     pub cache: &'a RecordCache,
     /// Settings of the cluster.
     pub settings: &'a Settings,
-    /// Policy set by the operators.
+    /// The operators' policy.
     pub policy: &'a Policy,
     /// Current time.
     pub clock: Clock,
@@ -89,34 +89,37 @@
 /// State that the leader caches between passes. It can be rebuilt from records and heartbeats.
 #[derive(Default)]
 pub struct PassState {
-    /// The queue of jobs.
-    pub backlog: JobQueue,
-    images: ImageAvailability,
+    /// All live jobs.
+    pub job_queue: JobQueue,
+    images: ImageIdCache,
 }
 
 impl PassState {
     /// Rebuilds the state from the records if it was never built or its name table has grown too far.
     fn refresh(&mut self, cache: &RecordCache) {
-        if self.backlog.needs_rebuild() {
-            self.backlog = JobQueue::build(cache.jobs.iter());
+        if self.job_queue.needs_rebuild() {
+            self.job_queue = JobQueue::build(cache.jobs.iter());
             self.images.clear();
         }
     }
 
-    /// The limits of all teams, with nothing taken from them.
+    /// The quotas of all teams, of which nothing is used yet.
     fn team_quotas(&mut self, settings: &Settings) -> QuotaTracker {
-        let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+        let or_unlimited = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
         let mut quotas = QuotaTracker::default();
         for team in &settings.params.teams {
-            let team_id = self.backlog.names.id(&team.name);
-            quotas.set_limit(team_id, [limit(team.cpus_max), limit(team.gpus_max)]);
+            let team_id = self.job_queue.names.id(&team.name);
+            quotas.set_limit(
+                team_id,
+                [or_unlimited(team.cpus_max), or_unlimited(team.gpus_max)],
+            );
         }
         quotas
     }
 }
 
-/// Decides on one pass. `unplaced` receives the jobs with tasks that could not be placed, in the
-/// order in which the pass considered them.
+/// Runs a pass and returns its decision. `unplaced` receives the jobs with tasks that could not be placed,
+/// in the order in which the pass considered them.
 pub fn decide(
     inputs: &PassInputs<'_>,
     state: &mut PassState,
@@ -124,15 +127,15 @@
 ) -> PassDecision {
     let PassInputs { leader, cache, .. } = *inputs;
     state.refresh(cache);
-    let host_table = HostTable::build(inputs, &mut state.backlog.names, &mut state.images);
+    let host_table = HostTable::build(inputs, &mut state.job_queue.names, &mut state.images);
     let quotas = state.team_quotas(inputs.settings);
-    autoscaler::assign_name_ids(leader, cache, &mut state.backlog.names);
-    let queue_demand = state.backlog.largest_demand(host_table.typical_host());
+    autoscaler::assign_name_ids(leader, cache, &mut state.job_queue.names);
+    let queue_demand = state.job_queue.largest_demand(host_table.typical_host());
     let largest_demand = leader.max_demand.max(queue_demand);
-    let context = scheduling_context(inputs, &state.backlog);
+    let context = scheduling_context(inputs, &state.job_queue);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
-    let knows_agents = leader.agents_known(inputs.settings, inputs.clock.now);
-    prepare_snapshot(&mut snapshot, knows_agents);
+    let agents_known = leader.agents_known(inputs.settings, inputs.clock.now);
+    prepare_snapshot(&mut snapshot, agents_known);
     let ClusterSnapshot {
         mut host_table,
         mut quotas,
@@ -152,15 +155,15 @@
         &mut quotas,
         largest_demand,
     );
-    let placed = PlacedQueue {
+    let outcome = PlacementOutcome {
         entries: &entries,
         pending: &pending,
         host_table: &host_table,
         capacity: &capacity,
         plan: &plan,
-        knows_agents,
+        agents_known,
     };
-    let scaling = placed.scaling_plan(inputs, &context.backlog.names, unplaced);
+    let scaling = outcome.scaling_plan(inputs, &context.job_queue.names, unplaced);
     let decision = PassDecision {
         starts: task_starts(plan.placements, &host_table, &capacity, cache),
         preemptions: task_refs(plan.preemptions),
@@ -172,26 +175,26 @@
         waiting_jobs: entries.len() + pending.count(),
         machine_count: capacity.len(),
     };
-    state.backlog.mark_names_complete();
+    state.job_queue.mark_names_complete();
     decision
 }
 
-/// The queue and the machines after tasks have been placed.
-struct PlacedQueue<'p, 'a> {
+/// The queue and the machines after the pass has placed tasks.
+struct PlacementOutcome<'p, 'a> {
     /// Entries of the inspected jobs.
     entries: &'p [QueueEntry<'a>],
-    /// All other queued jobs.
+    /// Queued jobs that were not inspected.
     pending: &'p PendingJobs<'a>,
     host_table: &'p HostTable<'a>,
     /// The machines, with the resources that are free after the pass.
     capacity: &'p CapacityIndex,
     plan: &'p SchedulingPlan<'a>,
-    /// The leader has been in office long enough to know all agents.
-    knows_agents: bool,
+    /// The leader has had time to receive a heartbeat from every reachable agent.
+    agents_known: bool,
 }
 
-impl PlacedQueue<'_, '_> {
-    /// Plans which machines to rent and to return. `unplaced` receives the jobs with unmet demand.
+impl PlacementOutcome<'_, '_> {
+    /// Plans which machines to rent and to release. `unplaced` receives the jobs with unmet demand.
     fn scaling_plan(
         &self,
         inputs: &PassInputs<'_>,
@@ -216,47 +219,51 @@
             clock: inputs.clock,
             hosts: self.host_table,
             rooms: self.capacity,
-            agents_known: self.knows_agents,
+            agents_known: self.agents_known,
         };
         autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.unmet_demands)
     }
 }
 
-/// What a pass has to know about any job besides its record.
-fn scheduling_context<'a>(inputs: &PassInputs<'a>, backlog: &'a JobQueue) -> SchedulingContext<'a> {
+/// The data, besides job records, that queue entries are built from.
+fn scheduling_context<'a>(
+    inputs: &PassInputs<'a>,
+    job_queue: &'a JobQueue,
+) -> SchedulingContext<'a> {
     let types = inputs.cache.machine_types.iter().flatten();
-    let slowest_fetch = types
+    let slowest_gb_per_s = types
         .map(|machine_type| machine_type.fetch_gb_per_s)
         .fold(f64::INFINITY, f64::min);
     SchedulingContext {
-        backlog,
+        job_queue,
         jobs: &inputs.cache.jobs,
-        guarantees: backlog.guarantee_window(&inputs.settings.params.teams),
+        guarantee_cutoffs: job_queue.guarantee_cutoffs(&inputs.settings.params.teams),
         inherited_priorities: InheritedPriorities::new(inputs.cache),
-        fetch_rate: slowest_fetch.max(MIN_FETCH_RATE),
+        slowest_fetch_gb_per_s: slowest_gb_per_s.max(MIN_FETCH_GB_PER_S),
         wall_clock: inputs.clock.wall,
     }
 }
 
 /// Sorts the queue entries, releases reservations of jobs that no longer wait, and determines which
-/// tasks may be preempted: none while the leader does not know all agents yet.
-fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, knows_agents: bool) {
+/// tasks may be preempted. None is preempted before every reachable agent has had time to send a
+/// heartbeat, since machines that are not known yet may have free resources.
+fn prepare_snapshot(snapshot: &mut ClusterSnapshot<'_>, agents_known: bool) {
     Recovery::sort_entries(&mut snapshot.entries);
     let waiting: HashSet<&str> = snapshot.entries.iter().map(|entry| entry.id).collect();
     for host in &mut snapshot.host_table.hosts {
-        // Every job that holds a reservation has been inspected, so it is among the entries if it waits.
+        // Every job with a reservation has been inspected, so if it still waits it has an entry.
         let reserved = host.reserved.as_deref();
         if reserved.is_some_and(|job| !waiting.contains(job)) {
             host.reserved = None;
         }
     }
-    if !knows_agents {
+    if !agents_known {
         snapshot.preemptible.clear();
     }
     backfill::mark_exempt_tasks(&mut snapshot.preemptible, &snapshot.usage_by_class);
 }
 
-/// The numbers of all zones in which machines are offered, sorted.
+/// Sorted ids of all zones in which machines are offered.
 fn offered_zones(cache: &RecordCache, names: &NameTable) -> Vec<u32> {
     let zone_names = cache
         .machine_types
@@ -269,7 +276,7 @@
     zones
 }
 
-/// Resolves host indexes to machine names and agent epochs.
+/// Converts placements: resolves host indexes to machine names and agent epochs.
 fn task_starts(
     placements: Vec<TaskPlacement>,
     host_table: &HostTable<'_>,
@@ -283,13 +290,13 @@
         task: placement.task,
         backfilled: placement.backfilled,
     };
-    // A record that cannot be decoded may hold other placements or the end of the job, and the
-    // controller could not write a new placement beside it.
+    // A record that cannot be decoded may contain other placements or the end of the job, and the
+    // controller could not add a placement to it.
     let readable = |placement: &TaskPlacement| !cache.is_unreadable(&placement.job);
     placements.into_iter().filter(readable).map(start).collect()
 }
 
-/// Names the fields of the tasks that a plan preempts.
+/// Converts the preempted tasks of a plan.
 fn task_refs(stops: Vec<(String, u32)>) -> Vec<TaskRef> {
     stops
         .into_iter()
@@ -297,7 +304,7 @@
         .collect()
 }
 
-/// Resolves host indexes to machine names.
+/// Converts reservations: resolves host indexes to machine names.
 fn reservations(reserved: Vec<(usize, String)>, host_table: &HostTable<'_>) -> Vec<Reservation> {
     reserved
         .into_iter()
--- a/src/scheduling/placement/host.rs
+++ b/src/scheduling/placement/host.rs
@@ -44,7 +44,7 @@
     /// Machines that the job may use.
     pub constraints: Arc<PlacementConstraints>,
     /// The tasks write checkpoints periodically, so little work is lost when a spot instance is reclaimed.
-    pub writes_checkpoints: bool,
+    pub saves_checkpoints: bool,
     /// Image of the job.
     pub image: u32,
     /// Indices of machines on which tasks of the job have failed.
--- a/src/scheduling/placement/host_picker.rs
+++ b/src/scheduling/placement/host_picker.rs
@@ -35,7 +35,7 @@
         let free_slots = slots(&host.free, &requirements.need) as f64;
         let total_slots = slots(&host.total, &requirements.need) as f64;
         HostScore {
-            preferred_spot: host.spot && requirements.writes_checkpoints,
+            preferred_spot: host.spot && requirements.saves_checkpoints,
             has_image: host.has_image(requirements.image),
             weight: weight(free_slots, total_slots, demand_ratio),
             host: index,
--- a/src/scheduling/placement/tests.rs
+++ b/src/scheduling/placement/tests.rs
@@ -52,7 +52,7 @@
             zone: rng.random_bool(0.2).then_some(10),
             spot: rng.random_bool(0.5),
         }),
-        writes_checkpoints: rng.random_bool(0.5),
+        saves_checkpoints: rng.random_bool(0.5),
         image: IMAGE,
         avoided_hosts: Vec::new(),
     }
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -77,7 +77,7 @@
     fn may_preempt_by_priority(&self, task: &PreemptibleTask<'_>) -> bool {
         let service = self.kind == JobKind::Service;
         let array = self.kind == JobKind::Array;
-        task.priority < self.priority && (task.writes_checkpoints || service) && !array
+        task.priority < self.priority && (task.saves_checkpoints || service) && !array
     }
 
     /// Whether the task may be preempted because the job is within its team's guarantee and the task is beyond
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -16,7 +16,7 @@
 use walnuttrestle::protocol::records::{TASKS_PER_CHUNK, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::scheduling::backfill::{PreemptibleTask, QueueEntry};
-use walnuttrestle::scheduling::findings::{BrokenGang, TaskRef, TaskStop};
+use walnuttrestle::scheduling::findings::{IncompleteGang, TaskRef, TaskStop};
 use walnuttrestle::scheduling::pass::{PassInputs, Reservation, TaskStart};
 use walnuttrestle::scheduling::placement::{
     self, Host, HostPicker, NameTable, PlacementConstraints, TaskRequirements, accepts_task, slots,
@@ -63,7 +63,7 @@
     /// Tasks to stop for other reasons than preemption.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
-    pub incomplete_gangs: Vec<BrokenGang>,
+    pub incomplete_gangs: Vec<IncompleteGang>,
 }
 
 /// The machines. All lists are in the same order.
@@ -307,14 +307,14 @@
         // no resources and no position in the queue, and blocks no other job.
         return None;
     }
-    let priority = inherited.of(id, job);
+    let priority = inherited.effective_priority(id, job);
     let team = names.id(&job.record.spec.team);
     let now = clock.now;
     let spec = &job.record.spec;
     let requirements = TaskRequirements {
         need: placement::task_resources(spec),
         constraints: Arc::new(PlacementConstraints::of(spec, names)),
-        writes_checkpoints: spec.saves_checkpoints(),
+        saves_checkpoints: spec.saves_checkpoints(),
         image: names.id(&spec.image),
         avoided_hosts: Vec::new(),
     };
@@ -405,7 +405,7 @@
                         start_order: order.copied().unwrap_or(0),
                         backfilled: attempt.backfilled(),
                         priority,
-                        writes_checkpoints: stops_alone && spec.saves_checkpoints(),
+                        saves_checkpoints: stops_alone && spec.saves_checkpoints(),
                         save_s: spec.save_s,
                         team,
                         beyond_guarantee: !guaranteed,
@@ -445,7 +445,7 @@
     }
     if spec.kind == JobKind::Gang && !present.is_empty() {
         if lost > 0 {
-            decision.incomplete_gangs.push(BrokenGang {
+            decision.incomplete_gangs.push(IncompleteGang {
                 job: id.to_string(),
                 attempt: latest_attempt,
             });
@@ -951,7 +951,7 @@
             free
         };
         task.stops_alone
-            && task.writes_checkpoints
+            && task.saves_checkpoints
             && task.priority < entry.priority
             && entry.fetch_s > 2.0 * (task.save_s + STOP_S)
             && host.schedulable
@@ -1006,7 +1006,7 @@
     }
     let may_preempt = |task: &&PreemptibleTask<'_>| {
         let is_lower = task.priority < entry.priority;
-        let yields_to_priority = is_lower && (task.writes_checkpoints || is_service) && !is_array;
+        let yields_to_priority = is_lower && (task.saves_checkpoints || is_service) && !is_array;
         // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
         // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
         let is_surplus =
