--- a/src/scheduling/backfill/tests.rs
+++ b/src/scheduling/backfill/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of single passes.
+//! Tests that run a single scheduling pass.
 
 use super::*;
 use crate::protocol::{JobSpec, Micros, Priority};
@@ -13,15 +13,15 @@
 
 fn host(free: f64, images: &[u32]) -> Host {
     Host {
-        kind: 1,
+        machine_type: 1,
         zone: 2,
         spot: false,
         agent_epoch: 1,
         total: [4.0; 3],
         free: [free; 3],
-        open: true,
+        schedulable: true,
         images: Arc::new(images.to_vec()),
-        leaving: [0.0; 3],
+        stopping: [0.0; 3],
         reserved: None,
     }
 }
@@ -29,24 +29,24 @@
 fn entry<'a>(spec: &'a JobSpec, fetch_s: f64) -> QueueEntry<'a> {
     QueueEntry {
         id: "req-2",
-        at: Micros::ZERO,
+        accepted_at: Micros::ZERO,
         spec,
         lost_tasks: 0,
         requirements: TaskRequirements {
             need: [1.0; 3],
-            allow: Arc::new(PlacementConstraints {
+            constraints: Arc::new(PlacementConstraints {
                 machine_types: None,
                 zone: None,
                 spot: false,
             }),
-            saves: false,
+            saves_checkpoints: false,
             image: IMAGE,
-            avoid: Vec::new(),
+            avoided_hosts: Vec::new(),
         },
         team: 0,
         feasibility_class: 0,
         tasks: vec![0],
-        present: Vec::new(),
+        task_locations: Vec::new(),
         fetch_s,
         estimate_s: 0.0,
         priority: spec.priority,
@@ -66,7 +66,7 @@
         start_order: 1,
         backfilled: false,
         priority,
-        saves: true,
+        saves_checkpoints: true,
         save_s: 3.0,
         team: 0,
         beyond_guarantee: false,
@@ -103,7 +103,7 @@
     let mut quotas = QuotaTracker::default();
     let mut plan = run_pass(entries, &pending, &mut index, preemptible, &mut quotas, 1.0);
     let unmet_demands = plan.unmet_demands.drain(..).map(|demand| UnmetDemand {
-        of: QueueCandidate::Active(0),
+        candidate: QueueCandidate::Active(0),
         tasks: demand.tasks,
     });
     SchedulingPlan {
@@ -120,35 +120,42 @@
         priority: Priority::Production,
         ..JobSpec::sample(JobKind::Service)
     };
-    // One machine has room without the image, the other the image without room.
+    // The first machine has room but not the image; the second has the image but no room.
     let hosts = || [host(4.0, &[]), host(0.0, &[IMAGE])];
-    let low = [preemptible(Priority::Low)];
-    let plan = run(entry(&service, 20.0), &hosts(), &low);
+    let low_priority = [preemptible(Priority::Low)];
+    let plan = run(entry(&service, 20.0), &hosts(), &low_priority);
     assert_eq!(plan.preemptions, [("req-1".to_string(), 3)]);
     assert_eq!(plan.reservations, [(1, "req-2".to_string())]);
-    assert!(plan.placements.is_empty() && plan.unmet_demands.is_empty());
-    // While the checkpoint is written nothing else is stopped, and the replica waits.
-    let mut clearing = hosts();
-    clearing[1].reserved = Some("req-2".into());
-    clearing[1].leaving = [1.0; 3];
-    let plan = run(entry(&service, 20.0), &clearing, &low);
     assert!(
-        plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty()
+        plan.placements.is_empty() && plan.unmet_demands.is_empty(),
+        "expected neither placements nor unmet demand, found {plan:?}"
     );
-    // Then the replica starts there.
-    clearing[1].free = [1.0; 3];
-    let plan = run(entry(&service, 20.0), &clearing, &[]);
+    // While the preempted task writes its checkpoint, no other task is preempted and the replica waits.
+    let mut cleared_hosts = hosts();
+    cleared_hosts[1].reserved = Some("req-2".into());
+    cleared_hosts[1].stopping = [1.0; 3];
+    let plan = run(entry(&service, 20.0), &cleared_hosts, &low_priority);
+    assert!(
+        plan.preemptions.is_empty() && plan.placements.is_empty() && plan.unmet_demands.is_empty(),
+        "expected an empty plan, found {plan:?}"
+    );
+    // Once the preempted task has ended, the replica starts on its machine.
+    cleared_hosts[1].free = [1.0; 3];
+    let plan = run(entry(&service, 20.0), &cleared_hosts, &[]);
     assert_eq!(plan.placements[0].host, 1);
-    // Neither with a short fetch nor for a task of the same priority is anything stopped.
+    // No task is preempted if the fetch is short, or if the running task has the same priority.
     for (fetch_s, priority) in [(9.0, Priority::Low), (20.0, Priority::Production)] {
         let tasks = [preemptible(priority)];
         let plan = run(entry(&service, fetch_s), &hosts(), &tasks);
-        assert!(plan.preemptions.is_empty() && plan.placements[0].host == 0);
+        assert!(
+            plan.preemptions.is_empty() && plan.placements[0].host == 0,
+            "fetch {fetch_s} s, priority {priority:?}: expected a placement on machine 0 only, found {plan:?}"
+        );
     }
 }
 
-/// Fails if a job of many thousand short tasks takes each pass whole, as one did for minutes
-/// (inc-fb2d), or if half of a pass is left unused where no other job waits.
+/// Guards against an array of many thousand short tasks that uses up each pass, so that other jobs do not
+/// start for minutes (inc-fb2d), and against leaving half of a pass unused when no other job waits.
 #[test]
 fn a_wide_array_leaves_half_of_a_pass_to_the_jobs_behind_it() {
     let array = JobSpec::sample(JobKind::Array);
@@ -165,14 +172,14 @@
     let queue = [job("req-1", 128), job("req-2", 128), job("req-3", 20)];
     let plan = run_all(&queue, &hosts, &[]);
     assert_eq!(count(&plan, "req-3"), 20);
-    // The rest of the room goes to the wide arrays, in their order.
+    // The remaining room goes to the wide arrays, in queue order.
     assert_eq!((count(&plan, "req-1"), count(&plan, "req-2")), (128, 92));
     let plan = run_all(&queue[..1], &hosts, &[]);
     assert_eq!(count(&plan, "req-1"), 128);
 }
 
-/// Fails if a guarantee is restored machine by machine, or if a machine that the job's own tasks have
-/// filled counts as room that is still being made.
+/// Guards against restoring a team's guarantee on one machine at a time, and against counting a reserved
+/// machine that is filled by the job's own tasks as room that is still being cleared.
 #[test]
 fn a_guarantee_is_restored_on_several_machines_at_once() {
     let array = JobSpec::sample(JobKind::Array);
@@ -187,7 +194,7 @@
         host(0.0, &[]),
         host(0.0, &[]),
     ];
-    let guests: Vec<PreemptibleTask<'_>> = (0..16)
+    let beyond_guarantee: Vec<PreemptibleTask<'_>> = (0..16)
         .map(|number| PreemptibleTask {
             task: number as u32,
             host: number % 4,
@@ -197,18 +204,18 @@
             ..preemptible(Priority::Low)
         })
         .collect();
-    let plan = run(waiting(6, true), &hosts, &guests);
+    let plan = run(waiting(6, true), &hosts, &beyond_guarantee);
     assert_eq!((plan.preemptions.len(), plan.reservations.len()), (6, 2));
     assert!(
-        run(waiting(6, false), &hosts, &guests)
+        run(waiting(6, false), &hosts, &beyond_guarantee)
             .preemptions
             .is_empty()
     );
-    // One machine is reserved and full of the job's tasks; on another two guests are about to stop.
+    // Two machines are reserved. The job's own tasks fill the first; tasks are being stopped on the second.
     hosts[0].reserved = Some("req-2".into());
     hosts[1].reserved = Some("req-2".into());
-    hosts[1].leaving = [2.0; 3];
-    let plan = run(waiting(6, true), &hosts, &guests);
+    hosts[1].stopping = [2.0; 3];
+    let plan = run(waiting(6, true), &hosts, &beyond_guarantee);
     assert_eq!((plan.preemptions.len(), plan.reservations.len()), (4, 1));
 }
 
@@ -220,32 +227,35 @@
     };
     let full = [host(0.0, &[]), host(0.0, &[])];
     let array = PreemptibleTask {
-        saves: false,
+        saves_checkpoints: false,
         ..preemptible(Priority::Normal)
     };
     let waiting = |aged| QueueEntry {
         aged,
         ..entry(&gang, 1.0)
     };
-    let stops = |entry, task: &PreemptibleTask<'static>| {
+    let preemptions_for = |entry, task: &PreemptibleTask<'static>| {
         run(entry, &full, std::slice::from_ref(task)).preemptions
     };
-    assert!(stops(waiting(false), &array).is_empty());
-    assert_eq!(stops(waiting(true), &array), [("req-1".to_string(), 3)]);
-    // Neither a task of an exempt class, nor one of the same priority, nor a member of a gang.
+    assert!(preemptions_for(waiting(false), &array).is_empty());
+    assert_eq!(
+        preemptions_for(waiting(true), &array),
+        [("req-1".to_string(), 3)]
+    );
+    // Tasks of an exempt class, tasks of the same priority and members of a gang are not preempted.
     let exempt = PreemptibleTask {
         exempt: true,
         ..array.clone()
     };
-    let equal = PreemptibleTask {
+    let same_priority = PreemptibleTask {
         priority: Priority::High,
         ..array.clone()
     };
-    let member = PreemptibleTask {
+    let gang_member = PreemptibleTask {
         stops_alone: false,
         ..array.clone()
     };
-    for task in [exempt, equal, member] {
-        assert!(stops(waiting(true), &task).is_empty());
+    for task in [exempt, same_priority, gang_member] {
+        assert!(preemptions_for(waiting(true), &task).is_empty());
     }
 }
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -304,10 +304,10 @@
         let profile = self.profile_of(queued);
         TaskRequirements {
             need: queued.need,
-            allow: profile.constraints.clone(),
-            saves: profile.saves_checkpoints,
+            constraints: profile.constraints.clone(),
+            saves_checkpoints: profile.saves_checkpoints,
             image: queued.image,
-            avoid: Vec::new(),
+            avoided_hosts: Vec::new(),
         }
     }
 
--- a/src/scheduling/placement/gang.rs
+++ b/src/scheduling/placement/gang.rs
@@ -4,10 +4,10 @@
 use crate::scheduling::placement::host_picker::HostScore;
 use crate::scheduling::placement::{Host, TaskRequirements, accepts_task, slots};
 
-/// Places all `members` of a gang or none: on one machine, else in one zone, else anywhere unless the job
-/// wants one zone. Returns the machine of each member.
+/// Places either all `members` of a gang or none. Tries one machine first, then one zone, then all zones
+/// unless the job requires one zone. Returns the machine of each member.
 ///
-/// `candidates` have to include all machines that accept a task of the job `id`.
+/// `candidates` has to include all machines that accept a task of the job `id`.
 pub fn place_gang(
     hosts: &[Host],
     candidates: impl Iterator<Item = usize>,
@@ -19,8 +19,12 @@
 ) -> Option<Vec<usize>> {
     let mut ranked: Vec<HostScore> = candidates
         .filter(|index| {
-            accepts_task(&hosts[*index], id, &requirements.need, &requirements.allow)
-                && !requirements.avoid.contains(index)
+            accepts_task(
+                &hosts[*index],
+                id,
+                &requirements.need,
+                &requirements.constraints,
+            ) && !requirements.avoided_hosts.contains(index)
         })
         .map(|index| HostScore::of(index, &hosts[index], requirements, demand_ratio))
         .collect();
@@ -37,11 +41,11 @@
         },
     };
     let one_zone_suffices = search.max_per_zone == members;
-    if one_zone_suffices && let Some(host) = search.one_host() {
+    if one_zone_suffices && let Some(host) = search.host_for_all_members() {
         return Some(vec![host; members as usize]);
     }
     let zones = search.zones();
-    if one_zone_suffices && let Some(found) = search.in_one_zone(&zones) {
+    if one_zone_suffices && let Some(found) = search.place_in_one_zone(&zones) {
         return Some(found);
     }
     if spec.one_zone {
@@ -67,52 +71,52 @@
 }
 
 impl GangSearch<'_> {
-    /// Number of members that fit on a machine.
+    /// Number of members that fit on the machine with this score.
     fn slots_on(&self, score: &HostScore) -> u32 {
         slots(&self.hosts[score.host].free, &self.requirements.need)
     }
 
     /// The best machine with room for all members.
-    fn one_host(&self) -> Option<usize> {
+    fn host_for_all_members(&self) -> Option<usize> {
         let mut ranked = self.ranked.iter();
         let score = ranked.find(|score| self.slots_on(score) >= self.members)?;
         Some(score.host)
     }
 
-    /// Zones of the ranked machines, in the order of the zones' first machines: the numbers of names
-    /// differ from leader to leader.
+    /// Zones of the ranked machines, ordered by the first machine in each zone. They are not ordered by zone
+    /// id, because ids in the `NameTable` differ between leaders.
     fn zones(&self) -> Vec<u32> {
         let zone_of = |score: &HostScore| self.hosts[score.host].zone;
-        let mut ranked: Vec<u32> = self.ranked.iter().map(zone_of).collect();
-        ranked.sort_unstable();
-        ranked.dedup();
-        let mut ordered: Vec<u32> = Vec::with_capacity(ranked.len());
+        let mut zone_ids: Vec<u32> = self.ranked.iter().map(zone_of).collect();
+        zone_ids.sort_unstable();
+        zone_ids.dedup();
+        let mut ordered: Vec<u32> = Vec::with_capacity(zone_ids.len());
         for host in self.hosts {
-            if ordered.len() == ranked.len() {
+            if ordered.len() == zone_ids.len() {
                 break;
             }
-            if ranked.contains(&host.zone) && !ordered.contains(&host.zone) {
+            if zone_ids.contains(&host.zone) && !ordered.contains(&host.zone) {
                 ordered.push(host.zone);
             }
         }
         ordered
     }
 
-    /// Places all members in one zone. The slowest fetch decides when a gang starts, so the zone is
-    /// chosen in which most members find their image; among equals the first.
-    fn in_one_zone(&self, zones: &[u32]) -> Option<Vec<usize>> {
-        let fetches = |found: &Vec<usize>| {
+    /// Places all members in one zone. A gang starts when the slowest image fetch has ended, so this chooses
+    /// the zone in which the fewest members have to fetch the image; among equals the first.
+    fn place_in_one_zone(&self, zones: &[u32]) -> Option<Vec<usize>> {
+        let fetch_count = |found: &Vec<usize>| {
             let image = self.requirements.image;
-            let fetches = |host: &&usize| !self.hosts[**host].has_image(image);
-            found.iter().filter(fetches).count()
+            let fetches_image = |host: &&usize| !self.hosts[**host].has_image(image);
+            found.iter().filter(fetches_image).count()
         };
         zones
             .iter()
             .filter_map(|zone| self.fill(std::slice::from_ref(zone)))
-            .min_by_key(fetches)
+            .min_by_key(fetch_count)
     }
 
-    /// Places all members in these zones, on the best machines first.
+    /// Places all members in these zones, best machines first.
     fn fill(&self, zones: &[u32]) -> Option<Vec<usize>> {
         let mut chosen: Vec<usize> = Vec::new();
         let mut counts: Vec<ZoneCount> = zones
