--- a/src/scheduling/backfill/start.rs
+++ b/src/scheduling/backfill/start.rs
@@ -1,4 +1,4 @@
-//! Starting the tasks of one job: gangs as a whole, arrays and services task by task.
+//! Starts the tasks of one job: gangs as a whole, arrays and services task by task.
 
 use crate::protocol::JobKind;
 use crate::scheduling::backfill::{
@@ -7,9 +7,9 @@
 };
 use crate::scheduling::job_queue::JobSummary;
 use crate::scheduling::placement::{self, Host, HostPicker, ZoneLimits, slots};
-use crate::scheduling::preemption::find_image_holder;
+use crate::scheduling::preemption::find_victim_with_image;
 
-/// Number of tasks of a pending job that one pass would start at most.
+/// Upper limit of the number of tasks of a pending job that one pass starts.
 pub fn max_startable_tasks(gang: bool, summary: &JobSummary) -> u32 {
     if gang {
         summary.unfinished
@@ -21,8 +21,8 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Starts the tasks of a job that fit. Returns the number of tasks that found no machine, without
-    /// those that its team's quota excludes.
+    /// Starts the tasks of a job that fit. Returns the number of tasks that found no machine; tasks that
+    /// exceed the team's quota are not counted.
     pub(super) fn start_candidate(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Starts the tasks of a pending job that fit, as `start_candidate` does. Builds the queue entry only if
-    /// a machine may have room.
+    /// `start_candidate` for a pending job. Builds the queue entry only if a machine may have room, or if the
+    /// job may be a wide array.
     fn start_pending(&mut self, summary: &'a JobSummary, backfilled: bool) -> u32 {
         let profile = self.pending.profile_of(summary);
         let gang = profile.kind == JobKind::Gang;
@@ -48,10 +48,10 @@
         if permitted == 0 || (gang && permitted < requested) {
             return 0;
         }
-        // Tasks of arrays and services look for a machine one by one.
-        let at_once = if gang { requested } else { 1 };
+        // The tasks of arrays and services are placed one by one, so room for a single task suffices.
+        let min_tasks = if gang { requested } else { 1 };
         let infeasible = &mut self.infeasible[profile.feasibility_class as usize];
-        let mut no_room = infeasible.covers(&summary.need, at_once);
+        let mut no_room = infeasible.covers(&summary.need, min_tasks);
         if !no_room && !self.hosts.has_room(&summary.need, &profile.constraints) {
             infeasible.add(&summary.need, 1);
             no_room = true;
@@ -72,7 +72,7 @@
         unplaced
     }
 
-    /// Starts the tasks of a job that fit and that its team's quota permits, as `start_candidate` does.
+    /// `start_candidate` for a job with a queue entry.
     fn start_job(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -86,7 +86,11 @@
             return self.start_wide_array(candidate, entry, permitted, backfilled);
         }
         if entry.spec.kind != JobKind::Gang {
-            return self.start_each(entry, &entry.tasks[..permitted as usize], backfilled);
+            return self.start_tasks_one_by_one(
+                entry,
+                &entry.tasks[..permitted as usize],
+                backfilled,
+            );
         }
         if permitted < requested {
             return 0;
@@ -118,7 +122,7 @@
     }
 
     /// Starts tasks one by one. Returns the number of tasks that found no machine.
-    pub(super) fn start_each(
+    pub(super) fn start_tasks_one_by_one(
         &mut self,
         entry: &QueueEntry<'_>,
         tasks: &[u32],
@@ -127,7 +131,12 @@
         let requirements = &entry.requirements;
         let service = entry.spec.kind == JobKind::Service;
         let mut zones = entry.zone_limits();
-        let runs_on = |host: usize| entry.present.iter().any(|(_, at)| *at == Some(host));
+        let runs_on = |host: usize| {
+            entry
+                .task_locations
+                .iter()
+                .any(|(_, host_index)| *host_index == Some(host))
+        };
         let candidates = self.candidates(entry);
         let mut picker = HostPicker::new(
             self.hosts,
@@ -145,7 +154,7 @@
             };
             if service
                 && !self.hosts[host].has_image(requirements.image)
-                && self.waits_for_image_holder(entry, &mut zones, &mut hosts_being_cleared)
+                && self.waits_for_host_with_image(entry, &mut zones, &mut hosts_being_cleared)
             {
                 picker.put_back(self.hosts, host);
                 continue;
@@ -158,11 +167,11 @@
     }
 
     /// Whether a replica waits for a machine that has its image instead of fetching the image elsewhere.
-    /// Preempts a task on such a machine if no machine is being cleared for the service already.
+    /// Preempts a task on such a machine if no machine is being cleared for this replica already.
     ///
-    /// `hosts_being_cleared`: how many machines are being cleared for further replicas, counted on the
-    /// first call.
-    fn waits_for_image_holder(
+    /// `hosts_being_cleared` is the number of machines that are being cleared for further replicas of the
+    /// service. It is computed on the first call and decreases with each replica that waits.
+    fn waits_for_host_with_image(
         &mut self,
         entry: &QueueEntry<'_>,
         zones: &mut ZoneLimits,
@@ -174,7 +183,12 @@
             *being_cleared -= 1;
             return true;
         }
-        let victim = find_image_holder(entry, self.hosts, &self.checkpointing_singles, zones);
+        let victim = find_victim_with_image(
+            entry,
+            self.hosts,
+            &self.independent_checkpointing_tasks,
+            zones,
+        );
         let Some(victim) = victim else {
             return false;
         };
@@ -188,8 +202,8 @@
         true
     }
 
-    /// Number of machines reserved for the job that are full now and have room once stopping tasks have
-    /// ended. Machines that the job's own tasks have filled do not count.
+    /// Number of machines reserved for the job that are full now but have room once the tasks that are being
+    /// stopped have ended. Machines that are filled by the job's own tasks do not count.
     fn count_hosts_being_cleared(&self, entry: &QueueEntry<'_>) -> usize {
         let need = &entry.requirements.need;
         let being_cleared = |host: &&Host| {
@@ -204,13 +218,13 @@
     pub(super) fn candidates(&self, entry: &QueueEntry<'_>) -> Vec<usize> {
         let requirements = &entry.requirements;
         self.hosts
-            .candidates(entry.id, &requirements.need, &requirements.allow)
+            .candidates(entry.id, &requirements.need, &requirements.constraints)
     }
 
     /// Starts one task on a machine.
     fn place(&mut self, entry: &QueueEntry<'_>, task: u32, host: usize, backfilled: bool) {
         let requirements = &entry.requirements;
-        self.hosts.take(host, &requirements.need);
+        self.hosts.allocate(host, &requirements.need);
         self.quotas.deduct(entry.team, &requirements.need);
         self.hosts.add_image(host, requirements.image);
         self.plan.placements.push(TaskPlacement {
