--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -154,7 +154,7 @@
                          or the gang is too wide";
             return SubmissionDecision::Refuse(400, error);
         }
-        if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
+        if !spec.needs.is_empty() && !self.all_controllers_read(PIPELINES) {
             // A controller of the first version drops unknown fields when it rewrites a record.
             let error = "jobs can wait for jobs once all controllers run this version";
             return SubmissionDecision::Refuse(503, error);
