--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -22,19 +22,19 @@
 /// An agent that rejected direct commands is sent the next ones after this.
 const REJECTED_RETRY: Micros = Micros::millis(200);
 /// An agent that has seemed unreachable for longer than this is called less often.
-const LONG_UNREACHABLE: Micros = Micros::millis(6000);
+const LONG_UNREACHABLE_AFTER: Micros = Micros::millis(6000);
 /// Interval of direct calls to an agent that has seemed unreachable for long.
 const UNREACHABLE_RETRY: Micros = Micros::millis(5000);
 /// Exited attempts that an agent must not forget yet make its heartbeats long. Beyond this many the leader raises its
 /// term, which fences all duplicates of their starts.
-const MAX_KEPT_ATTEMPTS: usize = 40;
+const MAX_RETAINED_EXITS: usize = 40;
 /// The term is raised for kept attempts no more often than this.
-const KEPT_ATTEMPTS_FENCE_INTERVAL: Micros = Micros::millis(60_000);
+const RETAINED_EXITS_FENCE_INTERVAL: Micros = Micros::millis(60_000);
 /// All agents are checked for due commands at this interval, for commands to be repeated. Whatever happens to an
 /// agent or to the jobs on it has it checked sooner.
 const FULL_CHECK_INTERVAL: Micros = Micros::millis(1000);
 /// An agent that we answered this recently shows our term by itself with its next heartbeat.
-const TERM_SHOWN_WITHIN: Micros = Micros::millis(1200);
+const RECENT_ANSWER: Micros = Micros::millis(1200);
 /// Timeout of a direct call.
 const COMMAND_TIMEOUT: Micros = Micros::millis(2500);
 
@@ -67,12 +67,12 @@
     }
 
     /// Whether the agent of a machine keeps so many exited attempts that the term should be raised.
-    fn keeps_too_many_attempts(&self, machine: &str, now: Micros) -> bool {
+    fn retains_too_many_exits(&self, machine: &str, now: Micros) -> bool {
         // The length is compared first: counting looks each start up.
         let too_many = |agent: &Agent| {
-            agent.tasks.len() > MAX_KEPT_ATTEMPTS && agent.retained_exits() > MAX_KEPT_ATTEMPTS
+            agent.tasks.len() > MAX_RETAINED_EXITS && agent.retained_exits() > MAX_RETAINED_EXITS
         };
-        now.since(self.since) > KEPT_ATTEMPTS_FENCE_INTERVAL
+        now.since(self.term_since) > RETAINED_EXITS_FENCE_INTERVAL
             && self.agents.get(machine).is_some_and(too_many)
     }
 
@@ -86,7 +86,7 @@
     ) -> Option<DirectCall> {
         let term = self.term;
         let agent = self.agents.get_mut(machine)?;
-        if due.commands.is_empty() && !needs_contact(agent, term, self.since, now) {
+        if due.commands.is_empty() && !needs_contact(agent, term, self.term_since, now) {
             return None;
         }
         let address = agent.address?;
@@ -128,7 +128,7 @@
     }
     let shows_term_soon = agent
         .last_answered_at
-        .is_some_and(|at| at >= term_began && now < at + TERM_SHOWN_WITHIN);
+        .is_some_and(|at| at >= term_began && now < at + RECENT_ANSWER);
     agent.term != term && !shows_term_soon
 }
 
@@ -222,10 +222,11 @@
         if !matches!(status, 200 | 409) {
             return CommandsResponse::Unknown;
         }
-        let report = parse_agent_heartbeat(&body).filter(|report| report.machine == machine);
-        match report {
-            Some(report) if status == 200 => CommandsResponse::Executed(report),
-            Some(report) => CommandsResponse::Rejected(report),
+        let heartbeat =
+            parse_agent_heartbeat(&body).filter(|heartbeat| heartbeat.machine == machine);
+        match heartbeat {
+            Some(heartbeat) if status == 200 => CommandsResponse::Executed(heartbeat),
+            Some(heartbeat) => CommandsResponse::Rejected(heartbeat),
             None => CommandsResponse::Unknown,
         }
     }
@@ -237,10 +238,10 @@
     pub fn commands_for(
         &mut self,
         clock: Clock,
-        report: &AgentHeartbeat,
+        heartbeat: &AgentHeartbeat,
         relayed: bool,
     ) -> Vec<Command> {
-        let machine = &report.machine;
+        let machine = &heartbeat.machine;
         let Some(leader) = &mut self.leader else {
             return Vec::new();
         };
@@ -257,7 +258,8 @@
                 agent.stops.insert(key, clock.now);
             }
             for key in due.starts.into_iter().filter(|_| relayed) {
-                start_under_term(agent, key, leader.term).sent_with_response_to = Some(report.seq);
+                start_under_term(agent, key, leader.term).sent_with_response_to =
+                    Some(heartbeat.seq);
             }
         }
         due.commands
@@ -284,7 +286,7 @@
                 now,
                 Delivery::Direct,
             );
-            needs_fence |= due.needs_fence || leader.keeps_too_many_attempts(&machine, now);
+            needs_fence |= due.needs_fence || leader.retains_too_many_exits(&machine, now);
             calls.extend(leader.prepare_direct_call(&machine, due, now));
         }
         let next_full_check = leader.next_full_check_at;
@@ -357,16 +359,16 @@
                 agent.next_commands_at = clock.now + COMMAND_RETRY;
                 sent.mark_not_executed(agent);
             }
-            CommandsResponse::Executed(report) => {
+            CommandsResponse::Executed(heartbeat) => {
                 agent.reachability.on_commands_answered(clock.now);
                 sent.mark_executed(agent);
-                self.apply_heartbeat(clock, &report);
+                self.apply_heartbeat(clock, &heartbeat);
             }
-            CommandsResponse::Rejected(report) => {
+            CommandsResponse::Rejected(heartbeat) => {
                 agent.reachability.on_commands_answered(clock.now);
                 agent.next_commands_at = clock.now + REJECTED_RETRY;
                 sent.mark_not_executed(agent);
-                self.on_commands_rejected(clock, &report);
+                self.on_commands_rejected(clock, &heartbeat);
             }
             CommandsResponse::Unknown => {
                 agent.reachability.on_commands_unanswered(clock.now);
@@ -378,14 +380,14 @@
 
     /// Applies the state of an agent that rejected our commands, and checks whether we are still the leader if it has
     /// seen a higher term.
-    fn on_commands_rejected(&mut self, clock: Clock, report: &AgentHeartbeat) {
+    fn on_commands_rejected(&mut self, clock: Clock, heartbeat: &AgentHeartbeat) {
         let our_term = self.leader.as_ref().map(|leader| leader.term);
-        self.apply_heartbeat(clock, report);
-        if our_term.is_some_and(|our_term| report.term > our_term) {
+        self.apply_heartbeat(clock, heartbeat);
+        if our_term.is_some_and(|our_term| heartbeat.term > our_term) {
             log::info!(
                 "commands rejected machine={} agent_term={} reason=higher_term",
-                report.machine,
-                report.term
+                heartbeat.machine,
+                heartbeat.term
             );
             self.request_read_barrier(clock, PendingRequest::ConfirmLeadership);
         }
@@ -395,7 +397,7 @@
 /// When direct commands without a response are sent again.
 fn retry_delay(agent: &Agent, now: Micros) -> Micros {
     let unreachable_since = agent.reachability.suspected_since();
-    if unreachable_since.is_some_and(|since| now.since(since) > LONG_UNREACHABLE) {
+    if unreachable_since.is_some_and(|since| now.since(since) > LONG_UNREACHABLE_AFTER) {
         UNREACHABLE_RETRY
     } else {
         COMMAND_RETRY
--- a/src/agents/failure_history.rs
+++ b/src/agents/failure_history.rs
@@ -8,14 +8,14 @@
 
 /// A job is kept off a machine on which it failed, and an unhealthy machine gets no new tasks, for this long. If that
 /// machine alone has room, no task may be left waiting for 90 s.
-const AVOIDED: Micros = Micros::millis(70_000);
+const MACHINE_AVOIDANCE: Micros = Micros::millis(70_000);
 /// A machine on which a job failed gets no new tasks for this long: if the machine is at fault, the next job there, a
 /// gang perhaps, would fail as well.
-const COOLDOWN: Micros = Micros::millis(30_000);
+const MACHINE_COOLDOWN: Micros = Micros::millis(30_000);
 /// An unhealthy machine is deleted no sooner than this after its first failure.
-const UNHEALTHY_BEFORE_DELETION: Micros = Micros::millis(15_000);
+const MIN_UNHEALTHY_BEFORE_DELETION: Micros = Micros::millis(15_000);
 /// A job that failed on more machines than this in a row is at fault itself.
-const MAX_MACHINE_FAULTS: u32 = 2;
+const MAX_FAILED_MACHINES: u32 = 2;
 
 /// Failures of a job's tasks.
 #[derive(Debug, Clone, Default)]
@@ -31,14 +31,14 @@
 impl FailureHistory {
     /// Whether the job failed on so many machines in a row that it is at fault itself.
     pub fn is_at_fault(&self) -> bool {
-        self.failed_machines > MAX_MACHINE_FAULTS
+        self.failed_machines > MAX_FAILED_MACHINES
     }
 
     /// Whether the job has not failed for a while.
     pub fn has_not_failed_recently(&self, now: Micros) -> bool {
         self.machines
             .values()
-            .all(|failed_at| now.since(*failed_at) > COOLDOWN)
+            .all(|failed_at| now.since(*failed_at) > MACHINE_COOLDOWN)
     }
 }
 
@@ -59,8 +59,8 @@
 
     /// Whether tasks of several jobs failed in a row on a machine, so that the machine is at fault.
     pub fn is_unhealthy(&self, agent: &Agent, policy: &Policy) -> bool {
-        agent.errors.len() as f64 >= policy.sick_after
-            && self.attributed_failures(agent).count() as f64 >= policy.sick_after
+        agent.errors.len() as f64 >= policy.unhealthy_after_errors
+            && self.attributed_failures(agent).count() as f64 >= policy.unhealthy_after_errors
     }
 
     /// Whether a machine has been at fault for a while: by then jobs at fault are known, also to a new leader.
@@ -68,18 +68,18 @@
         self.is_unhealthy(agent, policy)
             && self
                 .attributed_failures(agent)
-                .any(|failed_at| now.since(failed_at) > UNHEALTHY_BEFORE_DELETION)
+                .any(|failed_at| now.since(failed_at) > MIN_UNHEALTHY_BEFORE_DELETION)
     }
 
     /// Whether a task failed recently on a machine, and the machine may be at fault.
     pub fn failed_recently(&self, agent: &Agent, now: Micros) -> bool {
         self.attributed_failures(agent)
-            .any(|failed_at| now < failed_at + COOLDOWN)
+            .any(|failed_at| now < failed_at + MACHINE_COOLDOWN)
     }
 
     /// Drops failures that are older than the time for which a machine is avoided.
     pub fn expire_failures(&mut self, now: Micros) {
-        let is_recent = |failed_at: &Micros| now < *failed_at + AVOIDED;
+        let is_recent = |failed_at: &Micros| now < *failed_at + MACHINE_AVOIDANCE;
         self.failure_histories.retain(|_, history| {
             history.machines.retain(|_, failed_at| is_recent(failed_at));
             !history.machines.is_empty() || now < history.retry_at
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// An agent epoch that has lasted this many lease durations has been renewed, so our answers reach its agent.
-const RENEWED_FOR_CERTAIN: f64 = 1.5;
+const RENEWAL_PROVEN_AFTER_LEASES: f64 = 1.5;
 /// Leases are checked this soon after the first heartbeat of an agent; after a change of leader hundreds come at once.
 const NEW_AGENT_LEASE_CHECK: Micros = Micros::millis(1_000);
 /// A task that was refused for want of room is not tried before this: the next heartbeats will show the room.
@@ -29,7 +29,7 @@
         &mut self,
         clock: Clock,
         conn: u64,
-        report: AgentHeartbeat,
+        heartbeat: AgentHeartbeat,
         relayed: bool,
     ) {
         let staleness_bound = self.staleness_bound();
@@ -42,21 +42,21 @@
             self.refuse(conn, 503, "the state service is silent for too long");
             return;
         }
-        let machine = report.machine.clone();
-        if leader.fleet.is_gone(&machine) {
+        let machine = heartbeat.machine.clone();
+        if leader.inventory.is_gone(&machine) {
             // A late duplicate: the machine has been deleted, or has failed for good.
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        if !self.apply_heartbeat(clock, &report) {
+        if !self.apply_heartbeat(clock, &heartbeat) {
             // A duplicate, or overtaken by the answer to a direct command: the agent has sent something newer. An
             // answer with our term might renew its lease without our counting on it; nor may a duplicate of an old
             // heartbeat of a dead machine keep us waiting.
-            log::debug!("heartbeat outdated machine={machine} seq={}", report.seq);
+            log::debug!("heartbeat outdated machine={machine} seq={}", heartbeat.seq);
             self.answer_without_renewal(conn);
             return;
         }
-        self.record_contact(clock, &report, relayed);
+        self.record_contact(clock, &heartbeat, relayed);
         if !self.store_available() && self.may_start_cancelled(&machine) {
             // We can neither fence that start with a higher term now nor give its machine up: it is harmless only
             // if the agent epoch ends.
@@ -64,7 +64,7 @@
             self.answer_without_renewal(conn);
             return;
         }
-        let commands = self.commands_for(clock, &report, relayed);
+        let commands = self.commands_for(clock, &heartbeat, relayed);
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -81,17 +81,18 @@
     }
 
     /// Records what a new heartbeat shows about earlier answers and about whether the agent receives them.
-    fn record_contact(&mut self, clock: Clock, report: &AgentHeartbeat, relayed: bool) {
+    fn record_contact(&mut self, clock: Clock, heartbeat: &AgentHeartbeat, relayed: bool) {
         let lease = Micros::secs(self.settings.params.agents.lease_s);
         let leader = self.leader.as_mut();
-        let Some(agent) = leader.and_then(|leader| leader.agents.get_mut(&report.machine)) else {
+        let Some(agent) = leader.and_then(|leader| leader.agents.get_mut(&heartbeat.machine))
+        else {
             return;
         };
-        agent.settle_starts_before(report.agent_epoch, report.seq);
+        agent.settle_starts_before(heartbeat.agent_epoch, heartbeat.seq);
         if !relayed {
             agent.reachability.on_direct_heartbeat(clock.now);
         }
-        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWED_FOR_CERTAIN) {
+        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWAL_PROVEN_AFTER_LEASES) {
             agent.reachability.on_confirmation(clock.now);
         }
     }
@@ -102,19 +103,19 @@
         let Some(agent) = leader.and_then(|leader| leader.agents.get(machine)) else {
             return false;
         };
-        let heard = &self.peers.reported_cancellations;
+        let reported = &self.peers.reported_cancellations;
         agent
             .unresolved_starts()
-            .any(|(job, ..)| known_cancelled(&self.cache, heard, job))
+            .any(|(job, ..)| known_cancelled(&self.cache, reported, job))
     }
 
     /// Applies an agent's message, from a heartbeat or from the answer to a direct command. Returns false if it is
     /// no newer than what we know.
-    pub fn apply_heartbeat(&mut self, clock: Clock, report: &AgentHeartbeat) -> bool {
+    pub fn apply_heartbeat(&mut self, clock: Clock, heartbeat: &AgentHeartbeat) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
         };
-        let machine = &report.machine;
+        let machine = &heartbeat.machine;
         let known = leader.agents.get(machine);
         if known.is_none_or(|agent| agent.agent_epoch == 0) {
             // Its lease may expire long before the bound for machines that never sent a heartbeat.
@@ -126,9 +127,9 @@
             None => leader
                 .agents
                 .entry(machine.clone())
-                .or_insert_with(|| Agent::new(report)),
+                .or_insert_with(|| Agent::new(heartbeat)),
         };
-        let effect = agent.update(report, clock.now);
+        let effect = agent.update(heartbeat, clock.now);
         if effect == HeartbeatEffect::Stale {
             return false;
         }
@@ -141,7 +142,9 @@
         } else {
             agent.idle_since = None;
         }
-        leader.fleet.record_heartbeat(machine, report, clock.now);
+        leader
+            .inventory
+            .record_heartbeat(machine, heartbeat, clock.now);
         if let HeartbeatEffect::Changed(previous) = effect {
             leader.dirty = true;
             leader.machines_to_check.insert(machine.clone());
@@ -292,12 +295,12 @@
     (task.job.clone(), task.task, task.attempt)
 }
 
-fn same_attempt(one: &ReportedTask, other: &ReportedTask) -> bool {
-    (one.task, one.attempt) == (other.task, other.attempt) && one.job == other.job
+fn same_attempt(a: &ReportedTask, b: &ReportedTask) -> bool {
+    (a.task, a.attempt) == (b.task, b.attempt) && a.job == b.job
 }
 
-fn same_state(one: &ReportedTask, other: &ReportedTask) -> bool {
-    one.phase == other.phase && same_attempt(one, other)
+fn same_state(a: &ReportedTask, b: &ReportedTask) -> bool {
+    a.phase == b.phase && same_attempt(a, b)
 }
 
 /// Whether a task that exited without being done was still fetching its image before.
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -16,16 +16,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An agent whose last heartbeat is older than this many heartbeat intervals gets no new tasks.
-pub const FRESH_REPORTS: f64 = 2.5;
+pub const FRESH_HEARTBEAT_INTERVALS: f64 = 2.5;
 /// Starts are sent, and scheduling passes run, only this soon after a read that confirmed our term.
 pub const MAX_START_STALENESS: Micros = Micros::millis(4000);
 /// After a change of leader an agent needs up to this many heartbeat intervals to reach the new leader, since it
 /// tries the other controllers first.
-const TAKEOVER_REPORTS: f64 = 3.0;
+const TAKEOVER_HEARTBEAT_INTERVALS: f64 = 3.0;
 /// A leader transfers leadership no sooner than this after it acquired it.
 const MIN_LEADERSHIP: Micros = Micros::millis(15_000);
 /// An agent that sends its heartbeats to us has sent one within this many heartbeat intervals.
-const HEARD_REPORTS: f64 = 1.5;
+const DIRECT_HEARTBEAT_INTERVALS: f64 = 1.5;
 /// First term of a cluster: before it there was no leader whose commands could still have effect.
 const FIRST_TERM: u64 = 1;
 
@@ -38,9 +38,9 @@
     /// Version of the leader record when we acquired leadership. Writes of earlier leaders have lower versions.
     pub leadership_version: u64,
     /// When our present term began.
-    pub since: Micros,
+    pub term_since: Micros,
     /// When we acquired leadership; later terms of ours do not change it.
-    pub led_since: Micros,
+    pub leadership_since: Micros,
     /// Start of the last read that confirmed our term.
     pub last_confirmed_read: Micros,
     /// Start of the last round in which all peers confirmed that they know of no cancellation and no leader newer
@@ -53,7 +53,7 @@
     /// Agents by machine name.
     pub agents: BTreeMap<String, Agent>,
     /// Machines and rental requests.
-    pub fleet: Inventory,
+    pub inventory: Inventory,
     /// Pending writes of job records.
     pub record_writer: RecordWriter,
     /// Tasks to be stopped, by job and task number: grace period in seconds, and since when the stop is due.
@@ -69,9 +69,9 @@
     /// When all machines are next checked for due commands, above all for commands to be repeated.
     pub next_full_check_at: Micros,
     /// Whether the leases of all machines that never sent us a heartbeat have expired in the worst case.
-    pub unmet_leases_expired: bool,
+    pub unseen_agent_leases_expired: bool,
     /// Machines whose leases followers renew for our term, by the followers' records.
-    pub renewed: BTreeSet<String>,
+    pub renewed_by_followers: BTreeSet<String>,
     /// Per follower: the newest renewal record that we have seen.
     pub(super) last_seen_renewals: BTreeMap<String, LastSeenRenewal>,
     /// Since when most agents are served by peers and not by us; `Micros::FAR`: leadership is being transferred.
@@ -91,7 +91,7 @@
     /// The largest demand of a job seen so far.
     pub max_demand: f64,
     /// Number of starts decided so far.
-    pub started: u64,
+    pub start_count: u64,
     /// Sequence number of each start, by job and task number.
     pub start_order: BTreeMap<String, BTreeMap<u32, u64>>,
     /// State kept from pass to pass.
@@ -105,14 +105,14 @@
             term,
             version,
             leadership_version: version,
-            since: clock.now,
-            led_since: clock.now,
+            term_since: clock.now,
+            leadership_since: clock.now,
             last_confirmed_read: Micros::ZERO,
             peers_confirmed_at: Micros::ZERO,
             term_raise_pending: false,
             lease_grants: LeaseGrantor::default(),
             agents: BTreeMap::new(),
-            fleet: Inventory::new(clock),
+            inventory: Inventory::new(clock),
             record_writer: RecordWriter::default(),
             stopping: BTreeMap::new(),
             incomplete_gangs: BTreeMap::new(),
@@ -120,8 +120,8 @@
             dirty: true,
             machines_to_check: BTreeSet::new(),
             next_full_check_at: clock.now,
-            unmet_leases_expired: false,
-            renewed: BTreeSet::new(),
+            unseen_agent_leases_expired: false,
+            renewed_by_followers: BTreeSet::new(),
             last_seen_renewals: BTreeMap::new(),
             unable_to_serve_since: None,
             reserved: BTreeMap::new(),
@@ -131,7 +131,7 @@
             batch_merge_due: clock.now,
             last_pass: Micros::ZERO,
             max_demand: 0.0,
-            started: 0,
+            start_count: 0,
             start_order: BTreeMap::new(),
             pass_state: PassState::default(),
         }
@@ -142,7 +142,7 @@
         let Some(machine) = entry.machine() else {
             return TaskLiveness::Gone;
         };
-        if self.fleet.is_gone(machine) {
+        if self.inventory.is_gone(machine) {
             return TaskLiveness::Gone;
         }
         match self.agents.get(machine) {
@@ -154,7 +154,9 @@
                 entry.agent_epoch(),
             ),
             // It sent no heartbeat under our term, and no controller can still be renewing its lease.
-            None if self.unmet_leases_expired && !self.renewed.contains(machine) => {
+            None if self.unseen_agent_leases_expired
+                && !self.renewed_by_followers.contains(machine) =>
+            {
                 TaskLiveness::Gone
             }
             None => TaskLiveness::Unknown,
@@ -173,31 +175,32 @@
         let gang_complete = self
             .incomplete_gangs
             .get(job)
-            .is_none_or(|broken| *broken < entry.attempt());
+            .is_none_or(|incomplete_attempt| *incomplete_attempt < entry.attempt());
         gang_complete && self.due_stop(job, entry.task()).is_none()
     }
 
     /// Whether all reachable agents have had the time to send us a heartbeat. Until then we know only some of the
     /// machines: preemption and scale-out would make room that is already there.
-    pub fn agents_known(&self, settings: &Settings, now: Micros) -> bool {
-        let takeover = Micros::secs(settings.params.agents.report_s * TAKEOVER_REPORTS);
-        self.term <= FIRST_TERM || now.since(self.led_since) >= takeover
+    pub fn takeover_grace_elapsed(&self, settings: &Settings, now: Micros) -> bool {
+        let takeover = Micros::secs(settings.params.agents.report_s * TAKEOVER_HEARTBEAT_INTERVALS);
+        self.term <= FIRST_TERM || now.since(self.leadership_since) >= takeover
     }
 
     /// Whether peers serve most of the agents, by their renewal records, and hardly any agent reaches us. False soon
     /// after a change of leader, so that leadership does not change in a circle.
     pub fn peers_serve_most_agents(&self, settings: &Settings, now: Micros) -> bool {
-        if self.renewed.is_empty() || now.since(self.led_since) < MIN_LEADERSHIP {
+        if self.renewed_by_followers.is_empty() || now.since(self.leadership_since) < MIN_LEADERSHIP
+        {
             return false;
         }
-        let fresh = Micros::secs(settings.params.agents.report_s * HEARD_REPORTS);
+        let fresh = Micros::secs(settings.params.agents.report_s * DIRECT_HEARTBEAT_INTERVALS);
         let mut live_agents = 0;
         let mut fresh_agents = 0;
         for agent in self.agents.values().filter(|agent| !agent.epoch_ended()) {
             live_agents += 1;
             fresh_agents += usize::from(now.since(agent.last_heard_at) < fresh);
         }
-        let peers_serve_most = self.renewed.len() * 4 >= live_agents * 3;
+        let peers_serve_most = self.renewed_by_followers.len() * 4 >= live_agents * 3;
         let few_reach_us = fresh_agents * 4 < live_agents.max(1);
         peers_serve_most && few_reach_us
     }
@@ -212,7 +215,7 @@
         self.agents
             .get(machine)
             .map(|agent| agent.zone.clone())
-            .or_else(|| self.fleet.zone_of(machine))
+            .or_else(|| self.inventory.zone_of(machine))
     }
 }
 
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -80,34 +80,34 @@
 /// Result of checking one lease.
 enum LeaseCheck {
     /// It may be valid; it is checked again at this time.
-    MayHold(Micros),
+    MayBeValid(Micros),
     /// It has expired.
     Expired,
 }
 
 impl LeaderState {
     /// Marks the agent epochs whose lease has expired in the worst case as over; returns the time of the next check.
-    /// `pledged`: peers may take our leadership for one that began then.
+    /// `pledges_relied_on_until`: peers may take our leadership for one that began then.
     pub fn expire_leases(
         &mut self,
         settings: &Settings,
         cache: &RecordCache,
-        pledged: Micros,
+        pledges_relied_on_until: Micros,
         now: Micros,
     ) -> Micros {
         if now < self.next_lease_check {
             return self.next_lease_check;
         }
-        let bounds = LeaseBounds::new(settings, self.since.max(pledged));
+        let bounds = LeaseBounds::new(settings, self.term_since.max(pledges_relied_on_until));
         self.update_renewed(cache);
-        let mut next = self.expire_unmet_machines(bounds.earlier_terms_end, now);
+        let mut next = self.expire_unseen_agents(bounds.earlier_terms_end, now);
         let mut expired = Vec::new();
         for (machine, agent) in &self.agents {
             if agent.epoch_ended() {
                 continue;
             }
             match self.check_lease(machine, agent, &bounds, now) {
-                LeaseCheck::MayHold(recheck_at) => next = next.min(recheck_at),
+                LeaseCheck::MayBeValid(recheck_at) => next = next.min(recheck_at),
                 LeaseCheck::Expired => expired.push(machine.clone()),
             }
         }
@@ -120,14 +120,14 @@
 
     /// Notes when the leases of machines that never sent us a heartbeat have expired; returns the time of the next
     /// check.
-    fn expire_unmet_machines(&mut self, earlier_terms_end: Micros, now: Micros) -> Micros {
-        if self.unmet_leases_expired {
+    fn expire_unseen_agents(&mut self, earlier_terms_end: Micros, now: Micros) -> Micros {
+        if self.unseen_agent_leases_expired {
             return Micros::FAR;
         }
         if now < earlier_terms_end {
             return earlier_terms_end;
         }
-        self.unmet_leases_expired = true;
+        self.unseen_agent_leases_expired = true;
         self.dirty = true;
         Micros::FAR
     }
@@ -141,11 +141,11 @@
     ) -> LeaseCheck {
         let end = bounds.lease_end(agent, self.term);
         if now < end {
-            return LeaseCheck::MayHold(end);
+            return LeaseCheck::MayBeValid(end);
         }
-        if self.renewed.contains(machine) {
+        if self.renewed_by_followers.contains(machine) {
             // A follower keeps the lease alive, and will record when it no longer does.
-            return LeaseCheck::MayHold(now + RENEWED_LEASE_RECHECK);
+            return LeaseCheck::MayBeValid(now + RENEWED_LEASE_RECHECK);
         }
         match self
             .lease_grants
@@ -153,7 +153,7 @@
         {
             None => LeaseCheck::Expired,
             // A peer may have renewed it by a grant of ours, and has not reported that yet.
-            Some(recheck_at) => LeaseCheck::MayHold(Micros(recheck_at)),
+            Some(recheck_at) => LeaseCheck::MayBeValid(Micros(recheck_at)),
         }
     }
 
@@ -181,9 +181,9 @@
             .filter(|(record, _)| record.term == self.term)
             .flat_map(|(record, _)| record.machines())
             .collect();
-        if renewed != self.renewed {
+        if renewed != self.renewed_by_followers {
             // A lease that no follower renews any more may have expired by that alone.
-            self.renewed = renewed;
+            self.renewed_by_followers = renewed;
             self.dirty = true;
             self.next_lease_check = Micros::ZERO;
         }
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -37,11 +37,11 @@
     pub needs_fence: bool,
 }
 
-/// Commands due to an agent. `heard`: cancellations that peers have reported to us.
+/// Commands due to an agent. `reported_cancellations`: cancellations that peers have reported to us.
 pub(super) fn due_commands(
     leader: &LeaderState,
     cache: &RecordCache,
-    heard: &ReportedCancellations,
+    reported_cancellations: &ReportedCancellations,
     machine: &str,
     now: Micros,
     delivery: Delivery,
@@ -55,7 +55,7 @@
     let mut reconciliation = Reconciliation {
         leader,
         cache,
-        heard,
+        reported_cancellations,
         machine,
         agent,
         now,
@@ -74,7 +74,7 @@
 struct Reconciliation<'a> {
     leader: &'a LeaderState,
     cache: &'a RecordCache,
-    heard: &'a ReportedCancellations,
+    reported_cancellations: &'a ReportedCancellations,
     machine: &'a str,
     agent: &'a Agent,
     now: Micros,
@@ -136,7 +136,7 @@
             return;
         }
         let cancelled = match job {
-            Some(job) if job.active() => self.heard.contains(&task.job),
+            Some(job) if job.active() => self.reported_cancellations.contains(&task.job),
             Some(job) => job.record.stage == JobStage::Cancelled,
             None => self.is_cancelled(&task.job),
         };
@@ -197,12 +197,12 @@
         }
     }
 
-    /// Adds a stop, unless one was sent within the last `STOP_RETRY`. `always`: in any case.
-    fn stop(&mut self, task: &ReportedTask, grace_s: f64, always: bool) {
+    /// Adds a stop, unless one was sent within the last `STOP_RETRY`. `repeat_now`: in any case.
+    fn stop(&mut self, task: &ReportedTask, grace_s: f64, repeat_now: bool) {
         let key = (task.job.clone(), task.task, task.attempt);
         let last_sent = self.agent.stops.get(&key);
         let due = last_sent.is_none_or(|sent_at| self.now >= *sent_at + STOP_RETRY);
-        if !always && !due {
+        if !repeat_now && !due {
             return;
         }
         self.due.stops.push(key);
@@ -220,7 +220,7 @@
     }
 
     fn is_cancelled(&self, job: &str) -> bool {
-        known_cancelled(self.cache, self.heard, job)
+        known_cancelled(self.cache, self.reported_cancellations, job)
     }
 
     /// Whether the job's record has this attempt on this machine, in the agent's present epoch.
--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -24,11 +24,16 @@
     }
 
     fn drive_leases(&mut self, clock: Clock) -> Micros {
-        let pledged = Micros(self.peers.silence_pledges.relied_on_until());
+        let pledges_relied_on_until = Micros(self.peers.silence_pledges.relied_on_until());
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        leader.expire_leases(&self.settings, &self.cache, pledged, clock.now)
+        leader.expire_leases(
+            &self.settings,
+            &self.cache,
+            pledges_relied_on_until,
+            clock.now,
+        )
     }
 
     /// Runs a scheduling pass if one is due and may be made; returns when to try again.
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that was silent for this many heartbeat intervals counts as silent in its zone.
-const SILENT_REPORTS: f64 = 2.5;
+const SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
 /// A zone with fewer silent machines does not seem partitioned.
 const MIN_SILENT_MACHINES: usize = 2;
 
@@ -48,9 +48,9 @@
     /// The machines that take tasks, by name.
     pub hosts: &'a HostTable<'a>,
     /// The same machines with the capacity that this pass has left.
-    pub rooms: &'a [Host],
+    pub hosts_after_pass: &'a [Host],
     /// All reachable agents have had the time to send us a heartbeat.
-    pub agents_known: bool,
+    pub takeover_grace_elapsed: bool,
 }
 
 impl<'a> FleetSnapshot<'a> {
@@ -68,14 +68,14 @@
             names.id(zone);
         }
     }
-    for machine in leader.fleet.machines.values() {
+    for machine in leader.inventory.machines.values() {
         names.id(&machine.kind);
         names.id(&machine.zone);
     }
     for agent in leader.agents.values() {
         names.id(&agent.zone);
     }
-    for pending in leader.fleet.rent_requests.values() {
+    for pending in leader.inventory.rent_requests.values() {
         names.id(&pending.request.kind);
         names.id(&pending.request.zone);
     }
@@ -91,8 +91,8 @@
     let silent_zones = silent_zones(snapshot);
     let capacity_missing = !unmet.is_empty();
     let may_scale_out =
-        snapshot.leader.fleet.listed_once && snapshot.cache.initial_machines.is_some();
-    let requests = if may_scale_out && capacity_missing && snapshot.agents_known {
+        snapshot.leader.inventory.listed_once && snapshot.cache.initial_machines.is_some();
+    let requests = if may_scale_out && capacity_missing && snapshot.takeover_grace_elapsed {
         plan_scale_out(snapshot, names, &silent_zones, source, unmet)
     } else {
         BTreeMap::new()
@@ -114,10 +114,11 @@
 /// Zones in which most machines are silent or seem unreachable: more likely partitioned than failed. Their machines
 /// are worth waiting for as long as new ones would take to boot.
 fn silent_zones(snapshot: &FleetSnapshot<'_>) -> BTreeSet<String> {
-    let patience = Micros::secs(snapshot.settings.params.agents.report_s * SILENT_REPORTS);
+    let silence_limit =
+        Micros::secs(snapshot.settings.params.agents.report_s * SILENT_HEARTBEAT_INTERVALS);
     let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
     for agent in snapshot.leader.agents.values() {
-        let is_silent = snapshot.clock.now.since(agent.last_heard_at) > patience;
+        let is_silent = snapshot.clock.now.since(agent.last_heard_at) > silence_limit;
         let zone = zones.entry(&agent.zone).or_default();
         zone.machines += 1;
         zone.silent += usize::from(is_silent || !agent.reachability.receives());
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -99,7 +99,7 @@
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         inventory.queue_due_calls(clock.now);
         let requests = inventory.take_calls(calls_per_s, clock.now);
         let next = inventory.next_call_at(clock.now);
@@ -135,7 +135,7 @@
             return;
         };
         let content: Option<MachineTypes> = response.content();
-        leader.fleet.types_read(content.is_some(), clock.now);
+        leader.inventory.on_types_read(content.is_some(), clock.now);
         if let Some(content) = content {
             self.record_types(content.types);
         }
@@ -146,7 +146,7 @@
     fn record_types(&mut self, mut types: Vec<MachineType>) {
         types.sort_by(|one, other| one.name.cmp(&other.name));
         let known = self.cache.machine_types.as_ref();
-        if known.is_some_and(|known| same_but_spot_prices(known, &types)) {
+        if known.is_some_and(|known| equal_except_spot_prices(known, &types)) {
             return;
         }
         let Some(leader) = &self.leader else {
@@ -172,34 +172,34 @@
             return;
         };
         let Some(page) = response.content::<MachinePage>() else {
-            leader.fleet.list_failed(clock.now);
+            leader.inventory.on_list_failed(clock.now);
             return;
         };
-        leader.fleet.list_page_read(&page, clock.now);
+        leader.inventory.on_list_page(&page, clock.now);
         if !page.more && self.cache.initial_machines.is_none() {
-            self.record_base(page.machines.len());
+            self.record_initial_machines(page.machines.len());
         }
         let Some(leader) = &mut self.leader else {
             return;
         };
         for listed in page.machines {
-            leader.dirty |= leader.fleet.apply_listed(listed, clock.now);
+            leader.dirty |= leader.inventory.apply_listed(listed, clock.now);
         }
     }
 
     /// Writes to the store how many machines there were before any was requested, once and for all: nothing is
     /// requested before the first list has been read. `listed`: machines on the last page.
-    fn record_base(&mut self, listed: usize) {
+    fn record_initial_machines(&mut self, listed: usize) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let base = leader.fleet.machines.len().max(listed) as u64;
+        let initial_machines = leader.inventory.machines.len().max(listed) as u64;
         let transaction = Transaction {
             conditions: vec![
                 VersionCondition::new(LEADER_KEY, leader.version),
                 VersionCondition::new(BASELINE_MACHINES_KEY, NO_VERSION),
             ],
-            changes: vec![Change::put(BASELINE_MACHINES_KEY, &base, None)],
+            changes: vec![Change::put(BASELINE_MACHINES_KEY, &initial_machines, None)],
         };
         self.store.enqueue(
             RequestPriority::Normal,
@@ -212,13 +212,13 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         if let Some(names) = response.content::<MachineNames>() {
-            inventory.rented(rent, names, clock.now);
+            inventory.on_rented(rent, names, clock.now);
         } else if matches!(response.status, 400 | 503) {
-            inventory.rent_refused(rent, clock.now);
+            inventory.on_rent_refused(rent, clock.now);
         } else {
-            inventory.rent_failed(rent);
+            inventory.on_rent_failed(rent);
         }
         leader.dirty = true;
     }
@@ -229,11 +229,11 @@
         };
         for name in machines {
             if response.is_ok() {
-                leader.fleet.deleted(&name);
+                leader.inventory.on_deleted(&name);
                 leader.agents.remove(&name);
                 leader.dirty = true;
             } else {
-                leader.fleet.deletion_failed(name);
+                leader.inventory.on_deletion_failed(name);
             }
         }
     }
@@ -244,10 +244,12 @@
             return;
         };
         for deletion in plan.deletions {
-            leader.fleet.delete(&deletion.machine, deletion.reason);
+            leader
+                .inventory
+                .mark_for_deletion(&deletion.machine, deletion.reason);
         }
         if plan.may_scale_out {
-            leader.fleet.retry_rent_requests();
+            leader.inventory.retry_rent_requests();
         }
         for (offer, count) in plan.requests {
             self.rent(&offer, count);
@@ -259,7 +261,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         let mut remaining = count;
         while remaining > 0 {
             inventory.rent_counter += 1;
@@ -276,13 +278,13 @@
                 count: remaining.min(MAX_RENTED_PER_CALL),
             };
             remaining -= rent.count;
-            inventory.rent(rent);
+            inventory.queue_rent_request(rent);
         }
     }
 }
 
 /// Whether two lists in the order of names agree on everything but spot prices.
-fn same_but_spot_prices(known: &[MachineType], types: &[MachineType]) -> bool {
+fn equal_except_spot_prices(known: &[MachineType], types: &[MachineType]) -> bool {
     let same = |one: &MachineType, other: &MachineType| {
         let mut one = one.clone();
         one.spot_price = other.spot_price;
--- a/src/cloud/demand.rs
+++ b/src/cloud/demand.rs
@@ -25,9 +25,9 @@
 /// Access to the demand behind queue entries. The job itself is looked up only if a machine may be requested for it.
 pub trait DemandSource<'a> {
     /// What a job needs.
-    fn need<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n>;
+    fn demand<'n>(&'n self, candidate: QueueCandidate<'n>) -> CapacityDemand<'n>;
     /// The job, by its id.
-    fn job(&self, of: QueueCandidate<'_>) -> Option<(&'a String, &'a Job)>;
+    fn job(&self, candidate: QueueCandidate<'_>) -> Option<(&'a String, &'a Job)>;
 }
 
 /// Demands of one class may be placed on the same machines.
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -17,11 +17,11 @@
 /// A failed call is repeated after this.
 const CALL_RETRY: Micros = Micros::millis(1500);
 /// After the cloud had no capacity for an offer, the offer is not requested again before this.
-const REFUSED_FOR: Micros = Micros::millis(15_000);
+const REFUSED_OFFER_RETRY: Micros = Micros::millis(15_000);
 /// Machines named in one deletion at most.
 const MAX_DELETED_PER_CALL: usize = 100;
 /// Number of machines that are gone whose names are kept, for lists that come late.
-const MAX_GONE_KEPT: usize = 4000;
+const MAX_GONE_NAMES: usize = 4000;
 /// Share of the cloud's rate limit that we use.
 const RATE_SHARE: f64 = 0.7;
 /// Permits that one call takes.
@@ -43,7 +43,7 @@
     /// Its agent has sent us a heartbeat.
     pub(super) reported: bool,
     /// It is to be deleted, and takes no new tasks.
-    pub(super) leaving: bool,
+    pub(super) marked_for_deletion: bool,
     /// The cloud lists it as failed.
     pub(super) failed: bool,
 }
@@ -57,7 +57,7 @@
             requested_at,
             running: false,
             reported: false,
-            leaving: false,
+            marked_for_deletion: false,
             failed: false,
         }
     }
@@ -90,7 +90,7 @@
     /// A call for the machine types is queued or in flight.
     types_pending: bool,
     /// Offers for which the cloud had no capacity, and until when they are not requested again.
-    pub(super) refused: BTreeMap<InstanceOffer, Micros>,
+    pub(super) refused_offers: BTreeMap<InstanceOffer, Micros>,
     /// Rent requests without a final answer, by name of the request.
     pub(super) rent_requests: BTreeMap<String, PendingRent>,
     /// Number of rent requests under our term.
@@ -116,7 +116,7 @@
             listed_once: false,
             next_types_at: clock.now,
             types_pending: false,
-            refused: BTreeMap::new(),
+            refused_offers: BTreeMap::new(),
             rent_requests: BTreeMap::new(),
             rent_counter: 0,
             rate_limit: None,
@@ -131,10 +131,10 @@
     }
 
     /// Whether a machine is to be deleted, so that it takes no new tasks.
-    pub fn leaving(&self, machine: &str) -> bool {
+    pub fn is_marked_for_deletion(&self, machine: &str) -> bool {
         self.machines
             .get(machine)
-            .is_some_and(|machine| machine.leaving)
+            .is_some_and(|machine| machine.marked_for_deletion)
     }
 
     /// Zone of a machine, if it is known.
@@ -145,9 +145,9 @@
     }
 
     /// Records that the agent of a machine has sent a heartbeat; adopts a machine that we did not know.
-    pub fn record_heartbeat(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+    pub fn record_heartbeat(&mut self, name: &str, heartbeat: &AgentHeartbeat, now: Micros) {
         let Some(machine) = self.machines.get_mut(name) else {
-            self.adopt(name, report, now);
+            self.adopt(name, heartbeat, now);
             return;
         };
         if !machine.reported {
@@ -157,16 +157,16 @@
         }
     }
 
-    fn adopt(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+    fn adopt(&mut self, name: &str, heartbeat: &AgentHeartbeat, now: Micros) {
         log::info!(
             "machine adopted machine={name} type={} zone={}",
-            report.kind,
-            report.zone
+            heartbeat.kind,
+            heartbeat.zone
         );
         let offer = InstanceOffer {
-            kind: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+            kind: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
         };
         let machine = Machine {
             reported: true,
@@ -180,7 +180,7 @@
             return;
         }
         self.gone_order.push_back(name.to_string());
-        if self.gone_order.len() > MAX_GONE_KEPT
+        if self.gone_order.len() > MAX_GONE_NAMES
             && let Some(oldest) = self.gone_order.pop_front()
         {
             self.gone.remove(&oldest);
@@ -188,13 +188,13 @@
     }
 
     /// Marks a machine as to be deleted.
-    pub(super) fn delete(&mut self, name: &str, reason: DeletionReason) {
+    pub(super) fn mark_for_deletion(&mut self, name: &str, reason: DeletionReason) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if !machine.leaving {
+        if !machine.marked_for_deletion {
             log::info!("machine to be deleted machine={name} reason={reason:?}");
-            machine.leaving = true;
+            machine.marked_for_deletion = true;
             self.to_delete.insert(name.to_string());
         }
     }
@@ -260,7 +260,7 @@
     }
 
     /// A call for the machine types has ended.
-    pub(super) fn types_read(&mut self, succeeded: bool, now: Micros) {
+    pub(super) fn on_types_read(&mut self, succeeded: bool, now: Micros) {
         self.types_pending = false;
         let interval = if succeeded {
             TYPES_INTERVAL
@@ -271,7 +271,7 @@
     }
 
     /// A page of the list has been read: the next one, or the list from its beginning, is read next.
-    pub(super) fn list_page_read(&mut self, page: &MachinePage, now: Micros) {
+    pub(super) fn on_list_page(&mut self, page: &MachinePage, now: Micros) {
         self.list_pending = false;
         if page.more {
             let last = page.machines.last();
@@ -285,7 +285,7 @@
     }
 
     /// A page of the list could not be read: the list is read from its beginning.
-    pub(super) fn list_failed(&mut self, now: Micros) {
+    pub(super) fn on_list_failed(&mut self, now: Micros) {
         self.list_pending = false;
         self.list_cursor.clear();
         self.next_list_at = now + CALL_RETRY;
@@ -321,7 +321,7 @@
     }
 
     /// Queues a rent request.
-    pub(super) fn rent(&mut self, request: RentRequest) {
+    pub(super) fn queue_rent_request(&mut self, request: RentRequest) {
         let pending = PendingRent {
             request: request.clone(),
             in_flight: true,
@@ -344,7 +344,7 @@
     }
 
     /// The cloud has carried out a rent request, perhaps in part.
-    pub(super) fn rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
+    pub(super) fn on_rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
         self.rent_requests.remove(&request.request);
         let offer = offer_of(request);
         log::info!(
@@ -356,7 +356,8 @@
             request.spot
         );
         if (rented.machines.len() as u32) < request.count {
-            self.refused.insert(offer.clone(), now + REFUSED_FOR);
+            self.refused_offers
+                .insert(offer.clone(), now + REFUSED_OFFER_RETRY);
         }
         for name in rented.machines {
             self.machines
@@ -366,9 +367,10 @@
     }
 
     /// The cloud has refused a rent request.
-    pub(super) fn rent_refused(&mut self, request: &RentRequest, now: Micros) {
+    pub(super) fn on_rent_refused(&mut self, request: &RentRequest, now: Micros) {
         self.rent_requests.remove(&request.request);
-        self.refused.insert(offer_of(request), now + REFUSED_FOR);
+        self.refused_offers
+            .insert(offer_of(request), now + REFUSED_OFFER_RETRY);
         log::info!(
             "no capacity to rent type={} zone={} spot={}",
             request.kind,
@@ -378,21 +380,21 @@
     }
 
     /// A rent request got no usable answer, so that it is unknown whether it was carried out.
-    pub(super) fn rent_failed(&mut self, request: &RentRequest) {
+    pub(super) fn on_rent_failed(&mut self, request: &RentRequest) {
         if let Some(pending) = self.rent_requests.get_mut(&request.request) {
             pending.in_flight = false;
         }
     }
 
     /// The cloud has deleted a machine.
-    pub(super) fn deleted(&mut self, name: &str) {
+    pub(super) fn on_deleted(&mut self, name: &str) {
         log::info!("machine deleted machine={name}");
         self.machines.remove(name);
         self.mark_gone(name);
     }
 
     /// The deletion of a machine got no usable answer, and is repeated.
-    pub(super) fn deletion_failed(&mut self, name: String) {
+    pub(super) fn on_deletion_failed(&mut self, name: String) {
         if self.machines.contains_key(&name) {
             self.to_delete.insert(name);
         }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -13,17 +13,17 @@
 /// that lets only one direction through.
 const UNREACHABLE_LEASES: f64 = 2.0;
 /// Boot time of a machine of an unknown type.
-const DEFAULT_BOOT: Micros = Micros::millis(120_000);
+const DEFAULT_BOOT_TIME: Micros = Micros::millis(120_000);
 /// How long a silent machine is kept after its lease has expired.
-const SILENT_PATIENCE: Micros = Micros::millis(5_000);
+const SILENT_MACHINE_GRACE: Micros = Micros::millis(5_000);
 /// The same, at least, in a zone that seems partitioned.
-const SILENT_ZONE_PATIENCE: Micros = Micros::millis(30_000);
+const SILENT_ZONE_GRACE: Micros = Micros::millis(30_000);
 /// Multiple of the delay of the cloud's list within which a new leader has read what earlier leaders requested.
-const LIST_DELAYS: f64 = 3.0;
+const TAKEOVER_LIST_LAGS: f64 = 3.0;
 /// Multiple of the cancellation deadline after which all running machines have sent a new leader a heartbeat.
-const TAKEOVER_CANCELS: f64 = 1.2;
+const TAKEOVER_CANCEL_DEADLINES: f64 = 1.2;
 /// Time in seconds for the calls to the cloud that delete a machine before the cancellation deadline.
-const DELETION_S: f64 = 8.0;
+const DELETION_TIME_S: f64 = 8.0;
 /// At least this share of the cancellation deadline is left to the tasks to stop by themselves.
 const MIN_CANCEL_SHARE: f64 = 0.6;
 
@@ -63,12 +63,12 @@
         snapshot,
         silent_zones,
         capacity_missing,
-        leader_age: snapshot.clock.now.since(snapshot.leader.since),
+        term_age: snapshot.clock.now.since(snapshot.leader.term_since),
         idle_machines: 0,
     };
     let mut deletions = Vec::new();
-    for (name, machine) in &snapshot.leader.fleet.machines {
-        if machine.leaving || machine.failed {
+    for (name, machine) in &snapshot.leader.inventory.machines {
+        if machine.marked_for_deletion || machine.failed {
             continue;
         }
         if let Some(reason) = planner.deletion_reason(name, machine) {
@@ -87,7 +87,7 @@
     silent_zones: &'a BTreeSet<String>,
     capacity_missing: bool,
     /// How long our term has lasted.
-    leader_age: Micros,
+    term_age: Micros,
     /// Idle machines so far.
     idle_machines: usize,
 }
@@ -103,21 +103,21 @@
         let leader = snapshot.leader;
         let now = snapshot.clock.now;
         let agent = leader.agents.get(name)?;
-        let silent_patience = if self.silent_zones.contains(&agent.zone) {
-            self.boot_time(machine).max(SILENT_ZONE_PATIENCE)
+        let silence_limit = if self.silent_zones.contains(&agent.zone) {
+            self.boot_time(machine).max(SILENT_ZONE_GRACE)
         } else {
-            SILENT_PATIENCE
+            SILENT_MACHINE_GRACE
         };
         if let Some(since) = agent.reachability.suspected_since() {
             return self
-                .unreachable_for_long(since, silent_patience)
+                .unreachable_for_long(since, silence_limit)
                 .then_some(DeletionReason::Unreachable);
         }
-        if agent.epoch_ended() && now.since(agent.last_heard_at) > silent_patience {
+        if agent.epoch_ended() && now.since(agent.last_heard_at) > silence_limit {
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
-        if !host.is_some_and(|host| snapshot.rooms[host].is_empty()) {
+        if !host.is_some_and(|host| snapshot.hosts_after_pass[host].is_empty()) {
             return None;
         }
         if leader.is_unhealthy(agent, snapshot.policy) {
@@ -134,7 +134,7 @@
             .machine_types()
             .iter()
             .find(|machine_type| machine_type.name == machine.kind)
-            .map_or(DEFAULT_BOOT, |machine_type| {
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| {
                 Micros::secs(machine_type.boot_s)
             })
     }
@@ -144,24 +144,23 @@
         let params = &self.snapshot.settings.params;
         let patience = self
             .boot_time(machine)
-            .times(self.snapshot.policy.boot_patience);
+            .times(self.snapshot.policy.boot_timeout_factor);
         // A running machine may report to an older leader for a while: a new leader does not know all of them yet.
         let takeover = if machine.running {
-            Micros::secs(params.agents.cancel_s * TAKEOVER_CANCELS)
+            Micros::secs(params.agents.cancel_s * TAKEOVER_CANCEL_DEADLINES)
         } else {
-            Micros::secs(params.cloud.list_lag_s * LIST_DELAYS)
+            Micros::secs(params.cloud.list_lag_s * TAKEOVER_LIST_LAGS)
         };
         let age = self.snapshot.clock.now.since(machine.requested_at);
-        age > patience && self.leader_age > takeover
+        age > patience && self.term_age > takeover
     }
 
     /// Whether a machine has seemed unreachable for so long that it is given up. Network partitions that let only one
     /// direction through end, too.
-    fn unreachable_for_long(&self, since: Micros, silent_patience: Micros) -> bool {
+    fn unreachable_for_long(&self, since: Micros, silence_limit: Micros) -> bool {
         let lease_s = self.snapshot.settings.params.agents.lease_s;
         let patience = Micros::secs(lease_s * UNREACHABLE_LEASES).max(MIN_UNREACHABLE);
-        self.snapshot.clock.now.since(since) > silent_patience + patience
-            && self.leader_age > patience
+        self.snapshot.clock.now.since(since) > silence_limit + patience && self.term_age > patience
     }
 
     /// Whether an idle machine is no longer worth its price.
@@ -169,18 +168,18 @@
         let policy = self.snapshot.policy;
         // An operator who keeps machines up before there is work considers spare capacity worth its price.
         let patience = if self.snapshot.cache.initial_machines.unwrap_or(0) > 0 {
-            Micros::secs(policy.idle_return_kept_s)
+            Micros::secs(policy.idle_timeout_with_initial_machines_s)
         } else {
-            Micros::secs(policy.idle_return_s)
+            Micros::secs(policy.idle_timeout_s)
         };
         let now = self.snapshot.clock.now;
         let idle_for_long = agent
             .idle_since
             .is_some_and(|since| now.since(since) > patience);
         idle_for_long
-            && self.leader_age > patience
+            && self.term_age > patience
             && !self.capacity_missing
-            && self.idle_machines as f64 > policy.keep_idle
+            && self.idle_machines as f64 > policy.min_idle_machines
     }
 
     /// Tasks of cancelled jobs that cannot be confirmed gone in time are ended by deleting their machine. A controller
@@ -190,7 +189,7 @@
         let leader = self.snapshot.leader;
         let cache = self.snapshot.cache;
         let agents = &self.snapshot.settings.params.agents;
-        let delay_s = (agents.cancel_s - DELETION_S).max(agents.cancel_s * MIN_CANCEL_SHARE);
+        let delay_s = (agents.cancel_s - DELETION_TIME_S).max(agents.cancel_s * MIN_CANCEL_SHARE);
         let delay = Micros::secs(delay_s);
         let lease = Micros::secs(agents.lease_s);
         let mut deletions = Vec::new();
@@ -206,7 +205,7 @@
             for entry in job.entries() {
                 if let Some(machine) = entry.machine()
                     && leader.may_be_running(id, entry, false)
-                    && self.leader_age > lease
+                    && self.term_age > lease
                 {
                     deletions.push(MachineDeletion {
                         machine: machine.to_string(),
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -37,7 +37,7 @@
         }
         let requested_before = planner.requested;
         let job = || source.job(demand.of).map(|(_, job)| job);
-        planner.cover(&source.need(demand.of), demand.tasks, job);
+        planner.cover(&source.demand(demand.of), demand.tasks, job);
         let requested = planner.requested - requested_before;
         if requested > 0 {
             log::debug!(
@@ -62,7 +62,7 @@
     requested: u32,
     requests: BTreeMap<InstanceOffer, u32>,
     /// Demand for which there is no offer.
-    unoffered: HashMap<DemandClass, InfeasibleRequests>,
+    demand_without_offer: HashMap<DemandClass, InfeasibleRequests>,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
@@ -76,19 +76,19 @@
             machines: 0,
             requested: 0,
             requests: BTreeMap::new(),
-            unoffered: HashMap::default(),
+            demand_without_offer: HashMap::default(),
         }
     }
 
     /// Counts the machines of the inventory, and adds the capacity of those that do not take tasks yet.
     fn add_machines(&mut self, silent_zones: &BTreeSet<String>) {
         let leader = self.snapshot.leader;
-        for (name, machine) in &leader.fleet.machines {
+        for (name, machine) in &leader.inventory.machines {
             if machine.failed {
                 continue;
             }
-            self.count(&machine.zone, 1);
-            if machine.leaving {
+            self.count_machines(&machine.zone, 1);
+            if machine.marked_for_deletion {
                 continue;
             }
             let agent = leader.agents.get(name);
@@ -109,16 +109,16 @@
     /// Adds the machines of rent requests that are not answered yet.
     fn add_rent_requests(&mut self) {
         let snapshot = self.snapshot;
-        for pending in snapshot.leader.fleet.rent_requests.values() {
+        for pending in snapshot.leader.inventory.rent_requests.values() {
             let request = &pending.request;
             for _ in 0..request.count {
                 self.add_empty_host(&request.kind, &request.zone, request.spot);
             }
-            self.count(&request.zone, request.count as usize);
+            self.count_machines(&request.zone, request.count as usize);
         }
     }
 
-    fn count(&mut self, zone: &'a str, machines: usize) {
+    fn count_machines(&mut self, zone: &'a str, machines: usize) {
         *self.machines_per_zone.entry(zone).or_default() += machines;
         self.machines += machines;
     }
@@ -149,7 +149,7 @@
         let Some(index) = self.snapshot.hosts.find(name) else {
             return;
         };
-        let mut host = self.snapshot.rooms[index].clone();
+        let mut host = self.snapshot.hosts_after_pass[index].clone();
         host.open = true;
         host.reserved = None;
         self.capacity.add(host);
@@ -157,7 +157,7 @@
 
     /// Whether no more machines may be requested in this pass, or at all.
     fn limit_reached(&self) -> bool {
-        let max_machines = self.snapshot.policy.most_machines as usize;
+        let max_machines = self.snapshot.policy.max_machines as usize;
         self.requested >= MAX_REQUESTED_PER_PASS
             || (max_machines > 0 && self.machines >= max_machines)
     }
@@ -188,27 +188,27 @@
         demand: &CapacityDemand<'_>,
         job: impl Fn() -> Option<&'j Job>,
     ) -> Option<ChosenOffer<'a>> {
-        let unoffered = self.unoffered.entry(demand.class()).or_default();
-        if unoffered.covers(demand.need, 1) {
+        let demand_without_offer = self.demand_without_offer.entry(demand.class()).or_default();
+        if demand_without_offer.covers(demand.need, 1) {
             return None;
         }
         let search = OfferSearch {
             types: self.types,
-            refused: &self.snapshot.leader.fleet.refused,
+            refused: &self.snapshot.leader.inventory.refused_offers,
             machines_per_zone: &self.machines_per_zone,
             now: self.snapshot.clock.now,
         };
         let zone_allowed = |zone: &str| demand.allows_zone(self.names.find(zone));
         let offer = job().and_then(|job| search.cheapest(&job.record.spec, zone_allowed));
         if offer.is_none() {
-            unoffered.add(demand.need, 1);
+            demand_without_offer.add(demand.need, 1);
         }
         offer
     }
 
     fn request(&mut self, offer: &ChosenOffer<'a>) {
         self.add_empty_host(&offer.machine_type.name, offer.zone, offer.spot);
-        self.count(offer.zone, 1);
+        self.count_machines(offer.zone, 1);
         *self.requests.entry(offer.instance_offer()).or_default() += 1;
         self.requested += 1;
     }
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -85,8 +85,8 @@
                 granted.term
             );
             // Followers may go on under the old term as long as after a takeover.
-            leader.since = clock.now;
-            leader.unmet_leases_expired = false;
+            leader.term_since = clock.now;
+            leader.unseen_agent_leases_expired = false;
             leader.next_full_check_at = clock.now;
         }
         leader.term = granted.term;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -232,8 +232,8 @@
             Some(PendingCall::ForwardedRequest { conn }) => {
                 self.on_forwarded_response(conn, outcome)
             }
-            Some(PendingCall::RelayedHeartbeat { conn, report }) => {
-                self.on_relay_response(clock, conn, *report, outcome);
+            Some(PendingCall::RelayedHeartbeat { conn, heartbeat }) => {
+                self.on_relay_response(clock, conn, *heartbeat, outcome);
             }
             Some(pending) => self.on_leader_call_response(clock, pending, outcome),
             None => {}
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -128,7 +128,7 @@
         let body = encode(&heartbeat);
         let call = PendingCall::RelayedHeartbeat {
             conn: connection,
-            report: Box::new(heartbeat),
+            heartbeat: Box::new(heartbeat),
         };
         self.call(call, address, "POST", "/hello", body, RELAY_TIMEOUT);
     }
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -78,7 +78,7 @@
         /// The agent's connection.
         conn: u64,
         /// The heartbeat.
-        report: Box<AgentHeartbeat>,
+        heartbeat: Box<AgentHeartbeat>,
     },
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -11,17 +11,17 @@
     /// Least time between scheduling passes, in seconds; 0: derived from our share of a processor core.
     pub pass_interval_s: f64,
     /// Idle machines are returned after this many seconds.
-    pub idle_return_s: f64,
+    pub idle_timeout_s: f64,
     /// The same in deployments that kept machines before the first job came.
-    pub idle_return_kept_s: f64,
+    pub idle_timeout_with_initial_machines_s: f64,
     /// Number of idle machines that are kept.
-    pub keep_idle: f64,
+    pub min_idle_machines: f64,
     /// A machine whose boot takes this many times as long as usual is given up.
-    pub boot_patience: f64,
+    pub boot_timeout_factor: f64,
     /// A machine is cordoned after errors of this many jobs in a row.
-    pub sick_after: f64,
+    pub unhealthy_after_errors: f64,
     /// Limit of the machines rented at any time; 0: no limit.
-    pub most_machines: f64,
+    pub max_machines: f64,
     /// 1: a controller without access to the key-value store pledges not to tell clients of new cancellations for a
     /// while, so that its peers can go on renewing agent leases if it crashes. 0: it does not. See docs/partial-partitions.md for
     /// the cost.
@@ -32,12 +32,12 @@
     fn default() -> Policy {
         Policy {
             pass_interval_s: 0.0,
-            idle_return_s: 40.0,
-            idle_return_kept_s: 300.0,
-            keep_idle: 0.0,
-            boot_patience: 4.0,
-            sick_after: 2.0,
-            most_machines: 0.0,
+            idle_timeout_s: 40.0,
+            idle_timeout_with_initial_machines_s: 300.0,
+            min_idle_machines: 0.0,
+            boot_timeout_factor: 4.0,
+            unhealthy_after_errors: 2.0,
+            max_machines: 0.0,
             pledges: 0.0,
         }
     }
@@ -151,12 +151,15 @@
     fn field(&mut self, name: &str) -> Option<(&mut f64, RangeInclusive<f64>)> {
         Some(match name {
             "pass_interval_s" => (&mut self.pass_interval_s, 0.0..=10.0),
-            "idle_return_s" => (&mut self.idle_return_s, 5.0..=86_400.0),
-            "idle_return_kept_s" => (&mut self.idle_return_kept_s, 5.0..=86_400.0),
-            "keep_idle" => (&mut self.keep_idle, 0.0..=10_000.0),
-            "boot_patience" => (&mut self.boot_patience, 1.5..=100.0),
-            "sick_after" => (&mut self.sick_after, 1.0..=100.0),
-            "most_machines" => (&mut self.most_machines, 0.0..=100_000.0),
+            "idle_return_s" => (&mut self.idle_timeout_s, 5.0..=86_400.0),
+            "idle_return_kept_s" => (
+                &mut self.idle_timeout_with_initial_machines_s,
+                5.0..=86_400.0,
+            ),
+            "keep_idle" => (&mut self.min_idle_machines, 0.0..=10_000.0),
+            "boot_patience" => (&mut self.boot_timeout_factor, 1.5..=100.0),
+            "sick_after" => (&mut self.unhealthy_after_errors, 1.0..=100.0),
+            "most_machines" => (&mut self.max_machines, 0.0..=100_000.0),
             "pledges" => (&mut self.pledges, 0.0..=1.0),
             _ => return None,
         })
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -5,8 +5,11 @@
 #[test]
 fn a_script_sets_the_fields_it_names_and_no_others() {
     let policy = Policy::parse("p.lua", "local m = 30 return { idle_return_s = m * 3 }").unwrap();
-    assert_eq!(policy.idle_return_s, 90.0);
-    assert_eq!(policy.keep_idle, Policy::default().keep_idle);
+    assert_eq!(policy.idle_timeout_s, 90.0);
+    assert_eq!(
+        policy.min_idle_machines,
+        Policy::default().min_idle_machines
+    );
 }
 
 #[test]
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -116,9 +116,9 @@
             start.backfilled,
             job.record.spec.image
         );
-        self.started += 1;
+        self.start_count += 1;
         let start_orders = self.start_order.entry(start.job.clone()).or_default();
-        start_orders.insert(start.task, self.started);
+        start_orders.insert(start.task, self.start_count);
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
         }
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -1,6 +1,6 @@
 //! The machines that a pass may use, and the images that are cached on them.
 
-use crate::agents::leader_state::FRESH_REPORTS;
+use crate::agents::leader_state::FRESH_HEARTBEAT_INTERVALS;
 use crate::protocol::Micros;
 use crate::protocol::cloud_api::MachineType;
 use crate::scheduling::pass::PassInputs;
@@ -51,7 +51,7 @@
             let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
                 continue;
             };
-            if agent.epoch_ended() || leader.fleet.is_gone(name) {
+            if agent.epoch_ended() || leader.inventory.is_gone(name) {
                 continue;
             }
             let host = host(inputs, name, agent, machine_type, names, images);
@@ -95,14 +95,14 @@
     let leader = inputs.leader;
     let now = inputs.clock.now;
     let report_interval_s = inputs.settings.params.agents.report_s;
-    let fresh = Micros::secs(report_interval_s * FRESH_REPORTS);
+    let fresh = Micros::secs(report_interval_s * FRESH_HEARTBEAT_INTERVALS);
     // Only answers to heartbeats renew an agent's lease: an agent that answers direct commands but
     // reaches no controller is about to lose all of its tasks.
     agent.term == leader.term
         && agent.last_answered_at.is_some_and(|at| now < at + fresh)
         && agent.preemption_at.is_none()
         && agent.reachability.receives()
-        && !leader.fleet.leaving(name)
+        && !leader.inventory.is_marked_for_deletion(name)
         && !leader.is_unhealthy(agent, inputs.policy)
         && !leader.failed_recently(agent, now)
 }
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -131,7 +131,7 @@
     let largest_demand = leader.max_demand.max(queue_demand);
     let context = scheduling_context(inputs, &state.backlog);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
-    let knows_agents = leader.agents_known(inputs.settings, inputs.clock.now);
+    let knows_agents = leader.takeover_grace_elapsed(inputs.settings, inputs.clock.now);
     prepare_snapshot(&mut snapshot, knows_agents);
     let ClusterSnapshot {
         mut host_table,
@@ -215,8 +215,8 @@
             policy: inputs.policy,
             clock: inputs.clock,
             hosts: self.host_table,
-            rooms: self.capacity,
-            agents_known: self.knows_agents,
+            hosts_after_pass: self.capacity,
+            takeover_grace_elapsed: self.knows_agents,
         };
         autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.unmet_demands)
     }
--- a/src/scheduling/unmet_demand.rs
+++ b/src/scheduling/unmet_demand.rs
@@ -105,7 +105,7 @@
 }
 
 impl<'a> DemandSource<'a> for QueueDemand<'_, 'a> {
-    fn need<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n> {
+    fn demand<'n>(&'n self, of: QueueCandidate<'n>) -> CapacityDemand<'n> {
         let summary = match of {
             QueueCandidate::Active(index) => return self.demand_of_entry(index),
             QueueCandidate::Pending(summary) => summary,
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -182,7 +182,7 @@
             ..clock
         };
         let mut leader = LeaderState::new(rng.random_range(1..3), 1, elected_at);
-        leader.unmet_leases_expired = rng.random_bool(0.5);
+        leader.unseen_agent_leases_expired = rng.random_bool(0.5);
         let mut cache = RecordCache::default();
         cache.put(MACHINE_TYPES_KEY, to_value(&machine_types()), 1);
         let mut cluster = RandomCluster {
@@ -311,7 +311,7 @@
         agent.update(&heartbeat, now);
         agent.last_answered_at = Some(now);
         self.leader
-            .fleet
+            .inventory
             .record_heartbeat(&machine, &heartbeat, now);
     }
 
@@ -428,13 +428,13 @@
 
     fn apply_start(&mut self, start: TaskStart) {
         let now = self.clock.now;
-        self.leader.started += 1;
+        self.leader.start_count += 1;
         let order = self
             .leader
             .start_order
             .entry(start.job.clone())
             .or_default();
-        order.insert(start.task, self.leader.started);
+        order.insert(start.task, self.leader.start_count);
         let entry = TaskEntry::new(
             start.task,
             5,
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use walnuttrestle::agents::failure_history::FailureHistory;
-use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, stop_grace_s};
+use walnuttrestle::agents::leader_state::{FRESH_HEARTBEAT_INTERVALS, LeaderState, stop_grace_s};
 use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Clock;
 use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
@@ -175,7 +175,7 @@
             host.reserved = None;
         }
     }
-    if !leader.agents_known(settings, now) {
+    if !leader.takeover_grace_elapsed(settings, now) {
         preemptible.clear();
     }
     let class = |id: &str| cache.jobs[id].record.spec.class.as_str();
@@ -232,7 +232,7 @@
     names: &mut NameTable,
     now: Micros,
 ) -> HostTable {
-    let fresh = Micros::secs(settings.params.agents.report_s * FRESH_REPORTS);
+    let fresh = Micros::secs(settings.params.agents.report_s * FRESH_HEARTBEAT_INTERVALS);
     let count = leader.agents.len();
     let mut host_table = HostTable {
         hosts: Vec::with_capacity(count),
@@ -244,14 +244,14 @@
         let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
             continue;
         };
-        if agent.epoch_ended() || leader.fleet.is_gone(name) {
+        if agent.epoch_ended() || leader.inventory.is_gone(name) {
             continue;
         }
         let open = agent.term == leader.term
             && agent.last_answered_at.is_some_and(|at| now < at + fresh)
             && agent.preemption_at.is_none()
             && agent.reachability.receives()
-            && !leader.fleet.leaving(name)
+            && !leader.inventory.is_marked_for_deletion(name)
             && !leader.is_unhealthy(agent, policy)
             && !leader.failed_recently(agent, now);
         let total = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
