--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -29,6 +29,9 @@
         ),
     ] {
         let error = Policy::parse("p.lua", text).unwrap_err().to_string();
-        assert!(error.contains(reason), "{text}: {error}");
+        assert!(
+            error.contains(reason),
+            "the error for {text:?} does not contain {reason:?}: {error}"
+        );
     }
 }
