--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -53,7 +53,7 @@
     pub lease_grants: LeaseGrantor,
     /// Agents by machine name.
     pub agents: BTreeMap<String, Agent>,
-    /// Machines and rental requests.
+    /// Machines and rent requests.
     pub inventory: Inventory,
     /// Pending writes of job records.
     pub record_writer: RecordWriter,
