--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -24,11 +24,11 @@
         }
         match self.cache.job(&id) {
             Some(JobLookup::Live(job)) if job.active() => {
-                let transaction = self.cancellation(clock, &id, job);
+                let transaction = self.cancellation_transaction(clock, &id, job);
                 self.request_cancellation(conn, id, transaction);
             }
-            Some(known) => {
-                let state = job_status(&id, &known).state;
+            Some(lookup) => {
+                let state = job_status(&id, &lookup).state;
                 self.respond_with_state(clock, conn, 200, &state);
             }
             None if freshness == CacheFreshness::Unconfirmed && valid_id(&id) => {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The transaction that cancels a job.
-    fn cancellation(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
+    /// Builds the transaction that cancels a job.
+    fn cancellation_transaction(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
         let record = JobRecord {
             stage: JobStage::Cancelled,
             end: clock.wall,
@@ -47,19 +47,19 @@
         };
         let key = job_key(id);
         let version = job.version;
-        // The entries written here must include what placement batches hold at this moment, or the job would look as
-        // if none of its tasks were anywhere.
-        let bundled = VersionCondition::new(
+        // The task entries in this record must include the placements in all batches written so far; otherwise the job
+        // would appear to have no placed tasks. The condition fails if a newer batch exists.
+        let batch_condition = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
             self.cache.placement_batches.head(),
         );
         Transaction {
-            conditions: vec![VersionCondition::new(&key, version), bundled],
+            conditions: vec![VersionCondition::new(&key, version), batch_condition],
             changes: vec![Change::put(&key, &record, None)],
         }
     }
 
-    /// Sends a cancellation, unless one of this job is in flight; `conn` is answered with its result.
+    /// Sends a cancellation, unless one for this job is in flight already. `conn` gets the result of the one in flight.
     fn request_cancellation(&mut self, conn: u64, id: String, transaction: Transaction) {
         let conns = self.client_api.cancellations.entry(id.clone()).or_default();
         conns.push(conn);
@@ -79,23 +79,24 @@
         clock: Clock,
         id: String,
         request: StoreRequest,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         let conns = self
             .client_api
             .cancellations
             .remove(&id)
             .unwrap_or_default();
-        match reply {
+        match response {
             StoreResponse::Committed(_) => {
-                self.apply_if_committed(&request, &reply);
+                self.apply_if_committed(&request, &response);
                 self.on_changed_jobs();
                 for conn in conns {
                     self.on_cancel(clock, conn, id.clone(), CacheFreshness::Confirmed);
                 }
             }
             StoreResponse::Conflict(_) | StoreResponse::Lost => {
-                // Another controller has changed the job, or our own transaction was carried out: the records show it.
+                // Another controller may have changed the job, or this transaction may have been committed although its
+                // response was lost. A read of the records shows which.
                 for conn in conns {
                     let id = id.clone();
                     self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
--- a/src/controller/outgoing.rs
+++ b/src/controller/outgoing.rs
@@ -8,7 +8,7 @@
 use crate::transport::{Call, NetworkCommand};
 use std::net::SocketAddr;
 
-/// `Retry-After` of a 503 whose cause gives no better estimate, in seconds.
+/// `Retry-After` of a 503 response for which no better estimate is available, in seconds.
 const DEFAULT_RETRY_AFTER_S: u32 = 1;
 
 impl Controller {
@@ -20,15 +20,15 @@
     /// Responds with an error text; a 503 carries the default `Retry-After`.
     pub fn refuse(&mut self, conn: u64, status: u16, error: &str) {
         let retry_after = default_retry_after(status);
-        self.refuse_with(conn, status, error, retry_after);
+        self.send_refusal(conn, status, error, retry_after);
     }
 
     /// Responds with 503 and a `Retry-After` of `seconds`.
-    pub fn refuse_until(&mut self, conn: u64, error: &str, seconds: u32) {
-        self.refuse_with(conn, 503, error, Some(seconds));
+    pub fn refuse_with_retry_after(&mut self, conn: u64, error: &str, seconds: u32) {
+        self.send_refusal(conn, 503, error, Some(seconds));
     }
 
-    fn refuse_with(&mut self, conn: u64, status: u16, error: &str, retry_after: Option<u32>) {
+    fn send_refusal(&mut self, conn: u64, status: u16, error: &str, retry_after: Option<u32>) {
         let body = encode(&Problem {
             error: error.to_string(),
         });
@@ -43,7 +43,7 @@
         body: Vec<u8>,
         retry_after: Option<u32>,
     ) {
-        self.out.push(NetworkCommand::Respond {
+        self.commands.push(NetworkCommand::Respond {
             conn,
             status,
             body,
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Calls a machine other than the key-value store; `pending` says how its response is handled.
+    /// Sends a call to a host other than the key-value store; `pending` determines how the response is handled.
     pub fn call(
         &mut self,
         pending: PendingCall,
@@ -63,7 +63,7 @@
     ) {
         self.last_call_id += 1;
         self.pending_calls.insert(self.last_call_id, pending);
-        self.out.push(NetworkCommand::Call(Call {
+        self.commands.push(NetworkCommand::Call(Call {
             id: self.last_call_id,
             addr,
             method,
@@ -73,14 +73,14 @@
         }));
     }
 
-    /// Sends queued requests to the key-value store as far as its budgets allow.
+    /// Sends queued requests to the key-value store, as far as this controller's budgets allow.
     pub(crate) fn send_store_requests(&mut self, now: Micros) {
         self.store
-            .send_queued(now, &mut self.last_call_id, &mut self.out);
+            .send_queued(now, &mut self.last_call_id, &mut self.commands);
     }
 }
 
-/// The `Retry-After` that goes with a status if nothing better is known, in seconds.
+/// Returns the default `Retry-After` of a response with this status, in seconds.
 pub(crate) fn default_retry_after(status: u16) -> Option<u32> {
     (status == 503).then_some(DEFAULT_RETRY_AFTER_S)
 }
--- a/src/controller/runtime.rs
+++ b/src/controller/runtime.rs
@@ -8,10 +8,10 @@
 use crossbeam_channel::{Receiver, TryRecvError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Without events the controller is called at most this often.
+/// Minimum interval between calls of the controller when no events arrive.
 const MIN_TIMER_INTERVAL: Micros = Micros::millis(1);
 
-/// Why the service could not start or continue.
+/// Error that prevents the service from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// An address cannot be bound.
@@ -19,10 +19,10 @@
     Listen(std::net::SocketAddr, std::net::SocketAddr, std::io::Error),
     /// The network thread cannot be set up.
     #[error("network: {0}")]
-    Net(std::io::Error),
-    /// The network thread has ended.
+    Network(std::io::Error),
+    /// The network thread has ended, so no more events can arrive.
     #[error("the network thread has ended")]
-    NetEnded,
+    NetworkThreadEnded,
 }
 
 /// Both ends of the connection to the network thread.
@@ -52,7 +52,7 @@
     }
 }
 
-/// Binds the listeners and starts the network thread, which wakes the calling thread up on events.
+/// Binds the listeners and starts the network thread, which unparks the calling thread when events arrive.
 fn start_network(settings: &Settings, started: Instant) -> Result<Network, RuntimeError> {
     let (public, internal) = (settings.serve_on, settings.internal_addr);
     let listeners = Listeners::bind(public, internal)
@@ -60,17 +60,17 @@
     let (event_sender, events) = crossbeam_channel::unbounded();
     let controller_thread = std::thread::current();
     let sockets = settings.params.limits.sockets;
-    let (net, commands) =
+    let (network_thread, commands) =
         NetworkThread::new(listeners, event_sender, controller_thread, sockets, started)
-            .map_err(RuntimeError::Net)?;
+            .map_err(RuntimeError::Network)?;
     std::thread::Builder::new()
         .name("network".into())
-        .spawn(move || net.run())
-        .map_err(RuntimeError::Net)?;
+        .spawn(move || network_thread.run())
+        .map_err(RuntimeError::Network)?;
     Ok(Network { commands, events })
 }
 
-/// Takes all events that have arrived; waits for one until `deadline` at the latest.
+/// Returns all events that have arrived; if there are none, waits until one arrives or `deadline` has passed.
 fn wait_for_events(
     receiver: &Receiver<Vec<NetworkEvent>>,
     started: Instant,
@@ -80,7 +80,7 @@
     loop {
         match receiver.try_recv() {
             Ok(batch) => events.extend(batch),
-            Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetEnded),
+            Err(TryRecvError::Disconnected) => return Err(RuntimeError::NetworkThreadEnded),
             Err(TryRecvError::Empty) if !events.is_empty() => return Ok(events),
             Err(TryRecvError::Empty) => {
                 let now = read_clock(started).now;
@@ -98,7 +98,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or(Duration::ZERO);
     Clock {
-        // Never zero: zero stands for "never".
+        // Time starts at 1, because 0 means "never".
         now: Micros(started.elapsed().as_micros() as u64 + 1),
         wall: Micros(wall.as_micros() as u64),
     }
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -1,7 +1,7 @@
 //! The snapshot that a pass works on: free resources, quotas, preemptible tasks and queue entries.
 //!
 //! It inspects each job that has a placed task, a pending record change, failures or a reservation.
-//! Building it changes nothing: `apply_decision` acts on what it finds.
+//! Building it changes no state of the leader: `apply_decision` acts on its findings.
 
 use self::attempts::AttemptTally;
 use crate::agents::leader_state::LeaderState;
@@ -9,7 +9,7 @@
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{Clock, JobKind, JobSpec, Micros, Priority};
 use crate::scheduling::backfill::{PreemptibleTask, QueueEntry};
-use crate::scheduling::findings::{BrokenGang, JobFindings, TaskStop};
+use crate::scheduling::findings::{IncompleteGang, JobFindings, TaskStop};
 use crate::scheduling::job_profile::JobProfile;
 use crate::scheduling::job_queue::{QueueState, QueuedJob, Slot};
 use crate::scheduling::pass::PassInputs;
@@ -30,9 +30,9 @@
 pub struct ClusterSnapshot<'a> {
     /// The machines, with their free resources.
     pub host_table: HostTable<'a>,
-    /// Resources that each team may still take.
+    /// Resources that each team may still allocate.
     pub quotas: QuotaTracker,
-    /// By job class: the sum over its tasks of the fraction of the cluster that each takes.
+    /// By job class: the sum of the dominant shares of its tasks, as fractions of the cluster.
     pub usage_by_class: HashMap<u32, f64>,
     /// Tasks that may be preempted.
     pub preemptible: Vec<PreemptibleTask<'a>>,
@@ -40,7 +40,7 @@
     pub entries: Vec<QueueEntry<'a>>,
     /// Slots of all inspected jobs.
     pub inspected: Vec<Slot>,
-    /// What else was found.
+    /// Other results of inspecting the jobs.
     pub findings: JobFindings,
 }
 
@@ -54,7 +54,7 @@
     snapshot: ClusterSnapshot<'a>,
 }
 
-/// A job under inspection, with what the leader knows about it.
+/// A job under inspection, with the leader's state for it.
 struct InspectedJob<'a> {
     id: &'a str,
     job: &'a Job,
@@ -62,9 +62,9 @@
     profile: &'a JobProfile,
     /// Placements that are not on record yet.
     pending_placements: Vec<&'a TaskEntry>,
-    /// A change of its record is being written.
+    /// A write of its record is in flight.
     in_flight: bool,
-    /// By task: requested stops, with their grace and time of request.
+    /// By task: requested stops, with grace period in seconds and request time.
     stops: Option<&'a BTreeMap<u32, (f64, Micros)>>,
     /// By task: its position in the order of all task starts.
     start_order: Option<&'a BTreeMap<u32, u64>>,
@@ -100,7 +100,7 @@
 }
 
 impl<'s, 'a> SnapshotBuilder<'s, 'a> {
-    /// Starts with machines on which all resources are free, and quotas from which nothing is taken.
+    /// Starts from machines with all resources free and quotas of which nothing is used.
     pub fn new(
         inputs: &PassInputs<'a>,
         context: &'s SchedulingContext<'a>,
@@ -130,11 +130,11 @@
 
     /// Inspects all jobs with placed tasks, pending record changes, failures or reservations.
     pub fn build(mut self) -> ClusterSnapshot<'a> {
-        let backlog = self.context.backlog;
+        let job_queue = self.context.job_queue;
         let mut unplaced = self.unplaced_jobs_to_inspect().peekable();
-        let mut placed = backlog.placed().peekable();
-        // Both are merged in the order of ids, so that which job takes resources first does not depend
-        // on why it is inspected.
+        let mut placed = job_queue.placed().peekable();
+        // Merges both lists in the order of ids, so that the order in which jobs are inspected does not
+        // depend on which list they come from.
         loop {
             let next = match (placed.peek(), unplaced.peek()) {
                 (Some((placed_id, _)), Some((unplaced_id, _))) if unplaced_id < placed_id => {
@@ -145,7 +145,7 @@
             };
             let Some((id, slot)) = next else { break };
             if let Some((id, job)) = self.context.jobs.get_key_value(id)
-                && let Some(queued) = backlog.job(slot)
+                && let Some(queued) = job_queue.job(slot)
             {
                 self.snapshot.inspected.push(slot);
                 let entry = self.inspect(id, job, queued);
@@ -162,16 +162,16 @@
         let mut ids: BTreeSet<&str> = leader.record_writer.jobs().collect();
         ids.extend(leader.failure_histories.keys().map(String::as_str));
         ids.extend(leader.reserved.values().map(|(job, _)| job.as_str()));
-        let backlog = self.context.backlog;
+        let job_queue = self.context.job_queue;
         let find_unplaced = move |id: &str| {
-            let (slot, queued) = backlog.find(id)?;
+            let (slot, queued) = job_queue.find(id)?;
             (queued.state != QueueState::Placed).then_some((&*queued.id, slot))
         };
         ids.into_iter().filter_map(find_unplaced)
     }
 
-    /// Inspects one job: takes the resources of its tasks, takes note of what is to be done about it,
-    /// and returns its queue entry if it has tasks to start.
+    /// Inspects one job: deducts the resources of its tasks, adds findings that need an action, and
+    /// returns its queue entry if it has tasks to start.
     fn inspect(
         &mut self,
         id: &'a str,
@@ -179,28 +179,28 @@
         queued: &'a QueuedJob,
     ) -> Option<QueueEntry<'a>> {
         if queued.state == QueueState::AwaitingDependencies {
-            // None of its tasks starts before the jobs that it depends on are recorded as done, so it
-            // takes no resources and no position in the queue, and blocks no other job.
+            // Its tasks start only after the jobs that it depends on are recorded as done. Until then it
+            // uses no resources, has no position in the queue and blocks no other job.
             return None;
         }
         let inspected = self.inspected_job(id, job, queued);
         let tally = self.tally_attempts(&inspected);
         let findings = &mut self.snapshot.findings;
-        findings.placed_tasks += tally.present.len() + tally.lost;
+        findings.placed_tasks += tally.present.len() + tally.ended_attempts;
         if !queued.active {
             if tally.present.is_empty() && !inspected.in_flight {
                 findings.cleanable_jobs.push(id.to_string());
             }
             return None;
         }
-        // The members of a gang complete together: when one has reported that it is done, the others
-        // are not lost.
+        // The members of a gang complete together: once one of them is reported done, missing members
+        // do not make the gang incomplete.
         if tally.gang_is_done {
             return None;
         }
         if inspected.kind() == JobKind::Gang && !tally.present.is_empty() {
-            if tally.lost > 0 {
-                self.add_broken_gang(id, &tally);
+            if tally.ended_attempts > 0 {
+                self.add_incomplete_gang(id, &tally);
             }
             return None;
         }
@@ -216,17 +216,20 @@
             id,
             job,
             queued,
-            profile: self.context.backlog.profile_of(queued),
+            profile: self.context.job_queue.profile_of(queued),
             pending_placements: leader.record_writer.unrecorded_places(id).collect(),
             in_flight: leader.record_writer.in_flight(id),
             stops: leader.stopping.get(id),
             start_order: leader.start_order.get(id),
             guaranteed: self.context.guaranteed(queued),
-            priority: self.context.inherited_priorities.of(id, job),
+            priority: self
+                .context
+                .inherited_priorities
+                .effective_priority(id, job),
         }
     }
 
-    /// Requests stops of some tasks of a job.
+    /// Adds stops of some tasks of a job to the findings.
     fn add_stops(&mut self, id: &str, tasks: impl Iterator<Item = u32>, grace_s: f64) {
         let stops = tasks.map(|task| TaskStop {
             job: id.to_string(),
@@ -236,38 +239,41 @@
         self.snapshot.findings.stops.extend(stops);
     }
 
-    /// Takes note of a gang that has lost a member, and stops the other members at once, unless one of
-    /// them is saving a checkpoint.
-    fn add_broken_gang(&mut self, id: &str, tally: &AttemptTally) {
-        self.snapshot.findings.incomplete_gangs.push(BrokenGang {
-            job: id.to_string(),
-            attempt: tally.latest_attempt,
-        });
+    /// Adds a gang that has lost a member to the findings, and stops the other members at once unless one
+    /// of them is saving a checkpoint.
+    fn add_incomplete_gang(&mut self, id: &str, tally: &AttemptTally) {
+        self.snapshot
+            .findings
+            .incomplete_gangs
+            .push(IncompleteGang {
+                job: id.to_string(),
+                attempt: tally.latest_attempt,
+            });
         let saving = TaskLiveness::Present(TaskPhase::Saving);
-        let mut members = tally.members.iter();
+        let mut members = tally.gang_members.iter();
         if members.all(|(_, liveness)| *liveness != saving) {
-            let tasks = tally.members.iter().map(|(task, _)| *task);
+            let tasks = tally.gang_members.iter().map(|(task, _)| *task);
             self.add_stops(id, tasks, 0.0);
         }
     }
 
-    /// Whether no task of a job may start now.
+    /// Whether all tasks of a job have to wait in this pass.
     fn must_wait(&mut self, inspected: &InspectedJob<'a>, tally: &AttemptTally) -> bool {
         let queued = inspected.queued;
         let spec = inspected.spec();
-        // The retry backoff of a failing job does not apply while tasks of it are running.
+        // The retry backoff applies only while the job runs no task and has completed none.
         let failures = self.leader.failure_histories.get(inspected.id);
         let in_backoff = failures.is_some_and(|failures| failures.retry_at > self.clock.now)
-            && !tally.is_running
+            && !tally.has_running_task
             && queued.unfinished == queued.tasks;
-        // Replicas of a service may be placed while others are being written: if they had to wait, jobs
-        // that arrived later would take their resources. For other jobs the pending change may be an
-        // end.
+        // A service may place replicas while a write of its record is in flight: if they had to wait,
+        // jobs that arrived later would take the resources. For other jobs the write may record
+        // completion.
         if (inspected.in_flight && spec.kind != JobKind::Service) || in_backoff {
             self.snapshot.findings.has_backoff |= in_backoff;
             return true;
         }
-        // Zone constraints cannot be checked against tasks whose zones are unknown.
+        // A zone constraint cannot be checked while the zone of a placed task is unknown.
         spec.has_zone_constraint() && tally.has_unknown_zone
     }
 
@@ -281,15 +287,15 @@
         if tasks.is_empty() {
             return None;
         }
-        let is_displaced = |task: &&u32| tally.displaced.binary_search(task).is_ok();
-        let lost = tasks.iter().filter(is_displaced).count();
+        let is_lost = |task: &&u32| tally.lost_tasks.binary_search(task).is_ok();
+        let lost_count = tasks.iter().filter(is_lost).count();
         let lost_tasks = &mut self.snapshot.findings.lost_tasks;
-        lost_tasks.add(inspected.kind(), lost);
+        lost_tasks.add(inspected.kind(), lost_count);
         let mut entry =
             self.context
                 .queue_entry(inspected.id, inspected.job, inspected.queued, tasks);
         entry.present = tally.present;
-        entry.lost_tasks = lost as u32;
+        entry.lost_tasks = lost_count as u32;
         if let Some(failures) = self.leader.failure_histories.get(inspected.id) {
             let machines = failures.machines.keys();
             let host_table = &self.snapshot.host_table;
@@ -300,8 +306,9 @@
         Some(entry)
     }
 
-    /// Takes the resources of tasks that agents report but no record places, on their machines and from
-    /// the quotas of their teams. Nothing is placed on a machine with a task of an unknown job.
+    /// Deducts the resources of tasks that agents report but that have no placement on record or pending,
+    /// both on their machines and from the quotas of their teams. A machine with a task of an unknown job
+    /// accepts no new tasks.
     fn add_unrecorded_tasks(&mut self) {
         let context = self.context;
         let leader = self.leader;
@@ -314,20 +321,20 @@
                     host.open = false;
                     continue;
                 };
-                let places_it = |entry: &TaskEntry| {
+                let matches_placement = |entry: &TaskEntry| {
                     let attempt = (entry.task(), entry.attempt());
                     attempt == (status.task, status.attempt) && entry.machine().is_some()
                 };
-                if !job.entry(status.task).is_some_and(places_it)
+                if !job.entry(status.task).is_some_and(matches_placement)
                     && !leader
                         .record_writer
                         .unrecorded_places(&status.job)
-                        .any(places_it)
-                    && let Some((_, queued)) = context.backlog.find(&status.job)
+                        .any(matches_placement)
+                    && let Some((_, queued)) = context.job_queue.find(&status.job)
                 {
                     host.take(&queued.need);
-                    let team = context.backlog.profile_of(queued).team;
-                    quotas.take(team, &queued.need);
+                    let team = context.job_queue.profile_of(queued).team;
+                    quotas.deduct(team, &queued.need);
                 }
             }
         }
