--- a/src/scheduling/recovery.rs
+++ b/src/scheduling/recovery.rs
@@ -145,7 +145,13 @@
 
     /// Sorts queue entries into the order in which a pass considers them.
     pub fn sort_entries(entries: &mut [QueueEntry<'_>]) {
-        entries.sort_by_key(|entry| (!Recovery::has_lost_replicas(entry), entry.at, entry.id));
+        entries.sort_by_key(|entry| {
+            (
+                !Recovery::has_lost_replicas(entry),
+                entry.accepted_at,
+                entry.id,
+            )
+        });
     }
 }
 
