--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Agent heartbeats on the leader: which are answered, and what follows from the task states they report.
+//! Handling of agent heartbeats on the leader: which heartbeats are answered, and how the reported task states are
+//! applied.
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
@@ -12,15 +13,18 @@
 use crate::state::record_cache::{Job, RecordCache};
 use std::collections::BTreeMap;
 
-/// An agent epoch that has lasted this many lease durations has been renewed, so our answers reach its agent.
-const RENEWED_FOR_CERTAIN: f64 = 1.5;
-/// Leases are checked this soon after the first heartbeat of an agent; after a change of leader hundreds come at once.
+/// An agent epoch that has lasted for this many lease durations must have been renewed, which proves that our responses
+/// reach the agent.
+const RENEWAL_PROVEN_AFTER_LEASES: f64 = 1.5;
+/// Delay of the lease check that an agent's first heartbeat requests. After a change of leader hundreds of agents share
+/// one check.
 const NEW_AGENT_LEASE_CHECK: Micros = Micros::millis(1_000);
-/// A task that was refused for want of room is not tried before this: the next heartbeats will show the room.
+/// Backoff of a job after an agent refused one of its tasks for lack of capacity. The next heartbeats show how much
+/// capacity there is.
 const NO_ROOM_BACKOFF: Micros = Micros::millis(1_000);
-/// Backoff of a job that is at fault itself: this, doubled with each further machine on which it fails.
+/// Base backoff of a job that is at fault itself, doubled for each machine on which it failed.
 const JOB_FAULT_BACKOFF_MS: u64 = 1_000;
-/// The backoff is doubled at most this many times.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl Controller {
@@ -29,7 +33,7 @@
         &mut self,
         clock: Clock,
         conn: u64,
-        report: AgentHeartbeat,
+        heartbeat: AgentHeartbeat,
         relayed: bool,
     ) {
         let staleness_bound = self.staleness_bound();
@@ -38,33 +42,33 @@
         };
         if clock.now >= leader.peers_confirmed_at.max(leader.last_confirmed_read) + staleness_bound
         {
-            // A renewal could keep a task alive that has been cancelled meanwhile.
+            // Renewing the lease could keep a task running that has been cancelled in the meantime.
             self.refuse(conn, 503, "the state service is silent for too long");
             return;
         }
-        let machine = report.machine.clone();
-        if leader.fleet.is_gone(&machine) {
-            // A late duplicate: the machine has been deleted, or has failed for good.
+        let machine = heartbeat.machine.clone();
+        if leader.inventory.is_gone(&machine) {
+            // The heartbeat is a late duplicate: the machine has been deleted or has failed permanently.
             self.respond(conn, 421, &Misdirected::default());
             return;
         }
-        if !self.apply_heartbeat(clock, &report) {
-            // A duplicate, or overtaken by the answer to a direct command: the agent has sent something newer. An
-            // answer with our term might renew its lease without our counting on it; nor may a duplicate of an old
-            // heartbeat of a dead machine keep us waiting.
-            log::debug!("heartbeat outdated machine={machine} seq={}", report.seq);
+        if !self.apply_heartbeat(clock, &heartbeat) {
+            // A duplicate, or a heartbeat that was overtaken by the response to a direct command. A response with our
+            // term could renew the lease, so its time would have to be recorded; duplicates of old heartbeats of a dead
+            // machine would then delay the expiry of its lease.
+            log::debug!("heartbeat outdated machine={machine} seq={}", heartbeat.seq);
             self.answer_without_renewal(conn);
             return;
         }
-        self.record_contact(clock, &report, relayed);
+        self.record_contact(clock, &heartbeat, relayed);
         if !self.store_available() && self.may_start_cancelled(&machine) {
-            // We can neither fence that start with a higher term now nor give its machine up: it is harmless only
-            // if the agent epoch ends.
+            // Without the store we can neither fence that start by raising our term nor delete the machine. The start
+            // is harmless only once the agent epoch has ended, so the lease has to expire.
             log::info!("lease not renewed machine={machine} reason=cancelled_task_may_start");
             self.answer_without_renewal(conn);
             return;
         }
-        let commands = self.commands_for(clock, &report, relayed);
+        let commands = self.commands_for(clock, &heartbeat, relayed);
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -75,48 +79,49 @@
         self.respond(conn, 200, &AgentHeartbeatResponse { term, commands });
     }
 
-    /// Answers a heartbeat without a term: the agent drops such an answer, so it renews no lease.
+    /// Answers a heartbeat without a term. The agent discards such a response, so its lease is not renewed.
     fn answer_without_renewal(&mut self, conn: u64) {
         self.respond(conn, 200, &BTreeMap::<&str, u64>::new());
     }
 
-    /// Records what a new heartbeat shows about earlier answers and about whether the agent receives them.
-    fn record_contact(&mut self, clock: Clock, report: &AgentHeartbeat, relayed: bool) {
+    /// Updates the state of earlier starts and the reachability of the agent from a new heartbeat.
+    fn record_contact(&mut self, clock: Clock, heartbeat: &AgentHeartbeat, relayed: bool) {
         let lease = Micros::secs(self.settings.params.agents.lease_s);
         let leader = self.leader.as_mut();
-        let Some(agent) = leader.and_then(|leader| leader.agents.get_mut(&report.machine)) else {
+        let Some(agent) = leader.and_then(|leader| leader.agents.get_mut(&heartbeat.machine))
+        else {
             return;
         };
-        agent.settle_starts_before(report.agent_epoch, report.seq);
+        agent.settle_starts_before(heartbeat.agent_epoch, heartbeat.seq);
         if !relayed {
             agent.reachability.on_direct_heartbeat(clock.now);
         }
-        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWED_FOR_CERTAIN) {
+        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWAL_PROVEN_AFTER_LEASES) {
             agent.reachability.on_confirmation(clock.now);
         }
     }
 
-    /// Whether a start of a task whose job is cancelled may still be in flight to a machine.
+    /// Whether a start of a task of a cancelled job may still be in flight to a machine.
     fn may_start_cancelled(&self, machine: &str) -> bool {
         let leader = self.leader.as_ref();
         let Some(agent) = leader.and_then(|leader| leader.agents.get(machine)) else {
             return false;
         };
-        let heard = &self.peers.reported_cancellations;
+        let cancellations = &self.peers.reported_cancellations;
         agent
             .unresolved_starts()
-            .any(|(job, ..)| recorded_or_reported_cancelled(&self.cache, heard, job))
+            .any(|(job, ..)| recorded_or_reported_cancelled(&self.cache, cancellations, job))
     }
 
-    /// Applies an agent's message, from a heartbeat or from the answer to a direct command. Returns false if it is
-    /// no newer than what we know.
-    pub fn apply_heartbeat(&mut self, clock: Clock, report: &AgentHeartbeat) -> bool {
+    /// Applies the state of an agent from a heartbeat or from the response to direct commands. Returns false if it is
+    /// not newer than the state that we have.
+    pub fn apply_heartbeat(&mut self, clock: Clock, heartbeat: &AgentHeartbeat) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
         };
-        let machine = &report.machine;
-        let known = leader.agents.get(machine);
-        if known.is_none_or(|agent| agent.agent_epoch == 0) {
+        let machine = &heartbeat.machine;
+        let existing = leader.agents.get(machine);
+        if existing.is_none_or(|agent| agent.agent_epoch == 0) {
             // Its lease may expire long before the bound for machines that never sent a heartbeat.
             let check_at = clock.now + NEW_AGENT_LEASE_CHECK;
             leader.next_lease_check = leader.next_lease_check.min(check_at);
@@ -126,9 +131,9 @@
             None => leader
                 .agents
                 .entry(machine.clone())
-                .or_insert_with(|| Agent::new(report)),
+                .or_insert_with(|| Agent::new(heartbeat)),
         };
-        let effect = agent.update(report, clock.now);
+        let effect = agent.update(heartbeat, clock.now);
         if effect == HeartbeatEffect::Stale {
             return false;
         }
@@ -141,7 +146,9 @@
         } else {
             agent.idle_since = None;
         }
-        leader.fleet.record_heartbeat(machine, report, clock.now);
+        leader
+            .inventory
+            .record_heartbeat(machine, heartbeat, clock.now);
         if let HeartbeatEffect::Changed(previous) = effect {
             leader.dirty = true;
             leader.machines_to_check.insert(machine.clone());
@@ -152,7 +159,7 @@
 }
 
 impl LeaderState {
-    /// Acts on the task states in an agent's newest message that were not in its `previous` one.
+    /// Applies the task states that differ between an agent's newest message and its `previous` one.
     fn apply_task_changes(
         &mut self,
         cache: &mut RecordCache,
@@ -214,7 +221,7 @@
         }
     }
 
-    /// Records the result of a task that exited.
+    /// Applies the result of a task that exited.
     fn apply_task_exit(&mut self, job: &Job, clock: Clock, machine: &str, task: &ReportedTask) {
         let Some(agent) = self.agents.get_mut(machine) else {
             return;
@@ -292,22 +299,22 @@
     (task.job.clone(), task.task, task.attempt)
 }
 
-fn same_attempt(one: &ReportedTask, other: &ReportedTask) -> bool {
-    (one.task, one.attempt) == (other.task, other.attempt) && one.job == other.job
+fn same_attempt(a: &ReportedTask, b: &ReportedTask) -> bool {
+    (a.task, a.attempt) == (b.task, b.attempt) && a.job == b.job
 }
 
-fn same_state(one: &ReportedTask, other: &ReportedTask) -> bool {
-    one.phase == other.phase && same_attempt(one, other)
+fn same_state(a: &ReportedTask, b: &ReportedTask) -> bool {
+    a.phase == b.phase && same_attempt(a, b)
 }
 
-/// Whether a task that exited without being done was still fetching its image before.
+/// Whether a task exited without success while it was still fetching its image.
 fn fetch_abandoned(task: &ReportedTask, previous: &[ReportedTask]) -> bool {
     let was_fetching =
         |old: &ReportedTask| old.phase == TaskPhase::Fetching && same_attempt(old, task);
     task.why != Some(ExitReason::Done) && previous.iter().any(was_fetching)
 }
 
-/// Notes that a machine no longer fetches the image of a job, unless another of its tasks uses that image.
+/// Records that a machine no longer fetches the image of a job, unless another task on it uses that image.
 fn drop_unused_image(
     images: &mut ImageCaches,
     jobs: &BTreeMap<String, Job>,
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -120,9 +120,9 @@
             start.backfilled,
             job.record.spec.image
         );
-        self.started += 1;
+        self.start_count += 1;
         let job_start_order = self.start_order.entry(start.job.clone()).or_default();
-        job_start_order.insert(start.task, self.started);
+        job_start_order.insert(start.task, self.start_count);
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
         }
--- a/src/scheduling/pass.rs
+++ b/src/scheduling/pass.rs
@@ -134,7 +134,7 @@
     let largest_demand = leader.max_demand.max(queue_demand);
     let context = scheduling_context(inputs, &state.job_queue);
     let mut snapshot = SnapshotBuilder::new(inputs, &context, host_table, quotas).build();
-    let agents_known = leader.agents_known(inputs.settings, inputs.clock.now);
+    let agents_known = leader.takeover_grace_elapsed(inputs.settings, inputs.clock.now);
     prepare_snapshot(&mut snapshot, agents_known);
     let ClusterSnapshot {
         mut host_table,
@@ -218,8 +218,8 @@
             policy: inputs.policy,
             clock: inputs.clock,
             hosts: self.host_table,
-            rooms: self.capacity,
-            agents_known: self.agents_known,
+            hosts_after_pass: self.capacity,
+            takeover_grace_elapsed: self.agents_known,
         };
         autoscaler::plan(&fleet_snapshot, names, &demand, &self.plan.unmet_demands)
     }
