--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -333,7 +333,7 @@
                 task: 0,
                 attempt: 1,
                 phase: TaskPhase::Running,
-                why: None,
+                exit_reason: None,
             });
         }
     }
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -123,7 +123,7 @@
     if agent.agent_epoch == 0 {
         return false;
     }
-    if !agent.reachability.receives() {
+    if !agent.reachability.is_reachable() {
         return true;
     }
     let shows_term_soon = agent
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -194,12 +194,18 @@
             task.task,
             task.attempt,
             task.phase,
-            task.why
+            task.exit_reason
         );
         match task.phase {
-            TaskPhase::Waiting => cache.image_caches.used(machine, &spec.image, spec.image_gb),
+            TaskPhase::Waiting => {
+                cache
+                    .image_caches
+                    .record_use(machine, &spec.image, spec.image_gb)
+            }
             TaskPhase::Running => {
-                cache.image_caches.used(machine, &spec.image, spec.image_gb);
+                cache
+                    .image_caches
+                    .record_use(machine, &spec.image, spec.image_gb);
                 if !agent.errors.is_empty() {
                     agent.running_since_error.insert(attempt_key(task));
                 }
@@ -220,7 +226,7 @@
             return;
         };
         let ran_after_errors = agent.running_since_error.remove(&attempt_key(task));
-        match task.why {
+        match task.exit_reason {
             Some(ExitReason::Done) => {
                 if ran_after_errors {
                     agent.errors.clear();
@@ -284,7 +290,7 @@
         "task failed machine={machine} task={}/{} reason={:?}",
         task.job,
         task.task,
-        task.why
+        task.exit_reason
     );
 }
 
@@ -304,7 +310,7 @@
 fn fetch_abandoned(task: &ReportedTask, previous: &[ReportedTask]) -> bool {
     let was_fetching =
         |old: &ReportedTask| old.phase == TaskPhase::Fetching && same_attempt(old, task);
-    task.why != Some(ExitReason::Done) && previous.iter().any(was_fetching)
+    task.exit_reason != Some(ExitReason::Done) && previous.iter().any(was_fetching)
 }
 
 /// Notes that a machine no longer fetches the image of a job, unless another of its tasks uses that image.
@@ -323,6 +329,6 @@
                 .is_some_and(|other| other.record.spec.image == *image)
     };
     if !agent.tasks.iter().any(uses_image) {
-        images.given_up(machine, image);
+        images.remove_image(machine, image);
     }
 }
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -195,7 +195,7 @@
         let mut fresh_agents = 0;
         for agent in self.agents.values().filter(|agent| !agent.epoch_ended()) {
             live_agents += 1;
-            fresh_agents += usize::from(now.since(agent.last_heard_at) < fresh);
+            fresh_agents += usize::from(now.since(agent.last_heartbeat_at) < fresh);
         }
         let peers_serve_most = self.renewed.len() * 4 >= live_agents * 3;
         let few_reach_us = fresh_agents * 4 < live_agents.max(1);
--- a/src/agents/reconciliation.rs
+++ b/src/agents/reconciliation.rs
@@ -113,7 +113,7 @@
         }
         let job = self.cache.jobs.get(&task.job);
         let active = job.is_some_and(Job::active);
-        let unrecorded = task.why == Some(ExitReason::Done)
+        let unrecorded = task.exit_reason == Some(ExitReason::Done)
             && active
             && job.is_some_and(|job| !job.is_done(task.task) && task.task < job.record.spec.tasks);
         let placed = self.is_placed_here(job, task);
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -285,7 +285,7 @@
                 acceptance.write_alone = true;
                 self.retry_acceptance(id, clock.now);
             }
-            StoreResponse::Lost | StoreResponse::TooFast if !expired => {
+            StoreResponse::Lost | StoreResponse::RateLimited if !expired => {
                 acceptance.maybe_written |= *response == StoreResponse::Lost;
                 self.retry_acceptance(id, clock.now + RETRY_DELAY);
             }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -51,7 +51,7 @@
         // would appear to have no placed tasks. The condition fails if a newer batch exists.
         let batch_condition = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
-            self.cache.placement_batches.head(),
+            self.cache.placement_batches.newest_version(),
         );
         Transaction {
             conditions: vec![VersionCondition::new(&key, version), batch_condition],
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -145,12 +145,12 @@
         status: u16,
         state: &JobState,
     ) {
-        let last_cancellation_or_claim = self.cache.last_cancellation_or_claim;
+        let last_cancellation_or_leader_change = self.cache.last_cancellation_or_leader_change;
         if state.status == status_text(JobStage::Cancelled)
             && !self
                 .peers
                 .silence_pledges
-                .may_tell(last_cancellation_or_claim, clock.now.0)
+                .may_tell(last_cancellation_or_leader_change, clock.now.0)
         {
             self.refuse(conn, 503, "not all controllers have heard that we are back");
             return;
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -126,7 +126,7 @@
                 self.resume_request(clock, request);
             }
         } else {
-            if response == StoreResponse::TooOld {
+            if response == StoreResponse::RevisionTooOld {
                 self.reload_records(clock);
             }
             let covered = std::mem::take(&mut self.read_barrier.covered);
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -117,10 +117,10 @@
     let patience = Micros::secs(snapshot.settings.params.agents.report_s * SILENT_REPORTS);
     let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
     for agent in snapshot.leader.agents.values() {
-        let is_silent = snapshot.clock.now.since(agent.last_heard_at) > patience;
+        let is_silent = snapshot.clock.now.since(agent.last_heartbeat_at) > patience;
         let zone = zones.entry(&agent.zone).or_default();
         zone.machines += 1;
-        zone.silent += usize::from(is_silent || !agent.reachability.receives());
+        zone.silent += usize::from(is_silent || !agent.reachability.is_reachable());
     }
     zones
         .into_iter()
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -113,7 +113,7 @@
                 .unreachable_for_long(since, silent_patience)
                 .then_some(DeletionReason::Unreachable);
         }
-        if agent.epoch_ended() && now.since(agent.last_heard_at) > silent_patience {
+        if agent.epoch_ended() && now.since(agent.last_heartbeat_at) > silent_patience {
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -95,7 +95,7 @@
         self.leader_lease.renewal_in_flight = false;
         match response {
             StoreResponse::Lease(_) => self.leader_lease.renewal_due = sent + RENEWAL_INTERVAL,
-            StoreResponse::LeaseGone => self.request_replacement_lease(),
+            StoreResponse::LeaseExpired => self.request_replacement_lease(),
             _ => self.leader_lease.renewal_due = clock.now + RENEWAL_RETRY_DELAY,
         }
     }
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -125,7 +125,7 @@
                 self.record_sync.watch_due = Some(clock.now.max(next_watch));
                 self.on_cache_updated(clock);
             }
-            StoreResponse::TooOld => self.reload_records(clock),
+            StoreResponse::RevisionTooOld => self.reload_records(clock),
             _ => self.record_sync.watch_due = Some(clock.now + WATCH_RETRY_DELAY),
         }
     }
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -35,7 +35,11 @@
         };
         if extension.quiet {
             let pledges = &mut self.peers.silence_pledges;
-            pledges.give(peer, self.cache.last_cancellation_or_claim, clock.now.0);
+            pledges.give(
+                peer,
+                self.cache.last_cancellation_or_leader_change,
+                clock.now.0,
+            );
         }
         if let (Some(leader), Some(term)) = (&mut self.leader, response.leading)
             && !store_available
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -87,7 +87,7 @@
             newest: self
                 .cache
                 .synced
-                .then_some(self.cache.last_cancellation_or_claim),
+                .then_some(self.cache.last_cancellation_or_leader_change),
             served: store_available,
             format: format::NEWEST,
             asks: self.budget.requested_writes(),
--- a/src/records/pending_write.rs
+++ b/src/records/pending_write.rs
@@ -7,13 +7,13 @@
 
 /// Completions of some of a job's tasks wait this long for others; the agent keeps the results. The completion of the
 /// last task does not wait, since its client may ask 3 s later.
-const MERGE_COMPLETIONS_FOR: Micros = Micros::millis(4_000);
+const COMPLETION_MERGE_DELAY: Micros = Micros::millis(4_000);
 /// No client waits for the removal of an ended job's entries.
 const CLEANUP_DELAY: Micros = Micros::millis(4_000);
 /// The content of placement batches is on record already.
-const MERGE_BATCHED_PATIENCE: Micros = Micros::millis(30_000);
+const BATCH_MERGE_DEADLINE: Micros = Micros::millis(30_000);
 /// Clients wait for services and gangs by the second, for arrays by the minute.
-const ARRAY_PATIENCE: Micros = Micros::millis(500);
+const ARRAY_PLACEMENT_DEADLINE: Micros = Micros::millis(500);
 
 /// Changes of a job's record that are not written yet.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -21,10 +21,10 @@
     /// Tasks that are done.
     pub done: BTreeSet<u32>,
     /// New attempts.
-    pub places: Vec<TaskEntry>,
+    pub placements: Vec<TaskEntry>,
     /// The job has ended and none of its tasks is left anywhere: drop its entries.
-    pub clean: bool,
-    /// Write the places that only placement batches hold into the job's own record.
+    pub remove_entries: bool,
+    /// Write the placements that only placement batches hold into the job's own record.
     pub merge_batched: bool,
     /// When the first of these changes came up.
     pub(super) pending_since: Micros,
@@ -48,45 +48,48 @@
         }
     }
 
-    /// Only these places.
-    pub fn of_places(places: Vec<TaskEntry>) -> PendingWrite {
+    /// Only these placements.
+    pub fn of_placements(placements: Vec<TaskEntry>) -> PendingWrite {
         PendingWrite {
-            places,
+            placements,
             ..PendingWrite::default()
         }
     }
 
     /// Whether there is nothing to write.
     pub(super) fn is_empty(&self) -> bool {
-        self.done.is_empty() && self.places.is_empty() && !self.clean && !self.merge_batched
+        self.done.is_empty()
+            && self.placements.is_empty()
+            && !self.remove_entries
+            && !self.merge_batched
     }
 
     /// When the write is due and how urgent it is, depending on what waits for it.
     pub(super) fn schedule(&self, job: &Job) -> WriteSchedule {
         let since = self.pending_since;
-        let schedule = |delay: Micros, patience: Micros| WriteSchedule {
+        let schedule = |delay: Micros, max_delay: Micros| WriteSchedule {
             due_at: since + delay,
-            deadline: since + patience,
+            deadline: since + max_delay,
         };
-        if !self.places.is_empty() {
+        if !self.placements.is_empty() {
             let is_array = job.record.spec.kind == JobKind::Array;
-            let patience = if is_array {
-                ARRAY_PATIENCE
+            let max_delay = if is_array {
+                ARRAY_PLACEMENT_DEADLINE
             } else {
                 Micros::ZERO
             };
-            return schedule(Micros::ZERO, patience);
+            return schedule(Micros::ZERO, max_delay);
         }
         if !self.done.is_empty() {
             let done_count = job.done_count() + self.done.len() as u64;
             if done_count >= job.record.spec.tasks as u64 {
                 return schedule(Micros::ZERO, Micros::ZERO);
             }
-            return schedule(MERGE_COMPLETIONS_FOR, MERGE_COMPLETIONS_FOR.times(2.0));
+            return schedule(COMPLETION_MERGE_DELAY, COMPLETION_MERGE_DELAY.times(2.0));
         }
-        if self.clean {
+        if self.remove_entries {
             return schedule(CLEANUP_DELAY, CLEANUP_DELAY.times(3.0));
         }
-        schedule(Micros::ZERO, MERGE_BATCHED_PATIENCE)
+        schedule(Micros::ZERO, BATCH_MERGE_DEADLINE)
     }
 }
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -1,8 +1,8 @@
-//! Placement batches: places of many jobs in one record.
+//! Placement batches: placements of many jobs in one record.
 //!
 //! A job's record is one change of the store, and the store takes a few dozen a second. When hundreds of jobs lose
 //! tasks at once, writing each job's record would keep most of them waiting for longer than starting their tasks
-//! takes. So the leader writes their places as a batch, one change for as many jobs as a transaction may have
+//! takes. So the leader writes their placements as a batch, one change for as many jobs as a transaction may have
 //! conditions, and merges them into the jobs' own records later, with what the write budget leaves. `docs/safety.md`
 //! argues why that is safe.
 
@@ -23,13 +23,13 @@
 use crate::state::store_client::{RequestPriority, StoreRequest};
 
 /// A batch is written once writing the waiting jobs one by one would take this many seconds.
-const WORTHWHILE_BACKLOG_S: f64 = 0.5;
+const MIN_BACKLOG_S: f64 = 0.5;
 /// A batch has at least this many jobs: fewer are not worth the second change that it costs.
-const MIN_JOBS: usize = 6;
-/// Interval at which places are merged into the jobs' own records.
+const MIN_JOBS_PER_BATCH: usize = 6;
+/// Interval at which placements are merged into the jobs' own records.
 const MERGE_INTERVAL: Micros = Micros::millis(1_000);
 /// Jobs merged at a time, as a share of our write budget for a second, while no other write waits.
-const MERGE_SHARE: f64 = 0.25;
+const MERGE_BUDGET_SHARE: f64 = 0.25;
 /// A transaction may have this many times as many conditions as changes (PROTOCOL, "POST /multi").
 const CONDITIONS_PER_CHANGE: usize = 4;
 /// Between two elements of a JSON list.
@@ -39,11 +39,11 @@
 #[derive(Debug)]
 struct BatchedJob {
     id: String,
-    /// Places that the batch does not take.
-    rest: Vec<TaskEntry>,
+    /// Placements that the batch does not take.
+    still_pending: Vec<TaskEntry>,
 }
 
-/// A batch being assembled. The places of `jobs[i]` are `batch.places[i]`.
+/// A batch being assembled. The placements of `jobs[i]` are `batch.places[i]`.
 #[derive(Debug, Default)]
 struct BatchDraft {
     jobs: Vec<BatchedJob>,
@@ -53,7 +53,7 @@
 }
 
 impl BatchDraft {
-    /// Gathers the pending places of jobs, with at most `max_conditions` conditions.
+    /// Gathers the pending placements of jobs, with at most `max_conditions` conditions.
     fn gather(
         due_jobs: &[String],
         writer: &RecordWriter,
@@ -70,16 +70,16 @@
             };
             // The members of a gang end together: their completions are written first.
             let gang_ends = job.record.spec.kind == JobKind::Gang && !pending.done.is_empty();
-            if pending.places.is_empty() || gang_ends {
+            if pending.placements.is_empty() || gang_ends {
                 continue;
             }
-            let only_places = PendingWrite::of_places(pending.places.clone());
-            let update = RecordUpdate::new(id, job, &only_places, false, clock, limits);
-            if update.places.is_empty() {
+            let pending_placements = PendingWrite::of_placements(pending.placements.clone());
+            let update = RecordUpdate::new(id, job, &pending_placements, false, clock, limits);
+            if update.placements.is_empty() {
                 continue;
             }
-            let places: (String, Vec<TaskEntry>) = (id.clone(), update.places);
-            let added_bytes = json_len(&places) + SEPARATOR_BYTES;
+            let placements: (String, Vec<TaskEntry>) = (id.clone(), update.placements);
+            let added_bytes = json_len(&placements) + SEPARATOR_BYTES;
             if bytes + added_bytes > limits.max_value_bytes {
                 if draft.jobs.is_empty() {
                     continue;
@@ -87,7 +87,7 @@
                 break;
             }
             bytes += added_bytes;
-            draft.add(id, job, places, update.rest.places);
+            draft.add(id, job, placements, update.still_pending.placements);
             if draft.conditions.len() >= max_conditions {
                 break;
             }
@@ -95,20 +95,26 @@
         draft
     }
 
-    fn add(&mut self, id: &str, job: &Job, places: (String, Vec<TaskEntry>), rest: Vec<TaskEntry>) {
+    fn add(
+        &mut self,
+        id: &str,
+        job: &Job,
+        placements: (String, Vec<TaskEntry>),
+        still_pending: Vec<TaskEntry>,
+    ) {
         // The version of the job's record shows that nobody has cancelled the job meanwhile.
         let unchanged = VersionCondition::new(&job_key(id), job.version);
         self.conditions.push(unchanged);
-        self.batch.places.push(places);
+        self.batch.places.push(placements);
         self.jobs.push(BatchedJob {
             id: id.to_string(),
-            rest,
+            still_pending,
         });
     }
 }
 
 impl Controller {
-    /// Writes the places of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs
+    /// Writes the placements of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs
     /// whose writes are due, most urgent first.
     pub(crate) fn write_placement_batch(
         &mut self,
@@ -116,7 +122,7 @@
         due_jobs: &[String],
         limits: WriteLimits,
     ) -> bool {
-        if !self.batch_is_worthwhile(due_jobs, limits) {
+        if !self.should_write_batch(due_jobs, limits) {
             return false;
         }
         let Some(leader) = &mut self.leader else {
@@ -129,7 +135,7 @@
         // out after that, so the newest batch is a condition, too.
         let newest = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
-            self.cache.placement_batches.head(),
+            self.cache.placement_batches.newest_version(),
         );
         let mut conditions = vec![
             VersionCondition::new(LEADER_KEY, leader.version),
@@ -137,10 +143,17 @@
             newest,
         ];
         let max_conditions = limits.max_changes * CONDITIONS_PER_CHANGE;
-        let for_jobs = max_conditions.saturating_sub(conditions.len());
-        let edits = &mut leader.record_writer;
-        let draft = BatchDraft::gather(due_jobs, edits, &self.cache, clock, limits, for_jobs);
-        if draft.jobs.len() < MIN_JOBS {
+        let max_job_conditions = max_conditions.saturating_sub(conditions.len());
+        let writer = &mut leader.record_writer;
+        let draft = BatchDraft::gather(
+            due_jobs,
+            writer,
+            &self.cache,
+            clock,
+            limits,
+            max_job_conditions,
+        );
+        if draft.jobs.len() < MIN_JOBS_PER_BATCH {
             return false;
         }
         let tasks: usize = draft.batch.places.iter().map(|(_, p)| p.len()).sum();
@@ -155,17 +168,17 @@
             ],
         };
         let mut ids = Vec::new();
-        for (job, (_, places)) in draft.jobs.into_iter().zip(draft.batch.places) {
-            edits.mark_places_in_flight(&job.id, job.rest, places);
+        for (job, (_, placements)) in draft.jobs.into_iter().zip(draft.batch.places) {
+            writer.mark_placements_in_flight(&job.id, job.still_pending, placements);
             ids.push(job.id);
         }
-        let write_id = edits.begin_write(ids, transaction.clone());
+        let write_id = writer.begin_write(ids, transaction.clone());
         self.send_job_write(RequestPriority::Normal, write_id, transaction);
         true
     }
 
     /// Whether enough jobs wait for a batch, and one may be written now.
-    fn batch_is_worthwhile(&self, due_jobs: &[String], limits: WriteLimits) -> bool {
+    fn should_write_batch(&self, due_jobs: &[String], limits: WriteLimits) -> bool {
         let Some(leader) = &self.leader else {
             return false;
         };
@@ -179,10 +192,10 @@
         if !leader.record_writer.batches_in_flight().is_empty() {
             return false;
         }
-        let backlog = (self.store.write_rate() * WORTHWHILE_BACKLOG_S) as usize;
+        let backlog = (self.store.write_rate() * MIN_BACKLOG_S) as usize;
         let waiting = due_jobs.iter();
-        let waiting = waiting.filter(|id| leader.record_writer.has_pending_places(id));
-        waiting.count() >= backlog.max(MIN_JOBS)
+        let waiting = waiting.filter(|id| leader.record_writer.has_pending_placements(id));
+        waiting.count() >= backlog.max(MIN_JOBS_PER_BATCH)
     }
 
     /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes batches that are
@@ -198,7 +211,7 @@
         }
         // A controller that has been downgraded does not see batches: then everything is merged at once.
         let merge_all = !self.all_peers_read(PLACEMENT_BATCHES);
-        let share = (self.store.write_rate() * MERGE_SHARE).max(1.0) as usize;
+        let share = (self.store.write_rate() * MERGE_BUDGET_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
@@ -217,9 +230,9 @@
                 );
                 continue;
             }
-            for (id, _) in self.cache.placement_batches.places(number) {
+            for (id, _) in self.cache.placement_batches.placements(number) {
                 let job = self.cache.jobs.get(id);
-                if remaining_jobs > 0 && job.is_some_and(|j| !j.batched_places.is_empty()) {
+                if remaining_jobs > 0 && job.is_some_and(|j| !j.batched_placements.is_empty()) {
                     leader
                         .record_writer
                         .pending_write_mut(id, clock.now)
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -26,10 +26,10 @@
     pub conditions: Vec<VersionCondition>,
     /// Changes of the job's record and chunks.
     pub changes: Vec<Change>,
-    /// The places among them.
-    pub places: Vec<TaskEntry>,
+    /// The placements among them.
+    pub placements: Vec<TaskEntry>,
     /// What stays pending.
-    pub rest: PendingWrite,
+    pub still_pending: PendingWrite,
 }
 
 impl RecordUpdate {
@@ -43,15 +43,15 @@
         limits: WriteLimits,
     ) -> RecordUpdate {
         let mut draft = Draft::new(job, pending, limits);
-        if pending.clean {
-            draft.drop_entries(in_batches);
+        if pending.remove_entries {
+            draft.remove_entries(in_batches);
         }
         if pending.merge_batched {
-            draft.open_batched_chunks();
+            draft.include_batched_chunks();
         }
         if job.active() {
             draft.record_completions(&pending.done);
-            draft.record_places(pending);
+            draft.record_placements(pending);
             draft.end_job_if_complete(clock);
         }
         draft.into_update(id, pending.merge_batched)
@@ -64,29 +64,29 @@
     record: JobRecord,
     /// Further chunks that are written.
     chunks: BTreeMap<u32, TaskChunk>,
-    /// Numbers of the chunks with places that only placement batches hold.
+    /// Numbers of the chunks with placements that only placement batches hold.
     batched_chunks: BTreeSet<u32>,
     max_chunks: usize,
     max_value_bytes: usize,
-    places: Vec<TaskEntry>,
-    rest: PendingWrite,
+    placements: Vec<TaskEntry>,
+    still_pending: PendingWrite,
 }
 
 impl<'a> Draft<'a> {
     fn new(job: &'a Job, pending: &PendingWrite, limits: WriteLimits) -> Draft<'a> {
-        let batched = job.batched_places.iter();
+        let batched = job.batched_placements.iter();
         Draft {
             job,
             record: job.record.clone(),
             chunks: BTreeMap::new(),
             batched_chunks: batched
-                .map(|place| place.task() / TASKS_PER_CHUNK)
+                .map(|placement| placement.task() / TASKS_PER_CHUNK)
                 .collect(),
             // One change is reserved for the job's own record.
             max_chunks: limits.max_changes.saturating_sub(1).max(1),
             max_value_bytes: limits.max_value_bytes,
-            places: Vec::new(),
-            rest: PendingWrite::empty_since(pending.pending_since),
+            placements: Vec::new(),
+            still_pending: PendingWrite::empty_since(pending.pending_since),
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
-    fn drop_entries(&mut self, in_batches: bool) {
+    fn remove_entries(&mut self, in_batches: bool) {
         self.record.first.entries.clear();
         self.record.cleaned |= in_batches;
         for (number, stored) in &self.job.chunks {
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Includes the chunks with places that only placement batches hold.
-    fn open_batched_chunks(&mut self) {
+    /// Includes the chunks with placements that only placement batches hold.
+    fn include_batched_chunks(&mut self) {
         for number in self.batched_chunks.iter().filter(|n| **n > 0) {
             if self.chunks.len() >= self.max_chunks {
-                self.rest.merge_batched = true;
+                self.still_pending.merge_batched = true;
                 return;
             }
             if let Some(stored) = self.job.chunks.get(number) {
@@ -125,7 +125,7 @@
     }
 
     /// Includes the chunk of a task; returns false if the transaction cannot take another one.
-    fn open_chunk(&mut self, task: u32) -> bool {
+    fn include_chunk(&mut self, task: u32) -> bool {
         let number = task / TASKS_PER_CHUNK;
         if number == 0 || self.chunks.contains_key(&number) {
             return true;
@@ -148,36 +148,36 @@
 
     fn record_completions(&mut self, done: &BTreeSet<u32>) {
         for task in done {
-            if self.open_chunk(*task) {
+            if self.include_chunk(*task) {
                 self.chunk_mut(*task).finish(*task);
             } else {
-                self.rest.done.insert(*task);
+                self.still_pending.done.insert(*task);
             }
         }
     }
 
-    fn record_places(&mut self, pending: &PendingWrite) {
-        for place in &pending.places {
-            if pending.done.contains(&place.task()) {
+    fn record_placements(&mut self, pending: &PendingWrite) {
+        for placement in &pending.placements {
+            if pending.done.contains(&placement.task()) {
                 continue;
             }
-            if !self.open_chunk(place.task()) {
-                self.rest.places.push(place.clone());
+            if !self.include_chunk(placement.task()) {
+                self.still_pending.placements.push(placement.clone());
                 continue;
             }
-            if self.record_place(place) {
-                self.places.push(place.clone());
+            if self.record_placement(placement) {
+                self.placements.push(placement.clone());
             }
         }
     }
 
-    /// Records a place, unless its value would become too long. Such a place is dropped: the next scheduling pass
+    /// Records a placement, unless its value would become too long. Such a placement is dropped: the next scheduling pass
     /// chooses one again, perhaps after other tasks of the chunk have ended.
-    fn record_place(&mut self, place: &TaskEntry) -> bool {
-        let task = place.task();
+    fn record_placement(&mut self, placement: &TaskEntry) -> bool {
+        let task = placement.task();
         let chunk = self.chunk_mut(task);
         let previous = chunk.entry(task).cloned();
-        chunk.set(place.clone());
+        chunk.set(placement.clone());
         if self.value_bytes(task) <= self.max_value_bytes || self.is_indivisible() {
             return true;
         }
@@ -213,7 +213,7 @@
         self.record.first.done.count_ones() + untouched + written
     }
 
-    /// `merge_batched`: places that only placement batches hold have to be written, although the cached record has
+    /// `merge_batched`: placements that only placement batches hold have to be written, although the cached record has
     /// them already.
     fn into_update(self, id: &str, merge_batched: bool) -> RecordUpdate {
         let must_write = |number: &u32| merge_batched && self.batched_chunks.contains(number);
@@ -237,8 +237,8 @@
         RecordUpdate {
             conditions,
             changes,
-            places: self.places,
-            rest: self.rest,
+            placements: self.placements,
+            still_pending: self.still_pending,
         }
     }
 }
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -19,7 +19,7 @@
 /// Transactions in flight at once.
 const MAX_WRITES_IN_FLIGHT: usize = 3;
 /// The limit of changes per transaction is never lowered below this.
-const LEAST_MAX_CHANGES: usize = 2;
+const MIN_CHANGE_LIMIT: usize = 2;
 
 /// A transaction of job records in flight.
 #[derive(Debug, Clone)]
@@ -50,8 +50,8 @@
     /// Pending changes, by job.
     pending: BTreeMap<String, PendingWrite>,
     writes_in_flight: BTreeMap<u64, WriteInFlight>,
-    /// Jobs in transactions in flight, with the places that these carry. A job is in one transaction at a time.
-    places_in_flight: BTreeMap<String, Vec<TaskEntry>>,
+    /// Jobs in transactions in flight, with the placements that these carry. A job is in one transaction at a time.
+    placements_in_flight: BTreeMap<String, Vec<TaskEntry>>,
     last_write_id: u64,
     /// Whether due writes have to be counted again: something has changed since, or some were due.
     recount_due: bool,
@@ -79,26 +79,27 @@
 
     /// Whether the job's record is in a transaction in flight.
     pub fn in_flight(&self, id: &str) -> bool {
-        self.places_in_flight.contains_key(id)
+        self.placements_in_flight.contains_key(id)
     }
 
     /// Jobs with pending changes or changes in flight; some appear twice.
     pub fn jobs(&self) -> impl Iterator<Item = &str> {
-        let jobs = self.pending.keys().chain(self.places_in_flight.keys());
+        let jobs = self.pending.keys().chain(self.placements_in_flight.keys());
         jobs.map(String::as_str)
     }
 
-    /// Places of a job that are not on record yet: they take capacity from the moment they are chosen.
-    pub fn unrecorded_places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
-        let in_flight = self.places_in_flight.get(id).into_iter().flatten();
+    /// Placements of a job that are not on record yet: they take capacity from the moment they are chosen.
+    pub fn unrecorded_placements(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
+        let in_flight = self.placements_in_flight.get(id).into_iter().flatten();
         let pending = self.pending.get(id).into_iter();
-        in_flight.chain(pending.flat_map(|write| &write.places))
+        in_flight.chain(pending.flat_map(|write| &write.placements))
     }
 
-    /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the
+    /// Whether a task's placement is chosen and not on record yet. The task must not be started meanwhile, since the
     /// attempt on record may be about to be replaced.
     pub fn is_placing(&self, id: &str, task: u32) -> bool {
-        self.unrecorded_places(id).any(|place| place.task() == task)
+        self.unrecorded_placements(id)
+            .any(|placement| placement.task() == task)
     }
 
     /// Whether a task's completion is about to be recorded.
@@ -112,10 +113,10 @@
         self.pending.is_empty()
     }
 
-    /// Whether places of a job are pending.
-    pub fn has_pending_places(&self, id: &str) -> bool {
+    /// Whether placements of a job are pending.
+    pub fn has_pending_placements(&self, id: &str) -> bool {
         let pending = self.pending.get(id);
-        pending.is_some_and(|write| !write.places.is_empty())
+        pending.is_some_and(|write| !write.placements.is_empty())
     }
 
     /// Numbers of the placement batches in flight.
@@ -129,20 +130,20 @@
         changes.filter_map(batch_number).collect()
     }
 
-    /// Marks places of a job as in flight. `rest` stays pending, with the job's other changes.
-    pub fn mark_places_in_flight(
+    /// Marks placements of a job as in flight. `still_pending` stays pending, with the job's other changes.
+    pub fn mark_placements_in_flight(
         &mut self,
         id: &str,
-        rest: Vec<TaskEntry>,
-        places: Vec<TaskEntry>,
+        still_pending: Vec<TaskEntry>,
+        placements: Vec<TaskEntry>,
     ) {
         if let Some(pending) = self.pending.get_mut(id) {
-            pending.places = rest;
+            pending.placements = still_pending;
             if pending.is_empty() {
                 self.pending.remove(id);
             }
         }
-        self.places_in_flight.insert(id.to_string(), places);
+        self.placements_in_flight.insert(id.to_string(), placements);
     }
 
     /// Notes a transaction in flight that changes these jobs; returns the number of the write.
@@ -160,7 +161,7 @@
             return false;
         };
         for id in write.jobs {
-            self.places_in_flight.remove(&id);
+            self.placements_in_flight.remove(&id);
         }
         self.recount_due = true;
         true
@@ -234,17 +235,18 @@
             if !changes.is_empty() && changes.len() + update.changes.len() > max_changes {
                 break;
             }
-            if update.rest.is_empty() {
+            if update.still_pending.is_empty() {
                 self.pending.remove(&id);
             } else {
-                self.pending.insert(id.clone(), update.rest);
+                self.pending.insert(id.clone(), update.still_pending);
             }
             if update.changes.is_empty() {
                 continue;
             }
             conditions.extend(update.conditions);
             changes.extend(update.changes);
-            self.places_in_flight.insert(id.clone(), update.places);
+            self.placements_in_flight
+                .insert(id.clone(), update.placements);
             jobs.push(id);
             if changes.len() >= max_changes {
                 break;
@@ -269,7 +271,7 @@
             self.batch_rejected = true;
         } else {
             let halved = transaction.changes.len() / 2;
-            self.max_changes = Some(halved.max(LEAST_MAX_CHANGES));
+            self.max_changes = Some(halved.max(MIN_CHANGE_LIMIT));
         }
     }
 }
@@ -289,7 +291,7 @@
             let number = placement_batch_number(&condition.key);
             number.is_none_or(|n| batches.version(n) == condition.version)
                 && (condition.key != NEWEST_PLACEMENT_BATCH_KEY
-                    || batches.head() == condition.version)
+                    || batches.newest_version() == condition.version)
         })
     }
 
@@ -319,10 +321,10 @@
     pub fn write_job_records(&mut self, clock: Clock, max_changes: usize) {
         let Some(leader) = &self.leader else { return };
         let params = &self.settings.params.state;
-        let accepted = leader.record_writer.max_changes.unwrap_or(usize::MAX);
-        let max_changes = max_changes.min(accepted);
+        let change_limit = leader.record_writer.max_changes.unwrap_or(usize::MAX);
+        let max_changes = max_changes.min(change_limit);
         let limits = WriteLimits {
-            max_changes: params.least_txn_ops().min(accepted),
+            max_changes: params.least_txn_ops().min(change_limit),
             max_value_bytes: params.least_value_bytes(),
         };
         let due_jobs = leader.record_writer.due_jobs(&self.cache.jobs, clock.now);
@@ -334,9 +336,9 @@
             return;
         };
         let version = leader.version;
-        let edits = &mut leader.record_writer;
+        let writer = &mut leader.record_writer;
         let taken =
-            edits.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
+            writer.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
         if let Some((write_id, transaction)) = taken {
             self.send_job_write(RequestPriority::Normal, write_id, transaction);
         }
@@ -389,7 +391,7 @@
                 self.end_job_write(write_id);
             }
             // Certainly not carried out: the changes will be derived again.
-            StoreResponse::Refused | StoreResponse::TooFast => self.end_job_write(write_id),
+            StoreResponse::Refused | StoreResponse::RateLimited => self.end_job_write(write_id),
             _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(write_id)),
         }
     }
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -82,7 +82,9 @@
         self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
-            self.record_writer.pending_write_mut(&job, now).clean = true;
+            self.record_writer
+                .pending_write_mut(&job, now)
+                .remove_entries = true;
         }
         self.record_done_tasks(findings.done_tasks, cache, now);
         let preemptions = preemption_stops(decision.preemptions, cache);
@@ -136,7 +138,7 @@
         );
         self.record_writer
             .pending_write_mut(&start.job, now)
-            .places
+            .placements
             .push(entry);
     }
 
--- a/src/scheduling/cluster_snapshot.rs
+++ b/src/scheduling/cluster_snapshot.rs
@@ -217,7 +217,7 @@
             job,
             queued,
             profile: self.context.job_queue.profile_of(queued),
-            pending_placements: leader.record_writer.unrecorded_places(id).collect(),
+            pending_placements: leader.record_writer.unrecorded_placements(id).collect(),
             in_flight: leader.record_writer.in_flight(id),
             stops: leader.stopping.get(id),
             start_order: leader.start_order.get(id),
@@ -328,7 +328,7 @@
                 if !job.entry(status.task).is_some_and(matches_placement)
                     && !leader
                         .record_writer
-                        .unrecorded_places(&status.job)
+                        .unrecorded_placements(&status.job)
                         .any(matches_placement)
                     && let Some((_, queued)) = context.job_queue.find(&status.job)
                 {
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -104,7 +104,7 @@
             .last_answered_at
             .is_some_and(|at| now < at + max_answer_age)
         && agent.preemption_at.is_none()
-        && agent.reachability.receives()
+        && agent.reachability.is_reachable()
         && !leader.fleet.leaving(name)
         && !leader.is_unhealthy(agent, inputs.policy)
         && !leader.failed_recently(agent, now)
@@ -143,7 +143,7 @@
         if self.0.len() > MAX_CACHED_MACHINES {
             self.0.clear();
         }
-        let image_names = cache.image_caches.of(machine, cache_gb);
+        let image_names = cache.image_caches.images_of(machine, cache_gb);
         let images: Arc<Vec<u32>> = Arc::new(image_names.map(|name| names.id(name)).collect());
         let cached = CachedImages {
             version,
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -22,7 +22,7 @@
         chunks: BTreeMap::new(),
         unmet_dependencies: 0,
         released_at: Micros::ZERO,
-        batched_places: Vec::new(),
+        batched_placements: Vec::new(),
     }
 }
 
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -18,7 +18,7 @@
     /// Phase.
     pub phase: TaskPhase,
     /// Why it exited.
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
 }
 
 impl ReportedTask {
@@ -30,13 +30,14 @@
             task,
             attempt: reported.attempt,
             phase: reported.phase,
-            why: reported.why,
+            exit_reason: reported.why,
         })
     }
 
     /// Whether a heartbeat's task is the same, in the same phase.
     fn is_same(&self, reported: &TaskStatus) -> bool {
-        (self.attempt, self.phase, self.why) == (reported.attempt, reported.phase, reported.why)
+        (self.attempt, self.phase, self.exit_reason)
+            == (reported.attempt, reported.phase, reported.why)
             && parse_task_name(&reported.task) == Some((self.job.as_str(), self.task))
     }
 }
@@ -50,23 +51,23 @@
 /// Decodes an agent's heartbeat, from a request or a response to commands. One that cannot be decoded completely is
 /// dropped completely: a task left out of it would look as if it were not running.
 pub fn parse_agent_heartbeat(body: &[u8]) -> Option<AgentHeartbeat> {
-    let Some(report) = decode::<AgentHeartbeat>(body) else {
+    let Some(heartbeat) = decode::<AgentHeartbeat>(body) else {
         log::warn!("heartbeat dropped reason=undecodable");
         return None;
     };
-    let malformed = report
+    let malformed = heartbeat
         .tasks
         .iter()
         .find(|t| parse_task_name(&t.task).is_none());
     if let Some(malformed) = malformed {
         log::warn!(
             "heartbeat dropped reason=malformed-task machine={} task={:?}",
-            report.machine,
+            heartbeat.machine,
             malformed.task
         );
         return None;
     }
-    Some(report)
+    Some(heartbeat)
 }
 
 /// The starts of one attempt that we sent. A start may be repeated, so several of the flags may be set.
@@ -136,7 +137,7 @@
     /// Tasks in the newest heartbeat.
     pub tasks: Vec<ReportedTask>,
     /// When the newest heartbeat arrived.
-    pub last_heard_at: Micros,
+    pub last_heartbeat_at: Micros,
     /// Whether the agent receives what we send.
     pub reachability: AgentReachability,
     /// When we last answered a heartbeat, which renews the agent's lease.
@@ -189,13 +190,13 @@
 
 impl Agent {
     /// An agent that sends its first heartbeat, which is still to be applied by `update`.
-    pub fn new(report: &AgentHeartbeat) -> Agent {
+    pub fn new(heartbeat: &AgentHeartbeat) -> Agent {
         Agent {
             address: None,
             reported_address: String::new(),
-            machine_type: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+            machine_type: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
             agent_epoch: 0,
             epoch_began_at: Micros::ZERO,
             last_seq: 0,
@@ -203,7 +204,7 @@
             term_seen_at: Micros::ZERO,
             preemption_at: None,
             tasks: Vec::new(),
-            last_heard_at: Micros::ZERO,
+            last_heartbeat_at: Micros::ZERO,
             reachability: AgentReachability::default(),
             last_answered_at: None,
             ended_epoch: None,
@@ -219,24 +220,24 @@
 
     /// Applies a heartbeat if it is newer than the last one. Most heartbeats change nothing, so the strings and tasks
     /// are copied only if they differ.
-    pub fn update(&mut self, report: &AgentHeartbeat, now: Micros) -> HeartbeatEffect {
-        if (report.agent_epoch, report.seq) <= (self.agent_epoch, self.last_seq) {
+    pub fn update(&mut self, heartbeat: &AgentHeartbeat, now: Micros) -> HeartbeatEffect {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= (self.agent_epoch, self.last_seq) {
             return HeartbeatEffect::Stale;
         }
         let before = (self.agent_epoch, self.term, self.preemption_at.is_some());
-        if report.agent_epoch > self.agent_epoch {
+        if heartbeat.agent_epoch > self.agent_epoch {
             self.begin_epoch(now);
         }
-        self.agent_epoch = report.agent_epoch;
-        self.last_seq = report.seq;
-        if report.term > self.term {
-            self.term = report.term;
+        self.agent_epoch = heartbeat.agent_epoch;
+        self.last_seq = heartbeat.seq;
+        if heartbeat.term > self.term {
+            self.term = heartbeat.term;
             self.term_seen_at = now;
             self.reachability.on_confirmation(now);
         }
-        self.update_machine(report, now);
-        self.last_heard_at = now;
-        let reported = &report.tasks;
+        self.update_machine(heartbeat, now);
+        self.last_heartbeat_at = now;
+        let reported = &heartbeat.tasks;
         let same_tasks = self.tasks.len() == reported.len()
             && self.tasks.iter().zip(reported).all(|(t, r)| t.is_same(r));
         if !same_tasks {
@@ -259,17 +260,19 @@
         self.stops.clear();
     }
 
-    fn update_machine(&mut self, report: &AgentHeartbeat, now: Micros) {
-        if self.reported_address != report.address {
-            self.reported_address.clone_from(&report.address);
-            self.address = report.address.parse().ok();
+    fn update_machine(&mut self, heartbeat: &AgentHeartbeat, now: Micros) {
+        if self.reported_address != heartbeat.address {
+            self.reported_address.clone_from(&heartbeat.address);
+            self.address = heartbeat.address.parse().ok();
         }
-        if self.machine_type != report.kind || self.zone != report.zone {
-            self.machine_type.clone_from(&report.kind);
-            self.zone.clone_from(&report.zone);
+        if self.machine_type != heartbeat.kind || self.zone != heartbeat.zone {
+            self.machine_type.clone_from(&heartbeat.kind);
+            self.zone.clone_from(&heartbeat.zone);
         }
-        self.spot = report.spot;
-        self.preemption_at = report.notice_s.map(|seconds| now + Micros::secs(seconds));
+        self.spot = heartbeat.spot;
+        self.preemption_at = heartbeat
+            .notice_s
+            .map(|seconds| now + Micros::secs(seconds));
     }
 
     /// A heartbeat (not a response to commands) with this sequence number has arrived: starts sent with the responses
@@ -334,7 +337,7 @@
     pub fn may_start_again(&self, exited: &ReportedTask) -> bool {
         let start = self.start_of(&exited.job, exited.task, exited.attempt);
         start.is_some_and(|s| {
-            s.term >= self.term && (s.unresolved || exited.why != Some(ExitReason::Done))
+            s.term >= self.term && (s.unresolved || exited.exit_reason != Some(ExitReason::Done))
         })
     }
 
@@ -360,8 +363,10 @@
             return TaskLiveness::Unknown;
         }
         if let Some(reported) = self.reported_task(job, task, attempt) {
-            return match (reported.phase, reported.why) {
-                (TaskPhase::Exited, why) => TaskLiveness::Ended(why.unwrap_or(ExitReason::Error)),
+            return match (reported.phase, reported.exit_reason) {
+                (TaskPhase::Exited, reason) => {
+                    TaskLiveness::Ended(reason.unwrap_or(ExitReason::Error))
+                }
                 (phase, _) => TaskLiveness::Present(phase),
             };
         }
--- a/src/state/agent_reachability.rs
+++ b/src/state/agent_reachability.rs
@@ -35,7 +35,7 @@
 
 impl AgentReachability {
     /// Whether new tasks may be placed on the agent.
-    pub fn receives(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         let still_sends = |since: Micros| self.last_direct_heartbeat > since;
         self.confirmed && !self.unanswered_since.is_some_and(still_sends)
     }
@@ -76,7 +76,7 @@
     }
 
     fn update_suspicion(&mut self, now: Micros) {
-        self.suspected_since = match self.receives() {
+        self.suspected_since = match self.is_reachable() {
             true => None,
             false => self.suspected_since.or(Some(now)),
         };
--- a/src/state/agent_reachability/tests.rs
+++ b/src/state/agent_reachability/tests.rs
@@ -7,20 +7,23 @@
 }
 
 #[test]
-fn heartbeats_alone_do_not_prove_that_an_agent_receives() {
+fn heartbeats_alone_do_not_prove_that_an_agent_is_reachable() {
     let mut agent = AgentReachability::default();
     agent.on_direct_heartbeat(at(1));
-    assert!(agent.receives());
+    assert!(agent.is_reachable());
     // Its lease has expired although we answered its heartbeats.
     agent.on_new_epoch(at(12));
     agent.on_direct_heartbeat(at(13));
     agent.on_direct_heartbeat(at(15));
     assert_eq!(
-        (agent.receives(), agent.suspected_since()),
+        (agent.is_reachable(), agent.suspected_since()),
         (false, Some(at(12)))
     );
     agent.on_commands_answered(at(16));
-    assert_eq!((agent.receives(), agent.suspected_since()), (true, None));
+    assert_eq!(
+        (agent.is_reachable(), agent.suspected_since()),
+        (true, None)
+    );
 }
 
 #[test]
@@ -29,11 +32,11 @@
     agent.on_direct_heartbeat(at(1));
     agent.on_commands_unanswered(at(4));
     // It may be down, or only we may be cut off from it: its heartbeats come through peers.
-    assert!(agent.receives());
+    assert!(agent.is_reachable());
     agent.on_direct_heartbeat(at(6));
     assert_eq!(agent.suspected_since(), Some(at(6)));
     agent.on_commands_unanswered(at(9));
     assert_eq!(agent.suspected_since(), Some(at(6)));
     agent.on_commands_answered(at(10));
-    assert!(agent.receives());
+    assert!(agent.is_reachable());
 }
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -31,8 +31,8 @@
     /// Time of day from which the job's time targets count: when its last dependency was done, or when it was accepted.
     /// Meaningless while the job waits for dependencies.
     pub released_at: Micros,
-    /// Places in the record and the chunks that only placement batches hold.
-    pub batched_places: Vec<TaskEntry>,
+    /// Placements in the record and the chunks that only placement batches hold.
+    pub batched_placements: Vec<TaskEntry>,
 }
 
 impl Job {
--- a/src/state/image_caches.rs
+++ b/src/state/image_caches.rs
@@ -39,7 +39,7 @@
 
 impl ImageCaches {
     /// A task that runs this image was placed or reported on the machine.
-    pub fn used(&mut self, machine: &str, image: &str, size_gb: f64) {
+    pub fn record_use(&mut self, machine: &str, image: &str, size_gb: f64) {
         self.changes += 1;
         // `entry` would copy the name of a known machine, too.
         let cache = match self.machines.get_mut(machine) {
@@ -56,12 +56,13 @@
     fn forget_oldest_machines(&mut self) {
         let mut ages: Vec<u64> = self.machines.values().map(|c| c.changed_at).collect();
         ages.sort_unstable();
-        let oldest_kept = ages[ages.len() - MAX_MACHINES];
-        self.machines.retain(|_, c| c.changed_at >= oldest_kept);
+        let retention_cutoff = ages[ages.len() - MAX_MACHINES];
+        self.machines
+            .retain(|_, c| c.changed_at >= retention_cutoff);
     }
 
     /// The machine has given up fetching the image: no task there needs it any more.
-    pub fn given_up(&mut self, machine: &str, image: &str) {
+    pub fn remove_image(&mut self, machine: &str, image: &str) {
         if let Some(cache) = self.machines.get_mut(machine) {
             self.changes += 1;
             cache.changed_at = self.changes;
@@ -75,7 +76,7 @@
     }
 
     /// The images that a machine with a cache of this size probably has, most recently used first.
-    pub fn of(&self, machine: &str, cache_gb: f64) -> impl Iterator<Item = &str> {
+    pub fn images_of(&self, machine: &str, cache_gb: f64) -> impl Iterator<Item = &str> {
         let cache = self.machines.get(machine).into_iter();
         let newest_first = cache.flat_map(|c| c.images.iter().rev());
         newest_first
--- a/src/state/image_caches/tests.rs
+++ b/src/state/image_caches/tests.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 fn cached(images: &ImageCaches, machine: &str, gb: f64) -> Vec<String> {
-    images.of(machine, gb).map(str::to_string).collect()
+    images.images_of(machine, gb).map(str::to_string).collect()
 }
 
 #[test]
 fn the_most_recently_used_images_stay_as_far_as_the_cache_reaches() {
     let mut images = ImageCaches::default();
     for (image, gb) in [("a", 10.0), ("b", 20.0), ("c", 5.0), ("a", 10.0)] {
-        images.used("n-1", image, gb);
+        images.record_use("n-1", image, gb);
     }
     assert_eq!(cached(&images, "n-1", 100.0), ["a", "c", "b"]);
     assert_eq!(cached(&images, "n-1", 15.0), ["a", "c"]);
     assert_eq!(cached(&images, "n-1", 9.0), [""; 0]);
-    images.given_up("n-1", "a");
+    images.remove_image("n-1", "a");
     assert_eq!(cached(&images, "n-1", 100.0), ["c", "b"]);
     assert_eq!(cached(&images, "n-2", 100.0), [""; 0]);
 }
@@ -24,10 +24,10 @@
 fn the_number_of_remembered_images_and_machines_is_bounded() {
     let mut images = ImageCaches::default();
     for number in 0..3 * MAX_MACHINES {
-        images.used(&format!("n-{number}"), "a", 1.0);
+        images.record_use(&format!("n-{number}"), "a", 1.0);
     }
     for number in 0..100 {
-        images.used("n-0", &format!("image-{number}"), 1.0);
+        images.record_use("n-0", &format!("image-{number}"), 1.0);
     }
     assert!(images.machines.len() <= MAX_MACHINES + MAX_MACHINES / 4);
     assert_eq!(cached(&images, "n-0", 1e9).len(), MAX_IMAGES_PER_MACHINE);
--- a/src/state/placed_tasks.rs
+++ b/src/state/placed_tasks.rs
@@ -16,7 +16,7 @@
 
 impl<'a> JobImage<'a> {
     /// The image that a specification names.
-    pub fn of(spec: &'a JobSpec) -> JobImage<'a> {
+    pub fn from_spec(spec: &'a JobSpec) -> JobImage<'a> {
         JobImage {
             name: &spec.image,
             size_gb: spec.image_gb,
@@ -34,7 +34,7 @@
 
 impl PlacedTasks {
     /// Tasks with an attempt on record on a machine, as job id and task number.
-    pub fn on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
+    pub fn tasks_on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
         self.by_machine.get(machine).into_iter().flatten()
     }
 
@@ -65,7 +65,7 @@
             let tasks = self.by_machine.entry(machine.to_string()).or_default();
             tasks.insert((job.to_string(), entry.task()));
             if let Some(image) = image {
-                image_caches.used(machine, image.name, image.size_gb);
+                image_caches.record_use(machine, image.name, image.size_gb);
             }
         }
     }
--- a/src/state/placement_batches.rs
+++ b/src/state/placement_batches.rs
@@ -1,4 +1,4 @@
-//! Cache of the placement batches: records that each hold the places of many jobs and are overlaid on the jobs' own
+//! Cache of the placement batches: records that each hold the placements of many jobs and are overlaid on the jobs' own
 //! records. See `records::PlacementBatch` for which of the two counts.
 
 use crate::protocol::records::{PlacementBatch, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
@@ -17,18 +17,18 @@
     batches: BTreeMap<u32, StoredBatch>,
     /// Numbers of the batches that name a job, by job.
     batches_by_job: HashMap<String, BTreeSet<u32>>,
-    head_version: u64,
+    newest_version: u64,
 }
 
 impl PlacementBatches {
     /// Version of the record that changes with every batch; 0: no batch was ever written.
-    pub fn head(&self) -> u64 {
-        self.head_version
+    pub fn newest_version(&self) -> u64 {
+        self.newest_version
     }
 
     /// The record that changes with every batch has been written.
-    pub fn note_head(&mut self, version: u64) {
-        self.head_version = self.head_version.max(version);
+    pub fn on_newest_batch_written(&mut self, version: u64) {
+        self.newest_version = self.newest_version.max(version);
     }
 
     /// Whether there is no batch.
@@ -47,8 +47,8 @@
         batches.map(|(number, stored)| (*number, stored.version))
     }
 
-    /// Jobs that a batch names, with their places.
-    pub fn places(&self, number: u32) -> &[(String, Vec<TaskEntry>)] {
+    /// Jobs that a batch names, with their placements.
+    pub fn placements(&self, number: u32) -> &[(String, Vec<TaskEntry>)] {
         let stored = self.batches.get(&number);
         stored.map_or(&[], |b| &b.batch.places)
     }
@@ -58,18 +58,18 @@
         self.batches_by_job.contains_key(id)
     }
 
-    /// The job's places in all batches, in the order of the batches' numbers.
-    fn places_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
+    /// The job's placements in all batches, in the order of the batches' numbers.
+    fn placements_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
         let numbers = self.batches_by_job.get(id).into_iter().flatten();
         numbers
-            .flat_map(|number| self.places(*number))
+            .flat_map(|number| self.placements(*number))
             .filter(move |(job, _)| job == id)
-            .flat_map(|(_, places)| places)
+            .flat_map(|(_, placements)| placements)
     }
 
-    /// Numbers of the job's chunks that have places in batches.
+    /// Numbers of the job's chunks that have placements in batches.
     pub fn chunks(&self, id: &str) -> BTreeSet<u32> {
-        self.places_of(id)
+        self.placements_of(id)
             .map(|p| p.task() / TASKS_PER_CHUNK)
             .collect()
     }
@@ -115,37 +115,37 @@
         }
     }
 
-    /// Overlays the job's places on chunk `number` as its own record has it, and updates `effective`: the places of the
+    /// Overlays the job's placements on chunk `number` as its own record has it, and updates `batched_placements`: the placements of the
     /// job that only batches hold.
     pub fn overlay(
         &self,
         id: &str,
         number: u32,
         chunk: &mut TaskChunk,
-        effective: &mut Vec<TaskEntry>,
+        batched_placements: &mut Vec<TaskEntry>,
     ) {
-        effective.retain(|place| place.task() / TASKS_PER_CHUNK != number);
-        let places = self.places_of(id);
-        for place in places.filter(|p| p.task() / TASKS_PER_CHUNK == number) {
-            overlay_place(chunk, place, effective);
+        batched_placements.retain(|placement| placement.task() / TASKS_PER_CHUNK != number);
+        let placements = self.placements_of(id);
+        for placement in placements.filter(|p| p.task() / TASKS_PER_CHUNK == number) {
+            overlay_placement(chunk, placement, batched_placements);
         }
     }
 }
 
-/// Overlays one place on its chunk; returns whether it counts. It does not if its task is done or has a later attempt.
-pub fn overlay_place(
+/// Overlays one placement on its chunk; returns whether it counts. It does not if its task is done or has a later attempt.
+pub fn overlay_placement(
     chunk: &mut TaskChunk,
-    place: &TaskEntry,
-    effective: &mut Vec<TaskEntry>,
+    placement: &TaskEntry,
+    batched_placements: &mut Vec<TaskEntry>,
 ) -> bool {
-    let task = place.task();
+    let task = placement.task();
     let recorded = chunk.entry(task);
-    if chunk.is_done(task) || recorded.is_some_and(|r| r.attempt() >= place.attempt()) {
+    if chunk.is_done(task) || recorded.is_some_and(|r| r.attempt() >= placement.attempt()) {
         return false;
     }
-    chunk.set(place.clone());
-    effective.retain(|other| other.task() != task);
-    effective.push(place.clone());
+    chunk.set(placement.clone());
+    batched_placements.retain(|other| other.task() != task);
+    batched_placements.push(placement.clone());
     true
 }
 
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -6,9 +6,9 @@
     TaskEntry::new(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
-fn batch(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
+fn batch(job: &str, placements: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![(job.to_string(), places)],
+        places: vec![(job.to_string(), placements)],
     }
 }
 
@@ -25,14 +25,14 @@
     chunk.set(entry(0, 1));
     chunk.set(entry(1, 4));
     chunk.finish(3);
-    let mut effective = Vec::new();
-    batches.overlay("j", 0, &mut chunk, &mut effective);
+    let mut batched_placements = Vec::new();
+    batches.overlay("j", 0, &mut chunk, &mut batched_placements);
     assert_eq!(chunk.entries, [entry(0, 3), entry(1, 4)]);
-    assert_eq!(effective, [entry(0, 3)]);
+    assert_eq!(batched_placements, [entry(0, 3)]);
     assert_eq!(batches.chunks("j"), BTreeSet::from([0, 1]));
     // Once the job's own record holds the place, it no longer counts.
-    batches.overlay("j", 0, &mut chunk, &mut effective);
-    assert!(effective.is_empty());
+    batches.overlay("j", 0, &mut chunk, &mut batched_placements);
+    assert!(batched_placements.is_empty());
 }
 
 #[test]
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -49,7 +49,7 @@
     /// Lease renewals delegated to followers, by node (`node/n` for further parts).
     pub renewals: BTreeMap<String, (RenewalsRecord, u64)>,
     /// Revision of the newest cancellation or change of leadership in the cache.
-    pub last_cancellation_or_claim: u64,
+    pub last_cancellation_or_leader_change: u64,
     /// Counts the changes of `renewals`.
     pub renewals_generation: u64,
     finished: BTreeMap<String, FinishedJob>,
@@ -172,7 +172,7 @@
 
     /// Tasks that have an attempt on record on this machine, as job id and task number.
     pub fn tasks_placed_on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
-        self.placed_tasks.on(machine)
+        self.placed_tasks.tasks_on(machine)
     }
 
     /// Applies the changes that a watch has returned.
@@ -208,7 +208,7 @@
             RecordKey::Renewals(node) => self.put_renewals(key, node, &value, version),
             RecordKey::Format(node) => self.put_format(key, node, &value, version),
             RecordKey::BudgetShares => self.put_budget_shares(key, &value, version),
-            RecordKey::BatchHead => self.placement_batches.note_head(version),
+            RecordKey::NewestBatch => self.placement_batches.on_newest_batch_written(version),
             RecordKey::Batch(number) => {
                 // The value is read even if the number is malformed: an unreadable batch holds up every job.
                 let batch = self.read::<PlacementBatch>(key, &value, version);
@@ -238,7 +238,8 @@
             && let Some(record) = self.read::<LeaderRecord>(key, value, version)
         {
             self.leader = Some((record, version));
-            self.last_cancellation_or_claim = self.last_cancellation_or_claim.max(version);
+            self.last_cancellation_or_leader_change =
+                self.last_cancellation_or_leader_change.max(version);
         }
     }
 
@@ -294,7 +295,7 @@
             RecordKey::MachineTypes
             | RecordKey::InitialMachines
             | RecordKey::BudgetShares
-            | RecordKey::BatchHead
+            | RecordKey::NewestBatch
             | RecordKey::Batch(None)
             | RecordKey::Chunk { .. }
             | RecordKey::Unknown => {}
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{JobKind, Micros};
 use crate::state::cached_job::{FinishedJob, Job, StoredChunk};
 use crate::state::placed_tasks::JobImage;
-use crate::state::placement_batches::overlay_place;
+use crate::state::placement_batches::overlay_placement;
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy)]
@@ -41,8 +41,8 @@
         }
         let previous = self.jobs.remove(id);
         let is_new = previous.is_none();
-        let (old_entries, chunks, batched_places) = match previous {
-            Some(job) => (job.record.first.entries, job.chunks, job.batched_places),
+        let (old_entries, chunks, batched_placements) = match previous {
+            Some(job) => (job.record.first.entries, job.chunks, job.batched_placements),
             None => Default::default(),
         };
         let mut job = Job {
@@ -51,17 +51,17 @@
             chunks,
             unmet_dependencies: 0,
             released_at: Micros::ZERO,
-            batched_places,
+            batched_placements,
         };
         if job.record.cleaned {
-            job.batched_places.clear();
+            job.batched_placements.clear();
         } else {
             let first = &mut job.record.first;
             self.placement_batches
-                .overlay(id, 0, first, &mut job.batched_places);
+                .overlay(id, 0, first, &mut job.batched_placements);
         }
-        let image = JobImage::of(&job.record.spec);
-        self.index_places(id, &old_entries, &job.record.first.entries, Some(image));
+        let image = JobImage::from_spec(&job.record.spec);
+        self.index_placements(id, &old_entries, &job.record.first.entries, Some(image));
         if let Some(chunks) = self.chunks_without_job.remove(id) {
             job.chunks.extend(chunks);
         }
@@ -72,16 +72,17 @@
     }
 
     fn note_cancellation(&mut self, id: &str, version: u64) {
-        self.last_cancellation_or_claim = self.last_cancellation_or_claim.max(version);
+        self.last_cancellation_or_leader_change =
+            self.last_cancellation_or_leader_change.max(version);
         if !self.is_cancelled(id) {
             self.cancelled.push((id.to_string(), version));
         }
     }
 
     fn register_dependencies(&mut self, id: &str, needs: &[String]) {
-        for need in needs {
-            if self.outcome_of(need).is_none() {
-                let dependents = self.dependents.entry(need.clone()).or_default();
+        for dependency in needs {
+            if self.outcome_of(dependency).is_none() {
+                let dependents = self.dependents.entry(dependency.clone()).or_default();
                 dependents.push(id.to_string());
             }
         }
@@ -94,9 +95,9 @@
             let chunk = &mut job.chunks.entry(number).or_default().chunk;
             let before = chunk.entries.clone();
             self.placement_batches
-                .overlay(id, number, chunk, &mut job.batched_places);
-            let image = JobImage::of(&job.record.spec);
-            self.index_places(id, &before, &chunk.entries, Some(image));
+                .overlay(id, number, chunk, &mut job.batched_placements);
+            let image = JobImage::from_spec(&job.record.spec);
+            self.index_placements(id, &before, &chunk.entries, Some(image));
         }
     }
 
@@ -132,18 +133,18 @@
             let new_entries = stored.chunk.entries.clone();
             let chunks = self.chunks_without_job.entry(id.to_string()).or_default();
             let old = chunks.insert(number, stored).unwrap_or_default();
-            self.index_places(id, &old.chunk.entries, &new_entries, None);
+            self.index_placements(id, &old.chunk.entries, &new_entries, None);
             return;
         };
         if !job.record.cleaned {
-            let batched_places = &mut job.batched_places;
+            let batched_placements = &mut job.batched_placements;
             self.placement_batches
-                .overlay(id, number, &mut stored.chunk, batched_places);
+                .overlay(id, number, &mut stored.chunk, batched_placements);
         }
         let new_entries = stored.chunk.entries.clone();
         let old = job.chunks.insert(number, stored).unwrap_or_default();
-        let image = JobImage::of(&job.record.spec);
-        self.index_places(id, &old.chunk.entries, &new_entries, Some(image));
+        let image = JobImage::from_spec(&job.record.spec);
+        self.index_placements(id, &old.chunk.entries, &new_entries, Some(image));
     }
 
     /// Puts a placement batch and overlays it on the jobs that it names.
@@ -151,13 +152,13 @@
         if !self.placement_batches.put(number, batch.clone(), version) {
             return;
         }
-        for (id, places) in batch.places {
+        for (id, placements) in batch.places {
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
             if !job.record.cleaned {
-                for place in places {
-                    self.overlay_on_job(&id, &mut job, place);
+                for placement in placements {
+                    self.overlay_on_job(&id, &mut job, placement);
                 }
                 self.changed.insert(id.clone());
             }
@@ -165,31 +166,31 @@
         }
     }
 
-    fn overlay_on_job(&mut self, id: &str, job: &mut Job, place: TaskEntry) {
-        let chunk = match place.task() / TASKS_PER_CHUNK {
+    fn overlay_on_job(&mut self, id: &str, job: &mut Job, placement: TaskEntry) {
+        let chunk = match placement.task() / TASKS_PER_CHUNK {
             0 => &mut job.record.first,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
-        let old: Vec<TaskEntry> = chunk.entry(place.task()).cloned().into_iter().collect();
-        if overlay_place(chunk, &place, &mut job.batched_places) {
-            let image = JobImage::of(&job.record.spec);
-            self.index_places(id, &old, &[place], Some(image));
+        let old: Vec<TaskEntry> = chunk.entry(placement.task()).cloned().into_iter().collect();
+        if overlay_placement(chunk, &placement, &mut job.batched_placements) {
+            let image = JobImage::from_spec(&job.record.spec);
+            self.index_placements(id, &old, &[placement], Some(image));
         }
     }
 
-    /// Whether every place of a placement batch has been superseded or merged into the job's own records.
+    /// Whether every placement of a placement batch has been superseded or merged into the job's own records.
     pub fn is_batch_superseded(&self, number: u32) -> bool {
-        let is_needed = |id: &String, place: &TaskEntry| {
+        let is_needed = |id: &String, placement: &TaskEntry| {
             let job = self.jobs.get(id);
-            job.is_some_and(|j| j.batched_places.contains(place))
+            job.is_some_and(|j| j.batched_placements.contains(placement))
         };
-        let places = self.placement_batches.places(number);
-        !places
+        let placements = self.placement_batches.placements(number);
+        !placements
             .iter()
-            .any(|(id, of_job)| of_job.iter().any(|place| is_needed(id, place)))
+            .any(|(id, of_job)| of_job.iter().any(|placement| is_needed(id, placement)))
     }
 
-    fn index_places(
+    fn index_placements(
         &mut self,
         id: &str,
         old: &[TaskEntry],
@@ -208,8 +209,8 @@
         if self.insert_by_stage(id, job) {
             ended.push(id.to_string());
         }
-        while let Some(need) = ended.pop() {
-            let dependents = self.dependents.remove(&need).unwrap_or_default();
+        while let Some(dependency) = ended.pop() {
+            let dependents = self.dependents.remove(&dependency).unwrap_or_default();
             for dependent in dependents {
                 let Some(mut job) = self.jobs.remove(&dependent) else {
                     continue;
@@ -230,8 +231,8 @@
         if !job.active() {
             return;
         }
-        for need in &job.record.spec.needs {
-            let Some(outcome) = self.outcome_of(need) else {
+        for dependency in &job.record.spec.needs {
+            let Some(outcome) = self.outcome_of(dependency) else {
                 job.unmet_dependencies += 1;
                 continue;
             };
@@ -266,11 +267,11 @@
     /// of it may still run.
     fn insert_by_stage(&mut self, id: &str, job: Job) -> bool {
         let has_ended = !job.active();
-        let has_places = job.entries().any(|e| e.machine().is_some());
-        if has_ended && !has_places {
+        let has_placements = job.entries().any(|e| e.machine().is_some());
+        if has_ended && !has_placements {
             self.jobs.remove(id);
             self.ended_with_tasks.remove(id);
-            self.finished.insert(id.to_string(), finished(&job));
+            self.finished.insert(id.to_string(), finished_job(&job));
             return true;
         }
         self.finished.remove(id);
@@ -290,16 +291,16 @@
             return;
         };
         self.ended_with_tasks.remove(id);
-        self.index_places(id, &job.record.first.entries, &[], None);
+        self.index_placements(id, &job.record.first.entries, &[], None);
         for stored in job.chunks.values() {
-            self.index_places(id, &stored.chunk.entries, &[], None);
+            self.index_placements(id, &stored.chunk.entries, &[], None);
         }
         self.changed.insert(id.to_string());
     }
 }
 
 /// What is kept of a job once it has ended and has no tasks left.
-fn finished(job: &Job) -> FinishedJob {
+fn finished_job(job: &Job) -> FinishedJob {
     FinishedJob {
         stage: job.record.stage,
         tasks: job.record.spec.tasks,
--- a/src/state/record_key.rs
+++ b/src/state/record_key.rs
@@ -24,7 +24,7 @@
     /// The controllers' shares of the write budget.
     BudgetShares,
     /// The record that changes with every placement batch.
-    BatchHead,
+    NewestBatch,
     /// A placement batch; `None` if the key does not end in a number.
     Batch(Option<u32>),
     /// A job.
@@ -49,7 +49,7 @@
             MACHINE_TYPES_KEY => return RecordKey::MachineTypes,
             BASELINE_MACHINES_KEY => return RecordKey::InitialMachines,
             BUDGET_SHARES_KEY => return RecordKey::BudgetShares,
-            NEWEST_PLACEMENT_BATCH_KEY => return RecordKey::BatchHead,
+            NEWEST_PLACEMENT_BATCH_KEY => return RecordKey::NewestBatch,
             _ => {}
         }
         if key.starts_with(PLACEMENT_BATCHES_PREFIX) {
--- a/src/state/record_key/tests.rs
+++ b/src/state/record_key/tests.rs
@@ -14,7 +14,10 @@
             RecordKey::InitialMachines,
         ),
         (BUDGET_SHARES_KEY.to_string(), RecordKey::BudgetShares),
-        (NEWEST_PLACEMENT_BATCH_KEY.to_string(), RecordKey::BatchHead),
+        (
+            NEWEST_PLACEMENT_BATCH_KEY.to_string(),
+            RecordKey::NewestBatch,
+        ),
         (placement_batch_key(7), RecordKey::Batch(Some(7))),
         (renewals_key("node-1", 0), RecordKey::Renewals("node-1")),
         (renewals_key("node-1", 2), RecordKey::Renewals("node-1/2")),
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -65,17 +65,17 @@
     /// Changes.
     Events(WatchResponse),
     /// The revision is too old to watch from.
-    TooOld,
+    RevisionTooOld,
     /// A page of keys.
     Page(ItemPage),
     /// The lease with this id was created or renewed.
     Lease(u64),
     /// The lease has expired.
-    LeaseGone,
+    LeaseExpired,
     /// Certainly not carried out.
     Refused,
     /// Certainly not carried out because of a rate limit: a later attempt may succeed.
-    TooFast,
+    RateLimited,
     /// Certainly not carried out, and a repetition will not be either: the store accepts no such transaction, perhaps
     /// because its limits are lower than the settings say.
     Rejected,
@@ -165,8 +165,9 @@
 
     /// Changes our share of the budgets.
     pub fn set_rates(&mut self, now: Micros, rps: f64, wps: f64, write_burst: f64) {
-        self.request_budget.set(now, rps, rps * REQUEST_BURST_S);
-        self.write_budget.set(now, wps, write_burst);
+        self.request_budget
+            .set_rate(now, rps, rps * REQUEST_BURST_S);
+        self.write_budget.set_rate(now, wps, write_burst);
     }
 
     /// Our share of the write budget, in changes a second.
@@ -196,7 +197,7 @@
             return 0;
         }
         // The burst may be smaller than a transaction: then whatever is available counts.
-        let available = self.write_budget.level(now).floor().max(0.0) as usize;
+        let available = self.write_budget.available_tokens(now).floor().max(0.0) as usize;
         available.min(wanted)
     }
 
@@ -280,7 +281,7 @@
     }
 
     fn call(&self, id: u64, request: &StoreRequest) -> Call {
-        let http = HttpRequest::of(request);
+        let http = HttpRequest::from_request(request);
         Call {
             id,
             addr: self.addr,
@@ -343,7 +344,7 @@
         }
     }
 
-    fn of(request: &StoreRequest) -> HttpRequest {
+    fn from_request(request: &StoreRequest) -> HttpRequest {
         let root = records::KEY_PREFIX;
         match request {
             StoreRequest::Transaction(transaction) => {
@@ -394,7 +395,7 @@
         }
         StoreRequest::Watch { .. } => match status {
             200 => decode::<WatchResponse>(body).map(StoreResponse::Events),
-            410 => Some(StoreResponse::TooOld),
+            410 => Some(StoreResponse::RevisionTooOld),
             _ => None,
         },
         StoreRequest::List { .. } => match status {
@@ -407,7 +408,7 @@
         },
         StoreRequest::Renew(lease) => match status {
             200 => Some(StoreResponse::Lease(*lease)),
-            404 => Some(StoreResponse::LeaseGone),
+            404 => Some(StoreResponse::LeaseExpired),
             _ => None,
         },
     };
@@ -417,7 +418,7 @@
     if matches!(status, 429 | 503) {
         return StoreResponse::Refused;
     }
-    let request = kind(request);
+    let request = request_kind(request);
     log::warn!("unexpected store response status={status} request={request}");
     StoreResponse::Lost
 }
@@ -430,9 +431,9 @@
     match status {
         200 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Committed(r.revision)),
         409 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Conflict(r.failed)),
-        429 => Some(StoreResponse::TooFast),
+        429 => Some(StoreResponse::RateLimited),
         // Too large or malformed, or with an expired lease.
-        400 if attaches_lease(transaction) => Some(StoreResponse::LeaseGone),
+        400 if attaches_lease(transaction) => Some(StoreResponse::LeaseExpired),
         400 => {
             let changes = transaction.changes.len();
             log::warn!("transaction rejected changes={changes}");
@@ -448,7 +449,7 @@
 }
 
 /// The kind of a request, for the log.
-fn kind(request: &StoreRequest) -> &'static str {
+fn request_kind(request: &StoreRequest) -> &'static str {
     match request {
         StoreRequest::Transaction(_) => "transaction",
         StoreRequest::Watch { .. } => "watch",
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -39,7 +39,7 @@
     }
 
     /// Changes rate and burst; tokens above the new burst are lost.
-    pub fn set(&mut self, now: Micros, rate: f64, burst: f64) {
+    pub fn set_rate(&mut self, now: Micros, rate: f64, burst: f64) {
         self.refill(now);
         self.rate = rate;
         self.burst = burst.max(1.0);
@@ -74,7 +74,7 @@
     }
 
     /// Tokens available.
-    pub fn level(&mut self, now: Micros) -> f64 {
+    pub fn available_tokens(&mut self, now: Micros) -> f64 {
         self.refill(now);
         self.tokens
     }
@@ -87,10 +87,10 @@
     /// When `count` tokens will be available; with `overdraft` as `ready_with_overdraft` counts.
     pub fn ready_at(&self, now: Micros, count: f64, overdraft: bool) -> Micros {
         let credit = if overdraft { self.burst } else { 0.0 };
-        let missing = count.min(self.burst) - self.tokens - credit;
-        if missing <= 0.0 {
+        let deficit = count.min(self.burst) - self.tokens - credit;
+        if deficit <= 0.0 {
             return now;
         }
-        now + Micros::secs(missing / self.rate) + WAIT_MARGIN
+        now + Micros::secs(deficit / self.rate) + WAIT_MARGIN
     }
 }
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -415,13 +415,13 @@
                 .leader
                 .record_writer
                 .pending_write(&id)
-                .map(|write: &PendingWrite| write.places.clone());
+                .map(|write: &PendingWrite| write.placements.clone());
             if let Some(placements) = placements.filter(|placements| !placements.is_empty())
                 && self.rng.random_bool(0.3)
             {
                 self.leader
                     .record_writer
-                    .mark_places_in_flight(&id, Vec::new(), placements);
+                    .mark_placements_in_flight(&id, Vec::new(), placements);
             }
         }
     }
@@ -447,7 +447,7 @@
             self.leader
                 .record_writer
                 .pending_write_mut(&start.job, now)
-                .places
+                .placements
                 .push(entry);
         } else if self.rng.random_bool(0.5) {
             let Some(job) = self.cache.jobs.get(&start.job) else {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -250,7 +250,7 @@
         let open = agent.term == leader.term
             && agent.last_answered_at.is_some_and(|at| now < at + fresh)
             && agent.preemption_at.is_none()
-            && agent.reachability.receives()
+            && agent.reachability.is_reachable()
             && !leader.fleet.leaving(name)
             && !leader.is_unhealthy(agent, policy)
             && !leader.failed_recently(agent, now);
@@ -270,7 +270,7 @@
             open,
             images: cache
                 .image_caches
-                .of(name, machine_type.cache_gb)
+                .images_of(name, machine_type.cache_gb)
                 .map(|image| names.id(image))
                 .collect::<Vec<u32>>()
                 .into(),
@@ -321,7 +321,7 @@
     let in_flight = leader.record_writer.in_flight(id);
     let pending: Vec<TaskEntry> = leader
         .record_writer
-        .unrecorded_places(id)
+        .unrecorded_placements(id)
         .cloned()
         .collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
@@ -554,7 +554,7 @@
             let is_placed = job.entry(status.task).is_some_and(places_it)
                 || leader
                     .record_writer
-                    .unrecorded_places(&status.job)
+                    .unrecorded_placements(&status.job)
                     .any(places_it);
             if !is_placed {
                 let spec = &job.record.spec;
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -150,7 +150,7 @@
             "  {machine}: epoch {} term {} heard {} over {:?} starts {:?} tasks {:?}",
             agent.agent_epoch,
             agent.term,
-            agent.last_heard_at,
+            agent.last_heartbeat_at,
             agent.ended_epoch,
             agent.starts,
             agent.tasks
