--- a/src/records/pending_write.rs
+++ b/src/records/pending_write.rs
@@ -1,46 +1,48 @@
-//! Changes of a job's record that are not written yet, and when they have to be.
+//! Pending changes of a job's record and the schedule for writing them.
 
 use crate::protocol::records::TaskEntry;
 use crate::protocol::{JobKind, Micros};
 use crate::state::record_cache::Job;
 use std::collections::BTreeSet;
 
-/// Completions of some of a job's tasks wait this long for others; the agent keeps the results. The completion of the
-/// last task does not wait, since its client may ask 3 s later.
+/// Completions are held back this long so that one write records several; the agent keeps the results meanwhile. The
+/// completion of a job's last task is written at once, since a client may query the job 3 s later.
 const COMPLETION_MERGE_DELAY: Micros = Micros::millis(4_000);
-/// No client waits for the removal of an ended job's entries.
+/// Delay before the entries of an ended job are removed. No client waits for the removal.
 const CLEANUP_DELAY: Micros = Micros::millis(4_000);
-/// The content of placement batches is on record already.
+/// Deadline for merging batched placements into a job's record. It is long because the placements are on record
+/// already.
 const BATCH_MERGE_DEADLINE: Micros = Micros::millis(30_000);
-/// Clients wait for services and gangs by the second, for arrays by the minute.
+/// Write deadline for placements of arrays, whose latency clients measure in minutes. Placements of services and gangs,
+/// whose latency they measure in seconds, have no slack.
 const ARRAY_PLACEMENT_DEADLINE: Micros = Micros::millis(500);
 
-/// Changes of a job's record that are not written yet.
+/// Changes of one job's record that have not been written yet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PendingWrite {
-    /// Tasks that are done.
+    /// Tasks whose completion is to be recorded.
     pub done: BTreeSet<u32>,
-    /// New attempts.
+    /// New attempts to be recorded.
     pub placements: Vec<TaskEntry>,
-    /// The job has ended and none of its tasks is left anywhere: drop its entries.
+    /// Remove the job's task entries: the job has ended and none of its tasks is left on a machine.
     pub remove_entries: bool,
     /// Write the placements that only placement batches hold into the job's own record.
     pub merge_batched: bool,
-    /// When the first of these changes came up.
+    /// When the first of these changes was requested.
     pub(super) pending_since: Micros,
 }
 
-/// When a write may be sent, and how it ranks among those that may.
+/// When a pending write may be sent, and its order among the writes that are due.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct WriteSchedule {
-    /// The write is held back until then, so that others can join it.
+    /// The write is held back until then, so that further changes can join it.
     pub due_at: Micros,
-    /// Among due writes those with the earliest deadline are sent first. A deadline never moves, so no write starves.
+    /// Due writes are sent by earliest deadline first. A deadline never moves, so no write starves.
     pub deadline: Micros,
 }
 
 impl PendingWrite {
-    /// No change yet.
+    /// A pending write without changes.
     pub(super) fn empty_since(pending_since: Micros) -> PendingWrite {
         PendingWrite {
             pending_since,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Only these placements.
+    /// A pending write that consists of these placements.
     pub fn of_placements(placements: Vec<TaskEntry>) -> PendingWrite {
         PendingWrite {
             placements,
@@ -64,7 +66,7 @@
             && !self.merge_batched
     }
 
-    /// When the write is due and how urgent it is, depending on what waits for it.
+    /// Schedules the write by the most urgent kind of change in it.
     pub(super) fn schedule(&self, job: &Job) -> WriteSchedule {
         let since = self.pending_since;
         let schedule = |delay: Micros, max_delay: Micros| WriteSchedule {
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -1,10 +1,10 @@
-//! Placement batches: placements of many jobs in one record.
+//! Writing of placement batches: records that each hold the placements of many jobs.
 //!
-//! A job's record is one change of the store, and the store takes a few dozen a second. When hundreds of jobs lose
-//! tasks at once, writing each job's record would keep most of them waiting for longer than starting their tasks
-//! takes. So the leader writes their placements as a batch, one change for as many jobs as a transaction may have
-//! conditions, and merges them into the jobs' own records later, with what the write budget leaves. `docs/safety.md`
-//! argues why that is safe.
+//! Writing a job's record costs one change, and the store accepts a few dozen changes per second. When hundreds of jobs
+//! lose tasks at once, recording the new placements job by job would delay most of them for longer than their tasks
+//! take to start. The leader therefore writes the placements as a batch: one change covers as many jobs as a
+//! transaction may have conditions. Later it merges them into the jobs' own records with spare write budget.
+//! `docs/safety.md` argues why that is safe.
 
 use crate::agents::leader_state::LeaderState;
 use crate::controller::Controller;
@@ -22,24 +22,24 @@
 use crate::state::record_cache::{Job, RecordCache};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 
-/// A batch is written once writing the waiting jobs one by one would take this many seconds.
+/// A batch is written only if writing the waiting jobs one by one would take at least this many seconds.
 const MIN_BACKLOG_S: f64 = 0.5;
-/// A batch has at least this many jobs: fewer are not worth the second change that it costs.
+/// Minimum number of jobs in a batch: for fewer, the second change that a batch costs saves too little.
 const MIN_JOBS_PER_BATCH: usize = 6;
 /// Interval at which placements are merged into the jobs' own records.
 const MERGE_INTERVAL: Micros = Micros::millis(1_000);
-/// Jobs merged at a time, as a share of our write budget for a second, while no other write waits.
+/// Number of jobs merged per interval, as a share of our write budget per second. Merging yields to pending writes.
 const MERGE_BUDGET_SHARE: f64 = 0.25;
 /// A transaction may have this many times as many conditions as changes (PROTOCOL, "POST /multi").
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Between two elements of a JSON list.
+/// Size of the comma between two elements of a JSON array.
 const SEPARATOR_BYTES: usize = 1;
 
-/// A job's part of a batch.
+/// A job in a batch.
 #[derive(Debug)]
 struct BatchedJob {
     id: String,
-    /// Placements that the batch does not take.
+    /// Placements that do not go into the batch and stay pending.
     still_pending: Vec<TaskEntry>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl BatchDraft {
-    /// Gathers the pending placements of jobs, with at most `max_conditions` conditions.
+    /// Collects the pending placements of jobs until the batch is full or has `max_conditions` conditions.
     fn gather(
         due_jobs: &[String],
         writer: &RecordWriter,
@@ -68,7 +68,7 @@
             let (Some(pending), Some(job)) = (writer.pending_write(id), cache.jobs.get(id)) else {
                 continue;
             };
-            // The members of a gang end together: their completions are written first.
+            // The tasks of a gang end together, so their completions are written first, into the job's own record.
             let gang_ends = job.record.spec.kind == JobKind::Gang && !pending.done.is_empty();
             if pending.placements.is_empty() || gang_ends {
                 continue;
@@ -102,7 +102,7 @@
         placements: (String, Vec<TaskEntry>),
         still_pending: Vec<TaskEntry>,
     ) {
-        // The version of the job's record shows that nobody has cancelled the job meanwhile.
+        // Fails the transaction if the job has been cancelled since.
         let unchanged = VersionCondition::new(&job_key(id), job.version);
         self.conditions.push(unchanged);
         self.batch.places.push(placements);
@@ -114,8 +114,8 @@
 }
 
 impl Controller {
-    /// Writes the placements of many jobs as one batch if enough of them wait; returns whether it did. `due_jobs`: jobs
-    /// whose writes are due, most urgent first.
+    /// Writes the placements of many jobs as one batch if enough jobs wait; returns whether a batch was written.
+    /// `due_jobs` are the jobs whose writes are due, earliest deadline first.
     pub(crate) fn write_placement_batch(
         &mut self,
         clock: Clock,
@@ -131,8 +131,8 @@
         let in_flight = leader.record_writer.batches_in_flight();
         let number = self.cache.placement_batches.free_number(&in_flight);
         let key = placement_batch_key(number);
-        // A number is reused once its batch is superseded. A transaction whose response was lost must not be carried
-        // out after that, so the newest batch is a condition, too.
+        // A batch number is free again once its batch is superseded. A transaction whose response was lost must not be
+        // carried out after that, so it is also conditional on the newest batch.
         let newest = VersionCondition::new(
             NEWEST_PLACEMENT_BATCH_KEY,
             self.cache.placement_batches.newest_version(),
@@ -177,7 +177,7 @@
         true
     }
 
-    /// Whether enough jobs wait for a batch, and one may be written now.
+    /// Whether enough jobs wait for a batch to pay off, and a batch may be written now.
     fn should_write_batch(&self, due_jobs: &[String], limits: WriteLimits) -> bool {
         let Some(leader) = &self.leader else {
             return false;
@@ -188,7 +188,7 @@
         {
             return false;
         }
-        // One batch at a time: each has the one before it as a condition.
+        // Only one batch is in flight at a time, since each is conditional on the previous one.
         if !leader.record_writer.batches_in_flight().is_empty() {
             return false;
         }
@@ -198,8 +198,8 @@
         waiting.count() >= backlog.max(MIN_JOBS_PER_BATCH)
     }
 
-    /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes batches that are
-    /// superseded; returns when to call it again.
+    /// Merges placement batches into the jobs' own records, a few jobs at a time, and deletes superseded batches;
+    /// returns when it should be called again.
     pub(crate) fn merge_placement_batches(&mut self, clock: Clock) -> Micros {
         if self.cache.placement_batches.is_empty() {
             return Micros::FAR;
@@ -209,7 +209,7 @@
             Some(leader) if clock.now < leader.batch_merge_due => return leader.batch_merge_due,
             Some(_) => {}
         }
-        // A controller that has been downgraded does not see batches: then everything is merged at once.
+        // A downgraded controller cannot read batches, so all of them are merged at once.
         let merge_all = !self.all_peers_read(PLACEMENT_BATCHES);
         let share = (self.store.write_rate() * MERGE_BUDGET_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
@@ -245,7 +245,7 @@
     }
 }
 
-/// The transaction that deletes a batch with this version.
+/// The transaction that deletes a batch, provided that the batch still has this version.
 fn deletion(number: u32, version: u64, leader_version: u64) -> Transaction {
     let key = placement_batch_key(number);
     Transaction {
@@ -258,8 +258,8 @@
 }
 
 impl LeaderState {
-    /// Whether the cache contains everything that earlier leaders wrote. The versions of job records alone do not show
-    /// that, because a placement batch changes none of them.
+    /// Whether the cache contains every write of earlier leaders. Conditions on the versions of job records do not
+    /// ensure this, because a placement batch does not change those versions.
     pub fn has_complete_cache(&self, cache: &RecordCache) -> bool {
         cache.revision >= self.leadership_version && !cache.has_unreadable_batch()
     }
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -1,4 +1,4 @@
-//! The changes of a transaction that bring pending changes into one job's records.
+//! Translates a job's pending write into the conditions and changes of a transaction.
 
 use crate::api::client_api::conditional_job_update;
 use crate::protocol::codec::json_len;
@@ -11,29 +11,29 @@
 use crate::state::record_cache::Job;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the store accepts.
+/// Limits of the store.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteLimits {
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub max_changes: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value.
     pub max_value_bytes: usize,
 }
 
-/// The part of a pending write that one transaction can take.
+/// The part of a pending write that fits into one transaction.
 pub(crate) struct RecordUpdate {
-    /// Conditions on the versions of what is changed; the first is on the job's own record.
+    /// Conditions on the versions of the records that the transaction changes. The first is on the job's own record.
     pub conditions: Vec<VersionCondition>,
     /// Changes of the job's record and chunks.
     pub changes: Vec<Change>,
-    /// The placements among them.
+    /// The placements that these changes record.
     pub placements: Vec<TaskEntry>,
-    /// What stays pending.
+    /// The part that does not fit and stays pending.
     pub still_pending: PendingWrite,
 }
 
 impl RecordUpdate {
-    /// Applies a pending write to a job's records. `in_batches`: whether placement batches name the job.
+    /// Applies a pending write to a job's records. `in_batches` is set if a placement batch contains the job.
     pub fn new(
         id: &str,
         job: &Job,
@@ -58,11 +58,11 @@
     }
 }
 
-/// A job's records with a part of the pending changes applied.
+/// A job's records while the pending changes are being applied.
 struct Draft<'a> {
     job: &'a Job,
     record: JobRecord,
-    /// Further chunks that are written.
+    /// Further chunks that the transaction may write.
     chunks: BTreeMap<u32, TaskChunk>,
     /// Numbers of the chunks with placements that only placement batches hold.
     batched_chunks: BTreeSet<u32>,
@@ -90,12 +90,13 @@
         }
     }
 
-    /// Members of a gang are placed together, or some would start without the others.
+    /// Whether all placements of the job must go into one transaction. The tasks of a gang are placed together;
+    /// otherwise some would start without the others.
     fn is_indivisible(&self) -> bool {
         self.job.record.spec.kind == JobKind::Gang
     }
 
-    /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
+    /// Removes the task entries of an ended job. Entries in chunks beyond the limit stay, which is harmless.
     fn remove_entries(&mut self, in_batches: bool) {
         self.record.first.entries.clear();
         self.record.cleaned |= in_batches;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Includes the chunk of a task; returns false if the transaction cannot take another one.
+    /// Includes the chunk of a task; returns false if the transaction has no room for another chunk.
     fn include_chunk(&mut self, task: u32) -> bool {
         let number = task / TASKS_PER_CHUNK;
         if number == 0 || self.chunks.contains_key(&number) {
@@ -138,7 +139,7 @@
         true
     }
 
-    /// The chunk of a task, which must have been opened.
+    /// The chunk of a task. It must have been included before.
     fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
         match self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => chunk,
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Records a placement, unless its value would become too long. Such a placement is dropped: the next scheduling pass
-    /// chooses one again, perhaps after other tasks of the chunk have ended.
+    /// Records a placement; returns false and drops it if the record would exceed the size limit. The next scheduling
+    /// pass places the task again, perhaps after other tasks of the chunk have ended.
     fn record_placement(&mut self, placement: &TaskEntry) -> bool {
         let task = placement.task();
         let chunk = self.chunk_mut(task);
@@ -189,7 +190,7 @@
         false
     }
 
-    /// Bytes of the value that holds a task.
+    /// Encoded size of the record that holds a task.
     fn value_bytes(&self, task: u32) -> usize {
         match self.chunks.get(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => json_len(chunk),
@@ -213,11 +214,12 @@
         self.record.first.done.count_ones() + untouched + written
     }
 
-    /// `merge_batched`: placements that only placement batches hold have to be written, although the cached record has
-    /// them already.
+    /// With `merge_batched`, records with batched placements are written even if they equal the cached ones: the cached
+    /// records include these placements already, the stored ones do not.
     fn into_update(self, id: &str, merge_batched: bool) -> RecordUpdate {
         let must_write = |number: &u32| merge_batched && self.batched_chunks.contains(number);
-        // The version of the job's own record is a condition in any case: it shows that nobody has cancelled the job.
+        // The transaction is always conditional on the job's own record, so that it fails if the job has been
+        // cancelled.
         let (condition, change) = conditional_job_update(id, self.job, &self.record);
         let mut conditions = vec![condition];
         let mut changes = Vec::new();
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -1,7 +1,7 @@
-//! Writes of job records by the leader: pending changes, gathered per job, and the transactions that carry them.
+//! Writing of job records by the leader: collects pending changes per job and sends them in transactions.
 //!
-//! A transaction is built only when the store can take it at once. Until then further changes of the same job join the
-//! pending one, so that a burst costs one write per job and not one per task.
+//! A transaction is built only when the write budget allows it to be sent at once. Until then further changes of a job
+//! are added to its pending write, so that a burst of changes costs one write per job instead of one per task.
 
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
@@ -16,9 +16,9 @@
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Transactions in flight at once.
+/// Maximum number of transactions in flight.
 const MAX_WRITES_IN_FLIGHT: usize = 3;
-/// The limit of changes per transaction is never lowered below this.
+/// Rejected transactions never lower the limit of changes per transaction below this.
 const MIN_CHANGE_LIMIT: usize = 2;
 
 /// A transaction of job records in flight.
@@ -28,12 +28,12 @@
     transaction: Transaction,
 }
 
-/// The jobs whose writes are due.
+/// How many writes are due, and when the next one will be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DueWrites {
-    /// How many are due.
+    /// Number of jobs whose writes are due.
     pub count: usize,
-    /// When the next one will be.
+    /// When the next write will be due.
     pub next_at: Micros,
 }
 
@@ -50,21 +50,21 @@
     /// Pending changes, by job.
     pending: BTreeMap<String, PendingWrite>,
     writes_in_flight: BTreeMap<u64, WriteInFlight>,
-    /// Jobs in transactions in flight, with the placements that these carry. A job is in one transaction at a time.
+    /// Jobs in transactions in flight, with the placements in these transactions. A job is in at most one at a time.
     placements_in_flight: BTreeMap<String, Vec<TaskEntry>>,
     last_write_id: u64,
-    /// Whether due writes have to be counted again: something has changed since, or some were due.
+    /// Whether the due writes must be counted again, because pending writes have changed or some were due.
     recount_due: bool,
-    /// Otherwise no write is due before this.
+    /// Unless `recount_due` is set, no write is due before this.
     next_due_at: Micros,
-    /// The store has rejected larger transactions than this.
+    /// Limit of changes per transaction, set once the store has rejected a larger one.
     max_changes: Option<usize>,
     /// Whether the store has rejected a placement batch.
     pub batch_rejected: bool,
 }
 
 impl RecordWriter {
-    /// The pending write of a job, to be added to.
+    /// The pending write of a job, for adding changes. It is created if there is none.
     pub fn pending_write_mut(&mut self, id: &str, now: Micros) -> &mut PendingWrite {
         self.recount_due = true;
         self.pending
@@ -82,33 +82,33 @@
         self.placements_in_flight.contains_key(id)
     }
 
-    /// Jobs with pending changes or changes in flight; some appear twice.
+    /// Jobs with pending changes or changes in flight. A job with both appears twice.
     pub fn jobs(&self) -> impl Iterator<Item = &str> {
         let jobs = self.pending.keys().chain(self.placements_in_flight.keys());
         jobs.map(String::as_str)
     }
 
-    /// Placements of a job that are not on record yet: they take capacity from the moment they are chosen.
+    /// Placements of a job that are not on record yet. They occupy capacity from the moment they are chosen.
     pub fn unrecorded_placements(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
         let in_flight = self.placements_in_flight.get(id).into_iter().flatten();
         let pending = self.pending.get(id).into_iter();
         in_flight.chain(pending.flat_map(|write| &write.placements))
     }
 
-    /// Whether a task's placement is chosen and not on record yet. The task must not be started meanwhile, since the
-    /// attempt on record may be about to be replaced.
+    /// Whether a placement of the task has been chosen but is not on record yet. Until it is, the task must not be
+    /// started, since the attempt on record may be about to be replaced.
     pub fn is_placing(&self, id: &str, task: u32) -> bool {
         self.unrecorded_placements(id)
             .any(|placement| placement.task() == task)
     }
 
-    /// Whether a task's completion is about to be recorded.
+    /// Whether the completion of a task is waiting to be recorded.
     pub fn is_recording_completion(&self, id: &str, task: u32) -> bool {
         let pending = self.pending.get(id);
         pending.is_some_and(|write| write.done.contains(&task))
     }
 
-    /// Whether no change is pending.
+    /// Whether no write is pending. Transactions may still be in flight.
     pub fn idle(&self) -> bool {
         self.pending.is_empty()
     }
@@ -146,7 +146,7 @@
         self.placements_in_flight.insert(id.to_string(), placements);
     }
 
-    /// Notes a transaction in flight that changes these jobs; returns the number of the write.
+    /// Registers a transaction in flight that changes these jobs; returns the id of the write.
     pub fn begin_write(&mut self, jobs: Vec<String>, transaction: Transaction) -> u64 {
         self.last_write_id += 1;
         let write = WriteInFlight { jobs, transaction };
@@ -154,8 +154,8 @@
         self.last_write_id
     }
 
-    /// Forgets a transaction in flight; returns whether it was known. Its changes are in the cache now, or will be
-    /// derived again from what the agents report and the next scheduling pass decides.
+    /// Removes a transaction from those in flight; returns whether it was among them. Its changes are in the cache by
+    /// now, or they will be derived again from the agents' heartbeats and the next scheduling pass.
     fn end_write(&mut self, write_id: u64) -> bool {
         let Some(write) = self.writes_in_flight.remove(&write_id) else {
             return false;
@@ -167,7 +167,7 @@
         true
     }
 
-    /// Counts the writes that are due. Pending changes of jobs that the cache does not have are dropped.
+    /// Counts the writes that are due. Drops pending writes of jobs that are not in the cache.
     fn count_due(&mut self, jobs: &BTreeMap<String, Job>, now: Micros) -> DueWrites {
         if self.writes_in_flight.len() >= MAX_WRITES_IN_FLIGHT {
             return DueWrites::NONE;
@@ -212,8 +212,8 @@
         due.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Builds a transaction from the writes of these jobs, with at most `max_changes` changes unless the first job
-    /// needs more, and marks them as in flight. `None` if there is nothing to change.
+    /// Builds a transaction from the pending writes of these jobs, marks it as in flight and returns it with its write
+    /// id. It has at most `max_changes` changes unless the first job needs more. `None` if there is nothing to change.
     fn take_transaction(
         &mut self,
         leader_version: u64,
@@ -263,8 +263,8 @@
         Some((write_id, transaction))
     }
 
-    /// The store has rejected a transaction: makes later ones smaller. What was rejected decides, not what else is in
-    /// flight.
+    /// Makes later transactions smaller after the store has rejected one. After the rejection of a placement batch no
+    /// further batches are written; other rejections halve the limit of changes.
     fn on_rejected(&mut self, transaction: &Transaction) {
         let mut conditions = transaction.conditions.iter();
         if conditions.any(|c| placement_batch_number(&c.key).is_some()) {
@@ -277,14 +277,15 @@
 }
 
 impl WriteInFlight {
-    /// Whether the store may still carry out the transaction: its conditions hold according to the cache.
+    /// Whether the store may still carry out the transaction, because its conditions hold according to the cache.
     fn may_be_carried_out(&self, leader_version: u64, cache: &RecordCache) -> bool {
         leader_version == self.transaction.conditions[0].version
             && self.batch_is_unwritten(cache)
             && self.jobs.iter().all(|id| self.job_is_unchanged(id, cache))
     }
 
-    /// A placement batch changes no record of a job: only its own record shows whether it was written.
+    /// Whether the transaction's placement batch, if it has one, is not in the cache. A batch changes no job's record,
+    /// so only its own record shows whether it was written.
     fn batch_is_unwritten(&self, cache: &RecordCache) -> bool {
         let batches = &cache.placement_batches;
         self.transaction.conditions.iter().all(|condition| {
@@ -306,7 +307,7 @@
 }
 
 impl Controller {
-    /// Counts the writes of job records that are due.
+    /// Counts the writes of job records that are due; none are before the cache is complete.
     pub fn due_job_writes(&mut self, now: Micros) -> DueWrites {
         match &mut self.leader {
             Some(leader) if leader.has_complete_cache(&self.cache) => {
@@ -316,8 +317,7 @@
         }
     }
 
-    /// Writes the job records that are due, several jobs per transaction, with at most `max_changes` changes unless a
-    /// single job needs more.
+    /// Writes due job records in one transaction, with at most `max_changes` changes unless a single job needs more.
     pub fn write_job_records(&mut self, clock: Clock, max_changes: usize) {
         let Some(leader) = &self.leader else { return };
         let params = &self.settings.params.state;
@@ -358,7 +358,7 @@
         );
     }
 
-    /// The store has responded to a transaction of job records, or has not.
+    /// Handles the result of a transaction of job records, which may be that no response arrived.
     pub fn on_job_writes_result(
         &mut self,
         clock: Clock,
@@ -390,7 +390,7 @@
                 leader.record_writer.on_rejected(transaction);
                 self.end_job_write(write_id);
             }
-            // Certainly not carried out: the changes will be derived again.
+            // Not carried out: the changes will be derived again.
             StoreResponse::Refused | StoreResponse::RateLimited => self.end_job_write(write_id),
             _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(write_id)),
         }
@@ -404,8 +404,8 @@
         }
     }
 
-    /// The cache has caught up after a failed or unanswered transaction. If all conditions of the transaction still
-    /// hold, it may yet be carried out, so it is sent again unchanged.
+    /// Settles a failed or unanswered transaction once the cache has caught up. If all its conditions still hold, the
+    /// store may yet carry it out, so it is sent again unchanged.
     pub fn settle_job_write(&mut self, write_id: u64) {
         let Some(leader) = &self.leader else { return };
         let Some(write) = leader.record_writer.writes_in_flight.get(&write_id) else {
@@ -419,7 +419,7 @@
         }
     }
 
-    /// The cache could not catch up either after a failed or unanswered transaction: sends it again with low priority.
+    /// Sends a failed or unanswered transaction again with low priority after the cache could not catch up.
     pub fn retry_job_write(&mut self, write_id: u64) {
         if let Some(leader) = &self.leader
             && let Some(write) = leader.record_writer.writes_in_flight.get(&write_id)
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -1,4 +1,4 @@
-//! What each agent last reported, and what follows from it about the tasks recorded on its machine.
+//! The last reported state of each agent, and what it implies for the tasks recorded on the agent's machine.
 
 use crate::protocol::Micros;
 use crate::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
@@ -17,12 +17,12 @@
     pub attempt: u64,
     /// Phase.
     pub phase: TaskPhase,
-    /// Why it exited.
+    /// Why the task exited.
     pub exit_reason: Option<ExitReason>,
 }
 
 impl ReportedTask {
-    /// A task of a heartbeat; `None` if its name cannot be parsed.
+    /// Converts a task of a heartbeat; `None` if its name cannot be parsed.
     fn parse(reported: &TaskStatus) -> Option<ReportedTask> {
         let (job, task) = parse_task_name(&reported.task)?;
         Some(ReportedTask {
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Whether a heartbeat's task is the same, in the same phase.
+    /// Whether a task of a heartbeat is the same attempt in the same state.
     fn is_same(&self, reported: &TaskStatus) -> bool {
         (self.attempt, self.phase, self.exit_reason)
             == (reported.attempt, reported.phase, reported.why)
@@ -48,8 +48,8 @@
     Some((job, number.parse().ok()?))
 }
 
-/// Decodes an agent's heartbeat, from a request or a response to commands. One that cannot be decoded completely is
-/// dropped completely: a task left out of it would look as if it were not running.
+/// Decodes an agent's heartbeat, from a request or a response to commands. If any part cannot be decoded, the whole
+/// heartbeat is dropped: a task left out of it would seem not to be running.
 pub fn parse_agent_heartbeat(body: &[u8]) -> Option<AgentHeartbeat> {
     let Some(heartbeat) = decode::<AgentHeartbeat>(body) else {
         log::warn!("heartbeat dropped reason=undecodable");
@@ -70,31 +70,31 @@
     Some(heartbeat)
 }
 
-/// The starts of one attempt that we sent. A start may be repeated, so several of the flags may be set.
+/// State of the start commands that we sent for one attempt. A start may be repeated, so several flags may be set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct DirectStart {
     /// Sent as a direct command whose response is awaited.
     pub in_flight: bool,
-    /// Answered with 200: carried out, or without effect.
+    /// Answered with status 200: the start was carried out, or had no effect.
     pub acknowledged: bool,
-    /// Sent at least once without getting a response: it may still be carried out, as long as the agent's term and
-    /// epoch match. Such an attempt must never be forgotten.
+    /// Sent at least once without a response. It may still be carried out as long as the agent's term and epoch match,
+    /// so the attempt must not be forgotten.
     pub unresolved: bool,
     /// The term it was sent with.
     pub term: u64,
-    /// Sent with the response to the heartbeat of this sequence number. Any later heartbeat shows whether it was
-    /// carried out: the agent sends one heartbeat at a time, and drops late responses.
+    /// Sent with the response to the heartbeat with this sequence number. Any later heartbeat shows whether the start
+    /// was carried out, because the agent sends one heartbeat at a time and drops late responses.
     pub sent_with_response_to: Option<u64>,
 }
 
-/// What a heartbeat has changed.
+/// Effect of a heartbeat on an agent's state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatEffect {
-    /// Nothing: we have a newer one.
+    /// Ignored, since it is not newer than the last one.
     Stale,
-    /// Nothing but the time of the last heartbeat.
+    /// Nothing that matters has changed except the time of the last heartbeat.
     Unchanged,
-    /// Something else; contains the previous tasks.
+    /// The agent's state has changed. Contains the previous tasks.
     Changed(Vec<ReportedTask>),
 }
 
@@ -104,13 +104,13 @@
 /// A task that ended with an error.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskError {
-    /// When we heard of it.
+    /// When the error was reported.
     pub at: Micros,
     /// The task's job.
     pub job: String,
 }
 
-/// An agent as it last reported.
+/// An agent, according to its last heartbeat.
 #[derive(Debug, Clone)]
 pub struct Agent {
     /// Where direct commands are sent; `None` if the reported address cannot be parsed.
@@ -122,15 +122,16 @@
     pub zone: String,
     /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// The agent's epoch; 0: it has not sent a heartbeat yet.
+    /// The agent's epoch; 0 before its first heartbeat.
     pub agent_epoch: u64,
-    /// When we first heard of that epoch. Its lease runs from a moment before, whatever happened to earlier epochs.
+    /// When the first heartbeat of that epoch arrived. The epoch's lease began shortly before, regardless of earlier
+    /// epochs.
     pub epoch_began_at: Micros,
     /// Sequence number of the newest heartbeat.
     pub last_seq: u64,
-    /// Highest term that the agent had seen at its newest heartbeat.
+    /// Highest term that the agent had seen when it sent its newest heartbeat.
     pub term: u64,
-    /// When we learnt that it has seen that term: until then other leaders may have renewed its lease.
+    /// When the agent first reported that term. Until then other leaders may have renewed its lease.
     pub term_seen_at: Micros,
     /// When the cloud will preempt the machine, if it has announced that.
     pub preemption_at: Option<Micros>,
@@ -138,47 +139,47 @@
     pub tasks: Vec<ReportedTask>,
     /// When the newest heartbeat arrived.
     pub last_heartbeat_at: Micros,
-    /// Whether the agent receives what we send.
+    /// Whether our messages reach the agent.
     pub reachability: AgentReachability,
-    /// When we last answered a heartbeat, which renews the agent's lease.
+    /// When we last answered a heartbeat. The answer renews the agent's lease.
     pub last_answered_at: Option<Micros>,
-    /// Epochs up to this one have provably ended.
+    /// All epochs up to this one have provably ended.
     pub ended_epoch: Option<u64>,
-    /// Starts sent in the present epoch.
+    /// Starts sent in the current epoch, by attempt.
     pub starts: BTreeMap<AttemptKey, DirectStart>,
     /// When a stop was last sent, by attempt.
     pub stops: BTreeMap<AttemptKey, Micros>,
     /// Whether direct commands are in flight.
     pub commands_in_flight: bool,
-    /// Direct commands are not sent before this.
+    /// Earliest time for the next direct commands.
     pub next_commands_at: Micros,
-    /// Recent errors of tasks.
+    /// Recent task errors on this machine.
     pub errors: Vec<TaskError>,
     /// Tasks that have begun to run here since the last error. Only their completion shows that the machine works
-    /// again: one that fails every new task still completes those that ran before.
+    /// again: a machine that fails every new task still completes tasks that were running before.
     pub running_since_error: BTreeSet<AttemptKey>,
     /// Since when the agent has had no tasks.
     pub idle_since: Option<Micros>,
 }
 
-/// What is known about a recorded attempt on its machine.
+/// Whether a recorded attempt runs on its machine, as far as that can be proved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskLiveness {
     /// Reported and not exited.
     Present(TaskPhase),
     /// Reported as exited.
     Ended(ExitReason),
-    /// Provably not on the machine any more.
+    /// Provably no longer on the machine.
     Gone,
-    /// We have not sent a start, and no other leader's start can still be carried out.
+    /// We have sent no start, and no other leader's start can still be carried out.
     NotStarted,
-    /// Unknown: has to be treated as present.
+    /// Not known, so the attempt must be treated as present.
     Unknown,
 }
 
 impl TaskLiveness {
-    /// Whether the attempt has to be treated as present on its machine. One that was not started counts while it is
-    /// `wanted`, since its start may be sent at any moment.
+    /// Whether the attempt must be treated as present on its machine. An attempt that was not started counts as present
+    /// while it is `wanted`, since its start may be sent at any moment.
     pub fn may_be_running(self, wanted: impl FnOnce() -> bool) -> bool {
         match self {
             TaskLiveness::Present(_) | TaskLiveness::Unknown => true,
@@ -189,7 +190,7 @@
 }
 
 impl Agent {
-    /// An agent that sends its first heartbeat, which is still to be applied by `update`.
+    /// Creates the agent that sent this first heartbeat. The caller then applies the heartbeat with `update`.
     pub fn new(heartbeat: &AgentHeartbeat) -> Agent {
         Agent {
             address: None,
@@ -218,8 +219,8 @@
         }
     }
 
-    /// Applies a heartbeat if it is newer than the last one. Most heartbeats change nothing, so the strings and tasks
-    /// are copied only if they differ.
+    /// Applies a heartbeat if it is newer than the last one. Strings and tasks are copied only if they differ, since
+    /// most heartbeats change nothing.
     pub fn update(&mut self, heartbeat: &AgentHeartbeat, now: Micros) -> HeartbeatEffect {
         if (heartbeat.agent_epoch, heartbeat.seq) <= (self.agent_epoch, self.last_seq) {
             return HeartbeatEffect::Stale;
@@ -250,7 +251,7 @@
         HeartbeatEffect::Changed(self.tasks.clone())
     }
 
-    /// A new epoch has none of the old tasks, and commands for the old one have no effect.
+    /// Begins a new epoch, which has none of the old tasks. Commands for the old epoch have no effect any more.
     fn begin_epoch(&mut self, now: Micros) {
         if self.agent_epoch > 0 {
             self.reachability.on_new_epoch(now);
@@ -275,8 +276,8 @@
             .map(|seconds| now + Micros::secs(seconds));
     }
 
-    /// A heartbeat (not a response to commands) with this sequence number has arrived: starts sent with the responses
-    /// to earlier ones have been carried out by now, or never will be.
+    /// Settles starts when a heartbeat request (not a response to commands) with this sequence number arrives: starts
+    /// sent with the responses to earlier heartbeats have been carried out by now, or never will be.
     pub fn settle_starts_before(&mut self, agent_epoch: u64, seq: u64) {
         if agent_epoch != self.agent_epoch {
             return;
@@ -290,7 +291,7 @@
         });
     }
 
-    /// The attempt in the newest heartbeat.
+    /// The attempt as reported in the newest heartbeat, if it is in there.
     pub fn reported_task(&self, job: &str, task: u32, attempt: u64) -> Option<&ReportedTask> {
         let mut tasks = self.tasks.iter();
         tasks.find(|t| t.task == task && t.attempt == attempt && t.job == job)
@@ -306,7 +307,7 @@
     }
 
     fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&DirectStart> {
-        // Most agents have no starts: the key need not be built.
+        // Avoids building the key, since most agents have no starts.
         if self.starts.is_empty() {
             return None;
         }
@@ -324,16 +325,17 @@
         start.is_some_and(|s| self.is_unresolved(s))
     }
 
-    /// All attempts with such a start.
+    /// All attempts with a start that may still be carried out although its response is no longer awaited.
     pub fn unresolved_starts(&self) -> impl Iterator<Item = &AttemptKey> {
         let starts = self.starts.iter();
         let unresolved = starts.filter(|(_, start)| self.is_unresolved(start));
         unresolved.map(|(attempt, _)| attempt)
     }
 
-    /// Whether a start of ours could run an exited attempt again if the agent forgot the attempt: a start without
-    /// response that arrives late, or a duplicate of one that was carried out. Only a higher term or another epoch
-    /// fences these. A done task does no harm: it ends with the same result at once.
+    /// Whether one of our starts could run an exited attempt again if the agent forgot the attempt. That start may be
+    /// an unanswered one that arrives late, or a duplicate of one that was carried out; only a higher term or another
+    /// epoch fences it off. A duplicate for a done task is harmless, because the task ends at once with the same
+    /// result.
     pub fn may_start_again(&self, exited: &ReportedTask) -> bool {
         let start = self.start_of(&exited.job, exited.task, exited.attempt);
         start.is_some_and(|s| {
@@ -341,13 +343,13 @@
         })
     }
 
-    /// How many exited attempts the agent has to remember for that reason.
+    /// How many exited attempts the agent must keep because a start could run them again.
     pub fn retained_exits(&self) -> usize {
         let exited = self.tasks.iter().filter(|t| t.phase == TaskPhase::Exited);
         exited.filter(|t| self.may_start_again(t)).count()
     }
 
-    /// What a leader with this term knows about a recorded attempt.
+    /// Liveness of a recorded attempt, from the point of view of a leader with term `our_term`.
     pub fn liveness(
         &self,
         our_term: u64,
@@ -378,7 +380,7 @@
             return TaskLiveness::NotStarted;
         };
         if start.term < self.term {
-            // Sent with an older term of ours, which the agent no longer accepts.
+            // Sent under an older term of ours, which the agent no longer accepts.
             return TaskLiveness::NotStarted;
         }
         let is_settled = !start.unresolved && start.sent_with_response_to.is_none();
--- a/src/state/agent_reachability/tests.rs
+++ b/src/state/agent_reachability/tests.rs
@@ -31,7 +31,8 @@
     let mut agent = AgentReachability::default();
     agent.on_direct_heartbeat(at(1));
     agent.on_commands_unanswered(at(4));
-    // It may be down, or only we may be cut off from it: its heartbeats come through peers.
+    // No direct heartbeat since: the agent may be down, or it may be partitioned from this controller alone and send
+    // its heartbeats through peers.
     assert!(agent.is_reachable());
     agent.on_direct_heartbeat(at(6));
     assert_eq!(agent.suspected_since(), Some(at(6)));
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -1,15 +1,15 @@
-//! Jobs as the record cache holds them.
+//! Representation of jobs in the record cache.
 
 use crate::protocol::Micros;
 use crate::protocol::records::{JobRecord, JobStage, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
 use std::collections::BTreeMap;
 
-/// A further chunk of a large job.
+/// A chunk of a large job other than the first.
 #[derive(Debug, Clone, Default)]
 pub struct StoredChunk {
     /// The chunk, with placement batches overlaid.
     pub chunk: TaskChunk,
-    /// Version of its record; 0: the chunk is known from placement batches only.
+    /// Version of the chunk's record; 0 if its content comes from placement batches only.
     pub version: u64,
 }
 
@@ -19,29 +19,29 @@
 /// A job that has not ended, or whose tasks may still run.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its record, with placement batches overlaid. A job that depends on a cancelled one is thereby cancelled: the
-    /// stage says so here, whether or not it is ever written.
+    /// The job's record, with placement batches overlaid. A job that depends on a cancelled job is cancelled, too. Its
+    /// stage here is then `Cancelled`, whether or not that is ever written to the store.
     pub record: JobRecord,
     /// The record's version.
     pub version: u64,
     /// Further chunks of large jobs.
     pub chunks: TaskChunks,
-    /// How many dependencies are not recorded as done.
+    /// Number of dependencies that are not recorded as done.
     pub unmet_dependencies: usize,
-    /// Time of day from which the job's time targets count: when its last dependency was done, or when it was accepted.
-    /// Meaningless while the job waits for dependencies.
+    /// Wall-clock time at which the job's time targets start: when it was accepted or its last dependency was done,
+    /// whichever is later. Undefined while the job waits for dependencies.
     pub released_at: Micros,
-    /// Placements in the record and the chunks that only placement batches hold.
+    /// The placements in the record and the chunks that are stored in placement batches only.
     pub batched_placements: Vec<TaskEntry>,
 }
 
 impl Job {
-    /// Whether the job waits for dependencies: none of its tasks may start.
+    /// Whether the job waits for dependencies. While it does, none of its tasks may start.
     pub fn waits_for_dependencies(&self) -> bool {
         self.unmet_dependencies > 0
     }
 
-    /// The chunk that holds a task.
+    /// The chunk that contains a task.
     pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
         match task / TASKS_PER_CHUNK {
             0 => Some(&self.record.first),
@@ -87,13 +87,13 @@
     pub tasks: u32,
     /// Version of its record.
     pub version: u64,
-    /// Time of day of the end.
+    /// Wall-clock time of the end.
     pub end: Micros,
     /// Whether it was a service.
     pub service: bool,
 }
 
-/// A known job.
+/// Result of looking up a job.
 pub enum JobLookup<'a> {
     /// Not ended, or not yet cleaned up.
     Live(&'a Job),
--- a/src/state/image_caches.rs
+++ b/src/state/image_caches.rs
@@ -1,17 +1,17 @@
-//! Estimate of the images that machines have cached.
+//! Estimate of the images that each machine has cached.
 //!
-//! Machines cache the most recently used images (PROTOCOL, "POST /submissions") and do not report which. The estimate
-//! follows from the recorded placements, which every controller sees: a new leader knows from its first scheduling pass
-//! on where an image need not be fetched. Otherwise each change of leadership would cost a fetch for most of the tasks
-//! started after it. The estimate only ranks machines; no safety property depends on it.
+//! Machines cache the most recently used images (PROTOCOL, "POST /submissions") and do not report which ones. The
+//! estimate is derived from the recorded placements, which every controller has. A new leader can thus place tasks on
+//! machines that have their images from its first scheduling pass on; without that, most tasks started after a change
+//! of leadership would have to fetch theirs. The estimate only ranks machines; no safety property depends on it.
 
 use std::collections::HashMap;
 
-/// Images remembered per machine.
+/// Maximum number of images tracked per machine.
 const MAX_IMAGES_PER_MACHINE: usize = 32;
-/// Machines remembered after a cleanup. Names of machines are never reused, so the least recently used are forgotten.
+/// Number of machines kept by a cleanup. Names of machines are never reused, so the least recently used are removed.
 const MAX_MACHINES: usize = 4_000;
-/// A cleanup happens once there are this many machines more.
+/// A cleanup runs once there are more than this many machines above `MAX_MACHINES`.
 const MACHINES_BETWEEN_CLEANUPS: usize = MAX_MACHINES / 4;
 
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 struct MachineCache {
     /// Least recently used first.
     images: Vec<CachedImage>,
-    /// Value of `ImageCaches::changes` at the last change.
+    /// Value of `ImageCaches::changes` after the last change of this machine.
     changed_at: u64,
 }
 
@@ -38,10 +38,10 @@
 }
 
 impl ImageCaches {
-    /// A task that runs this image was placed or reported on the machine.
+    /// Records that a task with this image was placed on the machine or reported by it.
     pub fn record_use(&mut self, machine: &str, image: &str, size_gb: f64) {
         self.changes += 1;
-        // `entry` would copy the name of a known machine, too.
+        // `entry` would allocate a copy of the name even if the machine exists already.
         let cache = match self.machines.get_mut(machine) {
             Some(cache) => cache,
             None => self.machines.entry(machine.to_string()).or_default(),
@@ -61,7 +61,7 @@
             .retain(|_, c| c.changed_at >= retention_cutoff);
     }
 
-    /// The machine has given up fetching the image: no task there needs it any more.
+    /// Removes an image whose fetch the machine has abandoned, since no task there needs it any more.
     pub fn remove_image(&mut self, machine: &str, image: &str) {
         if let Some(cache) = self.machines.get_mut(machine) {
             self.changes += 1;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Changes with every change of the machine's images.
+    /// A number that changes whenever the machine's images change.
     pub fn version(&self, machine: &str) -> u64 {
         self.machines.get(machine).map_or(0, |c| c.changed_at)
     }
--- a/src/state/image_caches/tests.rs
+++ b/src/state/image_caches/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_most_recently_used_images_stay_as_far_as_the_cache_reaches() {
+fn the_most_recently_used_images_that_fit_into_the_cache_are_kept() {
     let mut images = ImageCaches::default();
     for (image, gb) in [("a", 10.0), ("b", 20.0), ("c", 5.0), ("a", 10.0)] {
         images.record_use("n-1", image, gb);
--- a/src/state/placed_tasks.rs
+++ b/src/state/placed_tasks.rs
@@ -15,7 +15,7 @@
 }
 
 impl<'a> JobImage<'a> {
-    /// The image that a specification names.
+    /// The image in a job's specification.
     pub fn from_spec(spec: &'a JobSpec) -> JobImage<'a> {
         JobImage {
             name: &spec.image,
@@ -26,7 +26,7 @@
 
 /// Tasks with an attempt on record, by machine.
 ///
-/// The index is updated with every record, so that a look at one machine does not have to visit all jobs.
+/// The index is updated with every record, so that a query for one machine does not have to visit all jobs.
 #[derive(Debug, Default)]
 pub struct PlacedTasks {
     by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
@@ -38,8 +38,8 @@
         self.by_machine.get(machine).into_iter().flatten()
     }
 
-    /// Replaces a job's old entries by its new ones; both are sorted by task. If the job's image is known, it is
-    /// noted in `image_caches` for each machine that gets a task.
+    /// Replaces a job's old entries by its new ones; both are sorted by task. If the job's image is known, its use is
+    /// recorded in `image_caches` for each machine that a task is newly placed on.
     pub fn update(
         &mut self,
         job: &str,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whether a sorted list has the entry's task on the same machine.
+/// Whether a list that is sorted by task has the entry's task on the same machine.
 fn stays_on_machine(entry: &TaskEntry, list: &[TaskEntry]) -> bool {
     list.binary_search_by_key(&entry.task(), TaskEntry::task)
         .is_ok_and(|index| list[index].machine() == entry.machine())
--- a/src/state/placement_batches.rs
+++ b/src/state/placement_batches.rs
@@ -1,5 +1,5 @@
 //! Cache of the placement batches: records that each hold the placements of many jobs and are overlaid on the jobs' own
-//! records. See `records::PlacementBatch` for which of the two counts.
+//! records. `records::PlacementBatch` describes which of the two takes precedence.
 
 use crate::protocol::records::{PlacementBatch, TASKS_PER_CHUNK, TaskChunk, TaskEntry};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,18 +15,18 @@
 #[derive(Debug, Default)]
 pub struct PlacementBatches {
     batches: BTreeMap<u32, StoredBatch>,
-    /// Numbers of the batches that name a job, by job.
+    /// Numbers of the batches that contain a job, by job.
     batches_by_job: HashMap<String, BTreeSet<u32>>,
     newest_version: u64,
 }
 
 impl PlacementBatches {
-    /// Version of the record that changes with every batch; 0: no batch was ever written.
+    /// Version of the record that is rewritten with every batch; 0 if no batch has ever been written.
     pub fn newest_version(&self) -> u64 {
         self.newest_version
     }
 
-    /// The record that changes with every batch has been written.
+    /// Applies a write of the record that is rewritten with every batch.
     pub fn on_newest_batch_written(&mut self, version: u64) {
         self.newest_version = self.newest_version.max(version);
     }
@@ -36,7 +36,7 @@
         self.batches.is_empty()
     }
 
-    /// Version of a batch; 0: there is none with this number.
+    /// Version of a batch; 0 if there is none with this number.
     pub fn version(&self, number: u32) -> u64 {
         self.batches.get(&number).map_or(0, |b| b.version)
     }
@@ -47,18 +47,18 @@
         batches.map(|(number, stored)| (*number, stored.version))
     }
 
-    /// Jobs that a batch names, with their placements.
+    /// The jobs in a batch, with their placements.
     pub fn placements(&self, number: u32) -> &[(String, Vec<TaskEntry>)] {
         let stored = self.batches.get(&number);
         stored.map_or(&[], |b| &b.batch.places)
     }
 
-    /// Whether any batch names the job.
+    /// Whether any batch contains the job.
     pub fn has_job(&self, id: &str) -> bool {
         self.batches_by_job.contains_key(id)
     }
 
-    /// The job's placements in all batches, in the order of the batches' numbers.
+    /// The job's placements in all batches, in order of batch number.
     fn placements_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a TaskEntry> {
         let numbers = self.batches_by_job.get(id).into_iter().flatten();
         numbers
@@ -67,20 +67,20 @@
             .flat_map(|(_, placements)| placements)
     }
 
-    /// Numbers of the job's chunks that have placements in batches.
+    /// Numbers of the job's chunks for which batches contain placements.
     pub fn chunks(&self, id: &str) -> BTreeSet<u32> {
         self.placements_of(id)
             .map(|p| p.task() / TASKS_PER_CHUNK)
             .collect()
     }
 
-    /// The lowest number that neither a batch nor `taken` has.
+    /// The lowest number that is neither used by a batch nor in `taken`.
     pub fn free_number(&self, taken: &BTreeSet<u32>) -> u32 {
         let is_used = |n: &u32| self.batches.contains_key(n) || taken.contains(n);
         (0..).find(|n| !is_used(n)).unwrap_or(u32::MAX)
     }
 
-    /// Puts a batch; returns false if the cache has this version or a newer one.
+    /// Inserts a batch; returns false if the cache has this version or a newer one.
     pub fn put(&mut self, number: u32, batch: PlacementBatch, version: u64) -> bool {
         if self.version(number) >= version {
             return false;
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Overlays the job's placements on chunk `number` as its own record has it, and updates `batched_placements`: the placements of the
-    /// job that only batches hold.
+    /// Overlays the job's placements on chunk `number`, which is given as read from the job's own records. Updates
+    /// `batched_placements`, the placements of the job that are stored in batches only.
     pub fn overlay(
         &self,
         id: &str,
@@ -132,7 +132,8 @@
     }
 }
 
-/// Overlays one placement on its chunk; returns whether it counts. It does not if its task is done or has a later attempt.
+/// Overlays one placement on its chunk; returns whether it took effect. It does not if its task is done, or has the
+/// same or a later attempt on record.
 pub fn overlay_placement(
     chunk: &mut TaskChunk,
     placement: &TaskEntry,
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_later_attempt_counts_and_done_tasks_are_left_alone() {
+fn the_latest_attempt_takes_precedence_and_done_tasks_are_unchanged() {
     let mut batches = PlacementBatches::default();
     batches.put(
         0,
@@ -30,7 +30,7 @@
     assert_eq!(chunk.entries, [entry(0, 3), entry(1, 4)]);
     assert_eq!(batched_placements, [entry(0, 3)]);
     assert_eq!(batches.chunks("j"), BTreeSet::from([0, 1]));
-    // Once the job's own record holds the place, it no longer counts.
+    // Once the job's own record contains the placement, the batch has no effect.
     batches.overlay("j", 0, &mut chunk, &mut batched_placements);
     assert!(batched_placements.is_empty());
 }
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -1,4 +1,4 @@
-//! Cache of the records in the key-value store. Listings, watches and the controller's own commits feed it.
+//! Cache of the records in the key-value store, updated by listings, watches and the controller's own commits.
 
 mod job_records;
 mod listing;
@@ -23,7 +23,7 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The cached records. A `u64` next to a record is its version: the store's revision that wrote it.
+/// The cached records. A `u64` next to a record is its version: the revision of the store at which it was written.
 #[derive(Default)]
 pub struct RecordCache {
     /// The cache contains every change up to this revision.
@@ -36,46 +36,46 @@
     pub leader_lease_version: Option<u64>,
     /// The cloud's machine types.
     pub machine_types: Option<Vec<MachineType>>,
-    /// The number of machines that were up before we rented any, once it is on record.
+    /// Number of machines that were up before the service rented any; `None` until it is on record.
     pub initial_machines: Option<u64>,
-    /// Images that machines probably have, according to the recorded placements.
+    /// Images that machines have probably cached, according to the recorded placements.
     pub image_caches: ImageCaches,
-    /// Placements of many jobs in one record each. They are overlaid on `jobs`.
+    /// Records that each hold the placements of many jobs. They are overlaid on `jobs`.
     pub placement_batches: PlacementBatches,
     /// The controllers' shares of the write budget.
     pub budget_shares: Option<(Grant, u64)>,
-    /// Jobs that are not finished, or whose tasks may still run.
+    /// Jobs that have not ended, or whose tasks may still run.
     pub jobs: BTreeMap<String, Job>,
-    /// Lease renewals delegated to followers, by node (`node/n` for further parts).
+    /// Lease renewals delegated to followers, by node; further parts of a node's renewals have the key `node/n`.
     pub renewals: BTreeMap<String, (RenewalsRecord, u64)>,
     /// Revision of the newest cancellation or change of leadership in the cache.
     pub last_cancellation_or_leader_change: u64,
     /// Counts the changes of `renewals`.
     pub renewals_generation: u64,
     finished: BTreeMap<String, FinishedJob>,
-    /// Jobs by the job that they depend on, which the cache may not contain yet.
+    /// Ids of dependent jobs, by the job that they depend on. The cache may not contain that job yet.
     dependents: BTreeMap<String, Vec<String>>,
-    /// Newest format that each node reads.
+    /// Newest format that each node reads, with the version of the node's record.
     formats: BTreeMap<String, (u32, u64)>,
-    /// Chunks that were read before the record of their job.
+    /// Chunks that arrived before the record of their job.
     chunks_without_job: BTreeMap<String, TaskChunks>,
     /// The listing in progress, if any.
     listing: Option<Listing>,
-    /// Jobs newly seen as cancelled since `take_cancelled` was last called, with their records' versions. Jobs that
-    /// are cancelled only because of a dependency are not included: none of their tasks was ever started.
+    /// Jobs whose cancellation was read since the last call of `take_cancelled`, with their records' versions. Excludes
+    /// jobs that are cancelled only because of a dependency, since none of their tasks was ever started.
     cancelled: Vec<(String, u64)>,
     /// Jobs whose records have changed since `take_changed` was last called.
     changed: BTreeSet<String>,
-    /// Ended jobs that stay in `jobs` because tasks of theirs may still run.
+    /// Ended jobs that stay in `jobs` because some of their tasks may still run.
     ended_with_tasks: BTreeSet<String>,
     placed_tasks: PlacedTasks,
-    /// Keys of job records, chunks and placement batches that cannot be read, with their versions. No question about
-    /// these jobs is answered and none of their tasks is started.
+    /// Keys of job records, chunks and placement batches that cannot be decoded, with their versions. Requests about
+    /// the jobs in them are not answered, and none of their tasks is started.
     unreadable: BTreeMap<String, u64>,
 }
 
 impl RecordCache {
-    /// Whether a record of the job cannot be read: then everything else that the cache has of it may be outdated.
+    /// Whether a record of the job cannot be decoded. In that case all other cached data of the job may be outdated.
     pub fn is_unreadable(&self, id: &str) -> bool {
         let belongs_to_job = |key: &String| match RecordKey::parse(key) {
             RecordKey::Job(job) | RecordKey::Chunk { job, .. } => job == id,
@@ -84,7 +84,7 @@
         self.unreadable.keys().any(belongs_to_job)
     }
 
-    /// Whether a placement batch cannot be read: it may hold placements of any job.
+    /// Whether a placement batch cannot be decoded. Such a batch may contain placements of any job.
     pub fn has_unreadable_batch(&self) -> bool {
         let first = self
             .unreadable
@@ -93,12 +93,12 @@
         first.is_some_and(|(key, _)| key.starts_with(PLACEMENT_BATCHES_PREFIX))
     }
 
-    /// Whether a job is known to be cancelled.
+    /// Whether a job is cancelled according to the cache.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.stage(id) == Some(JobStage::Cancelled)
     }
 
-    /// Whether a job is known to be done.
+    /// Whether a job is done according to the cache.
     pub fn is_done(&self, id: &str) -> bool {
         self.stage(id) == Some(JobStage::Done)
     }
@@ -144,13 +144,13 @@
         !self.dependents.is_empty()
     }
 
-    /// The newest format that a node reads, with the version of the record that says so. A node without a record
-    /// (version 0) reads the first format.
+    /// The newest format that a node reads, with the version of the node's record. A node without a record reads the
+    /// first format; its version is 0.
     pub fn format_of(&self, node: &str) -> (u32, u64) {
         *self.formats.get(node).unwrap_or(&(format::FIRST, 0))
     }
 
-    /// The parts of a follower's renewals; the result always has part 0, be it `None`.
+    /// The parts of a follower's renewals. The result always has an element for part 0, which may be `None`.
     pub fn renewals_of(&self, node: &str) -> Vec<Option<&(RenewalsRecord, u64)>> {
         let part = |number: usize| {
             let key = renewals_key(node, number);
@@ -165,12 +165,12 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Jobs newly seen as cancelled since the last call, with their records' versions.
+    /// Jobs whose cancellation was read since the last call, with their records' versions.
     pub fn take_cancelled(&mut self) -> Vec<(String, u64)> {
         std::mem::take(&mut self.cancelled)
     }
 
-    /// Tasks that have an attempt on record on this machine, as job id and task number.
+    /// Tasks with an attempt on record on this machine, as job id and task number.
     pub fn tasks_placed_on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
         self.placed_tasks.tasks_on(machine)
     }
@@ -210,14 +210,14 @@
             RecordKey::BudgetShares => self.put_budget_shares(key, &value, version),
             RecordKey::NewestBatch => self.placement_batches.on_newest_batch_written(version),
             RecordKey::Batch(number) => {
-                // The value is read even if the number is malformed: an unreadable batch holds up every job.
+                // The value is decoded even if the number is malformed, since an unreadable batch blocks all jobs.
                 let batch = self.read::<PlacementBatch>(key, &value, version);
                 if let (Some(number), Some(batch)) = (number, batch) {
                     self.put_batch(number, batch, version);
                 }
             }
             RecordKey::Job(id) => {
-                // The controller's own commits return by the watch: do not decode them again.
+                // Avoids decoding the controller's own commits again when the watch returns them.
                 if self.job_version(id) < version
                     && let Some(record) = self.read::<JobRecord>(key, &value, version)
                 {
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Decodes a record. One that cannot be decoded is logged, and remembered if it describes tasks.
+    /// Decodes a record. If that fails, logs an error and, if the record describes tasks, marks its key as unreadable.
     fn read<T: DeserializeOwned>(&mut self, key: &str, value: &Value, version: u64) -> Option<T> {
         let record = from_value(value);
         if record.is_some() {
@@ -316,7 +316,7 @@
         record
     }
 
-    /// The record has been replaced or deleted at this version: an older unreadable one no longer counts.
+    /// Clears the unreadable mark of a key if the record has been replaced or deleted at a later `version`.
     fn clear_unreadable(&mut self, key: &str, version: u64) {
         if self.unreadable.get(key).is_some_and(|v| *v < version) {
             self.unreadable.remove(key);
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -1,4 +1,4 @@
-//! Application of job records, chunks and placement batches, and what follows from them for dependent jobs.
+//! Application of job records, chunks and placement batches to the cache, and resolution of job dependencies.
 
 use super::RecordCache;
 use crate::protocol::records::{
@@ -19,15 +19,15 @@
 }
 
 impl RecordCache {
-    /// Version of the cached record of a job; 0: there is none.
+    /// Version of the cached record of a job; 0 if there is none.
     pub(super) fn job_version(&self, id: &str) -> u64 {
         let live = self.jobs.get(id).map(|j| j.version);
         live.or_else(|| self.finished.get(id).map(|f| f.version))
             .unwrap_or(0)
     }
 
-    /// Puts a job's record, unless the cache has this version or a newer one. A watch may still bring versions from
-    /// before the controller's own last commit: a finished job must not become active again through them.
+    /// Inserts a job's record, unless the cache has this version or a newer one. A watch may still return versions from
+    /// before the controller's own last commit, and these must not make a finished job active again.
     pub fn put_job(&mut self, id: &str, record: JobRecord, version: u64) {
         if self.job_version(id) >= version {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Puts a further chunk of a large job, unless the cache has this version or a newer one.
+    /// Inserts a chunk of a large job other than the first, unless the cache has this version or a newer one.
     pub fn put_chunk(&mut self, id: &str, number: u32, chunk: TaskChunk, version: u64) {
         if self.finished.contains_key(id) {
             return;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// `job`: the chunk's job, if its record is known yet.
+    /// Replaces a chunk. `job` is the chunk's job, or `None` while the cache does not have its record.
     fn replace_chunk(
         &mut self,
         id: &str,
@@ -147,7 +147,7 @@
         self.index_placements(id, &old.chunk.entries, &new_entries, Some(image));
     }
 
-    /// Puts a placement batch and overlays it on the jobs that it names.
+    /// Inserts a placement batch and overlays it on the jobs that it contains.
     pub(super) fn put_batch(&mut self, number: u32, batch: PlacementBatch, version: u64) {
         if !self.placement_batches.put(number, batch.clone(), version) {
             return;
@@ -201,8 +201,8 @@
             .update(id, old, new, image, &mut self.image_caches);
     }
 
-    /// Inserts a job by its stage. If it has ended, the jobs that depend on it are resolved as well, and so on. An end
-    /// is final, so nothing of this is ever undone.
+    /// Inserts a job by its stage. If it has ended, resolves the dependencies of its direct and indirect dependents. An
+    /// end is final, so this never has to be undone.
     fn insert_job(&mut self, id: &str, mut job: Job) {
         self.resolve_dependencies(&mut job);
         let mut ended: Vec<String> = Vec::new();
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Derives from a job's dependencies how many are unmet, since when the job may run, and whether it is cancelled.
+    /// Derives the number of unmet dependencies, the release time, and whether a cancelled dependency cancels the job.
     fn resolve_dependencies(&self, job: &mut Job) {
         job.released_at = job.record.at;
         job.unmet_dependencies = 0;
@@ -240,15 +240,15 @@
                 job.released_at = job.released_at.max(outcome.end);
                 continue;
             }
-            // No job starts before its dependencies are done, and a cancelled one never will be: this job has no
-            // task anywhere and never gets one.
+            // A job starts only after all its dependencies are done. A cancelled dependency is never done, so this job
+            // has no tasks on machines and never will.
             job.record.stage = JobStage::Cancelled;
             job.record.end = outcome.end.max(job.record.at);
             return;
         }
     }
 
-    /// How a job has ended; `None` while it is active or unknown.
+    /// How a job has ended; `None` while it is active or not in the cache.
     fn outcome_of(&self, id: &str) -> Option<JobOutcome> {
         if let Some(job) = self.finished.get(id) {
             return Some(JobOutcome {
@@ -263,8 +263,8 @@
         })
     }
 
-    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while tasks
-    /// of it may still run.
+    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while some
+    /// of its tasks may still run.
     fn insert_by_stage(&mut self, id: &str, job: Job) -> bool {
         let has_ended = !job.active();
         let has_placements = job.entries().any(|e| e.machine().is_some());
@@ -299,7 +299,7 @@
     }
 }
 
-/// What is kept of a job once it has ended and has no tasks left.
+/// The summary that is kept of a job once it has ended and has no tasks left.
 fn finished_job(job: &Job) -> FinishedJob {
     FinishedJob {
         stage: job.record.stage,
--- a/src/state/record_cache/listing.rs
+++ b/src/state/record_cache/listing.rs
@@ -1,4 +1,5 @@
-//! Application of listings: pages of all records, after which deleted records are dropped.
+//! Application of listings. A listing returns all records in pages; after the last page, cached records that it did not
+//! contain are removed.
 
 use super::RecordCache;
 use crate::protocol::key_value_api::ItemPage;
@@ -12,12 +13,12 @@
 pub(super) struct Listing {
     /// Keys on the pages so far.
     keys: BTreeSet<String>,
-    /// Revision of the first page: changes after it have to be watched.
+    /// Revision of the first page. Changes after it must be watched.
     revision: u64,
 }
 
 impl RecordCache {
-    /// Applies a page of a listing; returns true if it was the last. Watching must begin at the first page's revision.
+    /// Applies a page of a listing; returns whether it was the last. The watch must begin at the first page's revision.
     pub fn apply_listing_page(&mut self, page: ItemPage) -> bool {
         let listing = self.listing.get_or_insert_with(|| Listing {
             keys: BTreeSet::new(),
@@ -37,8 +38,8 @@
         true
     }
 
-    /// Drops the cached records that the listing did not contain. A record that was written after the listing began
-    /// stays, because its version exceeds the listing's revision.
+    /// Removes the cached records that the listing did not contain. Records written after the listing began stay,
+    /// because their versions exceed the listing's revision.
     fn finish_listing(&mut self, listing: &Listing) {
         let deleted: Vec<String> = self
             .deletable_keys()
@@ -51,7 +52,7 @@
         self.synced = true;
     }
 
-    /// Keys of the cached records that may be deleted from the store.
+    /// Keys of the cached records of the kinds that can be deleted from the store.
     fn deletable_keys(&self) -> impl Iterator<Item = String> {
         let jobs = self.jobs.keys().map(|id| format!("{JOBS_PREFIX}{id}"));
         let renewals = self
--- a/src/state/record_key.rs
+++ b/src/state/record_key.rs
@@ -1,4 +1,4 @@
-//! Classification of the key-value store's keys by the record that they hold.
+//! Classification of the keys in the key-value store by kind of record.
 
 use crate::protocol::records::{
     BASELINE_MACHINES_KEY, BUDGET_SHARES_KEY, CHUNKS_PREFIX, FORMATS_PREFIX, JOBS_PREFIX,
@@ -15,28 +15,28 @@
     LeaderLease,
     /// The machine types of the cloud.
     MachineTypes,
-    /// The number of machines that were up before any was rented.
+    /// The number of machines that were up before the service rented any.
     InitialMachines,
-    /// Lease renewals delegated to a follower: its node name, with the part's number if there are several.
+    /// Lease renewals delegated to a follower. Contains its node name, followed by `/n` for further parts.
     Renewals(&'a str),
     /// The newest format that a node reads.
     Format(&'a str),
     /// The controllers' shares of the write budget.
     BudgetShares,
-    /// The record that changes with every placement batch.
+    /// The record that is rewritten with every placement batch and contains the number of the newest one.
     NewestBatch,
     /// A placement batch; `None` if the key does not end in a number.
     Batch(Option<u32>),
     /// A job.
     Job(&'a str),
-    /// A further chunk of a large job.
+    /// A chunk of a large job other than the first.
     Chunk {
         /// The job's id.
         job: &'a str,
         /// The chunk's number, from 1.
         number: u32,
     },
-    /// Not one of our records.
+    /// Not a record of this service.
     Unknown,
 }
 
@@ -73,8 +73,8 @@
         Some(RecordKey::Chunk { job, number })
     }
 
-    /// Whether the record says something about tasks. If such a record cannot be read, its jobs must be treated as
-    /// unknown.
+    /// Whether the record holds the state of tasks. If such a record cannot be decoded, the state of its jobs must be
+    /// treated as unknown.
     pub fn describes_tasks(self) -> bool {
         matches!(
             self,
--- a/src/state/record_key/tests.rs
+++ b/src/state/record_key/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn malformed_numbers_are_recognized() {
+fn malformed_keys_are_classified() {
     let batch = format!("{PLACEMENT_BATCHES_PREFIX}x");
     assert_eq!(RecordKey::parse(&batch), RecordKey::Batch(None));
     let chunk = format!("{CHUNKS_PREFIX}job-1/x");
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -1,5 +1,5 @@
-//! Rate-limited client of the key-value store. It owns this controller's share of the request and write budgets and
-//! sends urgent requests first. It never retries: only the caller knows what a lost response means.
+//! Rate-limited client of the key-value store. It enforces this controller's share of the request and write budgets and
+//! sends urgent requests first. It never retries, since only the caller can decide how to handle a lost response.
 
 use crate::protocol::codec::{decode, encode};
 use crate::protocol::key_value_api::{
@@ -11,23 +11,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Tokens available when a process starts. An earlier run may have used up the burst a moment ago: if each run of a
-/// crash loop spent it anew, the store would refuse the other controllers.
+/// Tokens available when a process starts. They are fewer than the burst, which the previous run may just have spent:
+/// if each restart in a crash loop spent a full burst, the store would refuse requests of the other controllers.
 const INITIAL_REQUESTS: f64 = 4.0;
 const INITIAL_WRITES: f64 = 1.0;
 /// The request budget's burst, in seconds of its rate.
 const REQUEST_BURST_S: f64 = 0.5;
-/// Rates are reported as at least this much a second, since callers divide by them.
+/// Lower bound of the reported rates, per second, since callers divide by them.
 const MIN_REPORTED_RATE: f64 = 0.1;
-/// How long a request may take.
+/// Timeout of a request.
 const STORE_TIMEOUT: Micros = Micros::millis(1500);
-/// How much longer a page of a listing may take.
+/// Additional timeout of a request for a page of a listing.
 const LISTING_EXTRA_TIMEOUT: Micros = Micros::millis(3000);
-/// Keys in a page of a listing.
+/// Number of keys in a page of a listing.
 const LISTING_PAGE_SIZE: usize = 500;
-/// The client asks to be called again no sooner than after this.
+/// Minimum delay before the client asks to be called again.
 const MIN_WAIT: Micros = Micros::millis(2);
-/// Weights of consecutive failures, and the sum from which on the store counts as unresponsive.
+/// Weights of consecutive failures by kind, and the total weight at which the store counts as unresponsive.
 const LOST_WEIGHT: u32 = 1;
 const REFUSED_WEIGHT: u32 = 2;
 const UNRESPONSIVE_WEIGHT: u32 = 2;
@@ -37,14 +37,14 @@
 pub enum StoreRequest {
     /// A transaction.
     Transaction(Transaction),
-    /// Changes after a revision.
+    /// A long poll for changes after a revision.
     Watch {
         /// The revision.
         after: u64,
         /// How long the store may wait for a change, in ms.
         block_ms: u64,
     },
-    /// A page of all our keys.
+    /// A page of all keys of this service.
     List {
         /// The last key of the previous page; empty for the first page.
         after: String,
@@ -62,7 +62,7 @@
     Committed(u64),
     /// The transaction's conditions on these keys failed.
     Conflict(Vec<String>),
-    /// Changes.
+    /// Changes since the watched revision.
     Events(WatchResponse),
     /// The revision is too old to watch from.
     RevisionTooOld,
@@ -72,14 +72,14 @@
     Lease(u64),
     /// The lease has expired.
     LeaseExpired,
-    /// Certainly not carried out.
+    /// The request was not carried out.
     Refused,
-    /// Certainly not carried out because of a rate limit: a later attempt may succeed.
+    /// The transaction was not carried out because of a rate limit. A later attempt may succeed.
     RateLimited,
-    /// Certainly not carried out, and a repetition will not be either: the store accepts no such transaction, perhaps
-    /// because its limits are lower than the settings say.
+    /// The transaction was not carried out, and a retry would fail, too: the store does not accept it, perhaps because
+    /// its limits are lower than those in the settings.
     Rejected,
-    /// No response, or none that can be understood: the request may have been, or may still be, carried out.
+    /// No valid response arrived. The request may have been carried out, or may still be.
     Lost,
 }
 
@@ -88,7 +88,7 @@
 pub enum RequestPriority {
     /// Leadership, cancellations, read barriers.
     Urgent = 0,
-    /// Acceptances and placements.
+    /// Acceptance of jobs, and placements.
     Normal = 1,
     /// Everything else.
     Background = 2,
@@ -102,14 +102,15 @@
         RequestPriority::Background,
     ];
 
-    /// Whether requests may overdraw the write budget. Leadership and cancellations do not wait for budget that others
-    /// have used up: a claim would outlive its lease, and no controller would ever lead.
+    /// Whether requests may overdraw the write budget. Writes for leadership and cancellations do not wait for budget
+    /// that other writes have used up: otherwise a candidate's lease could expire before its claim is written, and no
+    /// controller would ever lead.
     fn may_overdraw(self) -> bool {
         self == RequestPriority::Urgent
     }
 }
 
-/// A request that waits for budget.
+/// A request that waits for the budgets.
 struct QueuedRequest<T> {
     request: StoreRequest,
     purpose: T,
@@ -135,21 +136,21 @@
     pub response: StoreResponse,
 }
 
-/// The client; `T` tells the owner of a request why it was made.
+/// The client. A `T` is attached to each request and returned with its result, so that the caller can match them.
 pub struct StoreClient<T> {
     addr: SocketAddr,
     request_budget: TokenBucket,
     write_budget: TokenBucket,
     /// Queues by `RequestPriority`.
     queues: [VecDeque<QueuedRequest<T>>; 3],
-    /// Requests in flight, by number of the call.
+    /// Requests in flight, by call id.
     in_flight: BTreeMap<u64, RequestInFlight<T>>,
     /// Total weight of the consecutive failures.
     failure_weight: u32,
 }
 
 impl<T> StoreClient<T> {
-    /// A client of the store at `addr`, with budgets of `rps` requests and `wps` changes a second.
+    /// Creates a client of the store at `addr`, with budgets of `rps` requests and `wps` changes per second.
     pub fn new(addr: SocketAddr, rps: f64, wps: f64, write_burst: f64) -> StoreClient<T> {
         let requests = TokenBucket::new(rps, rps * REQUEST_BURST_S);
         let writes = TokenBucket::new(wps, write_burst);
@@ -170,12 +171,12 @@
         self.write_budget.set_rate(now, wps, write_burst);
     }
 
-    /// Our share of the write budget, in changes a second.
+    /// Our share of the write budget, in changes per second.
     pub fn write_rate(&self) -> f64 {
         self.write_budget.rate().max(MIN_REPORTED_RATE)
     }
 
-    /// Our share of the request budget, in requests a second.
+    /// Our share of the request budget, in requests per second.
     pub fn request_rate(&self) -> f64 {
         self.request_budget.rate().max(MIN_REPORTED_RATE)
     }
@@ -186,8 +187,8 @@
         self.queues[priority as usize].push_back(queued);
     }
 
-    /// How many of `wanted` changes could be sent at once now. 0 if other changes are queued already: then it is
-    /// better to go on gathering.
+    /// How many of `wanted` changes could be sent now in one transaction. 0 if other changes are queued already: the
+    /// caller should then continue to collect changes.
     pub fn sendable_changes(&mut self, now: Micros, wanted: usize) -> usize {
         let mut queued = self.queues.iter().flatten();
         if queued.any(|q| change_count(&q.request) > 0.0) {
@@ -196,12 +197,12 @@
         if !self.request_budget.ready(now, 1.0) {
             return 0;
         }
-        // The burst may be smaller than a transaction: then whatever is available counts.
+        // The burst may be smaller than a transaction, so fewer changes than `wanted` may be sent.
         let available = self.write_budget.available_tokens(now).floor().max(0.0) as usize;
         available.min(wanted)
     }
 
-    /// When `count` changes can be sent at once.
+    /// When `count` changes can be sent in one transaction.
     pub fn changes_sendable_at(&self, now: Micros, count: usize) -> Micros {
         self.affordable_at(now, count as f64, false)
     }
@@ -230,9 +231,9 @@
         }
     }
 
-    /// Takes the most urgent request that the budgets allow, and its cost from the budgets. A transaction short of
-    /// write budget must not hold back reads of lower priority, so the head of each queue is tried; the order of
-    /// writes within a queue stays.
+    /// Dequeues the most urgent request that the budgets allow and charges its cost to them. A transaction that waits
+    /// for write budget must not delay reads of lower priority, so the head of each queue is tried. Each queue stays in
+    /// order.
     fn take_affordable(&mut self, now: Micros) -> Option<QueuedRequest<T>> {
         for priority in RequestPriority::ALL {
             let Some(queued) = self.queues[priority as usize].front() else {
@@ -257,7 +258,7 @@
         None
     }
 
-    /// When `send_queued` can send something next; `None` if nothing is queued.
+    /// When `send_queued` can send the next request; `None` if none is queued.
     pub fn next_send_at(&self, now: Micros) -> Option<Micros> {
         let heads = RequestPriority::ALL.into_iter().filter_map(|priority| {
             let queued = self.queues[priority as usize].front()?;
@@ -292,12 +293,12 @@
         }
     }
 
-    /// Matches the outcome of a call with its request; `None` if the call is not one of this client.
+    /// Matches the outcome of a call with its request; `None` if this client did not make the call.
     pub fn on_response(&mut self, id: u64, outcome: &Outcome) -> Option<CompletedRequest<T>> {
         let sent = self.in_flight.remove(&id)?;
         let response = read_response(&sent.request, outcome);
         match (&response, outcome) {
-            // A rate limit shows neither that the store serves us nor that it does not.
+            // A rate limit is no evidence of whether the store serves this controller.
             (_, Outcome::Reply { status: 429, .. }) => {}
             (StoreResponse::Refused, _) => self.failure_weight += REFUSED_WEIGHT,
             (StoreResponse::Lost, _) => self.failure_weight += LOST_WEIGHT,
@@ -311,13 +312,13 @@
         })
     }
 
-    /// Whether the store does not serve this controller; it may serve others.
+    /// Whether the store seems not to serve this controller. It may still serve others.
     pub fn is_unresponsive(&self) -> bool {
         self.failure_weight >= UNRESPONSIVE_WEIGHT
     }
 }
 
-/// A request in HTTP.
+/// A request as sent over HTTP.
 struct HttpRequest {
     method: &'static str,
     path: String,
@@ -375,7 +376,7 @@
     }
 }
 
-/// The changes of a request, as they count against the write budget.
+/// The number of changes in a request, which is its cost in the write budget.
 fn change_count(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Transaction(transaction) => transaction.changes.len() as f64,
@@ -432,7 +433,7 @@
         200 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Committed(r.revision)),
         409 => decode::<TransactionResponse>(body).map(|r| StoreResponse::Conflict(r.failed)),
         429 => Some(StoreResponse::RateLimited),
-        // Too large or malformed, or with an expired lease.
+        // The store answers 400 if the transaction is too large or malformed, or if its lease has expired.
         400 if attaches_lease(transaction) => Some(StoreResponse::LeaseExpired),
         400 => {
             let changes = transaction.changes.len();
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// Absorbs rounding errors in comparisons of token counts.
 const TOLERANCE: f64 = 1e-9;
-/// Added to computed waits, so that the tokens are there when the wait ends.
+/// Added to computed waits, so that the tokens are available when the wait ends.
 const WAIT_MARGIN: Micros = Micros::millis(1);
 
 /// Tokens that accrue at a steady rate up to a bounded burst.
@@ -12,16 +12,16 @@
 pub struct TokenBucket {
     /// Tokens per second.
     rate: f64,
-    /// Most tokens that can accrue; at least 1.
+    /// Capacity of the bucket; at least 1.
     burst: f64,
-    /// Tokens available; negative after a request above the burst.
+    /// Tokens available; negative after a request that exceeded them.
     tokens: f64,
-    /// When tokens were last added; zero: never.
+    /// When tokens were last added; zero if never.
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket: `rate` tokens a second, at most `burst` at once.
+    /// Creates a full bucket that gains `rate` tokens per second and holds at most `burst`.
     pub fn new(rate: f64, burst: f64) -> TokenBucket {
         let burst = burst.max(1.0);
         TokenBucket {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The same bucket with at most this many tokens available at the beginning.
+    /// Limits the tokens that are available at the beginning.
     pub fn with_initial_tokens(mut self, tokens: f64) -> TokenBucket {
         self.tokens = self.tokens.min(tokens);
         self
@@ -47,7 +47,7 @@
     }
 
     fn refill(&mut self, now: Micros) {
-        // A process begins with its initial tokens, whatever the clock says then.
+        // No tokens accrue before the first refill: the clock's absolute value at process start is arbitrary.
         let elapsed_s = match self.refilled_at {
             Micros::ZERO => 0.0,
             refilled_at => now.since(refilled_at).as_secs(),
@@ -62,7 +62,8 @@
         self.tokens >= count.min(self.burst) - TOLERANCE
     }
 
-    /// The same for urgent requests: they may overdraw the bucket by one burst, and later requests make up for it.
+    /// Like `ready`, but for urgent requests, which may overdraw the bucket by one burst. Later requests wait longer to
+    /// compensate.
     pub fn ready_with_overdraft(&mut self, now: Micros, count: f64) -> bool {
         self.refill(now);
         self.tokens + self.burst >= count.min(self.burst) - TOLERANCE
@@ -79,12 +80,12 @@
         self.tokens
     }
 
-    /// Takes `count` tokens; the level may become negative.
+    /// Takes `count` tokens; the number of tokens may become negative.
     pub fn take(&mut self, count: f64) {
         self.tokens -= count;
     }
 
-    /// When `count` tokens will be available; with `overdraft` as `ready_with_overdraft` counts.
+    /// When `ready` will hold for `count` tokens, or `ready_with_overdraft` if `overdraft` is set.
     pub fn ready_at(&self, now: Micros, count: f64, overdraft: bool) -> Micros {
         let credit = if overdraft { self.burst } else { 0.0 };
         let deficit = count.min(self.burst) - self.tokens - credit;
