--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -10,7 +10,7 @@
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
 use crate::protocol::records::{LEADER_KEY, LeaderRecord};
 use crate::protocol::{Clock, Micros};
-use crate::state::agent::{Agent, AttemptKey, DirectStart, parse_agent_heartbeat};
+use crate::state::agent::{Agent, AttemptKey, StartState, parse_agent_heartbeat};
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
 use std::net::SocketAddr;
@@ -133,12 +133,12 @@
 }
 
 /// The state of a start that is sent under our term; what was sent under an older one no longer counts.
-fn start_under_term(agent: &mut Agent, key: AttemptKey, term: u64) -> &mut DirectStart {
+fn start_under_term(agent: &mut Agent, key: AttemptKey, term: u64) -> &mut StartState {
     let start = agent.starts.entry(key).or_default();
     if start.term != term {
-        *start = DirectStart {
+        *start = StartState {
             term,
-            ..DirectStart::default()
+            ..StartState::default()
         };
     }
     start
@@ -189,7 +189,7 @@
         self.update_starts(agent, |start| start.unresolved = true);
     }
 
-    fn update_starts(&self, agent: &mut Agent, update: impl Fn(&mut DirectStart)) {
+    fn update_starts(&self, agent: &mut Agent, update: impl Fn(&mut StartState)) {
         for key in self.starts_of_epoch(agent) {
             let start = agent.starts.get_mut(key);
             if let Some(start) = start.filter(|start| start.term == self.term) {
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -69,8 +69,9 @@
                 continue;
             };
             // The tasks of a gang end together, so their completions are written first, into the job's own record.
-            let gang_ends = job.record.spec.kind == JobKind::Gang && !pending.done.is_empty();
-            if pending.placements.is_empty() || gang_ends {
+            let gang_has_completions =
+                job.record.spec.kind == JobKind::Gang && !pending.done.is_empty();
+            if pending.placements.is_empty() || gang_has_completions {
                 continue;
             }
             let pending_placements = PendingWrite::of_placements(pending.placements.clone());
@@ -216,7 +217,7 @@
             return Micros::FAR;
         };
         leader.batch_merge_due = clock.now + MERGE_INTERVAL;
-        if !merge_all && !leader.record_writer.idle() {
+        if !merge_all && !leader.record_writer.has_no_pending_writes() {
             return leader.batch_merge_due;
         }
         let mut remaining_jobs = if merge_all { usize::MAX } else { share };
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether no write is pending. Transactions may still be in flight.
-    pub fn idle(&self) -> bool {
+    pub fn has_no_pending_writes(&self) -> bool {
         self.pending.is_empty()
     }
 
@@ -278,7 +278,7 @@
 
 impl WriteInFlight {
     /// Whether the store may still carry out the transaction, because its conditions hold according to the cache.
-    fn may_be_carried_out(&self, leader_version: u64, cache: &RecordCache) -> bool {
+    fn may_still_commit(&self, leader_version: u64, cache: &RecordCache) -> bool {
         leader_version == self.transaction.conditions[0].version
             && self.batch_is_unwritten(cache)
             && self.jobs.iter().all(|id| self.job_is_unchanged(id, cache))
@@ -411,7 +411,7 @@
         let Some(write) = leader.record_writer.writes_in_flight.get(&write_id) else {
             return;
         };
-        if write.may_be_carried_out(leader.version, &self.cache) {
+        if write.may_still_commit(leader.version, &self.cache) {
             let transaction = write.transaction.clone();
             self.send_job_write(RequestPriority::Normal, write_id, transaction);
         } else {
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether a task of a heartbeat is the same attempt in the same state.
-    fn is_same(&self, reported: &TaskStatus) -> bool {
+    fn matches(&self, reported: &TaskStatus) -> bool {
         (self.attempt, self.phase, self.exit_reason)
             == (reported.attempt, reported.phase, reported.why)
             && parse_task_name(&reported.task) == Some((self.job.as_str(), self.task))
@@ -72,7 +72,7 @@
 
 /// State of the start commands that we sent for one attempt. A start may be repeated, so several flags may be set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct DirectStart {
+pub struct StartState {
     /// Sent as a direct command whose response is awaited.
     pub in_flight: bool,
     /// Answered with status 200: the start was carried out, or had no effect.
@@ -146,7 +146,7 @@
     /// All epochs up to this one have provably ended.
     pub ended_epoch: Option<u64>,
     /// Starts sent in the current epoch, by attempt.
-    pub starts: BTreeMap<AttemptKey, DirectStart>,
+    pub starts: BTreeMap<AttemptKey, StartState>,
     /// When a stop was last sent, by attempt.
     pub stops: BTreeMap<AttemptKey, Micros>,
     /// Whether direct commands are in flight.
@@ -240,7 +240,7 @@
         self.last_heartbeat_at = now;
         let reported = &heartbeat.tasks;
         let same_tasks = self.tasks.len() == reported.len()
-            && self.tasks.iter().zip(reported).all(|(t, r)| t.is_same(r));
+            && self.tasks.iter().zip(reported).all(|(t, r)| t.matches(r));
         if !same_tasks {
             let tasks = reported.iter().filter_map(ReportedTask::parse).collect();
             return HeartbeatEffect::Changed(std::mem::replace(&mut self.tasks, tasks));
@@ -306,7 +306,7 @@
         self.ended_epoch.is_some_and(|ended| agent_epoch <= ended)
     }
 
-    fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&DirectStart> {
+    fn start_of(&self, job: &str, task: u32, attempt: u64) -> Option<&StartState> {
         // Avoids building the key, since most agents have no starts.
         if self.starts.is_empty() {
             return None;
@@ -315,7 +315,7 @@
     }
 
     /// Whether a start may still be carried out although its response is no longer awaited.
-    fn is_unresolved(&self, start: &DirectStart) -> bool {
+    fn is_unresolved(&self, start: &StartState) -> bool {
         start.unresolved && start.term >= self.term
     }
 
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -33,7 +33,7 @@
             return;
         }
         if record.stage == JobStage::Cancelled {
-            self.note_cancellation(id, version);
+            self.record_cancellation(id, version);
         }
         self.changed.insert(id.to_string());
         if self.job_version(id) == 0 && record.stage == JobStage::Active {
@@ -71,7 +71,7 @@
         self.insert_job(id, job);
     }
 
-    fn note_cancellation(&mut self, id: &str, version: u64) {
+    fn record_cancellation(&mut self, id: &str, version: u64) {
         self.last_cancellation_or_leader_change =
             self.last_cancellation_or_leader_change.max(version);
         if !self.is_cancelled(id) {
--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::Micros;
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
-use walnuttrestle::state::agent::{Agent, DirectStart, TaskLiveness};
+use walnuttrestle::state::agent::{Agent, StartState, TaskLiveness};
 
 /// Number of heartbeats that the agent sends: they alone make the model large.
 const MAX_HEARTBEATS: u64 = 6;
@@ -137,7 +137,7 @@
     let mut agent = Agent::new(&heartbeat);
     agent.update(&heartbeat, Micros::ZERO);
     if let Some(start) = view.start {
-        let start = DirectStart {
+        let start = StartState {
             in_flight: start.awaits_answer,
             acknowledged: start.answered,
             unresolved: start.loose,
