--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries of the records for controllers that started while the store was out of reach.
+//! Summaries of the records for controllers that started while the store was unavailable.
 
 use super::ReceivedSummary;
 use crate::controller::Controller;
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// The summary for a peer that has not read the records. Sent only while no controller can read them, so
-    /// that it stays valid.
+    /// The summary for a peer that has not read the records. Sent only while the store is unavailable, so that the
+    /// summary stays valid.
     pub(super) fn record_summary_for_peer(&self, clock: Clock) -> Option<RecordSummary> {
-        let known = self.peer_coverage_ages(clock);
-        // The coverage in `known` rests on reported cancellations as well, so they belong to the summary.
+        let coverage_ages = self.peer_coverage_ages(clock);
+        // The coverage ages are based on reported cancellations as well, so the summary must contain them.
         let reported = self.peers.reported_cancellations.jobs();
         if !self.cache.synced {
             let received = &self.peers.record_summary.as_ref()?.summary;
             let cancelled: BTreeSet<&String> = received.cancelled.iter().chain(reported).collect();
             return Some(RecordSummary {
-                known,
+                known: coverage_ages,
                 cancelled: cancelled.into_iter().cloned().collect(),
                 ..received.clone()
             });
@@ -34,15 +34,15 @@
             lead: leader.clone(),
             revision: self.cache.revision,
             cancelled: recorded.chain(reported).cloned().collect(),
-            known,
+            known: coverage_ages,
         })
     }
 
-    /// Takes the summary of a peer to which a heartbeat was sent at `sent`.
+    /// Applies the summary in a peer's response to a heartbeat that was sent at `sent_at`.
     pub(super) fn on_record_summary(
         &mut self,
         clock: Clock,
-        sent: Micros,
+        sent_at: Micros,
         mut summary: RecordSummary,
     ) {
         if self.cache.synced {
@@ -52,29 +52,30 @@
         if previous.is_some_and(|previous| previous.summary.revision > summary.revision) {
             return;
         }
-        self.extend_coverage(None, sent, &summary.known);
+        self.extend_coverage(None, sent_at, &summary.known);
         let previous = self.peers.record_summary.take();
-        let leader_known_since = previous
+        let leader_observed_since = previous
             .as_ref()
             .filter(|previous| previous.summary.lead == summary.lead)
-            .map(|previous| previous.leader_known_since);
+            .map(|previous| previous.leader_observed_since);
         if let Some(previous) = previous {
-            // The sender of newer records may not have heard of cancellations that an earlier sender had; a
-            // cancellation is final.
+            // The sender of a newer summary may lack cancellations that an earlier sender had. They stay valid, since
+            // a cancellation is final.
             summary.cancelled.extend(previous.summary.cancelled);
         }
         summary.cancelled.sort_unstable();
         summary.cancelled.dedup();
-        if leader_known_since.is_none() {
+        if leader_observed_since.is_none() {
             log::info!("record summary received revision={}", summary.revision);
         }
         self.peers.record_summary = Some(ReceivedSummary {
             summary,
-            leader_known_since: leader_known_since.unwrap_or(clock.now),
+            leader_observed_since: leader_observed_since.unwrap_or(clock.now),
         });
     }
 
-    /// For each peer, how long ago everything that it had told clients was known here, in microseconds.
+    /// For each peer, the age of its coverage in microseconds: the time since this controller last had every
+    /// cancellation that the peer had reported to clients.
     pub(super) fn peer_coverage_ages(&self, clock: Clock) -> Vec<(String, u64)> {
         let age = |peer: usize| {
             let covered_until = self
@@ -90,12 +91,13 @@
             .collect()
     }
 
-    /// Extends the coverage of peers by the ages that a peer, asked at `sent`, has reported and whose underlying
-    /// cancellations are known here now. `reporter`: the peer itself, which is left out.
+    /// Extends the coverage of peers with the coverage ages in a response to a heartbeat that was sent at `sent_at`.
+    /// This controller must already have the cancellations on which the ages are based. `reporter` is the responding
+    /// peer if it is to be skipped.
     pub(super) fn extend_coverage(
         &mut self,
         reporter: Option<usize>,
-        sent: Micros,
+        sent_at: Micros,
         ages: &[(String, u64)],
     ) {
         for (node, age) in ages {
@@ -103,7 +105,7 @@
                 continue;
             };
             if Some(peer) != reporter {
-                let covered_until = sent.0.saturating_sub(*age);
+                let covered_until = sent_at.0.saturating_sub(*age);
                 self.peers.coverage.extend(peer, covered_until);
             }
         }
--- a/src/scheduling/pending_jobs.rs
+++ b/src/scheduling/pending_jobs.rs
@@ -79,14 +79,14 @@
         let profile = self.job_queue.profile_of(queued);
         QueueEntry {
             id,
-            at: queued.accepted_at,
+            accepted_at: queued.accepted_at,
             spec,
             requirements: self.job_queue.requirements(queued),
             team: profile.team,
             feasibility_class: profile.feasibility_class,
             lost_tasks: 0,
             tasks,
-            present: Vec::new(),
+            task_locations: Vec::new(),
             fetch_s: spec.image_gb / self.slowest_fetch_gb_per_s,
             estimate_s: spec.estimate_s,
             priority: self.inherited_priorities.effective_priority(id, job),
