--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -200,7 +200,7 @@
         let mut agents_in_contact = 0;
         for agent in self.agents.values().filter(|agent| !agent.epoch_ended()) {
             live_agents += 1;
-            agents_in_contact += usize::from(now.since(agent.last_heard_at) < contact_window);
+            agents_in_contact += usize::from(now.since(agent.last_heartbeat_at) < contact_window);
         }
         let peers_serve_most = self.renewed_by_followers.len() * 4 >= live_agents * 3;
         let few_reach_us = agents_in_contact * 4 < live_agents.max(1);
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -114,7 +114,7 @@
                 .unreachable_for_long(since, silence_limit)
                 .then_some(DeletionReason::Unreachable);
         }
-        if agent.epoch_ended() && now.since(agent.last_heard_at) > silence_limit {
+        if agent.epoch_ended() && now.since(agent.last_heartbeat_at) > silence_limit {
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -1,4 +1,4 @@
-//! The changes of a transaction that bring pending changes into one job's records.
+//! Translates a job's pending write into the conditions and changes of a transaction.
 
 use crate::api::client_api::conditional_job_update;
 use crate::protocol::codec::json_len;
@@ -11,29 +11,29 @@
 use crate::state::record_cache::Job;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the store accepts.
+/// Limits of the store.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteLimits {
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub max_changes: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value.
     pub max_value_bytes: usize,
 }
 
-/// The part of a pending write that one transaction can take.
+/// The part of a pending write that fits into one transaction.
 pub(crate) struct RecordUpdate {
-    /// Conditions on the versions of what is changed; the first is on the job's own record.
+    /// Conditions on the versions of the records that the transaction changes. The first is on the job's own record.
     pub conditions: Vec<VersionCondition>,
     /// Changes of the job's record and chunks.
     pub changes: Vec<Change>,
-    /// The places among them.
-    pub places: Vec<TaskEntry>,
-    /// What stays pending.
-    pub rest: PendingWrite,
+    /// The placements that these changes record.
+    pub placements: Vec<TaskEntry>,
+    /// The part that does not fit and stays pending.
+    pub still_pending: PendingWrite,
 }
 
 impl RecordUpdate {
-    /// Applies a pending write to a job's records. `in_batches`: whether placement batches name the job.
+    /// Applies a pending write to a job's records. `in_batches` is set if a placement batch contains the job.
     pub fn new(
         id: &str,
         job: &Job,
@@ -43,60 +43,61 @@
         limits: WriteLimits,
     ) -> RecordUpdate {
         let mut draft = Draft::new(job, pending, limits);
-        if pending.clean {
-            draft.drop_entries(in_batches);
+        if pending.remove_entries {
+            draft.remove_entries(in_batches);
         }
         if pending.merge_batched {
-            draft.open_batched_chunks();
+            draft.include_batched_chunks();
         }
         if job.active() {
             draft.record_completions(&pending.done);
-            draft.record_places(pending);
+            draft.record_placements(pending);
             draft.end_job_if_complete(clock);
         }
         draft.into_update(id, pending.merge_batched)
     }
 }
 
-/// A job's records with a part of the pending changes applied.
+/// A job's records while the pending changes are being applied.
 struct Draft<'a> {
     job: &'a Job,
     record: JobRecord,
-    /// Further chunks that are written.
+    /// Further chunks that the transaction may write.
     chunks: BTreeMap<u32, TaskChunk>,
-    /// Numbers of the chunks with places that only placement batches hold.
+    /// Numbers of the chunks with placements that only placement batches hold.
     batched_chunks: BTreeSet<u32>,
     max_chunks: usize,
     max_value_bytes: usize,
-    places: Vec<TaskEntry>,
-    rest: PendingWrite,
+    placements: Vec<TaskEntry>,
+    still_pending: PendingWrite,
 }
 
 impl<'a> Draft<'a> {
     fn new(job: &'a Job, pending: &PendingWrite, limits: WriteLimits) -> Draft<'a> {
-        let batched = job.batched_places.iter();
+        let batched = job.batched_placements.iter();
         Draft {
             job,
             record: job.record.clone(),
             chunks: BTreeMap::new(),
             batched_chunks: batched
-                .map(|place| place.task() / TASKS_PER_CHUNK)
+                .map(|placement| placement.task() / TASKS_PER_CHUNK)
                 .collect(),
             // One change is reserved for the job's own record.
             max_chunks: limits.max_changes.saturating_sub(1).max(1),
             max_value_bytes: limits.max_value_bytes,
-            places: Vec::new(),
-            rest: PendingWrite::empty_since(pending.pending_since),
+            placements: Vec::new(),
+            still_pending: PendingWrite::empty_since(pending.pending_since),
         }
     }
 
-    /// Members of a gang are placed together, or some would start without the others.
+    /// Whether all placements of the job must go into one transaction. The tasks of a gang are placed together;
+    /// otherwise some would start without the others.
     fn is_indivisible(&self) -> bool {
         self.job.record.spec.kind == JobKind::Gang
     }
 
-    /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
-    fn drop_entries(&mut self, in_batches: bool) {
+    /// Removes the task entries of an ended job. Entries in chunks beyond the limit stay, which is harmless.
+    fn remove_entries(&mut self, in_batches: bool) {
         self.record.first.entries.clear();
         self.record.cleaned |= in_batches;
         for (number, stored) in &self.job.chunks {
@@ -110,11 +111,11 @@
         }
     }
 
-    /// Includes the chunks with places that only placement batches hold.
-    fn open_batched_chunks(&mut self) {
+    /// Includes the chunks with placements that only placement batches hold.
+    fn include_batched_chunks(&mut self) {
         for number in self.batched_chunks.iter().filter(|n| **n > 0) {
             if self.chunks.len() >= self.max_chunks {
-                self.rest.merge_batched = true;
+                self.still_pending.merge_batched = true;
                 return;
             }
             if let Some(stored) = self.job.chunks.get(number) {
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Includes the chunk of a task; returns false if the transaction cannot take another one.
-    fn open_chunk(&mut self, task: u32) -> bool {
+    /// Includes the chunk of a task; returns false if the transaction has no room for another chunk.
+    fn include_chunk(&mut self, task: u32) -> bool {
         let number = task / TASKS_PER_CHUNK;
         if number == 0 || self.chunks.contains_key(&number) {
             return true;
@@ -138,7 +139,7 @@
         true
     }
 
-    /// The chunk of a task, which must have been opened.
+    /// The chunk of a task. It must have been included before.
     fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
         match self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => chunk,
@@ -148,36 +149,36 @@
 
     fn record_completions(&mut self, done: &BTreeSet<u32>) {
         for task in done {
-            if self.open_chunk(*task) {
+            if self.include_chunk(*task) {
                 self.chunk_mut(*task).finish(*task);
             } else {
-                self.rest.done.insert(*task);
+                self.still_pending.done.insert(*task);
             }
         }
     }
 
-    fn record_places(&mut self, pending: &PendingWrite) {
-        for place in &pending.places {
-            if pending.done.contains(&place.task()) {
+    fn record_placements(&mut self, pending: &PendingWrite) {
+        for placement in &pending.placements {
+            if pending.done.contains(&placement.task()) {
                 continue;
             }
-            if !self.open_chunk(place.task()) {
-                self.rest.places.push(place.clone());
+            if !self.include_chunk(placement.task()) {
+                self.still_pending.placements.push(placement.clone());
                 continue;
             }
-            if self.record_place(place) {
-                self.places.push(place.clone());
+            if self.record_placement(placement) {
+                self.placements.push(placement.clone());
             }
         }
     }
 
-    /// Records a place, unless its value would become too long. Such a place is dropped: the next scheduling pass
-    /// chooses one again, perhaps after other tasks of the chunk have ended.
-    fn record_place(&mut self, place: &TaskEntry) -> bool {
-        let task = place.task();
+    /// Records a placement; returns false and drops it if the record would exceed the size limit. The next scheduling
+    /// pass places the task again, perhaps after other tasks of the chunk have ended.
+    fn record_placement(&mut self, placement: &TaskEntry) -> bool {
+        let task = placement.task();
         let chunk = self.chunk_mut(task);
         let previous = chunk.entry(task).cloned();
-        chunk.set(place.clone());
+        chunk.set(placement.clone());
         if self.value_bytes(task) <= self.max_value_bytes || self.is_indivisible() {
             return true;
         }
@@ -189,7 +190,7 @@
         false
     }
 
-    /// Bytes of the value that holds a task.
+    /// Encoded size of the record that holds a task.
     fn value_bytes(&self, task: u32) -> usize {
         match self.chunks.get(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => json_len(chunk),
@@ -213,11 +214,12 @@
         self.record.first.done.count_ones() + untouched + written
     }
 
-    /// `merge_batched`: places that only placement batches hold have to be written, although the cached record has
-    /// them already.
+    /// With `merge_batched`, records with batched placements are written even if they equal the cached ones: the cached
+    /// records include these placements already, the stored ones do not.
     fn into_update(self, id: &str, merge_batched: bool) -> RecordUpdate {
         let must_write = |number: &u32| merge_batched && self.batched_chunks.contains(number);
-        // The version of the job's own record is a condition in any case: it shows that nobody has cancelled the job.
+        // The transaction is always conditional on the job's own record, so that it fails if the job has been
+        // cancelled.
         let (condition, change) = conditional_job_update(id, self.job, &self.record);
         let mut conditions = vec![condition];
         let mut changes = Vec::new();
@@ -237,8 +239,8 @@
         RecordUpdate {
             conditions,
             changes,
-            places: self.places,
-            rest: self.rest,
+            placements: self.placements,
+            still_pending: self.still_pending,
         }
     }
 }
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -1,7 +1,7 @@
-//! Writes of job records by the leader: pending changes, gathered per job, and the transactions that carry them.
+//! Writing of job records by the leader: collects pending changes per job and sends them in transactions.
 //!
-//! A transaction is built only when the store can take it at once. Until then further changes of the same job join the
-//! pending one, so that a burst costs one write per job and not one per task.
+//! A transaction is built only when the write budget allows it to be sent at once. Until then further changes of a job
+//! are added to its pending write, so that a burst of changes costs one write per job instead of one per task.
 
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
@@ -16,10 +16,10 @@
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Transactions in flight at once.
+/// Maximum number of transactions in flight.
 const MAX_WRITES_IN_FLIGHT: usize = 3;
-/// The limit of changes per transaction is never lowered below this.
-const LEAST_MAX_CHANGES: usize = 2;
+/// Rejected transactions never lower the limit of changes per transaction below this.
+const MIN_CHANGE_LIMIT: usize = 2;
 
 /// A transaction of job records in flight.
 #[derive(Debug, Clone)]
@@ -28,12 +28,12 @@
     transaction: Transaction,
 }
 
-/// The jobs whose writes are due.
+/// How many writes are due, and when the next one will be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DueWrites {
-    /// How many are due.
+    /// Number of jobs whose writes are due.
     pub count: usize,
-    /// When the next one will be.
+    /// When the next write will be due.
     pub next_at: Micros,
 }
 
@@ -50,21 +50,21 @@
     /// Pending changes, by job.
     pending: BTreeMap<String, PendingWrite>,
     writes_in_flight: BTreeMap<u64, WriteInFlight>,
-    /// Jobs in transactions in flight, with the places that these carry. A job is in one transaction at a time.
-    places_in_flight: BTreeMap<String, Vec<TaskEntry>>,
+    /// Jobs in transactions in flight, with the placements in these transactions. A job is in at most one at a time.
+    placements_in_flight: BTreeMap<String, Vec<TaskEntry>>,
     last_write_id: u64,
-    /// Whether due writes have to be counted again: something has changed since, or some were due.
+    /// Whether the due writes must be counted again, because pending writes have changed or some were due.
     recount_due: bool,
-    /// Otherwise no write is due before this.
+    /// Unless `recount_due` is set, no write is due before this.
     next_due_at: Micros,
-    /// The store has rejected larger transactions than this.
+    /// Limit of changes per transaction, set once the store has rejected a larger one.
     max_changes: Option<usize>,
     /// Whether the store has rejected a placement batch.
     pub batch_rejected: bool,
 }
 
 impl RecordWriter {
-    /// The pending write of a job, to be added to.
+    /// The pending write of a job, for adding changes. It is created if there is none.
     pub fn pending_write_mut(&mut self, id: &str, now: Micros) -> &mut PendingWrite {
         self.recount_due = true;
         self.pending
@@ -79,43 +79,44 @@
 
     /// Whether the job's record is in a transaction in flight.
     pub fn in_flight(&self, id: &str) -> bool {
-        self.places_in_flight.contains_key(id)
+        self.placements_in_flight.contains_key(id)
     }
 
-    /// Jobs with pending changes or changes in flight; some appear twice.
+    /// Jobs with pending changes or changes in flight. A job with both appears twice.
     pub fn jobs(&self) -> impl Iterator<Item = &str> {
-        let jobs = self.pending.keys().chain(self.places_in_flight.keys());
+        let jobs = self.pending.keys().chain(self.placements_in_flight.keys());
         jobs.map(String::as_str)
     }
 
-    /// Places of a job that are not on record yet: they take capacity from the moment they are chosen.
-    pub fn unrecorded_places(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
-        let in_flight = self.places_in_flight.get(id).into_iter().flatten();
+    /// Placements of a job that are not on record yet. They occupy capacity from the moment they are chosen.
+    pub fn unrecorded_placements(&self, id: &str) -> impl Iterator<Item = &TaskEntry> {
+        let in_flight = self.placements_in_flight.get(id).into_iter().flatten();
         let pending = self.pending.get(id).into_iter();
-        in_flight.chain(pending.flat_map(|write| &write.places))
+        in_flight.chain(pending.flat_map(|write| &write.placements))
     }
 
-    /// Whether a task's place is chosen and not on record yet. The task must not be started meanwhile, since the
-    /// attempt on record may be about to be replaced.
+    /// Whether a placement of the task has been chosen but is not on record yet. Until it is, the task must not be
+    /// started, since the attempt on record may be about to be replaced.
     pub fn is_placing(&self, id: &str, task: u32) -> bool {
-        self.unrecorded_places(id).any(|place| place.task() == task)
+        self.unrecorded_placements(id)
+            .any(|placement| placement.task() == task)
     }
 
-    /// Whether a task's completion is about to be recorded.
+    /// Whether the completion of a task is waiting to be recorded.
     pub fn is_recording_completion(&self, id: &str, task: u32) -> bool {
         let pending = self.pending.get(id);
         pending.is_some_and(|write| write.done.contains(&task))
     }
 
-    /// Whether no change is pending.
-    pub fn idle(&self) -> bool {
+    /// Whether no write is pending. Transactions may still be in flight.
+    pub fn has_no_pending_writes(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether places of a job are pending.
-    pub fn has_pending_places(&self, id: &str) -> bool {
+    /// Whether placements of a job are pending.
+    pub fn has_pending_placements(&self, id: &str) -> bool {
         let pending = self.pending.get(id);
-        pending.is_some_and(|write| !write.places.is_empty())
+        pending.is_some_and(|write| !write.placements.is_empty())
     }
 
     /// Numbers of the placement batches in flight.
@@ -129,23 +130,23 @@
         changes.filter_map(batch_number).collect()
     }
 
-    /// Marks places of a job as in flight. `rest` stays pending, with the job's other changes.
-    pub fn mark_places_in_flight(
+    /// Marks placements of a job as in flight. `still_pending` stays pending, with the job's other changes.
+    pub fn mark_placements_in_flight(
         &mut self,
         id: &str,
-        rest: Vec<TaskEntry>,
-        places: Vec<TaskEntry>,
+        still_pending: Vec<TaskEntry>,
+        placements: Vec<TaskEntry>,
     ) {
         if let Some(pending) = self.pending.get_mut(id) {
-            pending.places = rest;
+            pending.placements = still_pending;
             if pending.is_empty() {
                 self.pending.remove(id);
             }
         }
-        self.places_in_flight.insert(id.to_string(), places);
+        self.placements_in_flight.insert(id.to_string(), placements);
     }
 
-    /// Notes a transaction in flight that changes these jobs; returns the number of the write.
+    /// Registers a transaction in flight that changes these jobs; returns the id of the write.
     pub fn begin_write(&mut self, jobs: Vec<String>, transaction: Transaction) -> u64 {
         self.last_write_id += 1;
         let write = WriteInFlight { jobs, transaction };
@@ -153,20 +154,20 @@
         self.last_write_id
     }
 
-    /// Forgets a transaction in flight; returns whether it was known. Its changes are in the cache now, or will be
-    /// derived again from what the agents report and the next scheduling pass decides.
+    /// Removes a transaction from those in flight; returns whether it was among them. Its changes are in the cache by
+    /// now, or they will be derived again from the agents' heartbeats and the next scheduling pass.
     fn end_write(&mut self, write_id: u64) -> bool {
         let Some(write) = self.writes_in_flight.remove(&write_id) else {
             return false;
         };
         for id in write.jobs {
-            self.places_in_flight.remove(&id);
+            self.placements_in_flight.remove(&id);
         }
         self.recount_due = true;
         true
     }
 
-    /// Counts the writes that are due. Pending changes of jobs that the cache does not have are dropped.
+    /// Counts the writes that are due. Drops pending writes of jobs that are not in the cache.
     fn count_due(&mut self, jobs: &BTreeMap<String, Job>, now: Micros) -> DueWrites {
         if self.writes_in_flight.len() >= MAX_WRITES_IN_FLIGHT {
             return DueWrites::NONE;
@@ -211,8 +212,8 @@
         due.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Builds a transaction from the writes of these jobs, with at most `max_changes` changes unless the first job
-    /// needs more, and marks them as in flight. `None` if there is nothing to change.
+    /// Builds a transaction from the pending writes of these jobs, marks it as in flight and returns it with its write
+    /// id. It has at most `max_changes` changes unless the first job needs more. `None` if there is nothing to change.
     fn take_transaction(
         &mut self,
         leader_version: u64,
@@ -234,17 +235,18 @@
             if !changes.is_empty() && changes.len() + update.changes.len() > max_changes {
                 break;
             }
-            if update.rest.is_empty() {
+            if update.still_pending.is_empty() {
                 self.pending.remove(&id);
             } else {
-                self.pending.insert(id.clone(), update.rest);
+                self.pending.insert(id.clone(), update.still_pending);
             }
             if update.changes.is_empty() {
                 continue;
             }
             conditions.extend(update.conditions);
             changes.extend(update.changes);
-            self.places_in_flight.insert(id.clone(), update.places);
+            self.placements_in_flight
+                .insert(id.clone(), update.placements);
             jobs.push(id);
             if changes.len() >= max_changes {
                 break;
@@ -261,35 +263,36 @@
         Some((write_id, transaction))
     }
 
-    /// The store has rejected a transaction: makes later ones smaller. What was rejected decides, not what else is in
-    /// flight.
+    /// Makes later transactions smaller after the store has rejected one. After the rejection of a placement batch no
+    /// further batches are written; other rejections halve the limit of changes.
     fn on_rejected(&mut self, transaction: &Transaction) {
         let mut conditions = transaction.conditions.iter();
         if conditions.any(|c| placement_batch_number(&c.key).is_some()) {
             self.batch_rejected = true;
         } else {
             let halved = transaction.changes.len() / 2;
-            self.max_changes = Some(halved.max(LEAST_MAX_CHANGES));
+            self.max_changes = Some(halved.max(MIN_CHANGE_LIMIT));
         }
     }
 }
 
 impl WriteInFlight {
-    /// Whether the store may still carry out the transaction: its conditions hold according to the cache.
-    fn may_be_carried_out(&self, leader_version: u64, cache: &RecordCache) -> bool {
+    /// Whether the store may still carry out the transaction, because its conditions hold according to the cache.
+    fn may_still_commit(&self, leader_version: u64, cache: &RecordCache) -> bool {
         leader_version == self.transaction.conditions[0].version
             && self.batch_is_unwritten(cache)
             && self.jobs.iter().all(|id| self.job_is_unchanged(id, cache))
     }
 
-    /// A placement batch changes no record of a job: only its own record shows whether it was written.
+    /// Whether the transaction's placement batch, if it has one, is not in the cache. A batch changes no job's record,
+    /// so only its own record shows whether it was written.
     fn batch_is_unwritten(&self, cache: &RecordCache) -> bool {
         let batches = &cache.placement_batches;
         self.transaction.conditions.iter().all(|condition| {
             let number = placement_batch_number(&condition.key);
             number.is_none_or(|n| batches.version(n) == condition.version)
                 && (condition.key != NEWEST_PLACEMENT_BATCH_KEY
-                    || batches.head() == condition.version)
+                    || batches.newest_version() == condition.version)
         })
     }
 
@@ -304,7 +307,7 @@
 }
 
 impl Controller {
-    /// Counts the writes of job records that are due.
+    /// Counts the writes of job records that are due; none are before the cache is complete.
     pub fn due_job_writes(&mut self, now: Micros) -> DueWrites {
         match &mut self.leader {
             Some(leader) if leader.has_complete_cache(&self.cache) => {
@@ -314,15 +317,14 @@
         }
     }
 
-    /// Writes the job records that are due, several jobs per transaction, with at most `max_changes` changes unless a
-    /// single job needs more.
+    /// Writes due job records in one transaction, with at most `max_changes` changes unless a single job needs more.
     pub fn write_job_records(&mut self, clock: Clock, max_changes: usize) {
         let Some(leader) = &self.leader else { return };
         let params = &self.settings.params.state;
-        let accepted = leader.record_writer.max_changes.unwrap_or(usize::MAX);
-        let max_changes = max_changes.min(accepted);
+        let change_limit = leader.record_writer.max_changes.unwrap_or(usize::MAX);
+        let max_changes = max_changes.min(change_limit);
         let limits = WriteLimits {
-            max_changes: params.least_txn_ops().min(accepted),
+            max_changes: params.least_txn_ops().min(change_limit),
             max_value_bytes: params.least_value_bytes(),
         };
         let due_jobs = leader.record_writer.due_jobs(&self.cache.jobs, clock.now);
@@ -334,9 +336,9 @@
             return;
         };
         let version = leader.version;
-        let edits = &mut leader.record_writer;
+        let writer = &mut leader.record_writer;
         let taken =
-            edits.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
+            writer.take_transaction(version, due_jobs, &self.cache, clock, max_changes, limits);
         if let Some((write_id, transaction)) = taken {
             self.send_job_write(RequestPriority::Normal, write_id, transaction);
         }
@@ -356,7 +358,7 @@
         );
     }
 
-    /// The store has responded to a transaction of job records, or has not.
+    /// Handles the result of a transaction of job records, which may be that no response arrived.
     pub fn on_job_writes_result(
         &mut self,
         clock: Clock,
@@ -388,8 +390,8 @@
                 leader.record_writer.on_rejected(transaction);
                 self.end_job_write(write_id);
             }
-            // Certainly not carried out: the changes will be derived again.
-            StoreResponse::Refused | StoreResponse::TooFast => self.end_job_write(write_id),
+            // Not carried out: the changes will be derived again.
+            StoreResponse::Refused | StoreResponse::RateLimited => self.end_job_write(write_id),
             _ => self.request_read_barrier(clock, PendingRequest::SettleJobWrites(write_id)),
         }
     }
@@ -402,14 +404,14 @@
         }
     }
 
-    /// The cache has caught up after a failed or unanswered transaction. If all conditions of the transaction still
-    /// hold, it may yet be carried out, so it is sent again unchanged.
+    /// Settles a failed or unanswered transaction once the cache has caught up. If all its conditions still hold, the
+    /// store may yet carry it out, so it is sent again unchanged.
     pub fn settle_job_write(&mut self, write_id: u64) {
         let Some(leader) = &self.leader else { return };
         let Some(write) = leader.record_writer.writes_in_flight.get(&write_id) else {
             return;
         };
-        if write.may_be_carried_out(leader.version, &self.cache) {
+        if write.may_still_commit(leader.version, &self.cache) {
             let transaction = write.transaction.clone();
             self.send_job_write(RequestPriority::Normal, write_id, transaction);
         } else {
@@ -417,7 +419,7 @@
         }
     }
 
-    /// The cache could not catch up either after a failed or unanswered transaction: sends it again with low priority.
+    /// Sends a failed or unanswered transaction again with low priority after the cache could not catch up.
     pub fn retry_job_write(&mut self, write_id: u64) {
         if let Some(leader) = &self.leader
             && let Some(write) = leader.record_writer.writes_in_flight.get(&write_id)
