--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -40,11 +40,11 @@
 
 /// A start as the leader remembers it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct RememberedStart {
-    awaits_answer: bool,
-    answered: bool,
+struct TrackedStart {
+    in_flight: bool,
+    acknowledged: bool,
     /// It may still arrive.
-    loose: bool,
+    unresolved: bool,
     term: u64,
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct LeaderView {
     heartbeat: Heartbeat,
-    start: Option<RememberedStart>,
+    start: Option<TrackedStart>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -65,7 +65,7 @@
     heartbeats: BTreeSet<Heartbeat>,
     starts: BTreeSet<SentStart>,
     /// Term of the leader.
-    leader: u64,
+    leader_term: u64,
     view: Option<LeaderView>,
     /// The task has been given up here and may be started elsewhere.
     given_up: bool,
@@ -77,15 +77,15 @@
 enum Step {
     HeartbeatSent,
     HeartbeatReceived(Heartbeat),
-    TermShown,
+    TermAnnounced,
     StartSent,
     StartExecuted { start: SentStart, answered: bool },
     StartTimedOut,
     AttemptEnded,
     NewEpoch,
     Takeover,
-    GivenUp,
-    Forgotten,
+    TaskGivenUp,
+    AttemptForgotten,
 }
 
 /// Rules that the argument rests on.
@@ -96,14 +96,14 @@
     /// An agent that has not seen our term proves nothing absent.
     TermSeen,
     /// A start without an answer may arrive late.
-    LooseStart,
+    UnresolvedStart,
     /// An attempt that ended is kept until fenced, though its start was answered.
-    KeptUntilFenced,
+    RetainedUntilFenced,
 }
 
 struct SessionModel {
     /// The rule that the leader does not follow.
-    without: Option<Rule>,
+    removed_rule: Option<Rule>,
 }
 
 fn agent_heartbeat(heartbeat: Heartbeat) -> AgentHeartbeat {
@@ -132,15 +132,15 @@
 }
 
 /// The real view after a heartbeat, with the start that is remembered.
-fn real_view(view: &LeaderView) -> Agent {
+fn agent_from_view(view: &LeaderView) -> Agent {
     let heartbeat = agent_heartbeat(view.heartbeat);
     let mut agent = Agent::new(&heartbeat);
     agent.update(&heartbeat, Micros::ZERO);
     if let Some(start) = view.start {
         let start = StartState {
-            in_flight: start.awaits_answer,
-            acknowledged: start.answered,
-            unresolved: start.loose,
+            in_flight: start.in_flight,
+            acknowledged: start.acknowledged,
+            unresolved: start.unresolved,
             term: start.term,
             sent_with_response_to: None,
         };
@@ -151,15 +151,15 @@
 
 /// Collects the steps from a state.
 struct Steps<'a> {
-    from: &'a State,
-    all: Vec<(Step, State)>,
+    state: &'a State,
+    next: Vec<(Step, State)>,
 }
 
 impl Steps<'_> {
     fn add(&mut self, step: Step, change: impl FnOnce(&mut State)) {
-        let mut next = self.from.clone();
+        let mut next = self.state.clone();
         change(&mut next);
-        self.all.push((step, next));
+        self.next.push((step, next));
     }
 }
 
@@ -194,19 +194,19 @@
 }
 
 impl SessionModel {
-    fn is_without(&self, rule: Rule) -> bool {
-        self.without == Some(rule)
+    fn is_removed(&self, rule: Rule) -> bool {
+        self.removed_rule == Some(rule)
     }
 
     fn liveness(&self, state: &State) -> TaskLiveness {
         let Some(view) = &state.view else {
             return TaskLiveness::Unknown;
         };
-        let agent = real_view(view);
-        let term = if self.is_without(Rule::TermSeen) {
+        let agent = agent_from_view(view);
+        let term = if self.is_removed(Rule::TermSeen) {
             agent.term
         } else {
-            state.leader
+            state.leader_term
         };
         agent.liveness(term, "j", 0, 1, 1)
     }
@@ -220,16 +220,16 @@
             });
             return;
         };
-        let mut agent = real_view(view);
-        if self.is_without(Rule::MessageOrder) {
+        let mut agent = agent_from_view(view);
+        if self.is_removed(Rule::MessageOrder) {
             (agent.agent_epoch, agent.last_seq) = (heartbeat.agent_epoch, 0);
         }
         agent.update(&agent_heartbeat(heartbeat), Micros::ZERO);
         if (agent.agent_epoch, agent.last_seq) == (heartbeat.agent_epoch, heartbeat.seq) {
-            let start = agent.starts.values().next().map(|start| RememberedStart {
-                awaits_answer: start.in_flight,
-                answered: start.acknowledged,
-                loose: start.unresolved,
+            let start = agent.starts.values().next().map(|start| TrackedStart {
+                in_flight: start.in_flight,
+                acknowledged: start.acknowledged,
+                unresolved: start.unresolved,
                 term: start.term,
             });
             state.view = Some(LeaderView { heartbeat, start });
@@ -237,17 +237,17 @@
     }
 
     /// The start as the leader remembers it after an answer; `accepted`: the agent has executed it.
-    fn after_answer(start: RememberedStart, accepted: bool) -> Option<RememberedStart> {
-        let answered = accepted || start.answered;
-        (answered || start.loose).then_some(RememberedStart {
-            awaits_answer: false,
-            answered,
+    fn after_answer(start: TrackedStart, accepted: bool) -> Option<TrackedStart> {
+        let acknowledged = accepted || start.acknowledged;
+        (acknowledged || start.unresolved).then_some(TrackedStart {
+            in_flight: false,
+            acknowledged,
             ..start
         })
     }
 
     fn add_message_steps(&self, steps: &mut Steps) {
-        let state = steps.from;
+        let state = steps.state;
         if state.may_send_heartbeat() {
             steps.add(Step::HeartbeatSent, |next| _ = next.send_heartbeat());
         }
@@ -259,7 +259,7 @@
     }
 
     fn add_failure_steps(&self, steps: &mut Steps) {
-        let state = steps.from;
+        let state = steps.state;
         if state.attempt == Some(Attempt::Running) {
             steps.add(Step::AttemptEnded, |next| {
                 next.attempt = Some(Attempt::Ended)
@@ -271,31 +271,32 @@
                 next.attempt = None;
             });
         }
-        if state.leader == FIRST_TERM {
+        if state.leader_term == FIRST_TERM {
             steps.add(Step::Takeover, |next| {
-                next.leader += 1;
+                next.leader_term += 1;
                 next.view = None;
             });
         }
     }
 
     fn add_execution_steps(&self, steps: &mut Steps) {
-        let state = steps.from;
+        let state = steps.state;
         for sent in &state.starts {
             let start = *sent;
             let executed = |answered| Step::StartExecuted { start, answered };
             steps.add(executed(false), |next| next.execute(&start));
-            let remembered = state.view.and_then(|view| view.start);
-            let is_awaited = remembered.is_some_and(|known| {
-                known.awaits_answer && known.term == start.term && start.term == state.leader
+            let tracked = state.view.and_then(|view| view.start);
+            let is_in_flight = tracked.is_some_and(|tracked| {
+                tracked.in_flight && tracked.term == start.term && start.term == state.leader_term
             });
-            if is_awaited && state.may_send_heartbeat() {
+            if is_in_flight && state.may_send_heartbeat() {
                 steps.add(executed(true), |next| {
                     let accepted = next.accepts(&start);
                     next.execute(&start);
                     if let Some(view) = &mut next.view {
-                        let known = view.start;
-                        view.start = known.and_then(|known| Self::after_answer(known, accepted));
+                        let tracked = view.start;
+                        view.start =
+                            tracked.and_then(|tracked| Self::after_answer(tracked, accepted));
                     }
                     let answer = next.send_heartbeat();
                     self.receive(next, answer);
@@ -305,28 +306,28 @@
     }
 
     fn add_leader_steps(&self, steps: &mut Steps, view: &LeaderView) {
-        let state = steps.from;
+        let state = steps.state;
         let heartbeat = view.heartbeat;
         let liveness = self.liveness(state);
-        let knows_term = heartbeat.term == state.leader;
-        let is_present_epoch = heartbeat.agent_epoch == state.agent_epoch;
-        if !knows_term && state.may_send_heartbeat() && is_present_epoch {
-            steps.add(Step::TermShown, |next| {
-                next.term = next.term.max(next.leader);
+        let has_current_term = heartbeat.term == state.leader_term;
+        let is_current_epoch = heartbeat.agent_epoch == state.agent_epoch;
+        if !has_current_term && state.may_send_heartbeat() && is_current_epoch {
+            steps.add(Step::TermAnnounced, |next| {
+                next.term = next.term.max(next.leader_term);
                 _ = next.send_heartbeat();
             });
         }
-        let awaits_answer = view.start.is_some_and(|start| start.awaits_answer);
-        let may_run_nowhere = matches!(liveness, TaskLiveness::NotStarted | TaskLiveness::Unknown);
-        if knows_term
+        let in_flight = view.start.is_some_and(|start| start.in_flight);
+        let may_be_started = matches!(liveness, TaskLiveness::NotStarted | TaskLiveness::Unknown);
+        if has_current_term
             && heartbeat.agent_epoch == FIRST_EPOCH
-            && may_run_nowhere
+            && may_be_started
             && !state.given_up
-            && !awaits_answer
+            && !in_flight
         {
             steps.add(Step::StartSent, Self::send_start);
         }
-        if awaits_answer {
+        if in_flight {
             steps.add(Step::StartTimedOut, |next| self.time_out_start(next));
         }
         // An attempt that no leader has started is given up with its job, or with its gang.
@@ -335,28 +336,28 @@
             TaskLiveness::Gone | TaskLiveness::Ended(_) | TaskLiveness::NotStarted
         );
         if !state.given_up && is_gone {
-            steps.add(Step::GivenUp, |next| next.given_up = true);
+            steps.add(Step::TaskGivenUp, |next| next.given_up = true);
         }
         let has_ended = heartbeat.attempt == Some(Attempt::Ended)
             && state.attempt == Some(Attempt::Ended)
-            && knows_term;
-        if state.given_up && has_ended && is_present_epoch && !self.is_kept(view) {
-            steps.add(Step::Forgotten, |next| next.attempt = None);
+            && has_current_term;
+        if state.given_up && has_ended && is_current_epoch && !self.retains_ended_attempt(view) {
+            steps.add(Step::AttemptForgotten, |next| next.attempt = None);
         }
     }
 
     fn send_start(state: &mut State) {
-        let term = state.leader;
+        let term = state.leader_term;
         state.starts.insert(SentStart {
             term,
             agent_epoch: FIRST_EPOCH,
         });
         if let Some(view) = &mut state.view {
             let earlier = view.start.filter(|start| start.term == term);
-            view.start = Some(RememberedStart {
-                awaits_answer: true,
-                answered: earlier.is_some_and(|start| start.answered),
-                loose: earlier.is_some_and(|start| start.loose),
+            view.start = Some(TrackedStart {
+                in_flight: true,
+                acknowledged: earlier.is_some_and(|start| start.acknowledged),
+                unresolved: earlier.is_some_and(|start| start.unresolved),
                 term,
             });
         }
@@ -365,19 +366,19 @@
     fn time_out_start(&self, state: &mut State) {
         let Some(view) = &mut state.view else { return };
         let Some(start) = &mut view.start else { return };
-        start.awaits_answer = false;
-        start.loose = true;
-        if self.is_without(Rule::LooseStart) {
-            start.answered = true;
-            start.loose = false;
+        start.in_flight = false;
+        start.unresolved = true;
+        if self.is_removed(Rule::UnresolvedStart) {
+            start.acknowledged = true;
+            start.unresolved = false;
         }
     }
 
     /// Whether the leader lets the agent keep its ended attempt.
-    fn is_kept(&self, view: &LeaderView) -> bool {
-        let agent = real_view(view);
+    fn retains_ended_attempt(&self, view: &LeaderView) -> bool {
+        let agent = agent_from_view(view);
         agent.tasks.first().is_none_or(|task| {
-            if self.is_without(Rule::KeptUntilFenced) {
+            if self.is_removed(Rule::RetainedUntilFenced) {
                 agent.has_unresolved_start(&task.job, task.task, task.attempt)
             } else {
                 agent.may_start_again(task)
@@ -398,7 +399,7 @@
             attempt: None,
             heartbeats: BTreeSet::new(),
             starts: BTreeSet::new(),
-            leader: FIRST_TERM,
+            leader_term: FIRST_TERM,
             view: None,
             given_up: false,
         }]
@@ -406,8 +407,8 @@
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Steps {
-            from: state,
-            all: Vec::new(),
+            state,
+            next: Vec::new(),
         };
         self.add_message_steps(&mut steps);
         self.add_failure_steps(&mut steps);
@@ -415,22 +416,22 @@
         if let Some(view) = &state.view {
             self.add_leader_steps(&mut steps, view);
         }
-        steps.all
+        steps.next
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        let runs = state.given_up && state.attempt == Some(Attempt::Running);
-        runs.then(|| "given up, started elsewhere, and running here".to_string())
+        let is_violated = state.given_up && state.attempt == Some(Attempt::Running);
+        is_violated.then(|| "given up, started elsewhere, and running here".to_string())
     }
 }
 
 #[test]
-fn task_presumed_gone_never_runs_there_again() {
-    let all = explore(&SessionModel { without: None }, MAX_STATES);
+fn given_up_task_never_runs_again_on_its_machine() {
+    let result = explore(&SessionModel { removed_rule: None }, MAX_STATES);
     assert!(
-        matches!(all, CheckResult::Verified { states, .. } if states > 10_000),
+        matches!(result, CheckResult::Verified { states, .. } if states > 10_000),
         "{}",
-        all.describe()
+        result.describe()
     );
 }
 
@@ -439,18 +440,18 @@
     let rules = [
         Rule::MessageOrder,
         Rule::TermSeen,
-        Rule::LooseStart,
-        Rule::KeptUntilFenced,
+        Rule::UnresolvedStart,
+        Rule::RetainedUntilFenced,
     ];
     let mut detected = BTreeMap::new();
     for rule in rules {
         let model = SessionModel {
-            without: Some(rule),
+            removed_rule: Some(rule),
         };
-        let seen = explore(&model, MAX_STATES);
+        let result = explore(&model, MAX_STATES);
         detected.insert(
             format!("{rule:?}"),
-            matches!(seen, CheckResult::Violation { .. }),
+            matches!(result, CheckResult::Violation { .. }),
         );
     }
     assert!(detected.values().all(|found| *found), "{detected:?}");
--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -20,28 +20,28 @@
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4000 + seed, 4);
-        let first = controller_for_seed(&sim, seed);
-        let second = (first + 1) % 3;
-        sim.watch_delays.insert(first, 6 * SECOND);
+        let lagging = controller_for_seed(&sim, seed);
+        let other = (lagging + 1) % 3;
+        sim.watch_delays.insert(lagging, 6 * SECOND);
         sim.faults.store_write_delay = Some(StoreDelay {
-            controller: first,
+            controller: lagging,
             delay: 1_200_000,
         });
         sim.faults.store_read_delay = Some(StoreDelay {
-            controller: first,
+            controller: lagging,
             delay: 1_400_000,
         });
         sim.declare_job("req-1", job(JobKind::Array, 2, 1.0), 60 * SECOND);
-        sim.submit(first, "req-1");
+        sim.submit(lagging, "req-1");
         sim.run_micros(60_000);
-        sim.submit(second, "req-1");
+        sim.submit(other, "req-1");
         sim.run_micros(100_000);
         assert!(sim.jobs["req-1"].accepted, "seed {seed}: by the other node");
-        sim.cancel(second, "req-1");
+        sim.cancel(other, "req-1");
         sim.run_micros(100_000);
         assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
         for _ in 0..5 {
-            sim.submit(first, "req-1");
+            sim.submit(lagging, "req-1");
             sim.run_micros(50_000);
         }
         sim.run_seconds(4);
@@ -55,21 +55,21 @@
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
-        let first = controller_for_seed(&sim, seed);
-        let second = (first + 1) % 3;
+        let lagging = controller_for_seed(&sim, seed);
+        let other = (lagging + 1) % 3;
         // A listing of all records has shown the types; the watch has not shown the job yet.
-        let large = JobSpec {
+        let spec = JobSpec {
             types: Some(vec!["box".into()]),
             ..job(JobKind::Array, 2, 1.0)
         };
-        sim.watch_delays.insert(first, 5 * SECOND);
-        sim.declare_job("req-1", large, 30 * SECOND);
-        sim.submit(second, "req-1");
+        sim.watch_delays.insert(lagging, 5 * SECOND);
+        sim.declare_job("req-1", spec, 30 * SECOND);
+        sim.submit(other, "req-1");
         sim.run_micros(100_000);
         assert!(sim.jobs["req-1"].accepted, "seed {seed}");
-        sim.clear_machine_types(first);
+        sim.clear_machine_types(lagging);
         for _ in 0..3 {
-            sim.submit(first, "req-1");
+            sim.submit(lagging, "req-1");
             sim.run_micros(200_000);
         }
         sim.run_seconds(2);
@@ -112,11 +112,11 @@
             _ => sim.pause_controller(controller, 8 * SECOND),
         }
         for n in 0..16u64 {
-            let run = sim.rng.random_range(SECOND..6 * SECOND);
+            let run_time = sim.rng.random_range(SECOND..6 * SECOND);
             let at = n * SECOND;
             sim.after(at, move |sim| {
                 let id = format!("req-{}", 100 + n);
-                sim.spawn_client(&id, job(JobKind::Array, 1 + n as u32 % 3, 1.0), run);
+                sim.spawn_client(&id, job(JobKind::Array, 1 + n as u32 % 3, 1.0), run_time);
                 if n % 4 == 0 {
                     let at = sim.rng.random_range(0..4 * SECOND);
                     sim.after(at, move |sim| sim.cancel_until_answered(&id));
@@ -129,8 +129,9 @@
         sim.store_delay = 0;
         sim.run_seconds(60);
         for (id, truth) in &sim.jobs {
-            let told = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-            assert!(told, "seed {seed}: {id}\n{}", sim.dump());
+            let outcome_seen =
+                truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
+            assert!(outcome_seen, "seed {seed}: {id}\n{}", sim.dump());
         }
         let pending = sim
             .client_answers
@@ -154,12 +155,12 @@
         sim.faults.client_probes = true;
         sim.faults.cancel_at_completion_probability = 1.0;
         for n in 0..12u64 {
-            let run = sim.rng.random_range(SECOND..5 * SECOND);
+            let run_time = sim.rng.random_range(SECOND..5 * SECOND);
             let kind = [JobKind::Array, JobKind::Gang][n as usize % 2];
             sim.spawn_client(
                 &format!("req-{}", 100 + n),
                 job(kind, 1 + n as u32 % 3, 1.0),
-                run,
+                run_time,
             );
         }
         sim.run_seconds(40);
@@ -272,7 +273,7 @@
     sim.declare_job("req-99", job(JobKind::Array, 1, 9.0), SECOND);
     sim.run_seconds(10);
     sim.call_counts = Default::default();
-    let before = sim.client_answers.len();
+    let answers_before = sim.client_answers.len();
     for step in 0..20 * 50u64 {
         sim.after(step * SECOND / 50, move |sim| {
             for node in 0..3 {
@@ -290,16 +291,16 @@
         });
     }
     sim.run_seconds(20);
-    let (asked, requests) = (9 * 1000, sim.call_counts.store_requests);
+    let (client_requests, store_requests) = (9 * 1000, sim.call_counts.store_requests);
     println!(
-        "{requests} requests for {asked} questions, {} answers",
-        sim.client_answers.len() - before
+        "{store_requests} store requests for {client_requests} client requests, {} answers",
+        sim.client_answers.len() - answers_before
     );
-    assert!(requests < 20 * 90, "{requests}");
+    assert!(store_requests < 20 * 90, "{store_requests}");
     assert!(
-        sim.client_answers.len() - before > asked * 9 / 10,
+        sim.client_answers.len() - answers_before > client_requests * 9 / 10,
         "{}",
-        sim.client_answers.len() - before
+        sim.client_answers.len() - answers_before
     );
     sim.run_seconds(8);
     for n in 0..10 {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -33,19 +33,19 @@
         sim.spawn_client("req-2", job(JobKind::Array, 3, 1.0), 40 * SECOND);
         sim.run_seconds(8);
         // A machine that exists nowhere else, so that a readable heartbeat of it is no lie about other machines.
-        let report = AgentHeartbeat {
+        let heartbeat = AgentHeartbeat {
             machine: "n-000900".into(),
             address: "10.1.4.100:9000".into(),
             ..sim.heartbeat_of("n-000001")
         };
-        let report = encode(&report);
+        let encoded_heartbeat = encode(&heartbeat);
         for n in 0..1500u64 {
             let (node, internal) = (sim.rng.random_range(0..3), sim.rng.random_bool(0.4));
             let body = match n % 3 {
                 0 => (0..sim.rng.random_range(0..80))
                     .map(|_| sim.rng.random())
                     .collect(),
-                _ => corrupted(&mut sim, &report),
+                _ => corrupted(&mut sim, &encoded_heartbeat),
             };
             let path = ["/hello", "/heartbeat", "/user/submissions"][sim.rng.random_range(0..3)];
             sim.send_bytes(node, internal, path, body);
@@ -73,12 +73,12 @@
         .pop_first()
         .expect("a machine");
     for _ in 0..3 {
-        let mut report = sim.heartbeat_of(&machine);
-        let spoilt = report.tasks.iter_mut().find(|t| t.task == "req-1/0");
-        spoilt.expect("its task").task = "req-1".into();
+        let mut heartbeat = sim.heartbeat_of(&machine);
+        let invalid_task = heartbeat.tasks.iter_mut().find(|t| t.task == "req-1/0");
+        invalid_task.expect("its task").task = "req-1".into();
         // Its machine is about to be preempted, so it would be started elsewhere.
-        report.notice_s = Some(30.0);
-        sim.send_bytes(leader, false, "/hello", encode(&report));
+        heartbeat.notice_s = Some(30.0);
+        sim.send_bytes(leader, false, "/hello", encode(&heartbeat));
         sim.run_seconds(2);
     }
     sim.run_seconds(80);
@@ -110,21 +110,21 @@
             (0..3).for_each(|i| sim.crash_controller(i, 200_000));
         }
         sim.run_seconds(15);
-        let before = sim.client_answers.len();
+        let answers_before = sim.client_answers.len();
         for node in 0..3 {
             sim.poll(node, "req-1");
             sim.submit(node, "req-1");
             sim.cancel(node, "req-1");
         }
         sim.run_seconds(3);
-        let said: Vec<u16> = sim.client_answers[before..]
+        let statuses: Vec<u16> = sim.client_answers[answers_before..]
             .iter()
             .filter(|answer| answer.job == "req-1")
             .map(|answer| answer.status)
             .collect();
         assert!(
-            said.len() >= 9 && said.iter().all(|s| *s == 503),
-            "seed {seed}: {said:?}"
+            statuses.len() >= 9 && statuses.iter().all(|status| *status == 503),
+            "seed {seed}: {statuses:?}"
         );
         sim.run_seconds(50);
         assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -11,9 +11,9 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
 /// How long only the leader is refused before the store is out for all.
-const ALONE: u64 = 2 * SECOND;
+const LEADER_REFUSED_US: u64 = 2 * SECOND;
 /// Duration of the outage in seconds.
-const DOWN_S: u64 = CANCEL_DEADLINE_S + 12;
+const OUTAGE_S: u64 = CANCEL_DEADLINE_S + 12;
 
 /// The leader and the two followers.
 fn controllers_by_role(sim: &Simulation) -> (usize, usize, usize) {
@@ -38,13 +38,13 @@
 }
 
 /// Refuses only the leader; calls `tell` half-way to the outage and again shortly before it.
-fn isolate_leader_then_stop_store(sim: &mut Simulation, tell: impl Fn(&mut Simulation, &str)) {
+fn refuse_leader_then_stop_store(sim: &mut Simulation, cancel: impl Fn(&mut Simulation, &str)) {
     let (leader, ..) = controllers_by_role(sim);
     sim.store.refused_controllers.push(leader);
-    sim.run_micros(ALONE / 2);
-    tell(sim, "req-2");
-    sim.run_micros(ALONE / 2 - SECOND / 10);
-    tell(sim, "req-3");
+    sim.run_micros(LEADER_REFUSED_US / 2);
+    cancel(sim, "req-2");
+    sim.run_micros(LEADER_REFUSED_US / 2 - SECOND / 10);
+    cancel(sim, "req-3");
     sim.run_micros(SECOND / 10);
     sim.store.outage = true;
 }
@@ -57,10 +57,10 @@
 }
 
 /// Asserts that cancelled jobs have no task; then the outage passes, and all other tasks have survived.
-fn assert_cancelled_gone_and_others_survive(sim: &mut Simulation, seed: u64) {
-    let there = sim.running_instances("req-2") + sim.running_instances("req-3");
-    assert_eq!(there, 0, "seed {seed}: {}", sim.dump());
-    sim.run_seconds(DOWN_S);
+fn assert_cancelled_jobs_stopped_and_replicas_survived(sim: &mut Simulation, seed: u64) {
+    let running = sim.running_instances("req-2") + sim.running_instances("req-3");
+    assert_eq!(running, 0, "seed {seed}: {}", sim.dump());
+    sim.run_seconds(OUTAGE_S);
     end_outage_and_run(sim);
     assert_replicas_survived(sim, seed);
 }
@@ -83,7 +83,7 @@
     for seed in 0..12 {
         let mut sim = simulation_with_jobs(2000 + seed);
         let (_, follower, _) = controllers_by_role(&sim);
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         for id in ["req-2", "req-3"] {
             assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
         }
@@ -95,7 +95,7 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        sim.run_seconds(DOWN_S);
+        sim.run_seconds(OUTAGE_S);
         assert_eq!(
             sim.running_instances("req-4"),
             4,
@@ -130,7 +130,7 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        sim.run_seconds(DOWN_S);
+        sim.run_seconds(OUTAGE_S);
         end_outage_and_run(&mut sim);
         assert_replicas_survived(&sim, seed);
     }
@@ -142,11 +142,11 @@
     for seed in 0..8 {
         let mut sim = simulation_with_jobs(2040 + seed);
         let (_, follower, third) = controllers_by_role(&sim);
-        isolate_leader_then_stop_store(&mut sim, |sim, id| {
+        refuse_leader_then_stop_store(&mut sim, |sim, id| {
             sim.cancel(if id == "req-2" { follower } else { third }, id)
         });
         sim.run_seconds(3);
-        assert_cancelled_gone_and_others_survive(&mut sim, seed);
+        assert_cancelled_jobs_stopped_and_replicas_survived(&mut sim, seed);
     }
 }
 
@@ -155,17 +155,23 @@
 #[test]
 fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
     for seed in 0..8 {
-        for (after, back) in [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)] {
+        for (crash_delay, down_time) in
+            [(1_000, 200 * SECOND), (1_000, 50_000), (2 * SECOND, 50_000)]
+        {
             let mut sim = simulation_with_jobs(2060 + seed);
             let (_, follower, _) = controllers_by_role(&sim);
-            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-            sim.run_micros(after);
-            sim.crash_controller(follower, back);
-            sim.run_seconds(DOWN_S);
+            refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+            sim.run_micros(crash_delay);
+            sim.crash_controller(follower, down_time);
+            sim.run_seconds(OUTAGE_S);
             end_outage_and_run(&mut sim);
             sim.run_seconds(40);
             for id in ["req-2", "req-3"] {
-                assert_eq!(sim.running_instances(id), 0, "seed {seed} {after} {back}");
+                assert_eq!(
+                    sim.running_instances(id),
+                    0,
+                    "seed {seed} {crash_delay} {down_time}"
+                );
             }
             assert_eq!(
                 sim.running_instances("req-1"),
@@ -181,7 +187,7 @@
 #[test]
 fn third_controller_relays_cancellations() {
     for seed in 0..8 {
-        for how in 0..3 {
+        for direction in 0..3 {
             let mut sim = simulation_with_jobs(2080 + seed);
             let (leader, follower, _) = controllers_by_role(&sim);
             let (from, to, until) = (
@@ -189,16 +195,16 @@
                 Endpoint::Controller(follower),
                 sim.now + 90 * SECOND,
             );
-            match how {
+            match direction {
                 0 => sim.partition(from, to, PartitionMode::Drop, 90 * SECOND),
                 1 => sim.faults.partition_one_way(from, to, until),
                 _ => sim.faults.partition_one_way(to, from, until),
             }
             sim.run_seconds(4);
-            assert_eq!(sim.leader(), Some(leader), "seed {seed} {how}");
-            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+            assert_eq!(sim.leader(), Some(leader), "seed {seed} {direction}");
+            refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(4);
-            assert_cancelled_gone_and_others_survive(&mut sim, seed);
+            assert_cancelled_jobs_stopped_and_replicas_survived(&mut sim, seed);
         }
     }
 }
@@ -214,11 +220,11 @@
                 Endpoint::Controller(leader),
                 Endpoint::Controller(other),
                 PartitionMode::Delay,
-                DOWN_S * SECOND,
+                OUTAGE_S * SECOND,
             );
         }
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-        sim.run_seconds(DOWN_S);
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        sim.run_seconds(OUTAGE_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
@@ -239,17 +245,17 @@
 #[test]
 fn lost_or_late_cancellation_answer_is_handled() {
     for seed in 0..8 {
-        for late in [false, true] {
+        for delayed in [false, true] {
             let mut sim = simulation_with_jobs(2120 + seed);
             let (_, follower, _) = controllers_by_role(&sim);
-            if late {
+            if delayed {
                 sim.store_delay = 1_200_000;
             } else {
-                let until = sim.now + ALONE + SECOND / 2;
+                let until = sim.now + LEADER_REFUSED_US + SECOND / 2;
                 sim.lost_answers_from.push((Endpoint::Store, until));
             }
-            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-            sim.run_seconds(DOWN_S);
+            refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+            sim.run_seconds(OUTAGE_S);
             sim.store_delay = 0;
             end_outage_and_run(&mut sim);
             for id in ["req-2", "req-3"] {
@@ -282,11 +288,11 @@
                 sim.agents.get_mut(&machine).unwrap().hung_until = until;
             }
             sim.command_delay = None;
-            isolate_leader_then_stop_store(&mut sim, |sim, id| {
+            refuse_leader_then_stop_store(&mut sim, |sim, id| {
                 sim.cancel(follower, id);
                 sim.cancel(follower, "req-5");
             });
-            sim.run_seconds(DOWN_S);
+            sim.run_seconds(OUTAGE_S);
             assert_eq!(sim.running_instances("req-5"), 0, "seed {seed} {hang}");
             end_outage_and_run(&mut sim);
         }
@@ -300,16 +306,16 @@
     for seed in 0..8 {
         let mut sim = simulation_with_jobs(2160 + seed);
         let (_, follower, _) = controllers_by_role(&sim);
-        let long = (ALONE / SECOND + CANCEL_DEADLINE_S + 8) * SECOND;
-        sim.command_delay = Some(long);
+        let delay = (LEADER_REFUSED_US / SECOND + CANCEL_DEADLINE_S + 8) * SECOND;
+        sim.command_delay = Some(delay);
         sim.spawn_client("req-5", job(JobKind::Array, 12, 1.0), 300 * SECOND);
         sim.run_seconds(4);
-        isolate_leader_then_stop_store(&mut sim, |sim, id| {
+        refuse_leader_then_stop_store(&mut sim, |sim, id| {
             sim.cancel(follower, id);
             sim.cancel(follower, "req-5");
         });
         assert_eq!(sim.last_status("req-5"), "cancelled", "seed {seed}");
-        sim.run_seconds(DOWN_S + 10);
+        sim.run_seconds(OUTAGE_S + 10);
         sim.command_delay = None;
         end_outage_and_run(&mut sim);
         sim.run_seconds(30);
@@ -335,13 +341,13 @@
         sim.cancel(follower, "req-2000");
         sim.run_micros(900_000);
         assert_eq!(sim.last_status("req-2000"), "cancelled", "seed {seed}");
-        let before = sim.task_starts.len();
+        let starts_before = sim.task_starts.len();
         sim.run_seconds(5);
-        let late: Vec<_> = sim.task_starts[before..]
+        let late_starts: Vec<_> = sim.task_starts[starts_before..]
             .iter()
-            .filter(|b| b.task.starts_with("req-2000/"))
+            .filter(|start| start.task.starts_with("req-2000/"))
             .collect();
-        assert!(late.is_empty(), "seed {seed}: {late:?}");
+        assert!(late_starts.is_empty(), "seed {seed}: {late_starts:?}");
     }
 }
 
@@ -353,12 +359,12 @@
         for (round, ids) in [["req-2", "req-3"], ["req-4", "req-6"]].iter().enumerate() {
             let (leader, follower, third) = controllers_by_role(&sim);
             sim.store.refused_controllers.push(leader);
-            sim.run_micros(ALONE / 2);
+            sim.run_micros(LEADER_REFUSED_US / 2);
             sim.cancel(follower, ids[0]);
             sim.cancel(third, ids[1]);
-            sim.run_micros(ALONE / 2);
+            sim.run_micros(LEADER_REFUSED_US / 2);
             sim.store.outage = true;
-            sim.run_seconds(DOWN_S);
+            sim.run_seconds(OUTAGE_S);
             for id in ids {
                 assert_eq!(sim.running_instances(id), 0, "seed {seed} {round}");
             }
@@ -377,21 +383,25 @@
 #[test]
 fn first_version_controllers_among_ours_break_no_invariant() {
     for seed in 0..4 {
-        for old in 0..3 {
+        for role in 0..3 {
             let mut sim = simulation_with_leader(2200 + seed, 5);
             let (leader, follower, third) = controllers_by_role(&sim);
-            let place = [leader, follower, third][old];
-            sim.set_first_version(place, true);
-            sim.crash_controller(place, 50_000);
+            let old_controller = [leader, follower, third][role];
+            sim.set_first_version(old_controller, true);
+            sim.crash_controller(old_controller, 50_000);
             sim.run_seconds(10);
             sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
             sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
             sim.run_seconds(12);
             let (leader, follower, _) = controllers_by_role(&sim);
-            let who = if leader == place { follower } else { place };
-            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(who, id));
-            sim.run_seconds(DOWN_S);
+            let confirming = if leader == old_controller {
+                follower
+            } else {
+                old_controller
+            };
+            refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(confirming, id));
+            sim.run_seconds(OUTAGE_S);
             assert_eq!(
                 sim.running_instances("req-2") + sim.running_instances("req-3"),
                 0,
@@ -416,8 +426,8 @@
     for seed in 0..12 {
         let mut sim = simulation_with_jobs(2220 + seed);
         let (leader, follower, third) = controllers_by_role(&sim);
-        let hearsay = seed % 2 == 1;
-        if hearsay {
+        let cancellation_from_peer = seed % 2 == 1;
+        if cancellation_from_peer {
             sim.store.refused_controllers.push(third);
             // The leader does not hear of the cancellation and cannot stop the task itself.
             sim.partition(
@@ -427,39 +437,44 @@
                 12 * SECOND,
             );
         }
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         for (n, machine) in sim.machine_names().into_iter().enumerate() {
             let at = sim.rng.random_range(0..12 * SECOND);
-            let dt = sim.rng.random_range(5 * SECOND..15 * SECOND);
+            let duration = sim.rng.random_range(5 * SECOND..15 * SECOND);
             let agent = Endpoint::Agent(machine);
-            if hearsay {
+            if cancellation_from_peer {
                 // Its link to the remaining controllers, from the beginning.
                 sim.partition(
                     Endpoint::Controller(leader),
                     agent.clone(),
                     PartitionMode::Drop,
-                    DOWN_S * SECOND,
+                    OUTAGE_S * SECOND,
                 );
                 sim.partition(
                     Endpoint::Controller(follower),
                     agent,
                     PartitionMode::Drop,
-                    DOWN_S * SECOND,
+                    OUTAGE_S * SECOND,
                 );
             } else if n % 2 == 0 {
                 sim.after(at, move |sim| {
-                    sim.partition(Endpoint::Controller(leader), agent, PartitionMode::Drop, dt)
+                    sim.partition(
+                        Endpoint::Controller(leader),
+                        agent,
+                        PartitionMode::Drop,
+                        duration,
+                    )
                 });
             }
         }
-        sim.run_seconds(DOWN_S);
+        sim.run_seconds(OUTAGE_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
             "seed {seed}"
         );
         end_outage_and_run(&mut sim);
-        if !hearsay {
+        if !cancellation_from_peer {
             assert_replicas_survived(&sim, seed);
         }
     }
@@ -487,8 +502,8 @@
         sim.spawn_client("req-7", high, 200 * SECOND);
         sim.run_seconds(3);
         let (_, follower, _) = controllers_by_role(&sim);
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-        sim.run_seconds(DOWN_S);
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        sim.run_seconds(OUTAGE_S);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
@@ -502,15 +517,15 @@
 #[test]
 fn unreachable_machines_run_no_cancelled_task_past_the_deadline() {
     for seed in 0..8 {
-        for (deaf, dt) in [
+        for (deaf, duration) in [
             (true, 40 * SECOND),
             (false, 8 * SECOND),
             (false, 15 * SECOND),
         ] {
             let mut sim = simulation_with_jobs(2260 + seed);
             let (_, follower, _) = controllers_by_role(&sim);
-            isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-            let until = sim.now + dt;
+            refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+            let until = sim.now + duration;
             for machine in sim.machine_names().into_iter().take(3) {
                 if deaf {
                     sim.faults.drop_all_deliveries(&machine, until);
@@ -518,7 +533,7 @@
                     sim.agents.get_mut(&machine).unwrap().hung_until = until;
                 }
             }
-            sim.run_seconds(DOWN_S);
+            sim.run_seconds(OUTAGE_S);
             assert_eq!(
                 sim.running_instances("req-2") + sim.running_instances("req-3"),
                 0,
@@ -589,7 +604,7 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        sim.run_seconds(DOWN_S);
+        sim.run_seconds(OUTAGE_S);
         end_outage_and_run(&mut sim);
         assert_replicas_survived(&sim, seed);
     }
@@ -611,9 +626,9 @@
         sim.run_seconds(3);
         assert_eq!(sim.leader(), Some(leader), "seed {seed}");
         sim.store.refused_controllers.push(third);
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(5);
-        assert_cancelled_gone_and_others_survive(&mut sim, seed);
+        assert_cancelled_jobs_stopped_and_replicas_survived(&mut sim, seed);
     }
 }
 
@@ -686,7 +701,7 @@
             sim.faults
                 .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
-        isolate_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
+        refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         // One heartbeat interval of controllers, one of agents, and the latency of messages.
         sim.run_micros(2_900_000);
         assert_eq!(
@@ -702,7 +717,7 @@
 /// claim does not prove that it knows what was cancelled before. Fails (ran_cancelled) if leases are renewed as if it did.
 #[test]
 fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
-    let mut led = 0;
+    let mut elections_won = 0;
     for seed in 0..12 {
         let mut sim = simulation_with_jobs(2360 + seed);
         let (leader, lagging, confirming) = controllers_by_role(&sim);
@@ -736,10 +751,10 @@
         sim.store.end_outage(now);
         sim.store.refused_controllers = vec![confirming, leader];
         sim.run_micros(1_200_000);
-        led += usize::from(sim.leader() == Some(lagging));
+        elections_won += usize::from(sim.leader() == Some(lagging));
         sim.store.outage = true;
-        sim.run_seconds(DOWN_S);
+        sim.run_seconds(OUTAGE_S);
         end_outage_and_run(&mut sim);
     }
-    assert!(led > 8, "{led}");
+    assert!(elections_won > 8, "{elections_won}");
 }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-const LIST: &str = "     Running tests/gap.rs (target/debug/deps/gap-0a1b2c3d)
+const TEST_LIST: &str = "     Running tests/gap.rs (target/debug/deps/gap-0a1b2c3d)
 one: test
 two: test
      Running tests/nights.rs (target/debug/deps/nights-99)
@@ -14,10 +14,10 @@
 one: test
 ";
 
-fn report(failed: &[&str]) -> String {
+fn cargo_output(failed: &[&str]) -> String {
     let line = |target: &str, test: &str| {
-        let red = failed.contains(&format!("{target}::{test}").as_str());
-        format!("test {test} ... {}\n", if red { "FAILED" } else { "ok" })
+        let fails = failed.contains(&format!("{target}::{test}").as_str());
+        format!("test {test} ... {}\n", if fails { "FAILED" } else { "ok" })
     };
     format!(
         "     Running tests/gap.rs (target/debug/deps/gap-0a1b2c3d)\n{}{}\
@@ -30,22 +30,22 @@
 }
 
 /// Whether CI passes with such a list and such a run, and what it prints.
-fn ci(known: Option<&str>, run: &str, fails: bool) -> (bool, String) {
-    let dir = Dir::new();
+fn run_ci_test(known_red: Option<&str>, output: &str, cargo_fails: bool) -> (bool, String) {
+    let dir = TempDir::new();
     let path = &dir.0;
     fs::create_dir_all(path.join(".ci")).unwrap();
     fs::copy(".ci/test", path.join(".ci/test")).unwrap();
-    fs::write(path.join("list"), LIST).unwrap();
-    fs::write(path.join("report"), run).unwrap();
+    fs::write(path.join("list"), TEST_LIST).unwrap();
+    fs::write(path.join("report"), output).unwrap();
     let cargo = format!(
         "#!/bin/sh\ncase \"$*\" in *--list*) cat list;; *) cat report; exit {};; esac\n",
-        if fails { 101 } else { 0 }
+        if cargo_fails { 101 } else { 0 }
     );
     fs::write(path.join("cargo"), cargo).unwrap();
-    let runs = fs::Permissions::from_mode(0o755);
-    fs::set_permissions(path.join("cargo"), runs).unwrap();
-    if let Some(known) = known {
-        fs::write(path.join("KNOWN-RED.txt"), known).unwrap();
+    let executable = fs::Permissions::from_mode(0o755);
+    fs::set_permissions(path.join("cargo"), executable).unwrap();
+    if let Some(known_red) = known_red {
+        fs::write(path.join("KNOWN-RED.txt"), known_red).unwrap();
     }
     let paths = format!("{}:{}", path.display(), std::env::var("PATH").unwrap());
     let out = Command::new("bash")
@@ -58,44 +58,44 @@
 }
 
 /// A folder that goes with the test.
-struct Dir(PathBuf);
+struct TempDir(PathBuf);
 
-impl Dir {
-    fn new() -> Dir {
+impl TempDir {
+    fn new() -> TempDir {
         use std::sync::atomic::{AtomicU32, Ordering};
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("walnuttrestle-ci-{}-{n}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         fs::create_dir_all(&dir).unwrap();
-        Dir(dir)
+        TempDir(dir)
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-const ONE: &str = "gap::one | the cause of it | issue 42\n";
+const ONE_ENTRY: &str = "gap::one | the cause of it | issue 42\n";
 
 #[test]
-fn without_a_list_any_failure_fails() {
+fn without_known_red_entries_any_failure_fails() {
     for list in [None, Some(""), Some(" \n")] {
-        assert!(ci(list, &report(&[]), false).0);
-        assert!(!ci(list, &report(&["gap::one"]), true).0);
+        assert!(run_ci_test(list, &cargo_output(&[]), false).0);
+        assert!(!run_ci_test(list, &cargo_output(&["gap::one"]), true).0);
     }
 }
 
 #[test]
-fn just_what_is_listed_is_passed_over_and_printed() {
-    let (passed, text) = ci(Some(ONE), &report(&["gap::one"]), true);
+fn only_listed_failures_are_passed_over_and_printed() {
+    let (passed, text) = run_ci_test(Some(ONE_ENTRY), &cargo_output(&["gap::one"]), true);
     assert!(passed, "{text}");
     assert!(
         text.contains("known red: gap::one | the cause of it | issue 42 (failed, passed over)")
     );
-    let (passed, text) = ci(Some(ONE), &report(&[]), false);
+    let (passed, text) = run_ci_test(Some(ONE_ENTRY), &cargo_output(&[]), false);
     assert!(passed && text.contains("(passed)"), "{text}");
     // The same name in another binary, another test beside it, a longer name.
     for failed in [
@@ -103,23 +103,34 @@
         &["gap::one", "gap::two"],
         &["nights::inner::one"],
     ] {
-        assert!(!ci(Some(ONE), &report(failed), true).0, "{failed:?}");
+        assert!(
+            !run_ci_test(Some(ONE_ENTRY), &cargo_output(failed), true).0,
+            "{failed:?}"
+        );
     }
-    let inner = "nights::inner::one | cause | issue 1";
-    assert!(ci(Some(inner), &report(&["nights::inner::one"]), true).0);
+    let nested_test = "nights::inner::one | cause | issue 1";
+    assert!(
+        run_ci_test(
+            Some(nested_test),
+            &cargo_output(&["nights::inner::one"]),
+            true
+        )
+        .0
+    );
 }
 
 #[test]
-fn a_run_that_failed_otherwise_is_no_failed_test() {
-    assert!(!ci(Some(ONE), &report(&[]), true).0);
-    let built = report(&["gap::one"]) + "error: could not compile `walnuttrestle`\n";
-    assert!(!ci(Some(ONE), &built, true).0);
-    let ended = report(&["gap::one"]) + "process didn't exit successfully (signal: 6, SIGABRT)\n";
-    assert!(!ci(Some(ONE), &ended, true).0);
+fn build_errors_and_crashes_are_not_passed_over() {
+    assert!(!run_ci_test(Some(ONE_ENTRY), &cargo_output(&[]), true).0);
+    let build_error = cargo_output(&["gap::one"]) + "error: could not compile `walnuttrestle`\n";
+    assert!(!run_ci_test(Some(ONE_ENTRY), &build_error, true).0);
+    let crashed =
+        cargo_output(&["gap::one"]) + "process didn't exit successfully (signal: 6, SIGABRT)\n";
+    assert!(!run_ci_test(Some(ONE_ENTRY), &crashed, true).0);
 }
 
 #[test]
-fn a_list_that_is_wrong_fails() {
+fn invalid_list_fails() {
     for list in [
         "gap::one\n",
         "gap::one | | issue 42\n",
@@ -134,7 +145,7 @@
         "gap::one | a | issue 1\ngap::two | a | issue 1\nnights::one | a | issue 1\n\
          nights::inner::one | a | issue 1\n",
     ] {
-        let (passed, text) = ci(Some(list), &report(&[]), false);
+        let (passed, text) = run_ci_test(Some(list), &cargo_output(&[]), false);
         assert!(!passed, "{list:?}: {text}");
         assert!(text.contains("KNOWN-RED.txt: "), "{list:?}: {text}");
     }
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -29,11 +29,15 @@
             "seed {seed}: {:?}",
             sim.deleted_machines
         );
-        let tries = |sim: &Simulation| sim.failed_task_count();
-        let before = tries(&sim);
+        let failed_attempts = |sim: &Simulation| sim.failed_task_count();
+        let failures_before = failed_attempts(&sim);
         sim.run_seconds(60);
         // Four jobs, each retried with one task after up to a minute.
-        assert!(tries(&sim) - before <= 16, "seed {seed}: {}", tries(&sim));
+        assert!(
+            failed_attempts(&sim) - failures_before <= 16,
+            "seed {seed}: {}",
+            failed_attempts(&sim)
+        );
         for i in 0..4 {
             sim.cancel_until_answered(&format!("req-{i}"));
         }
@@ -56,12 +60,15 @@
             sim.failing_jobs.insert(id);
         }
         sim.run_seconds(90);
-        let before = sim.failed_task_count();
+        let failures_before = sim.failed_task_count();
         let leader = sim.leader().unwrap();
         sim.crash_controller(leader, 2 * SECOND);
         sim.run_seconds(40);
-        let again = sim.failed_task_count() - before;
-        assert!(again <= 32, "seed {seed}: {again} failures in 40 s");
+        let new_failures = sim.failed_task_count() - failures_before;
+        assert!(
+            new_failures <= 32,
+            "seed {seed}: {new_failures} failures in 40 s"
+        );
         assert!(
             sim.deleted_machines.is_empty(),
             "seed {seed}: {:?}",
@@ -72,8 +79,8 @@
 
 /// The machines of a service's replicas.
 fn replica_machines(sim: &Simulation, id: &str, tasks: u32) -> Vec<String> {
-    let all = (0..tasks).flat_map(|t| sim.machines_running(&format!("{id}/{t}")));
-    all.collect()
+    let machines = (0..tasks).flat_map(|t| sim.machines_running(&format!("{id}/{t}")));
+    machines.collect()
 }
 
 /// Fails if heartbeats alone count as a sign that a machine can be used: tasks placed there would wait for a lease, again and
@@ -91,9 +98,9 @@
         // Its lease expires by itself; a heartbeat or two later its replicas are elsewhere.
         sim.run_seconds(LEASE_S + 7);
         for task in 0..4 {
-            let on = sim.machines_running(&format!("req-1/{task}"));
-            assert_eq!(on.len(), 1, "seed {seed}: {}", sim.dump());
-            assert!(!on.contains(&deaf), "seed {seed}");
+            let machines = sim.machines_running(&format!("req-1/{task}"));
+            assert_eq!(machines.len(), 1, "seed {seed}: {}", sim.dump());
+            assert!(!machines.contains(&deaf), "seed {seed}");
         }
         // Only the other three machines have room for these.
         for i in 2..8 {
@@ -134,7 +141,7 @@
 /// that should.
 #[test]
 fn deaf_racks_and_zones_break_no_invariant() {
-    let mut half = 0;
+    let mut deaf_machines = 0;
     for seed in 0..60 {
         let mut sim = simulation_with_leader(800 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -142,17 +149,17 @@
         sim.spawn_client("req-3", job(JobKind::Array, 6, 1.0), 9 * SECOND);
         sim.run_seconds(10);
         let zone = sim.rng.random_bool(0.5).then_some("b");
-        let of = [None, None, sim.leader()][sim.rng.random_range(0..3)];
+        let sender = [None, None, sim.leader()][sim.rng.random_range(0..3)];
         let both = [
             DroppedDelivery::HeartbeatResponses,
             DroppedDelivery::Commands,
         ];
-        let what = [&both[..], &both[..1], &both[1..]][sim.rng.random_range(0..3)];
+        let kinds = [&both[..], &both[..1], &both[1..]][sim.rng.random_range(0..3)];
         let until = sim.now + sim.rng.random_range(5..50) * SECOND;
         for machine in sim.machine_names() {
             if zone.is_none_or(|z| sim.agents[&machine].zone == z) && sim.rng.random_bool(0.8) {
-                sim.faults.drop_deliveries(&machine, of, what, until);
-                half += 1;
+                sim.faults.drop_deliveries(&machine, sender, kinds, until);
+                deaf_machines += 1;
             }
         }
         sim.run_seconds(4);
@@ -161,11 +168,11 @@
         sim.run_seconds(6);
         sim.cancel_until_answered("req-5");
         if sim.rng.random_bool(0.4) {
-            let (leader, back) = (
+            let (leader, down_time) = (
                 sim.leader().unwrap_or(0),
                 sim.rng.random_range(50_000..SECOND),
             );
-            sim.crash_controller(leader, back);
+            sim.crash_controller(leader, down_time);
         }
         sim.run_seconds(150);
         for i in [2, 3, 4] {
@@ -182,7 +189,7 @@
             sim.dump()
         );
     }
-    assert!(half > 100);
+    assert!(deaf_machines > 100);
 }
 
 /// Fails if a duplicate of a dead machine's old heartbeat counts as a sign of life.
@@ -220,8 +227,8 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         // Starts are sent all the time, so that their answers overtake heartbeats.
         for i in 0..40 {
-            let dt = sim.rng.random_range(SECOND..30 * SECOND);
-            sim.after(dt, move |sim| {
+            let delay = sim.rng.random_range(SECOND..30 * SECOND);
+            sim.after(delay, move |sim| {
                 sim.spawn_client(
                     &format!("req-{}", 10 + i),
                     job(JobKind::Array, 4, 1.0),
@@ -229,8 +236,8 @@
                 )
             });
         }
-        let dt = sim.rng.random_range(5_000_000..25_000_000);
-        sim.run_micros(dt);
+        let duration = sim.rng.random_range(5_000_000..25_000_000);
+        sim.run_micros(duration);
         for machine in sim.machine_names() {
             if sim.rng.random_bool(0.5) {
                 for i in 0..3 {
@@ -251,7 +258,7 @@
 /// Fails if an agent forgets a stopped attempt while a duplicate of its start may still arrive.
 #[test]
 fn duplicate_commands_do_not_restart_a_task() {
-    let mut stopped = 0;
+    let mut restarted_tasks = 0;
     for seed in 0..40 {
         let mut sim = simulation_with_leader(1000 + seed, 3);
         sim.faults.request_duplication = Some(Duplication {
@@ -286,25 +293,25 @@
                 sim.dump()
             );
         }
-        stopped += sim.start_counts.values().filter(|n| **n > 1).count();
+        restarted_tasks += sim.start_counts.values().filter(|n| **n > 1).count();
     }
-    assert!(stopped > 10, "{stopped}");
+    assert!(restarted_tasks > 10, "{restarted_tasks}");
 }
 
 /// Partitions a controller from the store and its peers, but not from its agents.
-fn partition_from_all_but_agents(sim: &mut Simulation, i: usize, dt: u64) {
+fn partition_from_all_but_agents(sim: &mut Simulation, i: usize, duration: u64) {
     sim.partition(
         Endpoint::Controller(i),
         Endpoint::Store,
         PartitionMode::Drop,
-        dt,
+        duration,
     );
     for j in (0..3).filter(|j| *j != i) {
         sim.partition(
             Endpoint::Controller(i),
             Endpoint::Controller(j),
             PartitionMode::Drop,
-            dt,
+            duration,
         );
     }
 }
@@ -347,8 +354,8 @@
         sim.cancel((leader + 1) % 3, "req-3");
         sim.run_seconds(80);
         assert_eq!(sim.health_status(leader), 200);
-        let again: Vec<_> = sim.start_counts.iter().filter(|(_, n)| **n > 1).collect();
-        assert!(again.is_empty(), "seed {seed}: {again:?}");
+        let restarted: Vec<_> = sim.start_counts.iter().filter(|(_, n)| **n > 1).collect();
+        assert!(restarted.is_empty(), "seed {seed}: {restarted:?}");
     }
 }
 
@@ -397,16 +404,18 @@
         sim.run_seconds(12);
         let i = sim.rng.random_range(0..3);
         for n in 0..sim.rng.random_range(1..4u64) {
-            let dt = sim.rng.random_range(3..40) * SECOND;
+            let duration = sim.rng.random_range(3..40) * SECOND;
             let at = n * 20 * SECOND + sim.rng.random_range(0..9 * SECOND);
-            sim.after(at, move |sim| partition_from_all_but_agents(sim, i, dt));
+            sim.after(at, move |sim| {
+                partition_from_all_but_agents(sim, i, duration)
+            });
         }
         if sim.rng.random_bool(0.4) {
-            let (at, back) = (
+            let (at, down_time) = (
                 sim.rng.random_range(0..30) * SECOND,
                 sim.rng.random_range(20_000..3 * SECOND),
             );
-            sim.after(at, move |sim| sim.crash_controller(i, back));
+            sim.after(at, move |sim| sim.crash_controller(i, down_time));
         }
         let at = sim.rng.random_range(3..30) * SECOND;
         sim.after(at, |sim| sim.cancel_until_answered("req-2"));
@@ -441,14 +450,14 @@
         for _ in 0..sim.rng.random_range(1..6) {
             // An election takes about 30 ms from the lease to the first command.
             let at = sim.rng.random_range(0..6 * SECOND);
-            let many = sim.rng.random_range(1..4);
-            let back: Vec<u64> = (0..many)
+            let count = sim.rng.random_range(1..4);
+            let down_times: Vec<u64> = (0..count)
                 .map(|_| sim.rng.random_range(20_000..500_000))
                 .collect();
             sim.after(at, move |sim| {
                 let first = sim.leader().unwrap_or(0);
-                for (k, b) in back.iter().enumerate() {
-                    sim.crash_controller((first + k) % 3, *b);
+                for (k, down_time) in down_times.iter().enumerate() {
+                    sim.crash_controller((first + k) % 3, *down_time);
                 }
             });
             let step = sim.rng.random_range(0..60_000);
@@ -481,11 +490,11 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(12);
         let leader = sim.leader().unwrap();
-        let (dt, zone) = (
+        let (duration, zone) = (
             24 * SECOND,
             if leader.is_multiple_of(2) { "a" } else { "b" },
         );
-        let inside = |z: &str| z == zone;
+        let is_in_zone = |z: &str| z == zone;
         let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
         // The other controllers of the zone are lost, so the leader is alone in it.
         for j in (0..3).filter(|j| *j != leader) {
@@ -493,33 +502,42 @@
                 Endpoint::Controller(leader),
                 Endpoint::Controller(j),
                 PartitionMode::Drop,
-                dt,
+                duration,
             );
-            if inside(zone_of(j)) {
-                sim.crash_controller(j, dt);
+            if is_in_zone(zone_of(j)) {
+                sim.crash_controller(j, duration);
             }
         }
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Store,
             PartitionMode::Drop,
-            dt,
+            duration,
         );
         for machine in sim.machine_names() {
-            let here = inside(&sim.agents[&machine].zone);
-            for i in (0..3).filter(|i| (*i == leader) != here) {
+            let in_zone = is_in_zone(&sim.agents[&machine].zone);
+            for i in (0..3).filter(|i| (*i == leader) != in_zone) {
                 sim.partition(
                     Endpoint::Controller(i),
                     Endpoint::Agent(machine.clone()),
                     PartitionMode::Drop,
-                    dt,
+                    duration,
                 );
             }
         }
         sim.run_seconds(70);
-        let of_zone = |n: &String| sim.task_starts.iter().filter(|b| b.task == *n).count();
-        let lost: Vec<_> = sim.start_counts.keys().filter(|t| of_zone(t) > 1).collect();
-        assert!(lost.is_empty(), "seed {seed}: {lost:?}");
+        let start_count = |task: &String| {
+            sim.task_starts
+                .iter()
+                .filter(|start| start.task == *task)
+                .count()
+        };
+        let restarted: Vec<_> = sim
+            .start_counts
+            .keys()
+            .filter(|task| start_count(task) > 1)
+            .collect();
+        assert!(restarted.is_empty(), "seed {seed}: {restarted:?}");
     }
 }
 
@@ -588,16 +606,16 @@
         max_delay: 30 * SECOND,
     });
     sim.run_seconds(25);
-    let gone = replica_machines(&sim, "req-1", 2)[0].clone();
-    sim.failed_machines.insert(gone.clone());
-    sim.agents.get_mut(&gone).unwrap().alive = false;
+    let deleted = replica_machines(&sim, "req-1", 2)[0].clone();
+    sim.failed_machines.insert(deleted.clone());
+    sim.agents.get_mut(&deleted).unwrap().alive = false;
     sim.run_seconds(12);
-    assert!(sim.deleted_machines.contains(&gone));
+    assert!(sim.deleted_machines.contains(&deleted));
     for _ in 0..20 {
         sim.run_seconds(1);
-        let known = sim
+        let leader_state = sim
             .leader()
             .and_then(|l| sim.controller(l)?.leader.as_ref());
-        assert!(known.is_some_and(|l| !l.agents.contains_key(&gone)));
+        assert!(leader_state.is_some_and(|l| !l.agents.contains_key(&deleted)));
     }
 }
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -11,12 +11,12 @@
 
 /// Runs the simulation; returns the rule whose violation was reported.
 fn reported_rule(mut sim: Simulation, seconds: u64) -> String {
-    let seen = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
-    let text = match seen {
+    let result = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
+    let message = match result {
         Ok(()) => return String::new(),
         Err(e) => e.downcast::<String>().expect("a text"),
     };
-    text.split(' ').next().unwrap_or_default().to_string()
+    message.split(' ').next().unwrap_or_default().to_string()
 }
 
 /// A simulation with a job whose tasks run.
@@ -30,7 +30,7 @@
 
 #[test]
 fn start_after_confirmed_cancellation_is_reported() {
-    let start = |sim: &mut Simulation| {
+    let inject_start = |sim: &mut Simulation| {
         let leader = sim.leader().expect("a leader");
         sim.inject_start(leader, "n-000001", "req-1/0", 9);
     };
@@ -38,12 +38,12 @@
     sim.cancel_until_answered("req-1");
     sim.run_seconds(6);
     assert_eq!(sim.last_status("req-1"), "cancelled");
-    start(&mut sim);
+    inject_start(&mut sim);
     assert_eq!(reported_rule(sim, 1), "started_cancelled");
     // A start that was in flight when the client was told is no violation.
     let mut sim = simulation_with_running_job(3901, job(JobKind::Array, 2, 1.0));
     sim.command_delay = Some(3 * SECOND);
-    start(&mut sim);
+    inject_start(&mut sim);
     sim.command_delay = None;
     sim.cancel_until_answered("req-1");
     assert_eq!(reported_rule(sim, 10), "");
@@ -51,7 +51,7 @@
 
 #[test]
 fn cancelled_task_running_after_a_hang_is_reported() {
-    for lease_over in [false, true] {
+    for lease_expired in [false, true] {
         let mut sim = simulation_with_running_job(3910, job(JobKind::Array, 1, 1.0));
         let machine = sim
             .machines_running("req-1/0")
@@ -61,20 +61,20 @@
         // The machine hangs, and the leader does not delete it.
         sim.cloud_unavailable = true;
         sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 40 * SECOND;
-        let dt = if lease_over { LEASE_S + 2 } else { 2 };
-        sim.run_seconds(dt);
+        let seconds = if lease_expired { LEASE_S + 2 } else { 2 };
+        sim.run_seconds(seconds);
         let key = ("req-1/0".to_string(), 1);
-        if lease_over {
+        if lease_expired {
             // An agent whose clock was stopped, too, would not know that its lease has expired.
             assert!(sim.agents[&machine].tasks.is_empty());
             sim.inject_running_task(&machine, key);
         }
         for second in 0..CANCEL_DEADLINE_S + 4 {
-            let of = machine.clone();
+            let name = machine.clone();
             sim.after(second * SECOND, move |sim| {
                 let now = sim.now;
-                if let Some(x) = sim.agents.get_mut(&of) {
-                    x.lease_renewed_at = now;
+                if let Some(agent) = sim.agents.get_mut(&name) {
+                    agent.lease_renewed_at = now;
                 }
             });
         }
@@ -122,22 +122,22 @@
     }
     // A request sent before may be answered with the state of that time.
     let mut sim = simulation_with_running_job(3921, job(JobKind::Array, 2, 1.0));
-    let asked = sim.now;
+    let sent_at = sim.now;
     sim.cancel_until_answered("req-1");
     sim.run_seconds(3);
-    sim.inject_client_answer("req-1", asked, ClientRequest::Poll, 200, "running");
+    sim.inject_client_answer("req-1", sent_at, ClientRequest::Poll, 200, "running");
     assert_eq!(reported_rule(sim, 1), "");
 }
 
 #[test]
 fn starving_job_is_reported() {
-    let red = |tasks| JobSpec {
+    let red_team_job = |tasks| JobSpec {
         team: "red".into(),
         ..job(JobKind::Array, tasks, 2.0)
     };
     // All controllers are paused, so the job is not started.
     let mut sim = simulation_with_leader(3930, 4);
-    sim.spawn_client("req-1", red(2), 300 * SECOND);
+    sim.spawn_client("req-1", red_team_job(2), 300 * SECOND);
     while !sim.jobs["req-1"].accepted {
         sim.run_micros(5_000);
     }
@@ -151,10 +151,10 @@
     let mut sim = simulation_with_leader(3931, 4);
     sim.enable_load_balancer();
     sim.no_capacity = true;
-    sim.spawn_client("req-1", red(6), 400 * SECOND);
+    sim.spawn_client("req-1", red_team_job(6), 400 * SECOND);
     sim.run_seconds(8);
     assert_eq!(sim.running_instances("req-1"), 6);
-    sim.spawn_client("req-2", red(1), 10 * SECOND);
+    sim.spawn_client("req-2", red_team_job(1), 10 * SECOND);
     sim.spawn_client("req-3", job(JobKind::Array, 40, 8.0), 400 * SECOND);
     sim.declare_faults_over();
     assert_eq!(reported_rule(sim, 120), "");
@@ -162,20 +162,20 @@
 
 #[test]
 fn quota_violation_is_reported_also_on_partitioned_or_hung_machines() {
-    for trouble in 0..2 {
+    for fault in 0..2 {
         let mut sim = simulation_with_leader(3940, 4);
-        let red = JobSpec {
+        let red_team_job = JobSpec {
             team: "red".into(),
             ..job(JobKind::Array, 6, 2.0)
         };
-        sim.spawn_client("req-1", red, 300 * SECOND);
+        sim.spawn_client("req-1", red_team_job, 300 * SECOND);
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 6);
         let machine = sim
             .machines_running("req-1/0")
             .pop_first()
             .expect("a machine");
-        if trouble == 0 {
+        if fault == 0 {
             sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 5 * SECOND;
         } else {
             for i in 0..3 {
@@ -187,11 +187,11 @@
                 );
             }
         }
-        let more = JobSpec {
+        let extra_job = JobSpec {
             team: "red".into(),
             ..job(JobKind::Array, 1, 2.0)
         };
-        sim.declare_job("req-2", more, 300 * SECOND);
+        sim.declare_job("req-2", extra_job, 300 * SECOND);
         sim.jobs.get_mut("req-2").expect("declared").accepted = true;
         let other = sim
             .machine_names()
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -17,66 +17,66 @@
 }
 
 /// Starts one random fault; it is over after at most `most` microseconds.
-fn start_random_fault(sim: &mut Simulation, most: u64) {
-    let dt = sim.rng.random_range(2 * SECOND..most);
+fn start_random_fault(sim: &mut Simulation, max_duration: u64) {
+    let duration = sim.rng.random_range(2 * SECOND..max_duration);
     let i = sim.rng.random_range(0..3);
     let leader = sim.leader().unwrap_or(i);
     let others = |i: usize| (0..3).filter(move |j| *j != i);
     match sim.rng.random_range(0..11) {
         0 => {
-            let back = sim.rng.random_range(20_000..8 * SECOND);
-            sim.crash_controller(i, back);
+            let down_time = sim.rng.random_range(20_000..8 * SECOND);
+            sim.crash_controller(i, down_time);
         }
         1 => {
             for step in 0..sim.rng.random_range(2..4) {
-                let back = sim.rng.random_range(20_000..8 * SECOND);
-                sim.crash_controller((i + step) % 3, back);
+                let down_time = sim.rng.random_range(20_000..8 * SECOND);
+                sim.crash_controller((i + step) % 3, down_time);
             }
         }
-        2 => sim.pause_controller(leader, dt),
-        3 => sim.pause_controller(i, dt),
+        2 => sim.pause_controller(leader, duration),
+        3 => sim.pause_controller(i, duration),
         4 => {
             sim.store.outage = true;
-            sim.after(dt, |sim| {
+            sim.after(duration, |sim| {
                 let now = sim.now;
                 sim.store.end_outage(now);
             });
         }
         5 => {
             sim.store.refused_controllers.push(i);
-            sim.after(dt, |sim| sim.store.refused_controllers.clear());
+            sim.after(duration, |sim| sim.store.refused_controllers.clear());
         }
         6 => {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Store,
                 PartitionMode::Drop,
-                dt,
+                duration,
             );
             for j in others(i) {
                 sim.partition(
                     Endpoint::Controller(i),
                     Endpoint::Controller(j),
                     PartitionMode::Drop,
-                    dt,
+                    duration,
                 );
             }
         }
         7 => {
-            let how = [PartitionMode::Drop, PartitionMode::Delay][sim.rng.random_range(0..2)];
+            let mode = [PartitionMode::Drop, PartitionMode::Delay][sim.rng.random_range(0..2)];
             for j in others(leader) {
                 sim.partition(
                     Endpoint::Controller(leader),
                     Endpoint::Controller(j),
-                    how,
-                    dt,
+                    mode,
+                    duration,
                 );
             }
         }
         8 => {
-            let (chance, until) = (sim.rng.random_range(0.1..0.6), sim.now + dt);
+            let (probability, until) = (sim.rng.random_range(0.1..0.6), sim.now + duration);
             for machine in sim.machine_names() {
-                if sim.rng.random_bool(chance) {
+                if sim.rng.random_bool(probability) {
                     sim.faults.drop_all_deliveries(&machine, until);
                 }
             }
@@ -90,7 +90,7 @@
         _ => {
             let machine = sim.machine_names();
             let machine = &machine[sim.rng.random_range(0..machine.len())];
-            let until = sim.now + dt;
+            let until = sim.now + duration;
             sim.agents.get_mut(machine).expect("a machine").hung_until = until;
         }
     }
@@ -128,14 +128,14 @@
     let mut sim = run_random_faults(seed);
     sim.run_seconds(150);
     for (id, truth) in &sim.jobs {
-        let ends = truth.spec.kind != JobKind::Service && truth.run_time < 100 * SECOND;
+        let is_finite = truth.spec.kind != JobKind::Service && truth.run_time < 100 * SECOND;
         assert!(
             truth.accepted,
             "seed {seed}: {id} was never accepted\n{}",
             sim.dump()
         );
         assert!(
-            !ends || truth.completion_seen_at.is_some(),
+            !is_finite || truth.completion_seen_at.is_some(),
             "seed {seed}: {id} is not done\n{}",
             sim.dump()
         );
@@ -151,83 +151,89 @@
     let first = std::env::var("SEEDS_FROM")
         .ok()
         .and_then(|s| s.parse().ok());
-    let many = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok());
+    let count = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok());
     let first: u64 = first.unwrap_or(3000);
-    for seed in first..first + many.unwrap_or(150u64) {
+    for seed in first..first + count.unwrap_or(150u64) {
         assert_jobs_visible_after_faults(seed);
     }
 }
 
 /// When all tasks of a job first ran at the same time, after its submission; `None`: never.
-fn time_to_full_start(sim: &Simulation, id: &str, since: u64) -> Option<u64> {
+fn time_to_full_start(sim: &Simulation, id: &str, submitted_at: u64) -> Option<u64> {
     let tasks = sim.jobs[id].spec.tasks;
-    let first = |t: u32| {
-        let name = format!("{id}/{t}");
+    let first_start = |task: u32| {
+        let name = format!("{id}/{task}");
         sim.task_starts
             .iter()
-            .find(|b| b.task == name)
-            .map(|b| b.at - since)
+            .find(|start| start.task == name)
+            .map(|start| start.at - submitted_at)
     };
     (0..tasks)
-        .map(first)
+        .map(first_start)
         .try_fold(0, |max, t| Some(max.max(t?)))
 }
 
 /// The smaller jobs that fill the fleet.
 #[derive(Debug, Clone, Copy)]
-enum Small {
+enum SmallJobs {
     /// Gangs of one machine, of the same rank.
     Gangs,
     /// Single tasks of a lower rank that cannot save, which take an eighth of a machine each.
-    Singles,
+    SingleTasks,
     /// Both, behind a guest's very wide array that is never done.
-    BehindGuests,
+    BehindLowPriorityArray,
 }
 
 /// How long a large job waits on twelve full machines, with smaller jobs submitted all the time and nothing to rent.
-fn large_job_wait(seed: u64, small: Small, large: JobSpec, crash: bool) -> Option<u64> {
+fn large_job_wait(seed: u64, small_jobs: SmallJobs, large: JobSpec, crash: bool) -> Option<u64> {
     let mut sim = simulation_with_load_balancer(seed, 12);
     sim.no_capacity = true;
-    let gangs = |sim: &mut Simulation, n: u64, run: u64| {
+    let submit_gang = |sim: &mut Simulation, n: u64, run_time: u64| {
         let spec = JobSpec {
             estimate_s: 5.0,
             priority: Priority::High,
             ..job(JobKind::Gang, 1, 8.0)
         };
-        sim.spawn_client(&format!("req-9{n}"), spec, run);
+        sim.spawn_client(&format!("req-9{n}"), spec, run_time);
     };
-    let singles = |sim: &mut Simulation, n: u64, run: u64| {
-        sim.spawn_client(&format!("req-8{n}"), job(JobKind::Array, 4, 1.0), run);
+    let submit_single_tasks = |sim: &mut Simulation, n: u64, run_time: u64| {
+        sim.spawn_client(&format!("req-8{n}"), job(JobKind::Array, 4, 1.0), run_time);
     };
-    if matches!(small, Small::BehindGuests) {
-        let guest = JobSpec {
+    if matches!(small_jobs, SmallJobs::BehindLowPriorityArray) {
+        let low_priority_array = JobSpec {
             priority: Priority::Low,
             ..job(JobKind::Array, 2_000, 1.0)
         };
-        sim.spawn_client("req-70", guest, 30 * SECOND);
+        sim.spawn_client("req-70", low_priority_array, 30 * SECOND);
         sim.run_seconds(3);
     }
     // More than the fleet can take, continuously.
     for n in 0..14 {
-        gangs(&mut sim, n, (10 + n % 7) * SECOND);
+        submit_gang(&mut sim, n, (10 + n % 7) * SECOND);
     }
     sim.run_seconds(10);
-    let since = sim.now;
+    let submitted_at = sim.now;
     sim.spawn_client("req-1", large, 10 * SECOND);
     for second in 0..260u64 {
-        let run = sim.rng.random_range(8..25) * SECOND;
-        match small {
-            Small::Gangs => gangs(&mut sim, 100 + second, run),
-            Small::Singles => (0..4).for_each(|k| singles(&mut sim, 1000 + second * 4 + k, run)),
-            Small::BehindGuests if second % 2 == 0 => gangs(&mut sim, 100 + second, run),
-            Small::BehindGuests => singles(&mut sim, 1000 + second, run),
+        let run_time = sim.rng.random_range(8..25) * SECOND;
+        match small_jobs {
+            SmallJobs::Gangs => submit_gang(&mut sim, 100 + second, run_time),
+            SmallJobs::SingleTasks => {
+                (0..4).for_each(|k| submit_single_tasks(&mut sim, 1000 + second * 4 + k, run_time))
+            }
+            SmallJobs::BehindLowPriorityArray if second % 2 == 0 => {
+                submit_gang(&mut sim, 100 + second, run_time)
+            }
+            SmallJobs::BehindLowPriorityArray => {
+                submit_single_tasks(&mut sim, 1000 + second, run_time)
+            }
         }
         sim.run_seconds(1);
         if crash && second == 40 {
             let leader = sim.leader().unwrap_or(0);
             sim.crash_controller(leader, 2 * SECOND);
         }
-        if let Some(t) = time_to_full_start(&sim, "req-1", since) {
+        if let Some(t) = time_to_full_start(&sim, "req-1", submitted_at) {
             return Some(t);
         }
     }
@@ -238,35 +244,39 @@
 /// priority are submitted continuously.
 #[test]
 fn largest_job_starts_within_four_minutes_despite_smaller_jobs() {
-    let of = |kind, tasks, gpus, priority| JobSpec {
+    let spec = |kind, tasks, gpus, priority| JobSpec {
         priority,
         estimate_s: 60.0,
         ..job(kind, tasks, gpus)
     };
-    let larges = [
-        ("gang", of(JobKind::Gang, 5, 8.0, Priority::High)),
+    let large_jobs = [
+        ("gang", spec(JobKind::Gang, 5, 8.0, Priority::High)),
         (
             "service",
             JobSpec {
                 spread: true,
-                ..of(JobKind::Service, 8, 2.0, Priority::Production)
+                ..spec(JobKind::Service, 8, 2.0, Priority::Production)
             },
         ),
-        ("array", of(JobKind::Array, 48, 1.0, Priority::Normal)),
+        ("array", spec(JobKind::Array, 48, 1.0, Priority::Normal)),
     ];
     let mut table = Vec::new();
-    for small in [Small::Gangs, Small::Singles, Small::BehindGuests] {
-        for (name, large) in &larges {
+    for small_jobs in [
+        SmallJobs::Gangs,
+        SmallJobs::SingleTasks,
+        SmallJobs::BehindLowPriorityArray,
+    ] {
+        for (name, large) in &large_jobs {
             for crash in [false, true] {
-                let t = large_job_wait(7, small, large.clone(), crash);
+                let t = large_job_wait(7, small_jobs, large.clone(), crash);
                 table.push(format!(
-                    "{small:?}, the widest {name}, leader crash {crash}: {:?} s",
+                    "{small_jobs:?}, the widest {name}, leader crash {crash}: {:?} s",
                     t.map(|t| t / SECOND)
                 ));
             }
         }
     }
-    let late = table.iter().filter(|l| l.contains("None"));
-    assert_eq!(late.count(), 0, "{}", table.join("\n"));
+    let never_started = table.iter().filter(|l| l.contains("None"));
+    assert_eq!(never_started.count(), 0, "{}", table.join("\n"));
     println!("{}", table.join("\n"));
 }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -15,7 +15,7 @@
 /// the write is carried out after that. Fails if the number was deleted: its version is 0 again then.
 #[test]
 fn format_number_does_not_return_after_a_rollback() {
-    let mut went_back = 0;
+    let mut downgrades = 0;
     for seed in 0..6 {
         let mut sim = Simulation::with_first_version(6100 + seed, 4, None);
         sim.run_seconds(8);
@@ -32,33 +32,33 @@
         sim.set_first_version(0, false);
         sim.crash_controller(0, 50_000);
         sim.run_seconds(5);
-        let of = |sim: &Simulation| {
+        let format_seen = |sim: &Simulation| {
             sim.controller(1)
                 .map_or(0, |n| n.cache.format_of("kernel-0").0)
         };
         assert_eq!(
-            of(&sim),
+            format_seen(&sim),
             NEWEST,
             "seed {seed}: written again after the first answer was lost"
         );
         sim.set_first_version(0, true);
         sim.crash_controller(0, 50_000);
-        let mut back = false;
+        let mut downgraded = false;
         for _ in 0..400 {
             sim.run_micros(SECOND / 20);
-            back |= of(&sim) < NEWEST;
+            downgraded |= format_seen(&sim) < NEWEST;
             assert!(
-                !back || of(&sim) < NEWEST,
+                !downgraded || format_seen(&sim) < NEWEST,
                 "seed {seed}: it has come back at {}",
                 sim.now
             );
         }
-        went_back += usize::from(back);
+        downgrades += usize::from(downgraded);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 2 * SECOND);
         sim.run_seconds(30);
         assert!(sim.job_done("req-1"), "seed {seed}");
     }
-    assert_eq!(went_back, 6);
+    assert_eq!(downgrades, 6);
 }
 
 /// A placement batch gets no answer, is written again or differently, is merged and deleted, and is then carried out late.
@@ -77,12 +77,12 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..24u64 {
             let at = (n / 8) * 3 * SECOND;
-            let run = sim.rng.random_range(SECOND / 2..2 * SECOND);
+            let run_time = sim.rng.random_range(SECOND / 2..2 * SECOND);
             sim.after(at, move |sim| {
                 sim.spawn_client(
                     &format!("req-{}", 100 + n),
                     job(JobKind::Array, 2, 1.0),
-                    run,
+                    run_time,
                 );
             });
         }
@@ -185,7 +185,7 @@
 fn duplicates_to_a_renewing_follower_without_the_original_are_harmless() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(6220 + seed, 6);
-        let red = |tasks| JobSpec {
+        let red_team_job = |tasks| JobSpec {
             team: "red".into(),
             ..job(JobKind::Array, tasks, 2.0)
         };
@@ -193,12 +193,12 @@
             probability: 0.7,
             max_delay: (LEASE_S + 4) * SECOND,
         });
-        sim.spawn_client("req-1", red(6), 60 * SECOND);
+        sim.spawn_client("req-1", red_team_job(6), 60 * SECOND);
         sim.spawn_client("req-2", job(JobKind::Service, 6, 1.0), 0);
         sim.run_seconds(12);
         let leader = sim.leader().expect("a leader");
-        let all = sim.machine_names();
-        for machine in &all {
+        let machines = sim.machine_names();
+        for machine in &machines {
             sim.partition(
                 Endpoint::Controller(leader),
                 Endpoint::Agent(machine.clone()),
@@ -210,13 +210,13 @@
         let at = sim.rng.random_range(0..4 * SECOND);
         sim.after(at, move |sim| {
             let until = sim.now + 25 * SECOND;
-            sim.failed_machines.insert(all[0].clone());
-            if let Some(x) = sim.agents.get_mut(&all[0]) {
-                x.alive = false;
+            sim.failed_machines.insert(machines[0].clone());
+            if let Some(agent) = sim.agents.get_mut(&machines[0]) {
+                agent.alive = false;
             }
-            sim.faults.silence_heartbeats(&all[1], until);
+            sim.faults.silence_heartbeats(&machines[1], until);
         });
-        sim.spawn_client("req-3", red(3), 5 * SECOND);
+        sim.spawn_client("req-3", red_team_job(3), 5 * SECOND);
         if seed % 2 == 0 {
             let at = sim.rng.random_range(5..20) * SECOND;
             sim.after(at, move |sim| sim.crash_controller(leader, 60_000));
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -13,18 +13,18 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
 /// A job's id, its class, and whether it is the largest of its class.
-type Asked = (String, &'static str, bool);
+type SubmittedJob = (String, &'static str, bool);
 
 /// A random time about one of the protocol's timeouts: election, heartbeat, lease, cancellation.
-fn draw_timeout_like_duration(sim: &mut Simulation) -> u64 {
-    let of = [
+fn random_duration_near_timeout(sim: &mut Simulation) -> u64 {
+    let timeouts = [
         SECOND / 20,
         2 * SECOND,
         LEASE_S * SECOND,
         CANCEL_DEADLINE_S * SECOND,
     ];
-    let about = of[sim.rng.random_range(0..of.len())];
-    sim.rng.random_range(about / 2..about * 3 / 2)
+    let timeout = timeouts[sim.rng.random_range(0..timeouts.len())];
+    sim.rng.random_range(timeout / 2..timeout * 3 / 2)
 }
 
 /// The kinds of faults; their order is part of what a seed means.
@@ -96,7 +96,7 @@
 }
 
 impl FaultTarget {
-    fn draw(sim: &mut Simulation, duration: u64) -> FaultTarget {
+    fn random(sim: &mut Simulation, duration: u64) -> FaultTarget {
         let leader = sim.leader().unwrap_or(0);
         let controller = if sim.rng.random_bool(0.6) {
             leader
@@ -141,7 +141,7 @@
 
 /// Starts one fault; it lasts about this long.
 fn start_fault(sim: &mut Simulation, fault: Fault, duration: u64) {
-    let target = FaultTarget::draw(sim, duration);
+    let target = FaultTarget::random(sim, duration);
     let controller = target.controller;
     let down_time = target.down_time;
     match fault {
@@ -314,8 +314,8 @@
 }
 
 /// Submits jobs of all classes and sizes.
-fn submit_jobs(sim: &mut Simulation) -> Vec<Asked> {
-    let of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
+fn submit_jobs(sim: &mut Simulation) -> Vec<SubmittedJob> {
+    let spec_of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
         class: class.into(),
         team: team.into(),
         ..job(kind, tasks, gpus)
@@ -324,59 +324,72 @@
         priority: Priority::High,
         checkpoint_s: 4.0,
         save_s: 1.0,
-        ..of("gang", "green", JobKind::Gang, tasks, 2.0)
+        ..spec_of("gang", "green", JobKind::Gang, tasks, 2.0)
     };
-    let mut all = vec![
-        ("svc", of("svc", "blue", JobKind::Service, 3, 1.0), 0, false),
-        ("svc", of("svc", "green", JobKind::Service, 6, 1.0), 0, true),
+    let mut jobs = vec![
+        (
+            "svc",
+            spec_of("svc", "blue", JobKind::Service, 3, 1.0),
+            0,
+            false,
+        ),
+        (
+            "svc",
+            spec_of("svc", "green", JobKind::Service, 6, 1.0),
+            0,
+            true,
+        ),
         ("gang", gang(2), 12 * SECOND, false),
         ("gang", gang(4), 15 * SECOND, true),
         (
             "red",
-            of("red", "red", JobKind::Array, 9, 2.0),
+            spec_of("red", "red", JobKind::Array, 9, 2.0),
             8 * SECOND,
             true,
         ),
     ];
     for n in 0..4 {
-        all.push((
+        jobs.push((
             "red",
-            of("red", "red", JobKind::Array, 2 + n, 1.0),
+            spec_of("red", "red", JobKind::Array, 2 + n, 1.0),
             6 * SECOND,
             false,
         ));
-        all.push((
+        jobs.push((
             "blue",
-            of("blue", "blue", JobKind::Array, 3, 1.0),
+            spec_of("blue", "blue", JobKind::Array, 3, 1.0),
             (4 + 6 * u64::from(n)) * SECOND,
             n == 3,
         ));
     }
     let mut ids = Vec::new();
-    for (n, (class, spec, run, large)) in all.into_iter().enumerate() {
+    for (n, (class, spec, run_time, large)) in jobs.into_iter().enumerate() {
         let id = format!("req-{}", 100 + n);
         let at = sim.rng.random_range(0..25 * SECOND);
-        let (of, apart) = (id.clone(), sim.rng.random_range(0..4) * SECOND);
+        let (submitted, run_time_step) = (id.clone(), sim.rng.random_range(0..4) * SECOND);
         sim.after(at, move |sim| {
-            let apart = if spec.kind == JobKind::Array {
-                apart
+            let run_time_step = if spec.kind == JobKind::Array {
+                run_time_step
             } else {
                 0
             };
-            sim.spawn_balanced_client(&of, spec, run);
-            sim.jobs.get_mut(&of).expect("declared").run_time_step = apart;
+            sim.spawn_balanced_client(&submitted, spec, run_time);
+            sim.jobs
+                .get_mut(&submitted)
+                .expect("declared")
+                .run_time_step = run_time_step;
         });
         ids.push((id, class, large));
     }
     for n in 0..4u64 {
         let id = format!("req-{}", 200 + n);
-        let (of, cancelled) = (id.clone(), id);
+        let (submitted, cancelled) = (id.clone(), id);
         sim.after(n * 3 * SECOND, move |sim| {
             let spec = JobSpec {
                 class: "gone".into(),
                 ..job(JobKind::Array, 3, 1.0)
             };
-            sim.spawn_balanced_client(&of, spec, 400 * SECOND);
+            sim.spawn_balanced_client(&submitted, spec, 400 * SECOND);
         });
         let at = sim.rng.random_range(8..60) * SECOND;
         sim.after(at, move |sim| cancel_once_accepted(sim, cancelled));
@@ -391,28 +404,28 @@
     let ids = submit_jobs(&mut sim);
     sim.run_seconds(8);
     let mut last_end = 0;
-    let mut drawn = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..sim.rng.random_range(2..4) {
         let fault = FAULTS[sim.rng.random_range(0..FAULTS.len())];
         let (delay, duration) = (
-            draw_timeout_like_duration(&mut sim),
-            draw_timeout_like_duration(&mut sim),
+            random_duration_near_timeout(&mut sim),
+            random_duration_near_timeout(&mut sim),
         );
-        drawn.push((fault, delay, duration));
+        faults.push((fault, delay, duration));
         last_end = last_end.max(delay + duration.max(32 * SECOND));
         sim.after(delay, move |sim| start_fault(sim, fault, duration));
     }
-    println!("seed {seed}: {drawn:?}");
+    println!("seed {seed}: {faults:?}");
     sim.run_micros(last_end + 2 * SECOND);
     sim.faults.clear();
     sim.declare_faults_over();
     sim.run_seconds(200);
     // Jobs cancelled by their clients do not have to be served.
-    let ids: Vec<Asked> = ids
+    let ids: Vec<SubmittedJob> = ids
         .into_iter()
         .filter(|(id, ..)| !sim.jobs[id].cancel_requested)
         .collect();
-    let served = |(id, ..): &&Asked| {
+    let served = |(id, ..): &&SubmittedJob| {
         let truth = &sim.jobs[id];
         let tasks = 0..truth.spec.tasks;
         truth.completion_seen_at.is_some()
@@ -421,42 +434,45 @@
                     .into_iter()
                     .all(|n| !sim.machines_running(&format!("{id}/{n}")).is_empty())
     };
-    let mut groups: Vec<(String, Vec<&Asked>)> = Vec::new();
+    let mut groups: Vec<(String, Vec<&SubmittedJob>)> = Vec::new();
     for key in ["svc", "gang", "red", "blue"] {
-        let of = ids.iter().filter(|(_, c, _)| *c == key);
-        groups.push((format!("class {key}"), of.clone().collect()));
+        let members = ids.iter().filter(|(_, class, _)| *class == key);
+        groups.push((format!("class {key}"), members.clone().collect()));
         groups.push((
             format!("largest of {key}"),
-            of.filter(|(.., large)| *large).collect(),
+            members.filter(|(.., large)| *large).collect(),
         ));
     }
     for team in ["red", "blue", "green"] {
-        let of = ids.iter().filter(|(id, ..)| sim.jobs[id].spec.team == team);
-        groups.push((format!("team {team}"), of.collect()));
+        let members = ids.iter().filter(|(id, ..)| sim.jobs[id].spec.team == team);
+        groups.push((format!("team {team}"), members.collect()));
     }
-    for (name, of) in groups {
-        let n = of.iter().copied().filter(served).count();
+    for (name, members) in groups {
+        let served_jobs = members.iter().copied().filter(served).count();
         assert!(
-            2 * n >= of.len(),
-            "seed {seed}: {n} of {} of {name}\n{}",
-            of.len(),
+            2 * served_jobs >= members.len(),
+            "seed {seed}: {served_jobs} of {} jobs of {name} were served\n{}",
+            members.len(),
             sim.dump()
         );
     }
     for n in 0..4 {
         let id = format!("req-{}", 200 + n);
-        let there = sim.running_instances(&id);
+        let running = sim.running_instances(&id);
         // A request that was in flight when the state was told may be answered with the earlier state.
-        let told = sim.jobs[&id].cancellation_seen_at.is_some();
-        assert!(told && there == 0, "seed {seed}: {id}, {there} there");
+        let cancellation_seen = sim.jobs[&id].cancellation_seen_at.is_some();
+        assert!(
+            cancellation_seen && running == 0,
+            "seed {seed}: {id}, cancellation seen {cancellation_seen}, {running} running"
+        );
     }
 }
 
 #[test]
 fn overlapping_random_faults_break_no_invariant() {
-    let given = |name: &str| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok());
-    let first = given("SEEDS_FROM").unwrap_or(9_000);
-    for seed in first..first + given("SEEDS").unwrap_or(120) {
+    let env_number = |name: &str| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok());
+    let first = env_number("SEEDS_FROM").unwrap_or(9_000);
+    for seed in first..first + env_number("SEEDS").unwrap_or(120) {
         run_overlapping_faults(seed);
     }
 }
