--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -1,6 +1,6 @@
-//! Explores every state of a small model of agent epochs, message numbers, duplicates and a takeover: one agent, one task,
-//! two leaders, and the real `Agent` as the leader's view. A task that was given up as gone never runs there again. The
-//! removal of any one rule is detected.
+//! Exhaustively explores a small model of agent epochs, sequence numbers, duplicate messages and a leader takeover: one
+//! agent, one task and two successive leaders, with the real `Agent` as the leader's view. A task that the leader has given
+//! up on this agent never runs on it again. Removing any one of the rules produces a violation.
 
 use model_checker::{CheckResult, Model, explore};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,14 +8,14 @@
 use walnuttrestle::protocol::agent_api::{AgentHeartbeat, ExitReason, TaskPhase, TaskStatus};
 use walnuttrestle::state::agent::{Agent, StartState, TaskLiveness};
 
-/// Number of heartbeats that the agent sends: they alone make the model large.
+/// Maximum number of heartbeats that the agent sends. It determines the size of the state space.
 const MAX_HEARTBEATS: u64 = 6;
-/// More states than the model has.
+/// Upper bound for the exploration; the model has fewer states.
 const MAX_STATES: usize = 2_000_000;
 const FIRST_EPOCH: u64 = 1;
 const FIRST_TERM: u64 = 1;
 
-/// The attempt on the agent's machine.
+/// State of the task attempt on the agent's machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Attempt {
     Running,
@@ -31,24 +31,24 @@
     attempt: Option<Attempt>,
 }
 
-/// A start that was sent.
+/// A start command that a leader has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SentStart {
     term: u64,
     agent_epoch: u64,
 }
 
-/// A start as the leader remembers it.
+/// The leader's record of a start command that it has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct TrackedStart {
     in_flight: bool,
     acknowledged: bool,
-    /// It may still arrive.
+    /// The command may still reach the agent.
     unresolved: bool,
     term: u64,
 }
 
-/// What the leader knows of the agent.
+/// The leader's view of the agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct LeaderView {
     heartbeat: Heartbeat,
@@ -61,17 +61,17 @@
     seq: u64,
     term: u64,
     attempt: Option<Attempt>,
-    /// Heartbeats and starts that were sent; each may arrive at any time, also again.
+    /// All heartbeats and starts sent so far. Each may be delivered at any time, and more than once.
     heartbeats: BTreeSet<Heartbeat>,
     starts: BTreeSet<SentStart>,
-    /// Term of the leader.
+    /// Term of the current leader.
     leader_term: u64,
     view: Option<LeaderView>,
-    /// The task has been given up here and may be started elsewhere.
+    /// The leader has given up the task on this agent and may start it on another machine.
     given_up: bool,
 }
 
-/// Steps of the model; what they hold only shows in the output of a failed test.
+/// Steps of the model. The fields are only read through `Debug`, in the output of a failed test.
 #[derive(Debug, Clone, Copy)]
 #[allow(dead_code)]
 enum Step {
@@ -88,21 +88,21 @@
     AttemptForgotten,
 }
 
-/// Rules that the argument rests on.
+/// The rules that keep a given-up task from running; the model can drop each of them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Rule {
-    /// Epoch and number order an agent's messages.
+    /// An agent's messages are ordered by epoch and sequence number; older ones are ignored.
     MessageOrder,
-    /// An agent that has not seen our term proves nothing absent.
+    /// A task that is missing from a heartbeat counts as absent only if the agent has seen the leader's term.
     TermSeen,
-    /// A start without an answer may arrive late.
+    /// A start that was not answered may still arrive later.
     UnresolvedStart,
-    /// An attempt that ended is kept until fenced, though its start was answered.
+    /// The agent retains an ended attempt until a higher term fences it, even if its start was answered.
     RetainedUntilFenced,
 }
 
 struct SessionModel {
-    /// The rule that the leader does not follow.
+    /// The rule that the model drops, if any.
     removed_rule: Option<Rule>,
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// The real view after a heartbeat, with the start that is remembered.
+/// Builds the real `Agent` from a view: its last heartbeat and the tracked start.
 fn agent_from_view(view: &LeaderView) -> Agent {
     let heartbeat = agent_heartbeat(view.heartbeat);
     let mut agent = Agent::new(&heartbeat);
@@ -149,7 +149,7 @@
     agent
 }
 
-/// Collects the steps from a state.
+/// Collects the possible steps from a state.
 struct Steps<'a> {
     state: &'a State,
     next: Vec<(Step, State)>,
@@ -180,7 +180,6 @@
         self.seq < MAX_HEARTBEATS
     }
 
-    /// Whether the agent accepts a start.
     fn accepts(&self, start: &SentStart) -> bool {
         start.term >= self.term && start.agent_epoch == self.agent_epoch
     }
@@ -211,7 +210,7 @@
         agent.liveness(term, "j", 0, 1, 1)
     }
 
-    /// The leader receives a heartbeat.
+    /// Applies a heartbeat to the leader's view.
     fn receive(&self, state: &mut State, heartbeat: Heartbeat) {
         let Some(view) = &state.view else {
             state.view = Some(LeaderView {
@@ -236,7 +235,7 @@
         }
     }
 
-    /// The start as the leader remembers it after an answer; `accepted`: the agent has executed it.
+    /// The leader's record of a start after the agent's answer; `accepted` means that the agent has executed it.
     fn after_answer(start: TrackedStart, accepted: bool) -> Option<TrackedStart> {
         let acknowledged = accepted || start.acknowledged;
         (acknowledged || start.unresolved).then_some(TrackedStart {
@@ -330,7 +329,7 @@
         if in_flight {
             steps.add(Step::StartTimedOut, |next| self.time_out_start(next));
         }
-        // An attempt that no leader has started is given up with its job, or with its gang.
+        // An attempt that was never started can be given up, too, when its job or its gang is.
         let is_gone = matches!(
             liveness,
             TaskLiveness::Gone | TaskLiveness::Ended(_) | TaskLiveness::NotStarted
@@ -374,7 +373,7 @@
         }
     }
 
-    /// Whether the leader lets the agent keep its ended attempt.
+    /// Whether the leader makes the agent retain its ended attempt.
     fn retains_ended_attempt(&self, view: &LeaderView) -> bool {
         let agent = agent_from_view(view);
         agent.tasks.first().is_none_or(|task| {
@@ -421,7 +420,7 @@
 
     fn violation(&self, state: &State) -> Option<String> {
         let is_violated = state.given_up && state.attempt == Some(Attempt::Running);
-        is_violated.then(|| "given up, started elsewhere, and running here".to_string())
+        is_violated.then(|| "the task was given up on this agent but runs on it".to_string())
     }
 }
 
--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -1,5 +1,6 @@
-//! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion:
-//! no controller answers with a state older than one that any controller has told (docs/fault-combinations.md).
+//! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion.
+//! No controller answers with a job state older than one that any controller has already reported
+//! (docs/fault-combinations.md).
 
 mod simulation;
 
@@ -8,14 +9,15 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A controller by seed: followers and the leader in turn.
+/// Picks a controller by seed: the leader and the two followers in turn.
 fn controller_for_seed(sim: &Simulation, seed: u64) -> usize {
     (sim.leader().expect("a leader") + seed as usize % 3) % 3
 }
 
-/// An acceptance is committed at once, and its answer takes a second; meanwhile the job is accepted and cancelled through
-/// another controller, and its client asks the first one again, whose cache lags. Fails (went_back: pending after
-/// cancelled) if a request that joins the pending acceptance is answered with the state that was written.
+/// The store commits an acceptance at once but answers it after more than a second. Meanwhile the job is accepted and
+/// cancelled through another controller, and the client repeats its submission at the first one, whose cache lags. Fails
+/// (went_back: pending after cancelled) if a request that joins the pending acceptance is answered with the state written
+/// by it.
 #[test]
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
@@ -36,7 +38,10 @@
         sim.run_micros(60_000);
         sim.submit(other, "req-1");
         sim.run_micros(100_000);
-        assert!(sim.jobs["req-1"].accepted, "seed {seed}: by the other node");
+        assert!(
+            sim.jobs["req-1"].accepted,
+            "seed {seed}: req-1 is not accepted by the other controller"
+        );
         sim.cancel(other, "req-1");
         sim.run_micros(100_000);
         assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
@@ -49,15 +54,16 @@
     }
 }
 
-/// A job was accepted while a machine type was offered; a controller whose cache lags knows only later types. Fails
-/// (forgotten: 422) without a read of the records before the refusal.
+/// A job is accepted while its machine type is offered. A controller with a lagging cache has the newer list of types,
+/// without that type, but not the job. Fails (forgotten: 422) if it rejects the submission without first reading the
+/// records.
 #[test]
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
         let lagging = controller_for_seed(&sim, seed);
         let other = (lagging + 1) % 3;
-        // A listing of all records has shown the types; the watch has not shown the job yet.
+        // The controller has the types from its initial listing; its watch has not delivered the job yet.
         let spec = JobSpec {
             types: Some(vec!["box".into()]),
             ..job(JobKind::Array, 2, 1.0)
@@ -66,7 +72,10 @@
         sim.declare_job("req-1", spec, 30 * SECOND);
         sim.submit(other, "req-1");
         sim.run_micros(100_000);
-        assert!(sim.jobs["req-1"].accepted, "seed {seed}");
+        assert!(
+            sim.jobs["req-1"].accepted,
+            "seed {seed}: req-1 is not accepted"
+        );
         sim.clear_machine_types(lagging);
         for _ in 0..3 {
             sim.submit(lagging, "req-1");
@@ -77,7 +86,7 @@
             sim.client_answers
                 .iter()
                 .any(|answer| answer.at + 3 * SECOND > sim.now),
-            "seed {seed}"
+            "seed {seed}: no request was answered in the last 3 s"
         );
     }
 }
@@ -131,7 +140,11 @@
         for (id, truth) in &sim.jobs {
             let outcome_seen =
                 truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-            assert!(outcome_seen, "seed {seed}: {id}\n{}", sim.dump());
+            assert!(
+                outcome_seen,
+                "seed {seed}: the client of {id} has seen neither its completion nor its cancellation\n{}",
+                sim.dump()
+            );
         }
         let pending = sim
             .client_answers
@@ -140,13 +153,14 @@
             .count();
         assert!(
             pending > 10 && sim.client_answers.len() > 300,
-            "seed {seed}: {pending}"
+            "seed {seed}: {pending} pending answers of {}, expected more than 10 of more than 300",
+            sim.client_answers.len()
         );
     }
 }
 
 /// A cancellation, polls and repeated submissions race with the completion of a job's last task, without other faults. The
-/// job is done or cancelled, and every controller reports the same from then on.
+/// job ends up either done or cancelled, and every controller reports that state from then on.
 #[test]
 fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
@@ -169,15 +183,20 @@
             cancelled += usize::from(truth.cancellation_seen_at.is_some());
             assert!(
                 truth.completion_seen_at.is_some() != truth.cancellation_seen_at.is_some(),
-                "seed {seed}"
+                "seed {seed}: completion seen at {:?}, cancellation seen at {:?}; expected exactly one",
+                truth.completion_seen_at,
+                truth.cancellation_seen_at
             );
         }
     }
-    assert!(done > 10 && cancelled > 10, "{done} {cancelled}");
+    assert!(
+        done > 10 && cancelled > 10,
+        "{done} jobs done and {cancelled} cancelled, expected more than 10 of each"
+    );
 }
 
-/// Of every kind of transaction (acceptance, cancellation, placement, completion, leadership) some are committed at once
-/// and only the answer is lost, while other controllers read what was written.
+/// For every kind of transaction (acceptance, cancellation, placement, completion, leadership), some are committed at once
+/// but their answer is lost, while other controllers read the written records.
 #[test]
 fn lost_transaction_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -201,7 +220,7 @@
                 match step % 3 {
                     0 => sim.crash_controller(leader, 60_000),
                     1 => {
-                        // Followers renew leases and write that on record.
+                        // Followers renew the leases and record the renewals.
                         for machine in sim.machine_names().into_iter().take(3) {
                             sim.partition(
                                 Endpoint::Controller(leader),
@@ -228,13 +247,17 @@
         );
         for n in 0..12 {
             let id = format!("req-{}", 100 + n);
-            assert!(sim.job_done(&id), "seed {seed}: {id}\n{}", sim.dump());
+            assert!(
+                sim.job_done(&id),
+                "seed {seed}: {id} is not done\n{}",
+                sim.dump()
+            );
         }
     }
 }
 
 /// Clients send invalid requests, repeat accepted submissions, cancel completed jobs and poll unknown ones, while the leader
-/// changes and one controller has just started.
+/// changes and all controllers restart. Every controller must refuse an invalid request in the same way.
 #[test]
 fn invalid_requests_are_refused_alike_by_every_controller() {
     for seed in 0..12 {
@@ -252,14 +275,17 @@
         });
         sim.run_seconds(60);
         for n in 0..6 {
-            assert!(sim.job_done(&format!("req-{n}")), "seed {seed}: {n}");
+            assert!(
+                sim.job_done(&format!("req-{n}")),
+                "seed {seed}: req-{n} is not done"
+            );
         }
     }
 }
 
-/// Thousands of requests a minute at every controller: polls, repeated submissions of running jobs, and submissions that
-/// can never run. One read of the records serves many; the rest of the budget is left to the leader and to acceptances.
-/// Fails if each kind of request reads on its own.
+/// Thousands of requests per minute reach every controller: polls, repeated submissions of running jobs, and submissions
+/// that can never run. One read of the records must serve many requests, so that the rest of the request rate to the store
+/// is left for the leader and for acceptances. Fails if each kind of request reads separately.
 #[test]
 fn thousands_of_polls_a_minute_share_their_store_reads() {
     let mut sim = simulation_with_leader(4220, 5);
@@ -296,17 +322,22 @@
         "{store_requests} store requests for {client_requests} client requests, {} answers",
         sim.client_answers.len() - answers_before
     );
-    assert!(store_requests < 20 * 90, "{store_requests}");
+    assert!(
+        store_requests < 20 * 90,
+        "{store_requests} store requests in 20 s, expected fewer than {}",
+        20 * 90
+    );
     assert!(
         sim.client_answers.len() - answers_before > client_requests * 9 / 10,
-        "{}",
+        "{} answers to {client_requests} client requests, expected more than 9 of 10",
         sim.client_answers.len() - answers_before
     );
     sim.run_seconds(8);
     for n in 0..10 {
         assert!(
             sim.job_done(&format!("req-{}", 100 + n)),
-            "{n}\n{}",
+            "req-{} is not done\n{}",
+            100 + n,
             sim.dump()
         );
     }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Corrupt records, messages and heartbeats are rejected as a whole and crash no controller.
+//! Corrupt records, requests and heartbeats are rejected as a whole and do not crash any controller.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use walnuttrestle::protocol::agent_api::AgentHeartbeat;
 use walnuttrestle::protocol::codec::encode;
 
-/// A body with some bytes changed, or truncated.
+/// Returns the body with up to three random modifications: a truncation, a changed byte or a removed byte.
 fn corrupted(sim: &mut Simulation, body: &[u8]) -> Vec<u8> {
     let mut body = body.to_vec();
     for _ in 0..sim.rng.random_range(1..4) {
@@ -32,7 +32,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 3, 1.0), 40 * SECOND);
         sim.run_seconds(8);
-        // A machine that exists nowhere else, so that a readable heartbeat of it is no lie about other machines.
+        // No agent has this machine name, so a heartbeat that stays decodable cannot misreport a real machine.
         let heartbeat = AgentHeartbeat {
             machine: "n-000900".into(),
             address: "10.1.4.100:9000".into(),
@@ -51,7 +51,11 @@
             sim.send_bytes(node, internal, path, body);
         }
         sim.run_seconds(50);
-        assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-2"),
+            "seed {seed}: req-2 is not done\n{}",
+            sim.dump()
+        );
         assert_eq!(
             sim.running_instances("req-1"),
             4,
@@ -61,7 +65,8 @@
     }
 }
 
-/// A heartbeat with one unreadable task: were the rest accepted, that task would look absent and be started elsewhere.
+/// A heartbeat contains one task with an invalid name. If the rest were accepted, that task would appear to be absent and
+/// would be started on another machine.
 #[test]
 fn heartbeat_with_an_invalid_task_is_rejected_as_a_whole() {
     let mut sim = simulation_with_leader(6010, 4);
@@ -75,23 +80,23 @@
     for _ in 0..3 {
         let mut heartbeat = sim.heartbeat_of(&machine);
         let invalid_task = heartbeat.tasks.iter_mut().find(|t| t.task == "req-1/0");
-        invalid_task.expect("its task").task = "req-1".into();
-        // Its machine is about to be preempted, so it would be started elsewhere.
+        invalid_task.expect("req-1/0 in the heartbeat").task = "req-1".into();
+        // The preemption notice makes the leader move the machine's tasks to other machines.
         heartbeat.notice_s = Some(30.0);
         sim.send_bytes(leader, false, "/hello", encode(&heartbeat));
         sim.run_seconds(2);
     }
     sim.run_seconds(80);
-    assert!(sim.job_done("req-1"), "{}", sim.dump());
+    assert!(sim.job_done("req-1"), "req-1 is not done\n{}", sim.dump());
     assert!(
         sim.start_counts.values().all(|n| *n == 1),
-        "{:?}",
+        "a task was started more than once: {:?}",
         sim.start_counts
     );
 }
 
-/// No controller can read a job's record: the job is not forgotten, none of its tasks is started again, and all other
-/// jobs continue.
+/// A job's record is corrupt and no controller can decode it. Requests for the job are answered with 503 instead of being
+/// treated as requests for an unknown job, none of its tasks is started again, and all other jobs continue.
 #[test]
 fn job_with_an_unreadable_record_is_not_forgotten() {
     for seed in 0..6 {
@@ -104,9 +109,9 @@
             .keys_under("")
             .into_iter()
             .find(|k| k.ends_with("req-1"));
-        sim.store.corrupt(&key.expect("its record"));
+        sim.store.corrupt(&key.expect("the record of req-1"));
         if seed % 2 == 0 {
-            // Controllers that start now have never read it.
+            // After the restart, no controller has the record in its cache.
             (0..3).for_each(|i| sim.crash_controller(i, 200_000));
         }
         sim.run_seconds(15);
@@ -124,13 +129,17 @@
             .collect();
         assert!(
             statuses.len() >= 9 && statuses.iter().all(|status| *status == 503),
-            "seed {seed}: {statuses:?}"
+            "seed {seed}: expected at least 9 answers, all with status 503, found {statuses:?}"
         );
         sim.run_seconds(50);
-        assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-2"),
+            "seed {seed}: req-2 is not done\n{}",
+            sim.dump()
+        );
         assert!(
             sim.start_counts.iter().all(|(_, n)| *n == 1),
-            "seed {seed}: {:?}",
+            "seed {seed}: a task was started more than once: {:?}",
             sim.start_counts
         );
     }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,11 +1,12 @@
-//! `.ci/test` passes over the tests that KNOWN-RED.txt names, and over nothing else. It runs here in a folder of its
-//! own, with a `cargo` that prints what a run would.
+//! `.ci/test` ignores failures of the tests that are listed in KNOWN-RED.txt, and no others. The tests run a copy of the
+//! script in a temporary directory, with a stub `cargo` that prints prepared output.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::Command;
 
+/// Output of the stub for `cargo test -- --list`.
 const TEST_LIST: &str = "     Running tests/gap.rs (target/debug/deps/gap-0a1b2c3d)
 one: test
 two: test
@@ -14,6 +15,7 @@
 one: test
 ";
 
+/// Output of `cargo test` in which the given tests fail and all others pass.
 fn cargo_output(failed: &[&str]) -> String {
     let line = |target: &str, test: &str| {
         let fails = failed.contains(&format!("{target}::{test}").as_str());
@@ -29,7 +31,8 @@
     )
 }
 
-/// Whether CI passes with such a list and such a run, and what it prints.
+/// Runs `.ci/test` with the given contents of KNOWN-RED.txt and the given output of `cargo test`; returns whether it
+/// passes, and what it prints.
 fn run_ci_test(known_red: Option<&str>, output: &str, cargo_fails: bool) -> (bool, String) {
     let dir = TempDir::new();
     let path = &dir.0;
@@ -57,7 +60,7 @@
     (out.status.success(), String::from_utf8(text).unwrap())
 }
 
-/// A folder that goes with the test.
+/// A temporary directory that is removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -93,11 +96,12 @@
     let (passed, text) = run_ci_test(Some(ONE_ENTRY), &cargo_output(&["gap::one"]), true);
     assert!(passed, "{text}");
     assert!(
-        text.contains("known red: gap::one | the cause of it | issue 42 (failed, passed over)")
+        text.contains("known red: gap::one | the cause of it | issue 42 (failed, passed over)"),
+        "the listed failure is not printed: {text}"
     );
     let (passed, text) = run_ci_test(Some(ONE_ENTRY), &cargo_output(&[]), false);
     assert!(passed && text.contains("(passed)"), "{text}");
-    // The same name in another binary, another test beside it, a longer name.
+    // The same name in another test binary, a second failure that is not listed, and a name that ends in the listed one.
     for failed in [
         &["nights::one"][..],
         &["gap::one", "gap::two"],
@@ -146,7 +150,10 @@
          nights::inner::one | a | issue 1\n",
     ] {
         let (passed, text) = run_ci_test(Some(list), &cargo_output(&[]), false);
-        assert!(!passed, "{list:?}: {text}");
-        assert!(text.contains("KNOWN-RED.txt: "), "{list:?}: {text}");
+        assert!(!passed, "the invalid list {list:?} was accepted: {text}");
+        assert!(
+            text.contains("KNOWN-RED.txt: "),
+            "no message about KNOWN-RED.txt for {list:?}: {text}"
+        );
     }
 }
