--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -1,5 +1,6 @@
-//! The store refuses only the leader, another controller confirms cancellations, then the store is out for all, for longer
-//! than the cancellation deadline, while agents still report to the old leader.
+//! The store refuses only the leader while a follower confirms cancellations; then the store is unavailable to all
+//! controllers for longer than the cancellation deadline, and agents still send their heartbeats to the old leader. The
+//! leader must stop the cancelled tasks although it cannot read the records.
 
 mod simulation;
 
@@ -10,18 +11,18 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// How long only the leader is refused before the store is out for all.
+/// How long the store refuses only the leader before the outage for all controllers, in microseconds.
 const LEADER_REFUSED_US: u64 = 2 * SECOND;
-/// Duration of the outage in seconds.
+/// Duration of the store outage in seconds, longer than the cancellation deadline.
 const OUTAGE_S: u64 = CANCEL_DEADLINE_S + 12;
 
-/// The leader and the two followers.
+/// Indexes of the leader and the two followers.
 fn controllers_by_role(sim: &Simulation) -> (usize, usize, usize) {
     let leader = sim.leader().expect("a leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
-/// A simulation with replicas that have to survive, and arrays that are to be cancelled.
+/// A simulation with a service whose replicas have to survive, and arrays for the tests to cancel.
 fn simulation_with_jobs(seed: u64) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
@@ -37,7 +38,8 @@
     sim
 }
 
-/// Refuses only the leader; calls `tell` half-way to the outage and again shortly before it.
+/// Makes the store refuse only the leader, then starts the outage; calls `cancel` halfway between the two and again
+/// shortly before the outage.
 fn refuse_leader_then_stop_store(sim: &mut Simulation, cancel: impl Fn(&mut Simulation, &str)) {
     let (leader, ..) = controllers_by_role(sim);
     sim.store.refused_controllers.push(leader);
@@ -56,10 +58,16 @@
     sim.run_seconds(40);
 }
 
-/// Asserts that cancelled jobs have no task; then the outage passes, and all other tasks have survived.
+/// Asserts that no task of the cancelled jobs is active; then lets the outage pass and asserts that no replica of the
+/// service was started again.
 fn assert_cancelled_jobs_stopped_and_replicas_survived(sim: &mut Simulation, seed: u64) {
     let running = sim.running_instances("req-2") + sim.running_instances("req-3");
-    assert_eq!(running, 0, "seed {seed}: {}", sim.dump());
+    assert_eq!(
+        running,
+        0,
+        "seed {seed}: instances of the cancelled jobs\n{}",
+        sim.dump()
+    );
     sim.run_seconds(OUTAGE_S);
     end_outage_and_run(sim);
     assert_replicas_survived(sim, seed);
@@ -70,14 +78,15 @@
         assert_eq!(
             sim.start_counts[&format!("req-1/{task}")],
             1,
-            "seed {seed}: {}",
+            "seed {seed}: starts of req-1/{task}\n{}",
             sim.dump()
         );
     }
 }
 
-/// Fails if the leader learns of cancellations from the records alone: then it stops renewing all leases 18 s after its last
-/// read, and every task dies with its lease. Fails as well if it continues without knowing of them.
+/// Fails if the leader learns of cancellations only from the records: it then stops renewing all leases 18 s after its last
+/// read, and every task ends when its lease expires. Fails as well if it keeps renewing leases without having learned of
+/// the cancellations.
 #[test]
 fn cancellation_confirmed_by_a_follower_is_enforced_and_other_tasks_survive() {
     for seed in 0..12 {
@@ -110,7 +119,7 @@
     }
 }
 
-/// Clients of the old leader: it forwards their requests to a controller that the store serves.
+/// A client cancels through the old leader, which forwards the request to a controller that the store still serves.
 #[test]
 fn cancellation_forwarded_by_the_old_leader_is_enforced() {
     for seed in 0..8 {
@@ -136,7 +145,7 @@
     }
 }
 
-/// Each follower confirms one cancellation.
+/// Each follower confirms one cancellation, so the leader has to learn of both.
 #[test]
 fn cancellations_confirmed_by_both_followers_are_enforced() {
     for seed in 0..8 {
@@ -150,8 +159,9 @@
     }
 }
 
-/// The confirming controller crashes at once or later; it stays down, or returns at once without its memory. Then no
-/// controller knows what it has told its clients, and no lease may be renewed for long.
+/// The confirming controller crashes at once or two seconds later; it stays down, or restarts at once with its in-memory
+/// state lost. No other controller may have learned which cancellations it had confirmed, so leases must not be renewed
+/// for long.
 #[test]
 fn cancellation_is_enforced_when_the_confirming_controller_crashes() {
     for seed in 0..8 {
@@ -183,7 +193,8 @@
     }
 }
 
-/// The leader and the confirming follower cannot exchange messages, in both directions or in one; the third relays them.
+/// Messages between the leader and the confirming follower are lost, in both directions or in one. The third controller
+/// relays the cancellations.
 #[test]
 fn third_controller_relays_cancellations() {
     for seed in 0..8 {
@@ -209,7 +220,8 @@
     }
 }
 
-/// The leader hears neither follower: it cannot know what they have confirmed, and stops renewing leases in time.
+/// The leader receives no messages from the followers. They may have confirmed cancellations, so it has to stop renewing
+/// leases before the cancellation deadline.
 #[test]
 fn isolated_leader_stops_renewing_leases_in_time() {
     for seed in 0..8 {
@@ -241,7 +253,8 @@
     }
 }
 
-/// The store commits a cancellation and the answer is lost or comes seconds late: the client is told in time or not at all.
+/// The store commits a cancellation, but its answer is lost or more than a second late. The client gets a confirmation in
+/// time or none at all.
 #[test]
 fn lost_or_late_cancellation_answer_is_handled() {
     for seed in 0..8 {
@@ -273,7 +286,7 @@
     }
 }
 
-/// Starts are sent and not answered yet when their machines hang; the machines continue within their leases, or later.
+/// Machines hang when starts have been sent to them but not answered yet; they resume before or after their leases expire.
 #[test]
 fn start_delayed_by_a_hung_machine_runs_no_cancelled_task() {
     for seed in 0..8 {
@@ -299,8 +312,8 @@
     }
 }
 
-/// A start gets no answer and arrives after everything else, long after its job was cancelled. With the store out, no higher
-/// term can fence it. Fails (ran_cancelled) if the agent's lease is renewed all the same.
+/// A start gets no answer and arrives long after its job was cancelled. During the store outage no higher term can fence it.
+/// Fails (ran_cancelled) if the agent's lease is still renewed.
 #[test]
 fn unanswered_start_that_arrives_after_cancellation_is_harmless() {
     for seed in 0..8 {
@@ -322,8 +335,8 @@
     }
 }
 
-/// Starts of a job that is placed and recorded are still unsent when the leader hears that the job is cancelled. Fails if
-/// it still sends them.
+/// A job is placed and recorded, but its starts do not reach the agents before the leader learns that the job is cancelled.
+/// Fails if the leader sends the starts after that.
 #[test]
 fn job_known_to_be_cancelled_is_not_started() {
     for seed in 0..12 {
@@ -347,11 +360,14 @@
             .iter()
             .filter(|start| start.task.starts_with("req-2000/"))
             .collect();
-        assert!(late_starts.is_empty(), "seed {seed}: {late_starts:?}");
+        assert!(
+            late_starts.is_empty(),
+            "seed {seed}: starts after the cancellation: {late_starts:?}"
+        );
     }
 }
 
-/// One outage after the other, each with whichever controller leads.
+/// Two store outages in succession; in each, the store first refuses the controller that leads at that time.
 #[test]
 fn two_store_outages_in_a_row_are_survived() {
     for seed in 0..6 {
@@ -366,7 +382,11 @@
             sim.store.outage = true;
             sim.run_seconds(OUTAGE_S);
             for id in ids {
-                assert_eq!(sim.running_instances(id), 0, "seed {seed} {round}");
+                assert_eq!(
+                    sim.running_instances(id),
+                    0,
+                    "seed {seed}, round {round}: instances of {id}"
+                );
             }
             end_outage_and_run(&mut sim);
             assert_replicas_survived(&sim, seed);
@@ -378,8 +398,8 @@
     }
 }
 
-/// Controllers that do not know the new format are told nothing and confirm as before: no rule is violated, and leases
-/// expire in time.
+/// Controllers of the first version do not support the peer messages that carry cancellations: they receive none, and
+/// confirm cancellations without them. No invariant is violated, and leases expire in time.
 #[test]
 fn first_version_controllers_among_ours_break_no_invariant() {
     for seed in 0..4 {
@@ -419,8 +439,8 @@
     }
 }
 
-/// Agents move to the followers meanwhile: these renew leases under the delegated right and stop cancelled tasks as well,
-/// also the third controller, which has only heard of the cancellation.
+/// Agents change to the followers during the outage. The followers renew leases by delegation and have to stop cancelled
+/// tasks, too. This includes the third controller, which has learned of the cancellation only from a peer's message.
 #[test]
 fn agents_that_change_controllers_stop_cancelled_tasks() {
     for seed in 0..12 {
@@ -429,7 +449,7 @@
         let cancellation_from_peer = seed % 2 == 1;
         if cancellation_from_peer {
             sim.store.refused_controllers.push(third);
-            // The leader does not hear of the cancellation and cannot stop the task itself.
+            // Without messages from the follower, the leader cannot learn of the cancellation and stop the task itself.
             sim.partition(
                 Endpoint::Controller(leader),
                 Endpoint::Controller(follower),
@@ -443,7 +463,7 @@
             let duration = sim.rng.random_range(5 * SECOND..15 * SECOND);
             let agent = Endpoint::Agent(machine);
             if cancellation_from_peer {
-                // Its link to the remaining controllers, from the beginning.
+                // From the beginning of the outage, the agent reaches only the third controller.
                 sim.partition(
                     Endpoint::Controller(leader),
                     agent.clone(),
@@ -480,7 +500,7 @@
     }
 }
 
-/// Tasks that are saving after a stop when their job is cancelled.
+/// Tasks are still saving their state after a preemption when their job is cancelled; they have to end by the deadline.
 #[test]
 fn cancelled_task_that_is_saving_ends_in_time() {
     for seed in 0..8 {
@@ -513,7 +533,7 @@
     }
 }
 
-/// Machines that hang or are deaf meanwhile.
+/// Machines hang during the outage, or are deaf: they send heartbeats but receive neither responses nor commands.
 #[test]
 fn unreachable_machines_run_no_cancelled_task_past_the_deadline() {
     for seed in 0..8 {
@@ -544,14 +564,14 @@
     }
 }
 
-/// The confirming controller restarts at once, while the store still serves it: it reads the records and confirms, with a
-/// new cancellation log. Fails if its log is taken for the log of its earlier incarnation.
+/// The confirming controller restarts at once, while the store still serves it: it reads the records and confirms with a new,
+/// empty cancellation log. Fails if peers mistake this log for that of its earlier incarnation.
 #[test]
 fn restarted_confirming_controller_relays_its_cancellations() {
     for seed in 0..12 {
         let mut sim = simulation_with_jobs(2280 + seed);
         let (leader, follower, third) = controllers_by_role(&sim);
-        // Only messages of the follower itself reach the leader.
+        // The leader receives messages from the confirming follower only, not through the third controller.
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(third),
@@ -590,7 +610,7 @@
         sim.run_micros(SECOND);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
         sim.store.outage = true;
-        // The third controller would relay the cancellation as well.
+        // Otherwise the third controller would relay the cancellation, too.
         sim.partition(
             Endpoint::Controller(leader),
             Endpoint::Controller(third),
@@ -610,8 +630,8 @@
     }
 }
 
-/// The leader and the third controller are both refused, and the leader cannot exchange messages with the confirming one: it
-/// hears of the cancellation from the third, which only knows it from a message as well.
+/// The store refuses the leader and the third controller, and the leader cannot exchange messages with the confirming one.
+/// The leader learns of the cancellation from the third controller, which has learned of it from a peer's message, too.
 #[test]
 fn cancellations_learned_from_a_peer_are_relayed() {
     for seed in 0..8 {
@@ -632,8 +652,9 @@
     }
 }
 
-/// The leader is refused for so long that another leads. It hears only the third controller, which is refused as well and
-/// hears the new leader. Fails (ran_twice) if knowledge of all cancellations suffices to confirm.
+/// The store refuses the leader for so long that another controller takes over. The old leader receives messages only from
+/// the third controller, which the store refuses, too, and which receives messages from the new leader. Fails (ran_twice)
+/// if having all cancellations is enough to confirm that the old leader may renew leases.
 #[test]
 fn replaced_leader_stops_renewing_leases() {
     let mut replaced = 0;
@@ -660,7 +681,7 @@
                 120 * SECOND,
             );
         }
-        // New machines report to the new leader only: their heartbeats would show the old leader its term.
+        // New machines send heartbeats to the new leader only: they would reveal its term to the old leader.
         for machine in 6..16 {
             let machine = Endpoint::Agent(format!("n-{machine:06}"));
             sim.partition(
@@ -686,11 +707,11 @@
             sim.dump()
         );
     }
-    assert_eq!(replaced, 4);
+    assert_eq!(replaced, 4, "seeds in which the leader was replaced");
 }
 
-/// Direct commands to machines are lost, heartbeat responses are not. Fails if a response omits a stop because it was sent
-/// a moment ago.
+/// Direct commands to machines are lost, heartbeat responses are not. Fails if a response omits a stop because a command with
+/// that stop was sent shortly before.
 #[test]
 fn every_heartbeat_response_stops_cancelled_tasks() {
     for seed in 0..16 {
@@ -702,7 +723,7 @@
                 .drop_deliveries(&machine, None, &[DroppedDelivery::Commands], until);
         }
         refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
-        // One heartbeat interval of controllers, one of agents, and the latency of messages.
+        // One heartbeat interval of the controllers, one of the agents, and the latency of messages.
         sim.run_micros(2_900_000);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
@@ -713,8 +734,9 @@
     }
 }
 
-/// A controller whose watch lags far behind takes over, and the store is out before it has read anything: its committed
-/// claim does not prove that it knows what was cancelled before. Fails (ran_cancelled) if leases are renewed as if it did.
+/// A controller whose watch lags far behind becomes leader, and the store outage starts before it has read anything. Its
+/// committed leadership record does not prove that it has the earlier cancellations. Fails (ran_cancelled) if it renews
+/// leases as if it had them.
 #[test]
 fn winning_an_election_does_not_prove_knowledge_of_earlier_cancellations() {
     let mut elections_won = 0;
@@ -741,8 +763,8 @@
         sim.cancel(confirming, "req-2");
         sim.run_micros(SECOND / 5);
         assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
-        // After the first outage the old leader's key lives on for a while, so the record that the claim is conditional on
-        // has not changed.
+        // After the first outage the old leader's key has not expired yet, so the record version that the leadership
+        // transaction is conditional on has not changed.
         sim.store.outage = true;
         sim.run_seconds(7);
         sim.crash_controller(leader, 50_000);
@@ -756,5 +778,8 @@
         sim.run_seconds(OUTAGE_S);
         end_outage_and_run(&mut sim);
     }
-    assert!(elections_won > 8, "{elections_won}");
+    assert!(
+        elections_won > 8,
+        "the lagging controller led in {elections_won} of 12 seeds, expected more than 8"
+    );
 }
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -1,5 +1,6 @@
-//! Degraded communication, after the operators' incidents of 2026-12: failing jobs, deaf machines, late duplicates of
-//! heartbeats, controllers that reach nothing but their agents.
+//! Degraded communication, after the operators' incidents of 2026-12: jobs that always fail, late duplicates of heartbeats,
+//! controllers that reach only their agents, and deaf machines, whose agents send heartbeats but receive no responses or
+//! commands.
 
 mod simulation;
 
@@ -10,8 +11,8 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// Fails if a machine is marked faulty for jobs that fail everywhere: it was drained and deleted once it had run two of them
-/// (inc-944e: 28 sound machines). Fails as well if all tasks of such a job are retried again and again.
+/// Fails if a machine is marked faulty because of jobs that fail on every machine: it was drained and deleted once it had run
+/// two of them (inc-944e: 28 healthy machines). Fails as well if all tasks of such a job are retried repeatedly.
 #[test]
 fn failing_jobs_do_not_mark_machines_faulty() {
     for seed in 0..6 {
@@ -26,30 +27,30 @@
         sim.run_seconds(120);
         assert!(
             sim.deleted_machines.is_empty(),
-            "seed {seed}: {:?}",
+            "seed {seed}: deleted machines {:?}, expected none",
             sim.deleted_machines
         );
         let failed_attempts = |sim: &Simulation| sim.failed_task_count();
         let failures_before = failed_attempts(&sim);
         sim.run_seconds(60);
-        // Four jobs, each retried with one task after up to a minute.
+        // Each of the four jobs is retried with a single task, with a backoff of up to a minute.
         assert!(
             failed_attempts(&sim) - failures_before <= 16,
-            "seed {seed}: {}",
-            failed_attempts(&sim)
+            "seed {seed}: {} new failed attempts in 60 s, expected at most 16",
+            failed_attempts(&sim) - failures_before
         );
         for i in 0..4 {
             sim.cancel_until_answered(&format!("req-{i}"));
         }
         sim.spawn_client("req-91", job(JobKind::Array, 8, 1.0), 2 * SECOND);
         sim.run_seconds(20);
-        assert!(sim.job_done("req-91"), "seed {seed}");
+        assert!(sim.job_done("req-91"), "seed {seed}: req-91 is not done");
     }
 }
 
-/// Fails if a new leader starts all tasks of such jobs again, or deletes machines that have run them. Failed attempts stay in
-/// the agents' heartbeats until a higher term fences them, so the new leader learns of them there; until then it may give
-/// up no machine for them.
+/// Fails if a new leader restarts all tasks of jobs that always fail, or deletes machines that have run them. Failed attempts
+/// stay in the agents' heartbeats until a higher term fences them, and the new leader learns of them from there. Until it
+/// has, it must not mark any machine faulty because of them.
 #[test]
 fn takeover_does_not_restart_all_failing_tasks() {
     for seed in 0..6 {
@@ -67,24 +68,24 @@
         let new_failures = sim.failed_task_count() - failures_before;
         assert!(
             new_failures <= 32,
-            "seed {seed}: {new_failures} failures in 40 s"
+            "seed {seed}: {new_failures} failures in 40 s, expected at most 32"
         );
         assert!(
             sim.deleted_machines.is_empty(),
-            "seed {seed}: {:?}",
+            "seed {seed}: deleted machines {:?}, expected none",
             sim.deleted_machines
         );
     }
 }
 
-/// The machines of a service's replicas.
+/// The machines that run a service's replicas.
 fn replica_machines(sim: &Simulation, id: &str, tasks: u32) -> Vec<String> {
     let machines = (0..tasks).flat_map(|t| sim.machines_running(&format!("{id}/{t}")));
     machines.collect()
 }
 
-/// Fails if heartbeats alone count as a sign that a machine can be used: tasks placed there would wait for a lease, again and
-/// again.
+/// Fails if a machine counts as usable because of its heartbeats alone: each task placed on a deaf machine would wait for a
+/// whole lease before it is placed again.
 #[test]
 fn deaf_machine_gets_no_new_task_until_it_recovers() {
     for seed in 0..8 {
@@ -95,33 +96,40 @@
         let deaf = replica_machines(&sim, "req-1", 4)[0].clone();
         let until = sim.now + 28 * SECOND;
         sim.faults.drop_all_deliveries(&deaf, until);
-        // Its lease expires by itself; a heartbeat or two later its replicas are elsewhere.
+        // The agent's lease expires without renewal; within two heartbeats its replicas run on other machines.
         sim.run_seconds(LEASE_S + 7);
         for task in 0..4 {
             let machines = sim.machines_running(&format!("req-1/{task}"));
             assert_eq!(machines.len(), 1, "seed {seed}: {}", sim.dump());
-            assert!(!machines.contains(&deaf), "seed {seed}");
+            assert!(
+                !machines.contains(&deaf),
+                "seed {seed}: req-1/{task} still runs on the deaf machine {deaf}"
+            );
         }
-        // Only the other three machines have room for these.
+        // These tasks have to run on the other three machines.
         for i in 2..8 {
             sim.spawn_client(&format!("req-{i}"), job(JobKind::Array, 3, 1.0), SECOND);
         }
         sim.run_seconds(8);
         assert!(
             (2..8).all(|i| sim.job_done(&format!("req-{i}"))),
-            "seed {seed}"
+            "seed {seed}: not all of req-2 to req-7 are done"
         );
         sim.run_seconds(8);
-        // It hears again and is needed: these jobs want whole machines.
+        // The machine receives messages again, and its capacity is needed for these jobs, whose tasks are large.
         sim.spawn_client("req-20", job(JobKind::Array, 4, 4.0), 12 * SECOND);
         sim.spawn_client("req-21", job(JobKind::Array, 4, 4.0), 12 * SECOND);
         sim.run_seconds(9);
         assert!(
             sim.agents[&deaf].active_tasks().next().is_some(),
-            "seed {seed}: {}",
+            "seed {seed}: no task on the recovered machine {deaf}\n{}",
             sim.dump()
         );
-        assert!(sim.deleted_machines.is_empty(), "seed {seed}");
+        assert!(
+            sim.deleted_machines.is_empty(),
+            "seed {seed}: deleted machines {:?}, expected none",
+            sim.deleted_machines
+        );
     }
 }
 
@@ -133,12 +141,16 @@
     let deaf = replica_machines(&sim, "req-1", 2)[0].clone();
     sim.faults.drop_all_deliveries(&deaf, u64::MAX);
     sim.run_seconds(90);
-    assert!(sim.deleted_machines.contains(&deaf), "{}", sim.dump());
+    assert!(
+        sim.deleted_machines.contains(&deaf),
+        "the deaf machine {deaf} is not deleted\n{}",
+        sim.dump()
+    );
     assert_eq!(replica_machines(&sim, "req-1", 2).len(), 2);
 }
 
-/// A rack, a whole zone, one controller only, one kind of message only: no rule is violated, and in the end everything runs
-/// that should.
+/// Most machines of the fleet or of one zone become deaf: to all controllers or only to the leader, for heartbeat responses,
+/// commands or both. No invariant is violated, and afterwards all jobs run or complete.
 #[test]
 fn deaf_racks_and_zones_break_no_invariant() {
     let mut deaf_machines = 0;
@@ -189,10 +201,13 @@
             sim.dump()
         );
     }
-    assert!(deaf_machines > 100);
+    assert!(
+        deaf_machines > 100,
+        "{deaf_machines} machines were made deaf, expected more than 100"
+    );
 }
 
-/// Fails if a duplicate of a dead machine's old heartbeat counts as a sign of life.
+/// Fails if a late duplicate of an old heartbeat makes a dead machine count as alive.
 #[test]
 fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive() {
     for seed in 0..8 {
@@ -217,15 +232,15 @@
     }
 }
 
-/// Fails if a heartbeat that was overtaken by a command's answer is answered with our term although it is not counted: the
-/// agent's lease is renewed, but considered expired too early.
+/// A command's answer overtakes a heartbeat, so the leader discards the heartbeat as outdated. Fails if the leader still
+/// answers it with its term: the agent then renews its lease, while the leader considers the lease expired too early.
 #[test]
 fn overtaken_heartbeat_does_not_renew_a_lease_silently() {
     for seed in 0..80 {
         let mut sim = simulation_with_leader(900 + seed, 4);
         sim.faults.max_heartbeat_delay = 1_500_000;
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
-        // Starts are sent all the time, so that their answers overtake heartbeats.
+        // Starts are sent continuously, so that their answers overtake heartbeats.
         for i in 0..40 {
             let delay = sim.rng.random_range(SECOND..30 * SECOND);
             sim.after(delay, move |sim| {
@@ -255,7 +270,7 @@
     }
 }
 
-/// Fails if an agent forgets a stopped attempt while a duplicate of its start may still arrive.
+/// Fails if an agent discards a stopped attempt while a duplicate of its start command may still arrive.
 #[test]
 fn duplicate_commands_do_not_restart_a_task() {
     let mut restarted_tasks = 0;
@@ -279,7 +294,7 @@
         for i in 0..2 {
             sim.cancel_until_answered(&format!("req-{}", 10 + i));
         }
-        // A gang of a higher priority preempts some tasks, which start elsewhere later.
+        // A gang of a higher priority preempts some tasks, which are started again later.
         let spec = JobSpec {
             priority: Priority::High,
             ..job(JobKind::Gang, 1, 8.0)
@@ -295,7 +310,10 @@
         }
         restarted_tasks += sim.start_counts.values().filter(|n| **n > 1).count();
     }
-    assert!(restarted_tasks > 10, "{restarted_tasks}");
+    assert!(
+        restarted_tasks > 10,
+        "{restarted_tasks} tasks were started more than once, expected more than 10"
+    );
 }
 
 /// Partitions a controller from the store and its peers, but not from its agents.
@@ -316,7 +334,8 @@
     }
 }
 
-/// Fails if such a leader keeps its agents as long as it may: others lead by then, without a machine to start tasks on.
+/// A leader reaches only its agents. Fails if it keeps their leases renewed as long as it is allowed to: another controller
+/// leads by then, and has no machine to start tasks on.
 #[test]
 fn leader_reaching_only_its_agents_releases_them_in_time() {
     for seed in 0..12 {
@@ -328,7 +347,11 @@
         let leader = sim.leader().unwrap();
         partition_from_all_but_agents(&mut sim, leader, 60 * SECOND);
         sim.run_seconds(7);
-        assert_ne!(sim.health_status(leader), 200, "users are sent away");
+        assert_ne!(
+            sim.health_status(leader),
+            200,
+            "seed {seed}: /healthz of the partitioned leader must not be 200"
+        );
         sim.spawn_client_at(
             &[(leader + 1) % 3, (leader + 2) % 3],
             "req-2",
@@ -342,7 +365,7 @@
             99 * SECOND,
         );
         sim.run_seconds(6);
-        // Its client polls every 1 to 3 s and may be told that much later.
+        // The client polls every 1 to 3 s, so it may receive the final state that much later.
         assert_eq!(
             sim.jobs["req-2"].done.len(),
             4,
@@ -353,13 +376,21 @@
         assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
         sim.cancel((leader + 1) % 3, "req-3");
         sim.run_seconds(80);
-        assert_eq!(sim.health_status(leader), 200);
+        assert_eq!(
+            sim.health_status(leader),
+            200,
+            "seed {seed}: /healthz after the partition"
+        );
         let restarted: Vec<_> = sim.start_counts.iter().filter(|(_, n)| **n > 1).collect();
-        assert!(restarted.is_empty(), "seed {seed}: {restarted:?}");
+        assert!(
+            restarted.is_empty(),
+            "seed {seed}: tasks started more than once: {restarted:?}"
+        );
     }
 }
 
-/// The agents reach no other controller either: then they are kept.
+/// A leader reaches only its agents, and the agents reach no other controller: it keeps their leases renewed, so that no task
+/// has to be started again.
 #[test]
 fn only_reachable_leader_keeps_its_agents_as_long_as_allowed() {
     for seed in 0..6 {
@@ -385,13 +416,14 @@
         sim.run_seconds(40);
         assert!(
             sim.start_counts.values().all(|n| *n == 1),
-            "seed {seed}: {:?}",
+            "seed {seed}: a task was started more than once: {:?}",
             sim.start_counts
         );
     }
 }
 
-/// Any controller, flapping links, a restart, a cancellation meanwhile: no rule is violated.
+/// A random controller repeatedly loses the store and its peers, sometimes restarts, and a job is cancelled meanwhile. No
+/// invariant is violated.
 #[test]
 fn controllers_reaching_only_agents_break_no_invariant() {
     for seed in 0..60 {
@@ -430,8 +462,8 @@
     }
 }
 
-/// Controllers return within 20 to 500 ms, at any step of an election, one, two or all of them, with late duplicates of their
-/// earlier requests: jobs are done once, and no client is told a wrong state.
+/// One, two or all controllers crash at any step of an election and restart within 20 to 500 ms, while late duplicates of
+/// their earlier requests arrive. Each job is completed once, and no client receives a wrong state.
 #[test]
 fn quick_restarts_during_elections_break_no_invariant() {
     for seed in 0..80 {
@@ -448,7 +480,7 @@
             max_delay: 30 * SECOND,
         });
         for _ in 0..sim.rng.random_range(1..6) {
-            // An election takes about 30 ms from the lease to the first command.
+            // An election takes about 30 ms from the expiry of the leader's key to the first command.
             let at = sim.rng.random_range(0..6 * SECOND);
             let count = sim.rng.random_range(1..4);
             let down_times: Vec<u64> = (0..count)
@@ -480,8 +512,8 @@
     }
 }
 
-/// A zone with the leader in it is partitioned from everything for 24 s. Fails if its agents are redirected although no other
-/// controller is reachable: by the time they are back the leader may no longer renew their leases.
+/// The leader's zone is partitioned from everything else for 24 s. Fails if the leader redirects its agents although they
+/// reach no other controller: by the time they return, the leader may no longer renew their leases.
 #[test]
 fn agents_in_a_partitioned_zone_are_not_redirected() {
     for seed in 0..6 {
@@ -496,7 +528,7 @@
         );
         let is_in_zone = |z: &str| z == zone;
         let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
-        // The other controllers of the zone are lost, so the leader is alone in it.
+        // Other controllers in the zone are down, so the leader is the only one in it.
         for j in (0..3).filter(|j| *j != leader) {
             sim.partition(
                 Endpoint::Controller(leader),
@@ -537,11 +569,14 @@
             .keys()
             .filter(|task| start_count(task) > 1)
             .collect();
-        assert!(restarted.is_empty(), "seed {seed}: {restarted:?}");
+        assert!(
+            restarted.is_empty(),
+            "seed {seed}: tasks started more than once: {restarted:?}"
+        );
     }
 }
 
-/// Fails if a follower that renews a lease takes duplicates of old heartbeats for signs of life.
+/// Fails if late duplicates of old heartbeats make a follower that renews a dead machine's lease count it as alive.
 #[test]
 fn duplicate_heartbeats_do_not_keep_a_dead_machine_alive_on_a_renewing_follower() {
     for seed in 0..6 {
@@ -581,10 +616,10 @@
         assert_eq!(
             sim.start_counts.values().max(),
             Some(&1),
-            "seed {seed}: it is renewed"
+            "seed {seed}: tasks must not be restarted while the follower renews the lease"
         );
         sim.agents.get_mut(&machine).unwrap().alive = false;
-        // A lease at the follower, the record, a lease at the leader, and a start.
+        // The lease as seen by the follower, the renewal record, the lease as seen by the leader, and a start.
         sim.run_seconds(2 * LEASE_S + 6);
         assert_eq!(
             replica_machines(&sim, "req-1", 4).len(),
@@ -595,7 +630,7 @@
     }
 }
 
-/// Fails if a duplicate that arrives after the deletion of its machine revives it.
+/// Fails if a duplicate heartbeat that arrives after its machine was deleted adds the machine to the fleet again.
 #[test]
 fn duplicate_heartbeats_do_not_revive_a_deleted_machine() {
     let mut sim = simulation_with_leader(1440, 3);
@@ -610,12 +645,19 @@
     sim.failed_machines.insert(deleted.clone());
     sim.agents.get_mut(&deleted).unwrap().alive = false;
     sim.run_seconds(12);
-    assert!(sim.deleted_machines.contains(&deleted));
+    assert!(
+        sim.deleted_machines.contains(&deleted),
+        "the failed machine {deleted} is not deleted: {:?}",
+        sim.deleted_machines
+    );
     for _ in 0..20 {
         sim.run_seconds(1);
         let leader_state = sim
             .leader()
             .and_then(|l| sim.controller(l)?.leader.as_ref());
-        assert!(leader_state.is_some_and(|l| !l.agents.contains_key(&deleted)));
+        assert!(
+            leader_state.is_some_and(|l| !l.agents.contains_key(&deleted)),
+            "there is no leader, or it lists the deleted machine {deleted} again"
+        );
     }
 }
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -1,4 +1,4 @@
-//! Tests of the invariant checker: it reports injected violations.
+//! Tests of the simulation's invariant checker: it reports each injected violation, and no correct behavior.
 
 mod simulation;
 
@@ -9,22 +9,25 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// Runs the simulation; returns the rule whose violation was reported.
+/// Runs the simulation; returns the name of the rule whose violation was reported, or an empty string.
 fn reported_rule(mut sim: Simulation, seconds: u64) -> String {
     let result = catch_unwind(AssertUnwindSafe(|| sim.run_seconds(seconds)));
     let message = match result {
         Ok(()) => return String::new(),
-        Err(e) => e.downcast::<String>().expect("a text"),
+        Err(e) => e.downcast::<String>().expect("a panic message"),
     };
     message.split(' ').next().unwrap_or_default().to_string()
 }
 
-/// A simulation with a job whose tasks run.
+/// A simulation with a job that has running tasks.
 fn simulation_with_running_job(seed: u64, spec: JobSpec) -> Simulation {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", spec, 300 * SECOND);
     sim.run_seconds(8);
-    assert!(sim.running_instances("req-1") > 0);
+    assert!(
+        sim.running_instances("req-1") > 0,
+        "seed {seed}: req-1 has no running task"
+    );
     sim
 }
 
@@ -40,7 +43,7 @@
     assert_eq!(sim.last_status("req-1"), "cancelled");
     inject_start(&mut sim);
     assert_eq!(reported_rule(sim, 1), "started_cancelled");
-    // A start that was in flight when the client was told is no violation.
+    // A start that was already in flight when the cancellation was confirmed is not a violation.
     let mut sim = simulation_with_running_job(3901, job(JobKind::Array, 2, 1.0));
     sim.command_delay = Some(3 * SECOND);
     inject_start(&mut sim);
@@ -60,13 +63,16 @@
         sim.cancel_until_answered("req-1");
         // The machine hangs, and the leader does not delete it.
         sim.cloud_unavailable = true;
-        sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 40 * SECOND;
+        sim.agents.get_mut(&machine).expect("the agent").hung_until = sim.now + 40 * SECOND;
         let seconds = if lease_expired { LEASE_S + 2 } else { 2 };
         sim.run_seconds(seconds);
         let key = ("req-1/0".to_string(), 1);
         if lease_expired {
-            // An agent whose clock was stopped, too, would not know that its lease has expired.
-            assert!(sim.agents[&machine].tasks.is_empty());
+            // If the agent's clock stops during the hang, the agent does not notice that its lease has expired.
+            assert!(
+                sim.agents[&machine].tasks.is_empty(),
+                "{machine} has tasks after its lease expired"
+            );
             sim.inject_running_task(&machine, key);
         }
         for second in 0..CANCEL_DEADLINE_S + 4 {
@@ -84,7 +90,7 @@
 
 #[test]
 fn answer_older_than_a_previous_answer_is_reported() {
-    // First state told, later request with its answer, and the violated rule.
+    // The state reported first, a later request with its answer, and the violated rule.
     let cases = [
         ("pending", ClientRequest::Poll, 404, "", "forgotten"),
         ("pending", ClientRequest::Cancel, 404, "", "forgotten"),
@@ -120,7 +126,7 @@
             "{first}, then {request:?} {status} {state}"
         );
     }
-    // A request sent before may be answered with the state of that time.
+    // A poll that was sent before the cancellation may be answered with the state at that time.
     let mut sim = simulation_with_running_job(3921, job(JobKind::Array, 2, 1.0));
     let sent_at = sim.now;
     sim.cancel_until_answered("req-1");
@@ -135,7 +141,7 @@
         team: "red".into(),
         ..job(JobKind::Array, tasks, 2.0)
     };
-    // All controllers are paused, so the job is not started.
+    // The job cannot be started while all controllers are paused.
     let mut sim = simulation_with_leader(3930, 4);
     sim.spawn_client("req-1", red_team_job(2), 300 * SECOND);
     while !sim.jobs["req-1"].accepted {
@@ -147,7 +153,7 @@
     sim.enable_load_balancer();
     sim.declare_faults_over();
     assert_eq!(reported_rule(sim, 100), "left_waiting");
-    // A job held back by its quota or without room is not starving.
+    // A job that waits because of its team's quota or for lack of capacity is not starving.
     let mut sim = simulation_with_leader(3931, 4);
     sim.enable_load_balancer();
     sim.no_capacity = true;
@@ -176,7 +182,7 @@
             .pop_first()
             .expect("a machine");
         if fault == 0 {
-            sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + 5 * SECOND;
+            sim.agents.get_mut(&machine).expect("the agent").hung_until = sim.now + 5 * SECOND;
         } else {
             for i in 0..3 {
                 sim.partition(
@@ -212,9 +218,9 @@
     ] {
         let mut sim = simulation_with_leader(3950, 2);
         sim.inject_invalid_request_answer(status);
-        assert_eq!(reported_rule(sim, 1), rule);
+        assert_eq!(reported_rule(sim, 1), rule, "answered with status {status}");
     }
-    // Many invalid requests: none is accepted, and each is refused alike by every controller.
+    // None of many invalid requests is accepted, and all controllers refuse each of them in the same way.
     let mut sim = simulation_with_leader(3951, 2);
     for _ in 0..300 {
         sim.send_invalid_request();
--- a/tests/job_visibility.rs
+++ b/tests/job_visibility.rs
@@ -1,5 +1,5 @@
-//! Every accepted job runs or stays visible: clients poll through a load balancer, faults mix at random, then end. Largest
-//! jobs start in time, too.
+//! After random overlapping faults have ended, every accepted job is visible to its client, which polls through a load
+//! balancer, and every job runs or is done. The largest jobs start in time despite a stream of smaller ones.
 
 mod simulation;
 
@@ -16,7 +16,8 @@
     sim
 }
 
-/// Starts one random fault; it is over after at most `most` microseconds.
+/// Starts one random fault. It ends after at most `max_duration` microseconds, except that heartbeat duplication stays on
+/// until the caller turns it off.
 fn start_random_fault(sim: &mut Simulation, max_duration: u64) {
     let duration = sim.rng.random_range(2 * SECOND..max_duration);
     let i = sim.rng.random_range(0..3);
@@ -96,7 +97,7 @@
     }
 }
 
-/// Runs many random faults at once; returns the simulation with its jobs when all faults are over.
+/// Runs several overlapping random faults; returns the simulation with its jobs when all faults are over.
 fn run_random_faults(seed: u64) -> Simulation {
     let mut sim = simulation_with_load_balancer(seed, 6);
     sim.spawn_balanced_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -122,8 +123,8 @@
     sim
 }
 
-/// Fails if a job stays unknown for 75 s after all faults, if an accepted job does not run although there is room, or if
-/// any rule of PROTOCOL is violated.
+/// Fails if a job stays unknown to its client for 75 s after all faults, if an accepted job does not run although there is
+/// capacity for it, or if any rule of PROTOCOL is violated.
 fn assert_jobs_visible_after_faults(seed: u64) {
     let mut sim = run_random_faults(seed);
     sim.run_seconds(150);
@@ -143,7 +144,12 @@
     let replicas: usize = (0..4)
         .map(|task| sim.machines_running(&format!("req-1/{task}")).len())
         .sum();
-    assert_eq!(replicas, 4, "seed {seed}: {}", sim.dump());
+    assert_eq!(
+        replicas,
+        4,
+        "seed {seed}: running replicas of req-1\n{}",
+        sim.dump()
+    );
 }
 
 #[test]
@@ -158,7 +164,7 @@
     }
 }
 
-/// When all tasks of a job first ran at the same time, after its submission; `None`: never.
+/// Time from a job's submission until each of its tasks has been started at least once; `None` if a task never was.
 fn time_to_full_start(sim: &Simulation, id: &str, submitted_at: u64) -> Option<u64> {
     let tasks = sim.jobs[id].spec.tasks;
     let first_start = |task: u32| {
@@ -173,18 +179,19 @@
         .try_fold(0, |max, t| Some(max.max(t?)))
 }
 
-/// The smaller jobs that fill the fleet.
+/// Kind of the smaller jobs that fill the fleet.
 #[derive(Debug, Clone, Copy)]
 enum SmallJobs {
-    /// Gangs of one machine, of the same rank.
+    /// Gangs that take one whole machine, of high priority.
     Gangs,
-    /// Single tasks of a lower rank that cannot save, which take an eighth of a machine each.
+    /// Single tasks of normal priority without checkpoints, which take an eighth of a machine each.
     SingleTasks,
-    /// Both, behind a guest's very wide array that is never done.
+    /// Both, after a very wide array of low priority that never completes.
     BehindLowPriorityArray,
 }
 
-/// How long a large job waits on twelve full machines, with smaller jobs submitted all the time and nothing to rent.
+/// How long a large job waits on twelve full machines while smaller jobs are submitted continuously and no machine can be
+/// rented.
 fn large_job_wait(seed: u64, small_jobs: SmallJobs, large: JobSpec, crash: bool) -> Option<u64> {
     let mut sim = simulation_with_load_balancer(seed, 12);
     sim.no_capacity = true;
@@ -207,7 +214,7 @@
         sim.spawn_client("req-70", low_priority_array, 30 * SECOND);
         sim.run_seconds(3);
     }
-    // More than the fleet can take, continuously.
+    // Continuously more demand than the fleet has capacity for.
     for n in 0..14 {
         submit_gang(&mut sim, n, (10 + n % 7) * SECOND);
     }
@@ -277,6 +284,11 @@
         }
     }
     let never_started = table.iter().filter(|l| l.contains("None"));
-    assert_eq!(never_started.count(), 0, "{}", table.join("\n"));
+    assert_eq!(
+        never_started.count(),
+        0,
+        "large jobs that did not start in time:\n{}",
+        table.join("\n")
+    );
     println!("{}", table.join("\n"));
 }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -1,5 +1,6 @@
-//! Messages that arrive after their version number was used again, and duplicates that reach a controller which never saw
-//! the original (docs/fault-combinations.md, "Every transaction, carried out late").
+//! Writes that the store carries out after the version number in their condition has come into use again, and duplicate
+//! messages that reach a controller which never received the original (docs/fault-combinations.md, "Every transaction,
+//! carried out late").
 
 mod simulation;
 
@@ -11,8 +12,9 @@
 use walnuttrestle::protocol::format::NEWEST;
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A controller starts with the new version, the first write of its format number gets no answer, and it is rolled back;
-/// the write is carried out after that. Fails if the number was deleted: its version is 0 again then.
+/// A controller starts with the new software version, and the first write of its format number gets no answer. The controller
+/// is then rolled back, and the store carries out the write only after that. Fails if the rollback deletes the key of the
+/// format number: the key's version is then 0 again, so the condition of the late write holds.
 #[test]
 fn format_number_does_not_return_after_a_rollback() {
     let mut downgrades = 0;
@@ -39,7 +41,7 @@
         assert_eq!(
             format_seen(&sim),
             NEWEST,
-            "seed {seed}: written again after the first answer was lost"
+            "seed {seed}: the format number must be written again after the first answer was lost"
         );
         sim.set_first_version(0, true);
         sim.crash_controller(0, 50_000);
@@ -49,20 +51,21 @@
             downgraded |= format_seen(&sim) < NEWEST;
             assert!(
                 !downgraded || format_seen(&sim) < NEWEST,
-                "seed {seed}: it has come back at {}",
+                "seed {seed}: the newer format number has reappeared after the rollback, at {} us",
                 sim.now
             );
         }
         downgrades += usize::from(downgraded);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 2 * SECOND);
         sim.run_seconds(30);
-        assert!(sim.job_done("req-1"), "seed {seed}");
+        assert!(sim.job_done("req-1"), "seed {seed}: req-1 is not done");
     }
-    assert_eq!(downgrades, 6);
+    assert_eq!(downgrades, 6, "seeds in which the format was downgraded");
 }
 
-/// A placement batch gets no answer, is written again or differently, is merged and deleted, and is then carried out late.
-/// Removing one guard alone does not make this test fail; the late batch never counts, and it is deleted again.
+/// The write of a placement batch gets no answer. The batch is written again, or a different batch under the same number, and
+/// is merged into the job records and deleted. Then the store carries out the first write. The late batch must have no
+/// effect, and is deleted again. Removing a single guard does not make this test fail.
 #[test]
 fn late_placement_batch_with_a_reused_number_has_no_effect() {
     let mut batches = 0;
@@ -100,7 +103,8 @@
         for n in 0..24 {
             assert!(
                 sim.job_done(&format!("req-{}", 100 + n)),
-                "seed {seed}: {n}\n{}",
+                "seed {seed}: req-{} is not done\n{}",
+                100 + n,
                 sim.dump()
             );
         }
@@ -113,14 +117,17 @@
         assert_eq!(
             sim.store.count_keys_under("wt/b/"),
             0,
-            "seed {seed}: all are spent"
+            "seed {seed}: all placement batches must be merged and deleted"
         );
     }
-    assert!(batches > 20, "{batches}");
+    assert!(
+        batches > 20,
+        "{batches} placement batches counted, expected more than 20"
+    );
 }
 
-/// Messages between controllers are duplicated, seconds to a lease later, while the leader changes, the store is out and
-/// jobs are cancelled. A duplicate may delay an action, but must not bring it forward.
+/// Messages between controllers are duplicated, with delays from half a second to more than a lease, while the leader changes,
+/// the store is unavailable and jobs are cancelled. A duplicate may delay an action, but must not make it happen too early.
 #[test]
 fn duplicate_peer_heartbeats_prove_nothing() {
     for seed in 0..32 {
@@ -168,7 +175,11 @@
         sim.faults.clear();
         sim.run_seconds(60);
         sim.assert_cancelled(seed, &["req-2"]);
-        assert!(sim.job_done("req-3"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-3"),
+            "seed {seed}: req-3 is not done\n{}",
+            sim.dump()
+        );
         assert_eq!(
             sim.running_instances("req-1"),
             5,
@@ -178,9 +189,9 @@
     }
 }
 
-/// A follower renews machines that a partition separates from the leader, and gets duplicates of heartbeats whose
-/// originals went to the leader before. It reports a dead machine alive for at most one more lease; nothing runs twice,
-/// and the quota holds.
+/// A partition separates machines from the leader, and a follower renews their leases. The follower receives duplicates of
+/// heartbeats whose originals were sent to the leader before the partition. It may report a dead machine as alive for at
+/// most one more lease; no task runs twice, and the quota holds.
 #[test]
 fn duplicates_to_a_renewing_follower_without_the_original_are_harmless() {
     for seed in 0..32 {
@@ -206,7 +217,7 @@
                 30 * SECOND,
             );
         }
-        // One machine dies and one goes silent in the first seconds of the partition.
+        // In the first seconds of the partition, one machine dies and the heartbeats of another are lost.
         let at = sim.rng.random_range(0..4 * SECOND);
         sim.after(at, move |sim| {
             let until = sim.now + 25 * SECOND;
@@ -225,7 +236,11 @@
         sim.faults.clear();
         sim.run_seconds(150);
         for id in ["req-1", "req-3"] {
-            assert!(sim.job_done(id), "seed {seed}: {id}\n{}", sim.dump());
+            assert!(
+                sim.job_done(id),
+                "seed {seed}: {id} is not done\n{}",
+                sim.dump()
+            );
         }
         assert_eq!(
             sim.running_instances("req-2"),
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -1,6 +1,7 @@
-//! Two or three overlapping faults, with offsets about the protocol's own timeouts, and quiet after them. The rules are
-//! checked all along; then every job is visible, and of each class, each team and each class's largest jobs at least half
-//! are served. `SEEDS_FROM=17 SEEDS=1 cargo test --test random_fault_pairs` repeats one seed.
+//! Two or three overlapping random faults whose delays and durations are close to the protocol's timeouts, followed by a
+//! period without faults. The invariants are checked throughout. In the end every job is visible, and at least half of the
+//! jobs of each class, of each team, and of the largest jobs of each class are served.
+//! `SEEDS_FROM=17 SEEDS=1 cargo test --test random_fault_pairs` repeats one seed.
 
 mod simulation;
 
@@ -12,10 +13,10 @@
 };
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// A job's id, its class, and whether it is the largest of its class.
+/// A job's ID, its class, and whether it is one of the largest of its class.
 type SubmittedJob = (String, &'static str, bool);
 
-/// A random time about one of the protocol's timeouts: election, heartbeat, lease, cancellation.
+/// Returns 50 to 150 % of one of the protocol's timeouts, chosen at random: election, heartbeat, lease or cancellation.
 fn random_duration_near_timeout(sim: &mut Simulation) -> u64 {
     let timeouts = [
         SECOND / 20,
@@ -27,7 +28,7 @@
     sim.rng.random_range(timeout / 2..timeout * 3 / 2)
 }
 
-/// The kinds of faults; their order is part of what a seed means.
+/// The kinds of faults. Seeds select them by their position in `FAULTS`, so reordering that list changes every seed's run.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     ControllerCrash,
@@ -85,9 +86,9 @@
     Fault::LeaderChanges,
 ];
 
-/// Whom a fault affects, and how; each fault uses some of it.
+/// Randomly chosen target and parameters of a fault; each kind of fault uses some of them.
 struct FaultTarget {
-    /// More often the leader than a follower.
+    /// The leader with a probability of 0.6, otherwise any controller.
     controller: usize,
     machines: Vec<String>,
     mode: PartitionMode,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Starts one fault; it lasts about this long.
+/// Starts one fault, which lasts for about `duration`.
 fn start_fault(sim: &mut Simulation, fault: Fault, duration: u64) {
     let target = FaultTarget::random(sim, duration);
     let controller = target.controller;
@@ -214,7 +215,7 @@
                 sim.faults.lost_write_answer_probability = 0.0
             });
         }
-        _ => unreachable!("{fault:?} is no fault of the store"),
+        _ => unreachable!("{fault:?} is not a store fault"),
     }
 }
 
@@ -246,14 +247,14 @@
             }
         }
         Fault::DeadMachines => {
-            // New machines are up within two seconds and get work at once.
+            // Replacement machines boot within two seconds and get tasks at once.
             sim.machine_boot_time = sim.rng.random_range(SECOND / 5..2 * SECOND);
             for machine in &target.machines {
                 sim.failed_machines.insert(machine.clone());
                 sim.agents.get_mut(machine).expect("a machine").alive = false;
             }
         }
-        _ => unreachable!("{fault:?} is no fault of machines"),
+        _ => unreachable!("{fault:?} is not a machine fault"),
     }
 }
 
@@ -278,7 +279,7 @@
             sim.faults.max_link_delay = sim.rng.random_range(50_000..900_000);
             sim.after(duration, |sim| sim.faults.max_link_delay = 0);
         }
-        _ => unreachable!("{fault:?} is no fault of messages"),
+        _ => unreachable!("{fault:?} is not a message fault"),
     }
 }
 
@@ -300,11 +301,11 @@
                 sim.faults.cancel_at_completion_probability = 0.0
             });
         }
-        _ => unreachable!("{fault:?} is no fault of clients"),
+        _ => unreachable!("{fault:?} is not a client fault"),
     }
 }
 
-/// Cancels a job once it is accepted.
+/// Cancels a job as soon as it is accepted; checks once per second.
 fn cancel_once_accepted(sim: &mut Simulation, id: String) {
     if sim.jobs.get(&id).is_some_and(|t| t.accepted) {
         sim.cancel_until_answered(&id);
@@ -313,7 +314,7 @@
     }
 }
 
-/// Submits jobs of all classes and sizes.
+/// Submits jobs of all classes and sizes at random times; returns those that must be served.
 fn submit_jobs(sim: &mut Simulation) -> Vec<SubmittedJob> {
     let spec_of = |class: &str, team: &str, kind, tasks, gpus| JobSpec {
         class: class.into(),
@@ -420,7 +421,7 @@
     sim.faults.clear();
     sim.declare_faults_over();
     sim.run_seconds(200);
-    // Jobs cancelled by their clients do not have to be served.
+    // Jobs that their clients have cancelled do not have to be served.
     let ids: Vec<SubmittedJob> = ids
         .into_iter()
         .filter(|(id, ..)| !sim.jobs[id].cancel_requested)
@@ -459,7 +460,8 @@
     for n in 0..4 {
         let id = format!("req-{}", 200 + n);
         let running = sim.running_instances(&id);
-        // A request that was in flight when the state was told may be answered with the earlier state.
+        // Checks `cancellation_seen_at` and not the last answer: a request that was in flight when the cancellation was
+        // confirmed may be answered with the earlier state.
         let cancellation_seen = sim.jobs[&id].cancellation_seen_at.is_some();
         assert!(
             cancellation_seen && running == 0,
