--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -44,13 +44,21 @@
         );
         sim.cancel(other, "req-1");
         sim.run_micros(100_000);
-        assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-1"),
+            "cancelled",
+            "seed {seed}: last status of req-1"
+        );
         for _ in 0..5 {
             sim.submit(lagging, "req-1");
             sim.run_micros(50_000);
         }
         sim.run_seconds(4);
-        assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-1"),
+            "cancelled",
+            "seed {seed}: last status of req-1"
+        );
     }
 }
 
@@ -242,7 +250,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
         for n in 0..12 {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -59,7 +59,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
     }
--- a/tests/cancellation_during_store_outage.rs
+++ b/tests/cancellation_during_store_outage.rs
@@ -34,7 +34,12 @@
         );
     }
     sim.run_seconds(12);
-    assert_eq!(sim.start_counts.len(), 17, "seed {seed}: {}", sim.dump());
+    assert_eq!(
+        sim.start_counts.len(),
+        17,
+        "seed {seed}: started tasks\n{}",
+        sim.dump()
+    );
     sim
 }
 
@@ -94,28 +99,36 @@
         let (_, follower, _) = controllers_by_role(&sim);
         refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         for id in ["req-2", "req-3"] {
-            assert_eq!(sim.last_status(id), "cancelled", "seed {seed}");
+            assert_eq!(
+                sim.last_status(id),
+                "cancelled",
+                "seed {seed}: last status of {id}"
+            );
         }
         // One heartbeat interval and the latency of messages.
         sim.run_micros(900_000);
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2 and req-3\n{}",
             sim.dump()
         );
         sim.run_seconds(OUTAGE_S);
         assert_eq!(
             sim.running_instances("req-4"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-4\n{}",
             sim.dump()
         );
         end_outage_and_run(&mut sim);
         assert_replicas_survived(&sim, seed);
         sim.spawn_client("req-9", job(JobKind::Array, 2, 1.0), 2 * SECOND);
         sim.run_seconds(20);
-        assert!(sim.job_done("req-9"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-9"),
+            "seed {seed}: req-9 is not done\n{}",
+            sim.dump()
+        );
     }
 }
 
@@ -131,12 +144,16 @@
         sim.cancel(leader, "req-2");
         sim.run_micros(SECOND / 5);
         sim.store.outage = true;
-        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-2"),
+            "cancelled",
+            "seed {seed}: last status of req-2"
+        );
         sim.run_seconds(3);
         assert_eq!(
             sim.running_instances("req-2"),
             0,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2\n{}",
             sim.dump()
         );
         sim.run_seconds(OUTAGE_S);
@@ -180,13 +197,13 @@
                 assert_eq!(
                     sim.running_instances(id),
                     0,
-                    "seed {seed} {crash_delay} {down_time}"
+                    "seed {seed}, crash after {crash_delay} us for {down_time} us: running instances of {id}"
                 );
             }
             assert_eq!(
                 sim.running_instances("req-1"),
                 5,
-                "seed {seed}: {}",
+                "seed {seed}: running instances of req-1\n{}",
                 sim.dump()
             );
         }
@@ -212,7 +229,11 @@
                 _ => sim.faults.partition_one_way(to, from, until),
             }
             sim.run_seconds(4);
-            assert_eq!(sim.leader(), Some(leader), "seed {seed} {direction}");
+            assert_eq!(
+                sim.leader(),
+                Some(leader),
+                "seed {seed}, direction {direction}: leader after the partition"
+            );
             refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
             sim.run_seconds(4);
             assert_cancelled_jobs_stopped_and_replicas_survived(&mut sim, seed);
@@ -240,14 +261,14 @@
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
-            "seed {seed}"
+            "seed {seed}: running instances of req-2 and req-3"
         );
         end_outage_and_run(&mut sim);
         sim.run_seconds(20);
         assert_eq!(
             sim.running_instances("req-1"),
             5,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
     }
@@ -279,7 +300,7 @@
                 assert_eq!(
                     (sim.last_status(id).as_str(), sim.running_instances(id)),
                     ("cancelled", 0),
-                    "seed {seed}"
+                    "seed {seed}: last status and running instances of {id}"
                 );
             }
         }
@@ -306,7 +327,11 @@
                 sim.cancel(follower, "req-5");
             });
             sim.run_seconds(OUTAGE_S);
-            assert_eq!(sim.running_instances("req-5"), 0, "seed {seed} {hang}");
+            assert_eq!(
+                sim.running_instances("req-5"),
+                0,
+                "seed {seed}, hang of {hang} us: running instances of req-5"
+            );
             end_outage_and_run(&mut sim);
         }
     }
@@ -327,7 +352,11 @@
             sim.cancel(follower, id);
             sim.cancel(follower, "req-5");
         });
-        assert_eq!(sim.last_status("req-5"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-5"),
+            "cancelled",
+            "seed {seed}: last status of req-5"
+        );
         sim.run_seconds(OUTAGE_S + 10);
         sim.command_delay = None;
         end_outage_and_run(&mut sim);
@@ -353,7 +382,11 @@
         sim.store.refused_controllers.push(leader);
         sim.cancel(follower, "req-2000");
         sim.run_micros(900_000);
-        assert_eq!(sim.last_status("req-2000"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-2000"),
+            "cancelled",
+            "seed {seed}: last status of req-2000"
+        );
         let starts_before = sim.task_starts.len();
         sim.run_seconds(5);
         let late_starts: Vec<_> = sim.task_starts[starts_before..]
@@ -425,14 +458,14 @@
             assert_eq!(
                 sim.running_instances("req-2") + sim.running_instances("req-3"),
                 0,
-                "seed {seed}"
+                "seed {seed}: running instances of req-2 and req-3"
             );
             end_outage_and_run(&mut sim);
             sim.run_seconds(20);
             assert_eq!(
                 sim.running_instances("req-1"),
                 5,
-                "seed {seed}: {}",
+                "seed {seed}: running instances of req-1\n{}",
                 sim.dump()
             );
         }
@@ -491,7 +524,7 @@
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
-            "seed {seed}"
+            "seed {seed}: running instances of req-2 and req-3"
         );
         end_outage_and_run(&mut sim);
         if !cancellation_from_peer {
@@ -527,7 +560,7 @@
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
-            "seed {seed}"
+            "seed {seed}: running instances of req-2 and req-3"
         );
         end_outage_and_run(&mut sim);
     }
@@ -557,7 +590,7 @@
             assert_eq!(
                 sim.running_instances("req-2") + sim.running_instances("req-3"),
                 0,
-                "seed {seed}"
+                "seed {seed}: running instances of req-2 and req-3"
             );
             end_outage_and_run(&mut sim);
         }
@@ -608,7 +641,11 @@
         sim.run_micros(SECOND / 20);
         sim.crash_controller(follower, 50_000);
         sim.run_micros(SECOND);
-        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-2"),
+            "cancelled",
+            "seed {seed}: last status of req-2"
+        );
         sim.store.outage = true;
         // Otherwise the third controller would relay the cancellation, too.
         sim.partition(
@@ -621,7 +658,7 @@
         assert_eq!(
             sim.running_instances("req-2"),
             0,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2\n{}",
             sim.dump()
         );
         sim.run_seconds(OUTAGE_S);
@@ -644,7 +681,11 @@
             90 * SECOND,
         );
         sim.run_seconds(3);
-        assert_eq!(sim.leader(), Some(leader), "seed {seed}");
+        assert_eq!(
+            sim.leader(),
+            Some(leader),
+            "seed {seed}: leader after the partition"
+        );
         sim.store.refused_controllers.push(third);
         refuse_leader_then_stop_store(&mut sim, |sim, id| sim.cancel(follower, id));
         sim.run_seconds(5);
@@ -703,7 +744,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             5,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
     }
@@ -728,7 +769,7 @@
         assert_eq!(
             sim.running_instances("req-2") + sim.running_instances("req-3"),
             0,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2 and req-3\n{}",
             sim.dump()
         );
     }
@@ -762,7 +803,11 @@
         sim.run_micros(SECOND / 10);
         sim.cancel(confirming, "req-2");
         sim.run_micros(SECOND / 5);
-        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-2"),
+            "cancelled",
+            "seed {seed}: last status of req-2"
+        );
         // After the first outage the old leader's key has not expired yet, so the record version that the leadership
         // transaction is conditional on has not changed.
         sim.store.outage = true;
--- a/tests/deaf_agents.rs
+++ b/tests/deaf_agents.rs
@@ -100,7 +100,12 @@
         sim.run_seconds(LEASE_S + 7);
         for task in 0..4 {
             let machines = sim.machines_running(&format!("req-1/{task}"));
-            assert_eq!(machines.len(), 1, "seed {seed}: {}", sim.dump());
+            assert_eq!(
+                machines.len(),
+                1,
+                "seed {seed}: machines of req-1/{task}\n{}",
+                sim.dump()
+            );
             assert!(
                 !machines.contains(&deaf),
                 "seed {seed}: req-1/{task} still runs on the deaf machine {deaf}"
@@ -190,14 +195,14 @@
         for i in [2, 3, 4] {
             assert!(
                 sim.job_done(&format!("req-{i}")),
-                "seed {seed}: {}",
+                "seed {seed}: req-{i} is not done\n{}",
                 sim.dump()
             );
         }
         assert_eq!(
             replica_machines(&sim, "req-1", 4).len(),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running replicas of req-1\n{}",
             sim.dump()
         );
     }
@@ -226,7 +231,7 @@
         assert_eq!(
             replica_machines(&sim, "req-1", 4).len(),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running replicas of req-1\n{}",
             sim.dump()
         );
     }
@@ -266,7 +271,11 @@
             }
         }
         sim.run_seconds(60);
-        assert_eq!(replica_machines(&sim, "req-1", 4).len(), 4, "seed {seed}");
+        assert_eq!(
+            replica_machines(&sim, "req-1", 4).len(),
+            4,
+            "seed {seed}: running replicas of req-1"
+        );
     }
 }
 
@@ -304,7 +313,8 @@
         for i in 2..6 {
             assert!(
                 sim.job_done(&format!("req-{}", 10 + i)),
-                "seed {seed}: {}",
+                "seed {seed}: req-{} is not done\n{}",
+                10 + i,
                 sim.dump()
             );
         }
@@ -369,11 +379,15 @@
         assert_eq!(
             sim.jobs["req-2"].done.len(),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: completed tasks of req-2\n{}",
             sim.dump()
         );
         sim.run_seconds(3);
-        assert!(sim.job_done("req-2"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-2"),
+            "seed {seed}: req-2 is not done\n{}",
+            sim.dump()
+        );
         sim.cancel((leader + 1) % 3, "req-3");
         sim.run_seconds(80);
         assert_eq!(
@@ -452,11 +466,15 @@
         let at = sim.rng.random_range(3..30) * SECOND;
         sim.after(at, |sim| sim.cancel_until_answered("req-2"));
         sim.run_seconds(160);
-        assert_eq!(sim.last_status("req-2"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-2"),
+            "cancelled",
+            "seed {seed}: last status of req-2"
+        );
         assert_eq!(
             replica_machines(&sim, "req-1", 4).len(),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running replicas of req-1\n{}",
             sim.dump()
         );
     }
@@ -505,10 +523,14 @@
         sim.run_seconds(150);
         assert!(
             sim.job_done("req-2") && sim.job_done("req-3"),
-            "seed {seed}: {}",
+            "seed {seed}: req-2 or req-3 is not done\n{}",
             sim.dump()
         );
-        assert_eq!(sim.last_status("req-4"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-4"),
+            "cancelled",
+            "seed {seed}: last status of req-4"
+        );
     }
 }
 
@@ -624,7 +646,7 @@
         assert_eq!(
             replica_machines(&sim, "req-1", 4).len(),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running replicas of req-1\n{}",
             sim.dump()
         );
     }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -111,7 +111,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
         assert_eq!(
@@ -183,7 +183,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             5,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
     }
@@ -245,7 +245,7 @@
         assert_eq!(
             sim.running_instances("req-2"),
             6,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2\n{}",
             sim.dump()
         );
     }
