--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -9,8 +9,7 @@
 use std::time::Duration;
 use walnuttrestle::protocol::format;
 use walnuttrestle::protocol::peer_messages::{
-    CancellationCursor, CancellationUpdate, LeaseDelegationStatus, MOST_CANCELLATIONS,
-    PeerHeartbeat,
+    CancellationCursor, CancellationUpdate, LeaseDelegationStatus, MAX_CANCELLATIONS, PeerHeartbeat,
 };
 
 /// Cancellations between two heartbeats.
@@ -22,22 +21,22 @@
 fn heartbeat(format: u32) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "kernel-1".into(),
-        leading: Some(7),
+        leading_term: Some(7),
         leader_silent_ms: Some(300),
-        newest: Some(LOGGED),
-        served: true,
+        newest_revision: Some(LOGGED),
+        store_available: true,
         format,
-        asks: 30_000,
-        epoch: 4,
-        more: Some(LeaseDelegationStatus {
-            run: u64::MAX / 3,
-            right: None,
-            used_ago: None,
-            quiet: false,
+        requested_writes: 30_000,
+        grant_epoch: 4,
+        delegation: Some(LeaseDelegationStatus {
+            incarnation: u64::MAX / 3,
+            delegated_term: None,
+            last_use_age_us: None,
+            pledges_silence: false,
         }),
         record_summary: None,
-        knows: None,
-        news: None,
+        cancellation_cursor: None,
+        cancellation_update: None,
     }
 }
 
@@ -51,34 +50,35 @@
 fn exchange(log: &CancellationLog, heard: &mut ReportedCancellations, complete: u64) -> usize {
     let cursor = heard.cursor(0);
     let request = PeerHeartbeat {
-        knows: Some(CancellationCursor {
-            complete,
-            heard: cursor.into(),
+        cancellation_cursor: Some(CancellationCursor {
+            complete_revision: complete,
+            log_position: cursor.into(),
         }),
         ..heartbeat(format::NEWEST)
     };
     let request_bytes = request.encode();
     let knows = PeerHeartbeat::decode(&request_bytes)
         .ok()
-        .and_then(|heartbeat| heartbeat.knows);
-    let from = knows.map_or(0, |cursor| cursor.from(1));
+        .and_then(|heartbeat| heartbeat.cancellation_cursor);
+    let from = knows.map_or(0, |cursor| cursor.first_entry(1));
     let batch = log
-        .batch(from, complete, MOST_CANCELLATIONS)
+        .batch(from, complete, MAX_CANCELLATIONS)
         .unwrap_or_default();
     let response = PeerHeartbeat {
-        news: Some(CancellationUpdate {
-            lead: 12,
-            from: batch.from,
-            next: batch.next,
-            more: batch.more,
+        cancellation_update: Some(CancellationUpdate {
+            leader_version: 12,
+            first_entry: batch.from,
+            next_entry: batch.next,
+            has_more: batch.more,
             jobs: batch.jobs,
-            known: vec![("kernel-0".into(), 40_000), ("kernel-2".into(), 700_000)],
+            peer_coverage_ages: vec![("kernel-0".into(), 40_000), ("kernel-2".into(), 700_000)],
         }),
         ..heartbeat(format::NEWEST)
     };
     let response_bytes = response.encode();
     if let Ok(PeerHeartbeat {
-        news: Some(news), ..
+        cancellation_update: Some(news),
+        ..
     }) = PeerHeartbeat::decode(&response_bytes)
     {
         heard.apply(0, 1, &news.batch(), 1);
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -92,7 +92,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -104,10 +104,10 @@
 fn record(spec: JobSpec, accepted_at: Micros) -> JobRecord {
     JobRecord {
         spec,
-        at: accepted_at,
+        accepted_at,
         stage: JobStage::Active,
-        end: Micros::ZERO,
-        first: TaskChunk::default(),
+        ended_at: Micros::ZERO,
+        first_chunk: TaskChunk::default(),
         cleaned: false,
     }
 }
@@ -125,7 +125,7 @@
         for task in 0..TASKS_PER_JOB {
             // Machines with consecutive numbers are in different zones.
             let machine = machine_name((number * TASKS_PER_JOB + task) % machines);
-            rec.first
+            rec.first_chunk
                 .entries
                 .push(TaskEntry::new(task as u32, 1, machine, 1, 1, false));
         }
@@ -182,7 +182,7 @@
     let count = chunks.len();
     let page = |(index, items)| ItemPage {
         items,
-        more: index + 1 < count,
+        has_more: index + 1 < count,
         revision: 2,
     };
     chunks.into_iter().enumerate().map(page).collect()
@@ -214,13 +214,13 @@
             task: format!("req-{:06}/{}", task / TASKS_PER_JOB, task % TASKS_PER_JOB),
             attempt: 1,
             phase: TaskPhase::Running,
-            why: None,
+            exit_reason: None,
             saved: None,
         });
     AgentHeartbeat {
         machine: machine_name(machine),
         address: "127.0.0.1:9".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: if machine.is_multiple_of(2) { "a" } else { "b" }.into(),
         spot: false,
         agent_epoch: 1,
@@ -325,7 +325,7 @@
             let id = format!("full-{machine:06}-{slot}");
             let mut rec = record(spec(JobKind::Service, machine), Micros(900_000));
             rec.spec.tasks = 1;
-            rec.first
+            rec.first_chunk
                 .set(TaskEntry::new(0, 1, name.clone(), 1, 1, false));
             controller.cache.put_job(&id, rec, 3);
             agent.tasks.push(ReportedTask {
--- a/src/agents/commands.rs
+++ b/src/agents/commands.rs
@@ -215,7 +215,7 @@
 impl CommandsResponse {
     fn parse(machine: &str, outcome: Outcome) -> CommandsResponse {
         let (status, body) = match outcome {
-            Outcome::Reply { status, body } => (status, body),
+            Outcome::Response { status, body } => (status, body),
             Outcome::NotSent => return CommandsResponse::NotSent,
             Outcome::Lost => return CommandsResponse::Unknown,
         };
@@ -271,7 +271,7 @@
     pub fn send_commands(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         let mut needs_fence = false;
         let mut calls = Vec::new();
--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -91,7 +91,7 @@
         if !relayed {
             agent.reachability.on_direct_heartbeat(clock.now);
         }
-        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWED_FOR_CERTAIN) {
+        if clock.now.since(agent.epoch_began_at) > lease.scale(RENEWED_FOR_CERTAIN) {
             agent.reachability.on_confirmation(clock.now);
         }
     }
--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -74,7 +74,7 @@
     pub renewed: BTreeSet<String>,
     /// Per follower: the newest renewal record that we have seen.
     pub(super) last_seen_renewals: BTreeMap<String, LastSeenRenewal>,
-    /// Since when most agents are served by peers and not by us; `Micros::FAR`: leadership is being transferred.
+    /// Since when most agents are served by peers and not by us; `Micros::FAR_FUTURE`: leadership is being transferred.
     pub unable_to_serve_since: Option<Micros>,
     /// Machines on which capacity is reserved: for which job, and until when.
     pub reserved: BTreeMap<String, (String, Micros)>,
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -122,14 +122,14 @@
     /// check.
     fn expire_unmet_machines(&mut self, earlier_terms_end: Micros, now: Micros) -> Micros {
         if self.unmet_leases_expired {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         if now < earlier_terms_end {
             return earlier_terms_end;
         }
         self.unmet_leases_expired = true;
         self.dirty = true;
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     fn check_lease(
@@ -208,7 +208,7 @@
                 last_seen.version = *version;
                 last_seen.at = now;
             } else if now.since(last_seen.at)
-                > RECORD_REFRESH_INTERVAL.times(MISSED_RENEWAL_RECORDS)
+                > RECORD_REFRESH_INTERVAL.scale(MISSED_RENEWAL_RECORDS)
                 && !self.term_raise_pending
             {
                 log::info!("delegated renewals revoked follower={node} reason=no_record");
--- a/src/agents/timers.rs
+++ b/src/agents/timers.rs
@@ -26,7 +26,7 @@
     fn drive_leases(&mut self, clock: Clock) -> Micros {
         let pledged = Micros(self.peers.silence_pledges.relied_on_until());
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         leader.expire_leases(&self.settings, &self.cache, pledged, clock.now)
     }
@@ -37,15 +37,15 @@
         let pass_interval = self
             .policy
             .pass_interval(self.settings.params.limits.core_share)
-            .times(self.request_scheduler.pass_interval_factor(now));
+            .scale(self.request_scheduler.pass_interval_factor(now));
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         if now.since(leader.last_pass) > MAX_PASS_INTERVAL {
             leader.dirty = true;
         }
         if !leader.dirty {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         let due_at = leader.last_pass + pass_interval;
         let confirmed = now < leader.last_confirmed_read + MAX_START_STALENESS;
@@ -55,7 +55,7 @@
         leader.dirty = false;
         leader.last_pass = now;
         self.run_scheduling_pass(clock);
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     /// Updates the queue from changed job records, and marks the machines concerned as candidates for commands.
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -67,10 +67,10 @@
 fn new_job_record(clock: Clock, spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
-        at: clock.wall,
+        accepted_at: clock.wall,
         stage: JobStage::Active,
-        end: Micros::ZERO,
-        first: TaskChunk::default(),
+        ended_at: Micros::ZERO,
+        first_chunk: TaskChunk::default(),
         cleaned: false,
     }
 }
@@ -381,7 +381,7 @@
             return self.client_api.next_expiry_check;
         }
         let mut expired = Vec::new();
-        let mut next = Micros::FAR;
+        let mut next = Micros::FAR_FUTURE;
         for (id, acceptance) in &self.client_api.acceptances {
             let expiry = acceptance.queued_at + SUBMISSION_TIMEOUT;
             match acceptance.stage {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -42,7 +42,7 @@
     fn cancellation_transaction(&self, clock: Clock, id: &str, job: &Job) -> Transaction {
         let record = JobRecord {
             stage: JobStage::Cancelled,
-            end: clock.wall,
+            ended_at: clock.wall,
             ..job.record.clone()
         };
         let key = job_key(id);
--- a/src/api/forwarding.rs
+++ b/src/api/forwarding.rs
@@ -48,13 +48,14 @@
     /// Returns whether a submission depends on other jobs while some peer may not support dependencies: a peer of the
     /// first version would accept the job and ignore them.
     fn needs_pipeline_support(&self, body: &[u8]) -> bool {
-        !self.all_peers_read(PIPELINES) && parse(body).is_ok_and(|(_, spec)| !spec.needs.is_empty())
+        !self.all_peers_read(PIPELINES)
+            && parse(body).is_ok_and(|(_, spec)| !spec.dependencies.is_empty())
     }
 
     /// Relays the response of the peer to the client.
     pub(crate) fn on_forwarded_response(&mut self, conn: u64, outcome: Outcome) {
         match outcome {
-            Outcome::Reply { status, body } => {
+            Outcome::Response { status, body } => {
                 self.respond_encoded(conn, status, body, default_retry_after(status));
             }
             _ => self.refuse(conn, 503, "the state service does not answer"),
--- a/src/api/read_barrier.rs
+++ b/src/api/read_barrier.rs
@@ -66,11 +66,11 @@
     /// Sends the next barrier if requests wait for it; returns when to check again.
     pub(crate) fn drive_read_barrier(&mut self, clock: Clock) -> Micros {
         if self.read_barrier.in_flight || self.read_barrier.waiting.is_empty() {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         self.send_read_barrier(clock);
         if self.read_barrier.in_flight {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         self.read_barrier.last_attempt + self.barrier_interval()
     }
--- a/src/api/request_scheduler/tests.rs
+++ b/src/api/request_scheduler/tests.rs
@@ -17,7 +17,7 @@
 fn conns(scheduled: &[ScheduledRequest]) -> Vec<i64> {
     let conn = |request: &ScheduledRequest| match request {
         ScheduledRequest::Handle(NetworkEvent::Request { conn, .. }) => *conn as i64,
-        ScheduledRequest::Handle(NetworkEvent::Answer { .. }) => 0,
+        ScheduledRequest::Handle(NetworkEvent::CallFinished { .. }) => 0,
         ScheduledRequest::Refuse(conn) => -(*conn as i64),
     };
     scheduled.iter().map(conn).collect()
@@ -38,7 +38,7 @@
         request(3, "POST", "/hello"),
         request(4, "GET", "/healthz"),
         request(5, "POST", "/user/submissions"),
-        NetworkEvent::Answer {
+        NetworkEvent::CallFinished {
             id: 7,
             outcome: Outcome::Lost,
         },
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -154,7 +154,7 @@
                          or the gang is too wide";
             return SubmissionDecision::Refuse(400, error);
         }
-        if !spec.needs.is_empty() && !self.all_peers_read(PIPELINES) {
+        if !spec.dependencies.is_empty() && !self.all_peers_read(PIPELINES) {
             // A controller of the first version drops unknown fields when it rewrites a record.
             let error = "jobs can wait for jobs once all controllers run this version";
             return SubmissionDecision::Refuse(503, error);
@@ -181,7 +181,7 @@
     /// Returns whether the cache holds all jobs that a submission depends on, or an error if one of them is a service.
     fn all_needs_cached(&self, spec: &JobSpec) -> Result<bool, &'static str> {
         let mut all_cached = true;
-        for need in &spec.needs {
+        for need in &spec.dependencies {
             let is_service = match self.cache.job(need) {
                 None => {
                     all_cached = false;
--- a/src/cloud/autoscaler.rs
+++ b/src/cloud/autoscaler.rs
@@ -76,7 +76,7 @@
         names.id(&agent.zone);
     }
     for pending in leader.fleet.rent_requests.values() {
-        names.id(&pending.request.kind);
+        names.id(&pending.request.machine_type);
         names.id(&pending.request.zone);
     }
 }
--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -72,7 +72,7 @@
 impl CloudResponse {
     fn new(outcome: Outcome) -> CloudResponse {
         let (status, body) = match outcome {
-            Outcome::Reply { status, body } => (status, body),
+            Outcome::Response { status, body } => (status, body),
             Outcome::NotSent | Outcome::Lost => (0, Vec::new()),
         };
         CloudResponse { status, body }
@@ -97,7 +97,7 @@
     pub fn drive_inventory(&mut self, clock: Clock) -> Micros {
         let calls_per_s = self.settings.params.cloud.rps;
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         let inventory = &mut leader.fleet;
         inventory.queue_due_calls(clock.now);
@@ -176,7 +176,7 @@
             return;
         };
         leader.fleet.list_page_read(&page, clock.now);
-        if !page.more && self.cache.initial_machines.is_none() {
+        if !page.has_more && self.cache.initial_machines.is_none() {
             self.record_base(page.machines.len());
         }
         let Some(leader) = &mut self.leader else {
@@ -269,8 +269,8 @@
                 self.settings.node, self.incarnation, leader.term, inventory.rent_counter
             );
             let rent = RentRequest {
-                request,
-                kind: offer.kind.clone(),
+                request_id: request,
+                machine_type: offer.kind.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
                 count: remaining.min(MAX_RENTED_PER_CALL),
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -160,11 +160,11 @@
     fn adopt(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
         log::info!(
             "machine adopted machine={name} type={} zone={}",
-            report.kind,
+            report.machine_type,
             report.zone
         );
         let offer = InstanceOffer {
-            kind: report.kind.clone(),
+            kind: report.machine_type.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
         };
@@ -239,7 +239,7 @@
 
     /// When the next call is due.
     pub(super) fn next_call_at(&self, now: Micros) -> Micros {
-        let mut next = Micros::FAR;
+        let mut next = Micros::FAR_FUTURE;
         if !self.queued_calls.is_empty()
             && let Some(rate_limit) = &self.rate_limit
         {
@@ -273,7 +273,7 @@
     /// A page of the list has been read: the next one, or the list from its beginning, is read next.
     pub(super) fn list_page_read(&mut self, page: &MachinePage, now: Micros) {
         self.list_pending = false;
-        if page.more {
+        if page.has_more {
             let last = page.machines.last();
             self.list_cursor = last.map(|machine| machine.id.clone()).unwrap_or_default();
             self.next_list_at = now;
@@ -303,7 +303,7 @@
         }
         let machine = self.machines.entry(listed.id.clone()).or_insert_with(|| {
             let offer = InstanceOffer {
-                kind: listed.kind,
+                kind: listed.machine_type,
                 zone: listed.zone,
                 spot: listed.spot,
             };
@@ -326,7 +326,8 @@
             request: request.clone(),
             in_flight: true,
         };
-        self.rent_requests.insert(request.request.clone(), pending);
+        self.rent_requests
+            .insert(request.request_id.clone(), pending);
         self.queued_calls
             .push_back(CloudRequest::RentInstances(request));
     }
@@ -345,13 +346,13 @@
 
     /// The cloud has carried out a rent request, perhaps in part.
     pub(super) fn rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
-        self.rent_requests.remove(&request.request);
+        self.rent_requests.remove(&request.request_id);
         let offer = offer_of(request);
         log::info!(
             "machines rented count={} requested={} type={} zone={} spot={}",
             rented.machines.len(),
             request.count,
-            request.kind,
+            request.machine_type,
             request.zone,
             request.spot
         );
@@ -367,11 +368,11 @@
 
     /// The cloud has refused a rent request.
     pub(super) fn rent_refused(&mut self, request: &RentRequest, now: Micros) {
-        self.rent_requests.remove(&request.request);
+        self.rent_requests.remove(&request.request_id);
         self.refused.insert(offer_of(request), now + REFUSED_FOR);
         log::info!(
             "no capacity to rent type={} zone={} spot={}",
-            request.kind,
+            request.machine_type,
             request.zone,
             request.spot
         );
@@ -379,7 +380,7 @@
 
     /// A rent request got no usable answer, so that it is unknown whether it was carried out.
     pub(super) fn rent_failed(&mut self, request: &RentRequest) {
-        if let Some(pending) = self.rent_requests.get_mut(&request.request) {
+        if let Some(pending) = self.rent_requests.get_mut(&request.request_id) {
             pending.in_flight = false;
         }
     }
@@ -401,7 +402,7 @@
 
 fn offer_of(request: &RentRequest) -> InstanceOffer {
     InstanceOffer {
-        kind: request.kind.clone(),
+        kind: request.machine_type.clone(),
         zone: request.zone.clone(),
         spot: request.spot,
     }
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -144,7 +144,7 @@
         let params = &self.snapshot.settings.params;
         let patience = self
             .boot_time(machine)
-            .times(self.snapshot.policy.boot_patience);
+            .scale(self.snapshot.policy.boot_patience);
         // A running machine may report to an older leader for a while: a new leader does not know all of them yet.
         let takeover = if machine.running {
             Micros::secs(params.agents.cancel_s * TAKEOVER_CANCELS)
@@ -199,7 +199,7 @@
             .ended_with_tasks()
             .filter_map(|id| cache.jobs.get_key_value(id));
         for (id, job) in ending {
-            let is_due = self.snapshot.clock.wall >= job.record.end + delay;
+            let is_due = self.snapshot.clock.wall >= job.record.ended_at + delay;
             if job.record.stage != JobStage::Cancelled || !is_due {
                 continue;
             }
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -112,7 +112,7 @@
         for pending in snapshot.leader.fleet.rent_requests.values() {
             let request = &pending.request;
             for _ in 0..request.count {
-                self.add_empty_host(&request.kind, &request.zone, request.spot);
+                self.add_empty_host(&request.machine_type, &request.zone, request.spot);
             }
             self.count(&request.zone, request.count as usize);
         }
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -20,7 +20,7 @@
 pub(crate) struct LeaderLease {
     /// Id of the lease in the store; `None` until the first one is granted.
     pub(crate) id: Option<u64>,
-    /// When the lease is renewed next; `Micros::FAR` while this controller does not lead.
+    /// When the lease is renewed next; `Micros::FAR_FUTURE` while this controller does not lead.
     pub(super) renewal_due: Micros,
     /// A renewal or a replacement of the lease is in flight.
     renewal_in_flight: bool,
@@ -30,7 +30,7 @@
     fn default() -> LeaderLease {
         LeaderLease {
             id: None,
-            renewal_due: Micros::FAR,
+            renewal_due: Micros::FAR_FUTURE,
             renewal_in_flight: false,
         }
     }
@@ -40,7 +40,7 @@
     /// Renews the lease if its renewal is due; returns when to check again.
     pub(super) fn drive_leader_lease(&mut self, now: Micros) -> Micros {
         if self.leader_lease.renewal_in_flight {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         if self.leader_lease.renewal_due > now {
             return self.leader_lease.renewal_due;
@@ -49,7 +49,7 @@
             Some(id) => self.renew_leader_lease(id),
             None => self.request_replacement_lease(),
         }
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     fn renew_leader_lease(&mut self, id: u64) {
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -100,7 +100,7 @@
         if let Some(leader) = self.leader.take() {
             log::info!("leadership lost term={} reason=\"{reason}\"", leader.term);
         }
-        self.leader_lease.renewal_due = Micros::FAR;
+        self.leader_lease.renewal_due = Micros::FAR_FUTURE;
     }
 
     /// Handles the result of the claim of leadership.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -214,7 +214,7 @@
                     self.on_public_request(clock, request);
                 }
             }
-            NetworkEvent::Answer { id, outcome } => self.on_response(clock, id, outcome),
+            NetworkEvent::CallFinished { id, outcome } => self.on_response(clock, id, outcome),
         }
     }
 
--- a/src/controller/outgoing.rs
+++ b/src/controller/outgoing.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::messages::PendingCall;
 use crate::protocol::Micros;
-use crate::protocol::client_api::Problem;
+use crate::protocol::client_api::ErrorBody;
 use crate::protocol::codec::encode;
 use crate::transport::{Call, NetworkCommand};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     }
 
     fn send_refusal(&mut self, conn: u64, status: u16, error: &str, retry_after: Option<u32>) {
-        let body = encode(&Problem {
+        let body = encode(&ErrorBody {
             error: error.to_string(),
         });
         self.respond_encoded(conn, status, body, retry_after);
--- a/src/controller/record_sync.rs
+++ b/src/controller/record_sync.rs
@@ -50,7 +50,7 @@
     /// Requests the next page of the listing if it is due; returns when to check again.
     pub(super) fn drive_listing(&mut self, now: Micros) -> Micros {
         match self.record_sync.listing_due {
-            None => Micros::FAR,
+            None => Micros::FAR_FUTURE,
             Some(due) if due > now => due,
             Some(_) => {
                 self.record_sync.listing_due = None;
@@ -60,7 +60,7 @@
                     StoreRequestPurpose::ListRecords,
                     StoreRequest::List { after },
                 );
-                Micros::FAR
+                Micros::FAR_FUTURE
             }
         }
     }
@@ -68,7 +68,7 @@
     /// Opens the next watch if it is due; returns when to check again.
     pub(super) fn drive_watch(&mut self, now: Micros) -> Micros {
         match self.record_sync.watch_due {
-            None => Micros::FAR,
+            None => Micros::FAR_FUTURE,
             Some(due) if due > now => due,
             Some(_) => {
                 self.record_sync.watch_due = None;
@@ -79,7 +79,7 @@
                 };
                 self.store
                     .enqueue(RequestPriority::Urgent, StoreRequestPurpose::Watch, request);
-                Micros::FAR
+                Micros::FAR_FUTURE
             }
         }
     }
@@ -171,7 +171,7 @@
     pub fn apply_own_commit(&mut self, transaction: &Transaction, revision: u64) {
         for change in &transaction.changes {
             match change {
-                Change::Put { put, value, .. } => self.cache.put(put, value.clone(), revision),
+                Change::Put { key, value, .. } => self.cache.put(key, value.clone(), revision),
                 Change::Delete { key } => self.cache.delete(key, revision),
             }
         }
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -61,7 +61,7 @@
 
     fn run_follower_timers(&mut self, clock: Clock) -> Micros {
         if self.leader.is_some() {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         let mut next = self.drive_renewals(clock);
         if self.cache.synced {
@@ -76,7 +76,7 @@
 
     fn run_leader_timers(&mut self, clock: Clock) -> Micros {
         let Some(leader) = &self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         let last_confirmed_read = leader.last_confirmed_read;
         let mut next = self.drive_leader_lease(clock.now);
@@ -102,7 +102,7 @@
             return due;
         }
         self.request_confirmation(clock);
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     /// Requests a read barrier for the sake of a confirmed read only, unless one is in flight.
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -316,7 +316,7 @@
             ],
             changes: vec![Change::put(
                 BUDGET_SHARES_KEY,
-                &BudgetSharesRecord::of(&next),
+                &BudgetSharesRecord::from_grant(&next),
                 None,
             )],
         })
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -162,7 +162,7 @@
         heartbeat: AgentHeartbeat,
         outcome: Outcome,
     ) {
-        if let Outcome::Reply { status: 200, body } = outcome {
+        if let Outcome::Response { status: 200, body } = outcome {
             self.commands.push(NetworkCommand::Respond {
                 conn: connection,
                 status: 200,
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -202,7 +202,7 @@
     /// to check again.
     pub fn drive_renewals(&mut self, clock: Clock) -> Micros {
         if self.renewals.write_in_flight {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         let lease_s = self.settings.params.agents.lease_s;
         let lease = Micros::secs(lease_s * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_S);
@@ -233,7 +233,7 @@
         }
         let last_answers = renewals.last_answers.values();
         let next_expiry = last_answers.map(|answered_at| *answered_at + lease).min();
-        next_expiry.unwrap_or(Micros::FAR).min(refresh_at)
+        next_expiry.unwrap_or(Micros::FAR_FUTURE).min(refresh_at)
     }
 
     /// Clears the record of an earlier run of this process once the leases that it renewed have expired; returns
@@ -256,7 +256,7 @@
         let Some(leadership) =
             leadership.filter(|leadership| recorded_term == Some(leadership.term))
         else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         let expired_at = self.started_at + lease;
         let retry_at = self.renewals.last_write_at + CLEAR_RETRY_INTERVAL;
@@ -265,6 +265,6 @@
         }
         self.renewals.leadership = leadership;
         self.write_renewals(clock);
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -144,7 +144,7 @@
     /// Advances the candidacy of this controller; returns when to check again.
     pub(crate) fn consider_candidacy(&mut self, clock: Clock) -> Micros {
         if self.leader.is_some() || !self.cache.synced {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         let pause_end = self
             .leadership_transferred_at
@@ -157,7 +157,7 @@
                 let claim_at = clock.now + self.candidacy_delay();
                 if claim_at <= clock.now {
                     self.request_leader_lease();
-                    return Micros::FAR;
+                    return Micros::FAR_FUTURE;
                 }
                 self.election = ElectionState::Scheduled(claim_at);
                 claim_at
@@ -165,7 +165,7 @@
             ElectionState::Idle if self.should_replace_leader(clock) => {
                 log::info!("replacing the leader reason=zone_order");
                 self.request_leader_lease();
-                Micros::FAR
+                Micros::FAR_FUTURE
             }
             ElectionState::Scheduled(claim_at) if clock.now < claim_at => claim_at,
             ElectionState::Scheduled(_) => {
@@ -174,9 +174,9 @@
                 } else {
                     self.election = ElectionState::Idle;
                 }
-                Micros::FAR
+                Micros::FAR_FUTURE
             }
-            ElectionState::Idle | ElectionState::Claiming => Micros::FAR,
+            ElectionState::Idle | ElectionState::Claiming => Micros::FAR_FUTURE,
         }
     }
 
@@ -215,7 +215,7 @@
     pub(crate) fn consider_transfer(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         leader.update_renewed(&self.cache);
         if !leader.peers_serve_most_agents(&self.settings, now)
@@ -228,7 +228,7 @@
         if now < unable_to_serve_since + TRANSFER_DELAY {
             return unable_to_serve_since + TRANSFER_DELAY;
         }
-        leader.unable_to_serve_since = Some(Micros::FAR);
+        leader.unable_to_serve_since = Some(Micros::FAR_FUTURE);
         log::info!(
             "transferring leadership term={} reason=agents_reach_peers",
             leader.term
@@ -244,7 +244,7 @@
             StoreRequestPurpose::TransferLeadership,
             StoreRequest::Transaction(transaction),
         );
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     /// Claims leadership with the next term by a compare-and-swap on the leader record and the leader key.
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -34,10 +34,10 @@
     /// rolled back to an older format; returns when to check again.
     pub(crate) fn negotiate_format(&mut self, clock: Clock) -> Micros {
         let Some(due) = self.format_record_due else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         if !self.cache.synced {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         if !self.format_rollout_logged && self.all_peers_read(format::NEWEST) {
             self.format_rollout_logged = true;
@@ -45,7 +45,7 @@
         }
         let transaction = self.own_format_update();
         let Some(transaction) = transaction.or_else(|| self.downgrade_update(clock, due)) else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         if clock.now < due {
             return due;
@@ -56,7 +56,7 @@
             StoreRequestPurpose::RecordFormat,
             StoreRequest::Transaction(transaction),
         );
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     /// The transaction that records our own format; none if it is recorded.
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use crate::protocol::Clock;
-use crate::protocol::peer_messages::{CancellationCursor, CancellationUpdate, MOST_CANCELLATIONS};
+use crate::protocol::peer_messages::{CancellationCursor, CancellationUpdate, MAX_CANCELLATIONS};
 use crate::state::record_cache::RecordCache;
 use lease_delegation::cancellations::ReportedCancellations;
 
@@ -24,16 +24,16 @@
         cursor: &CancellationCursor,
     ) -> Option<CancellationUpdate> {
         self.log_cancellations();
-        let from = cursor.from(self.incarnation);
+        let from = cursor.first_entry(self.incarnation);
         let log = &self.peers.cancellation_log;
-        let batch = log.batch(from, cursor.complete, MOST_CANCELLATIONS)?;
+        let batch = log.batch(from, cursor.complete_revision, MAX_CANCELLATIONS)?;
         Some(CancellationUpdate {
-            lead: self.leader_record_version(),
-            from: batch.from,
-            next: batch.next,
-            more: batch.more,
+            leader_version: self.leader_record_version(),
+            first_entry: batch.from,
+            next_entry: batch.next,
+            has_more: batch.more,
             jobs: batch.jobs,
-            known: self.peer_coverage_ages(clock),
+            peer_coverage_ages: self.peer_coverage_ages(clock),
         })
     }
 
@@ -75,12 +75,13 @@
             }
             self.peers.cancellation_log.append(&job, version);
         }
-        if news.more {
+        if news.has_more {
             // The rest is requested without waiting for the next heartbeat.
             self.peers.incomplete_log_peer = Some(peer);
         }
         let known_revision = self.cancellations_known_to_revision().unwrap_or(0);
-        applied.log_complete && news.lead <= self.leader_record_version().max(known_revision)
+        applied.log_complete
+            && news.leader_version <= self.leader_record_version().max(known_revision)
     }
 
     /// Version of the leader record in the cache; 0: there is none.
@@ -95,7 +96,8 @@
     pub(crate) fn is_cancelled(&self, job: &str) -> bool {
         let in_summary = || {
             let received = self.peers.record_summary.as_ref();
-            received.is_some_and(|received| received.summary.cancelled.iter().any(|id| id == job))
+            received
+                .is_some_and(|received| received.summary.cancelled_jobs.iter().any(|id| id == job))
         };
         known_cancelled(&self.cache, &self.peers.reported_cancellations, job) || in_summary()
     }
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -17,34 +17,34 @@
         mut heartbeat: PeerHeartbeat,
     ) -> PeerHeartbeat {
         let sender = heartbeat.node.clone();
-        let sender_extension = heartbeat.more;
-        let sender_has_records = heartbeat.newest.is_some();
-        let cancellation_cursor = heartbeat.knows.take();
+        let sender_extension = heartbeat.delegation;
+        let sender_has_records = heartbeat.newest_revision.is_some();
+        let cancellation_cursor = heartbeat.cancellation_cursor.take();
         self.on_heartbeat(clock, heartbeat);
 
         let mut response = self.new_heartbeat(clock);
         if let Some(cursor) = cancellation_cursor {
-            response.news = self.cancellation_news(clock, &cursor);
+            response.cancellation_update = self.cancellation_news(clock, &cursor);
         }
         let store_available = self.store_available();
         let peer = self.peer_index(&sender);
         let (Some(extension), Some(sender_extension), Some(peer)) =
-            (&mut response.more, sender_extension, peer)
+            (&mut response.delegation, sender_extension, peer)
         else {
             return response;
         };
-        if extension.quiet {
+        if extension.pledges_silence {
             let pledges = &mut self.peers.silence_pledges;
             pledges.give(peer, self.cache.last_cancellation_or_claim, clock.now.0);
         }
-        if let (Some(leader), Some(term)) = (&mut self.leader, response.leading)
+        if let (Some(leader), Some(term)) = (&mut self.leader, response.leading_term)
             && !store_available
         {
-            extension.right = Some(term);
+            extension.delegated_term = Some(term);
             let grants = &mut leader.lease_grants;
-            grants.give(&sender, sender_extension.run, clock.now.0);
+            grants.give(&sender, sender_extension.incarnation, clock.now.0);
         }
-        if extension.quiet && !sender_has_records {
+        if extension.pledges_silence && !sender_has_records {
             response.record_summary = self.record_summary_for_peer(clock);
         }
         response
@@ -54,22 +54,23 @@
     pub(super) fn on_heartbeat(&mut self, clock: Clock, heartbeat: PeerHeartbeat) {
         self.connectivity.on_peer_heard(clock.now);
         self.on_leading_term(clock, &heartbeat);
-        let pledges_silence = heartbeat.more.unwrap_or_default().quiet;
+        let pledges_silence = heartbeat.delegation.unwrap_or_default().pledges_silence;
         if let Some(peer) = self.peer_index(&heartbeat.node)
             && !pledges_silence
         {
             self.peers.coverage.on_pledge_released(peer, clock.now.0);
             self.update_leader_coverage();
         }
-        if heartbeat.epoch > 0 {
-            self.budget.on_peer_epoch(&heartbeat.node, heartbeat.epoch);
+        if heartbeat.grant_epoch > 0 {
+            self.budget
+                .on_peer_epoch(&heartbeat.node, heartbeat.grant_epoch);
         }
         self.update_peer_status(clock, heartbeat);
     }
 
     /// Notes whether the sender leads, and steps down if its term is higher than ours.
     fn on_leading_term(&mut self, clock: Clock, heartbeat: &PeerHeartbeat) {
-        let Some(term) = heartbeat.leading else {
+        let Some(term) = heartbeat.leading_term else {
             return;
         };
         self.highest_term_seen = self.highest_term_seen.max(term);
@@ -99,9 +100,9 @@
             last_heard: clock.now,
             reachable_since,
             leader_silent_ms: heartbeat.leader_silent_ms,
-            store_available: heartbeat.served,
+            store_available: heartbeat.store_available,
             downgraded_format: Some(heartbeat.format).filter(|format| *format < recorded_format),
-            requested_writes: heartbeat.asks,
+            requested_writes: heartbeat.requested_writes,
         };
         self.peers.status.insert(heartbeat.node, status);
     }
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -35,15 +35,17 @@
         }
         let mut heartbeat = self.new_heartbeat(clock);
         let cursor = self.peers.reported_cancellations.cursor(peer);
-        heartbeat.knows =
+        heartbeat.cancellation_cursor =
             self.cancellations_known_to_revision()
                 .map(|complete| CancellationCursor {
-                    complete,
-                    heard: cursor.into(),
+                    complete_revision: complete,
+                    log_position: cursor.into(),
                 });
         let link = &mut self.peers.links[peer];
         link.in_flight = true;
-        link.announced_unserved = heartbeat.more.is_some_and(|extension| extension.quiet);
+        link.announced_unserved = heartbeat
+            .delegation
+            .is_some_and(|extension| extension.pledges_silence);
         self.call(
             PendingCall::PeerHeartbeat {
                 peer,
@@ -75,31 +77,31 @@
             .as_ref()
             .map(|sighting| clock.now.since(sighting.at).0 / 1000);
         let extension = LeaseDelegationStatus {
-            run: self.incarnation,
-            right: None,
-            used_ago: self.peers.renewal_grant.use_age(clock.now.0),
-            quiet: silence_pledges_enabled(&self.policy) && !store_available,
+            incarnation: self.incarnation,
+            delegated_term: None,
+            last_use_age_us: self.peers.renewal_grant.use_age(clock.now.0),
+            pledges_silence: silence_pledges_enabled(&self.policy) && !store_available,
         };
         PeerHeartbeat {
             node: self.settings.node.clone(),
-            leading: leading_term,
+            leading_term,
             leader_silent_ms,
-            newest: self
+            newest_revision: self
                 .cache
                 .synced
                 .then_some(self.cache.last_cancellation_or_claim),
-            served: store_available,
+            store_available,
             format: format::NEWEST,
-            asks: self.budget.requested_writes(),
-            epoch: self
+            requested_writes: self.budget.requested_writes(),
+            grant_epoch: self
                 .cache
                 .budget_shares
                 .as_ref()
                 .map_or(0, |(grant, _)| grant.epoch),
-            more: Some(extension),
+            delegation: Some(extension),
             record_summary: None,
-            knows: None,
-            news: None,
+            cancellation_cursor: None,
+            cancellation_update: None,
         }
     }
 
@@ -127,7 +129,7 @@
             pledges.on_release_acknowledged(peer, sent.0, clock.now.0);
         }
         self.update_coverage(clock, peer, sent, &mut response);
-        if let Some(extension) = response.more {
+        if let Some(extension) = response.delegation {
             self.on_heartbeat_extension(clock, peer, sent, extension);
         }
         self.on_heartbeat(clock, response);
@@ -136,7 +138,7 @@
 
     /// The response in `outcome`, if there is one and it was written by this peer.
     fn decode_heartbeat_response(&self, peer: usize, outcome: Outcome) -> Option<PeerHeartbeat> {
-        let Outcome::Reply { status: 200, body } = outcome else {
+        let Outcome::Response { status: 200, body } = outcome else {
             return None;
         };
         let expected = &self.settings.peers[peer].node;
@@ -164,12 +166,12 @@
         sent: Micros,
         response: &mut PeerHeartbeat,
     ) {
-        let extension = response.more;
-        let news = response.news.take();
-        let knowledge = match (response.newest, &news, extension) {
+        let extension = response.delegation;
+        let news = response.cancellation_update.take();
+        let knowledge = match (response.newest_revision, &news, extension) {
             (None, ..) => PeerKnowledge::RecordsUnread,
             (Some(_), Some(news), Some(extension)) => {
-                if self.on_cancellation_news(clock, peer, extension.run, news) {
+                if self.on_cancellation_news(clock, peer, extension.incarnation, news) {
                     PeerKnowledge::Complete
                 } else {
                     PeerKnowledge::Partial
@@ -185,7 +187,7 @@
         };
         let peer_response = PeerResponse {
             knowledge,
-            pledges_silence: extension.unwrap_or_default().quiet,
+            pledges_silence: extension.unwrap_or_default().pledges_silence,
         };
         let coverage = &mut self.peers.coverage;
         coverage.on_response(peer, peer_response, sent.0, clock.now.0);
@@ -193,7 +195,7 @@
             && let Some(news) = news
         {
             // What the peer knew of other peers is known here now, too.
-            self.extend_coverage(Some(peer), sent, &news.known);
+            self.extend_coverage(Some(peer), sent, &news.peer_coverage_ages);
         }
     }
 
@@ -207,22 +209,22 @@
     ) {
         let node = &self.settings.peers[peer].node;
         let last_run = &mut self.peers.links[peer].last_run;
-        if last_run.is_some_and(|last| last.run != extension.run) {
+        if last_run.is_some_and(|last| last.run != extension.incarnation) {
             log::info!("peer restarted peer={node}");
         }
         *last_run = Some(ObservedRun {
-            run: extension.run,
+            run: extension.incarnation,
             asked_at: sent,
         });
         let grant = &mut self.peers.renewal_grant;
-        grant.on_response(extension.right, extension.run, sent.0);
+        grant.on_response(extension.delegated_term, extension.incarnation, sent.0);
         if let Some(leader) = &mut self.leader {
             leader.lease_grants.on_use_report(
                 node,
-                extension.run,
+                extension.incarnation,
                 sent.0,
                 clock.now.0,
-                extension.used_ago,
+                extension.last_use_age_us,
             );
         }
     }
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -44,7 +44,7 @@
             });
         }
         let received = self.peers.record_summary.as_ref()?;
-        let leader = &received.summary.lead;
+        let leader = &received.summary.leader;
         Some(LeaderIdentity {
             node: &leader.node,
             run: leader.incarnation,
--- a/src/leadership/peers/record_summaries.rs
+++ b/src/leadership/peers/record_summaries.rs
@@ -16,10 +16,11 @@
         let reported = self.peers.reported_cancellations.jobs();
         if !self.cache.synced {
             let received = &self.peers.record_summary.as_ref()?.summary;
-            let cancelled: BTreeSet<&String> = received.cancelled.iter().chain(reported).collect();
+            let cancelled: BTreeSet<&String> =
+                received.cancelled_jobs.iter().chain(reported).collect();
             return Some(RecordSummary {
-                known,
-                cancelled: cancelled.into_iter().cloned().collect(),
+                peer_coverage_ages: known,
+                cancelled_jobs: cancelled.into_iter().cloned().collect(),
                 ..received.clone()
             });
         }
@@ -31,10 +32,10 @@
             .filter(|(_, job)| job.record.stage == JobStage::Cancelled)
             .map(|(id, _)| id);
         Some(RecordSummary {
-            lead: leader.clone(),
+            leader: leader.clone(),
             revision: self.cache.revision,
-            cancelled: recorded.chain(reported).cloned().collect(),
-            known,
+            cancelled_jobs: recorded.chain(reported).cloned().collect(),
+            peer_coverage_ages: known,
         })
     }
 
@@ -52,19 +53,21 @@
         if previous.is_some_and(|previous| previous.summary.revision > summary.revision) {
             return;
         }
-        self.extend_coverage(None, sent, &summary.known);
+        self.extend_coverage(None, sent, &summary.peer_coverage_ages);
         let previous = self.peers.record_summary.take();
         let leader_known_since = previous
             .as_ref()
-            .filter(|previous| previous.summary.lead == summary.lead)
+            .filter(|previous| previous.summary.leader == summary.leader)
             .map(|previous| previous.leader_known_since);
         if let Some(previous) = previous {
             // The sender of newer records may not have heard of cancellations that an earlier sender had; a
             // cancellation is final.
-            summary.cancelled.extend(previous.summary.cancelled);
+            summary
+                .cancelled_jobs
+                .extend(previous.summary.cancelled_jobs);
         }
-        summary.cancelled.sort_unstable();
-        summary.cancelled.dedup();
+        summary.cancelled_jobs.sort_unstable();
+        summary.cancelled_jobs.dedup();
         if leader_known_since.is_none() {
             log::info!("record summary received revision={}", summary.revision);
         }
--- a/src/protocol/agent_api.rs
+++ b/src/protocol/agent_api.rs
@@ -67,7 +67,7 @@
     pub phase: TaskPhase,
     /// Reason of the exit; present only for an exited task.
     #[serde(rename = "cause", default)]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether the progress was saved; present only for a stopped task.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
@@ -84,7 +84,7 @@
     pub address: String,
     /// Name of the machine type.
     #[serde(rename = "press")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
--- a/src/protocol/client_api.rs
+++ b/src/protocol/client_api.rs
@@ -19,7 +19,7 @@
 
 /// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorBody {
     /// Description of the error for people.
     pub error: String,
 }
--- a/src/protocol/cloud_api.rs
+++ b/src/protocol/cloud_api.rs
@@ -49,10 +49,10 @@
 pub struct RentRequest {
     /// Name of the request, which makes retries idempotent; never reused for another request.
     #[serde(rename = "hire")]
-    pub request: String,
+    pub request_id: String,
     /// Name of the machine type.
     #[serde(rename = "press")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -93,7 +93,7 @@
     pub address: Option<String>,
     /// Name of the machine type.
     #[serde(rename = "press")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -115,5 +115,6 @@
     #[serde(rename = "kernels")]
     pub machines: Vec<ListedMachine>,
     /// Whether machines follow after this page.
-    pub more: bool,
+    #[serde(rename = "more")]
+    pub has_more: bool,
 }
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -8,7 +8,7 @@
 
 /// Records and heartbeats of the first version, which states no format.
 pub const FIRST: u32 = 1;
-/// Jobs may depend on other jobs (`JobSpec::needs`). The first version would drop the field whenever it rewrites
+/// Jobs may depend on other jobs (`JobSpec::dependencies`). The first version would drop the field whenever it rewrites
 /// the record, and would start the job too early.
 pub const PIPELINES: u32 = 2;
 /// One record may hold placements of many jobs (`records::PlacementBatch`). A controller that does not read it
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -99,7 +99,7 @@
     pub deadline_s: Option<f64>,
     /// Ids of jobs that must be done before any task of this one starts, sorted (format `PIPELINES`).
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 impl JobSpec {
@@ -136,7 +136,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-            needs: Vec::new(),
+            dependencies: Vec::new(),
         }
     }
 }
--- a/src/protocol/job/submission.rs
+++ b/src/protocol/job/submission.rs
@@ -54,7 +54,7 @@
     let types = fields.machine_types("presses")?;
     let zone = fields.optional("yard", Fields::text)?;
     let deadline_s = fields.optional("due_s", Fields::amount)?;
-    let needs = fields.job_ids("awaits")?;
+    let dependencies = fields.job_ids("awaits")?;
     let spec = JobSpec {
         class: fields.text("docket")?,
         team: fields.text("crew")?,
@@ -75,7 +75,7 @@
         checkpoint_s: fields.amount("proof_s")?,
         save_s: fields.amount("stash_s")?,
         deadline_s,
-        needs,
+        dependencies,
     };
     Ok((id, spec))
 }
--- a/src/protocol/key_value_api.rs
+++ b/src/protocol/key_value_api.rs
@@ -23,7 +23,8 @@
     /// Writes a value.
     Put {
         /// Key to write.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// New value.
         value: rmpv::Value,
         /// Lease to which the key is attached; `None` detaches it.
@@ -107,7 +108,8 @@
     /// Keys in ascending order.
     pub items: Vec<Item>,
     /// Whether keys follow after this page.
-    pub more: bool,
+    #[serde(rename = "more")]
+    pub has_more: bool,
     /// Revision of the store that the page shows.
     #[serde(rename = "edition")]
     pub revision: u64,
@@ -143,7 +145,7 @@
     /// Writes a typed value, attached to `lease` if one is given.
     pub fn put<T: Serialize>(key: &str, value: &T, lease: Option<u64>) -> Change {
         Change::Put {
-            put: key.to_string(),
+            key: key.to_string(),
             value: to_value(value),
             lease,
         }
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -6,11 +6,11 @@
 //!
 //! | since format | fields |
 //! | --- | --- |
-//! | `FIRST` | `node`, `leading`, `leader_silent_ms`, `newest`, `served` |
+//! | `FIRST` | `node`, `leading_term`, `leader_silent_ms`, `newest_revision`, `store_available` |
 //! | `PIPELINES` | `format` |
-//! | `BUDGET_SHARES` | `asks`, `epoch` |
-//! | `LEASE_DELEGATION` | `more`, `record_summary` |
-//! | `CANCELLATIONS` | `knows`, `news` |
+//! | `BUDGET_SHARES` | `requested_writes`, `grant_epoch` |
+//! | `LEASE_DELEGATION` | `delegation`, `record_summary` |
+//! | `CANCELLATIONS` | `cancellation_cursor`, `cancellation_update` |
 //!
 //! A receiver that reads only an older format ignores the fields that it does not know.
 
@@ -24,7 +24,7 @@
 pub const FORWARD_PREFIX: &str = "/user";
 
 /// Most cancellations in one heartbeat; the others follow with the next one.
-pub const MOST_CANCELLATIONS: usize = 512;
+pub const MAX_CANCELLATIONS: usize = 512;
 /// Most peers in one list of a heartbeat.
 const MAX_PEERS: usize = 64;
 
@@ -33,16 +33,16 @@
 pub enum InvalidPeerHeartbeat {
     /// The message is too short for its format, or a field is malformed.
     #[error("it cannot be read as format {0}")]
-    Unreadable(u32),
+    Malformed(u32),
     /// This number of bytes follows the last field of a format that is known completely.
     #[error("{0} bytes follow its end")]
-    TooLong(usize),
+    TrailingBytes(usize),
     /// The format number is 0, which no version sends.
     #[error("there is no format 0")]
-    NoFormat,
+    ZeroFormat,
     /// The cancellations exceed their limits, contradict themselves, or contain an invalid job id.
     #[error("its cancellations are impossible")]
-    Cancellations,
+    InvalidCancellations,
 }
 
 /// The state of a controller, sent to each peer at regular intervals and returned in the response.
@@ -51,51 +51,51 @@
     /// Name of the sender.
     pub node: String,
     /// Term of the sender, if it leads and has recent proof of its leadership.
-    pub leading: Option<u64>,
+    pub leading_term: Option<u64>,
     /// Milliseconds since the sender last received a heartbeat of the leader that it knows; `None`: never.
     pub leader_silent_ms: Option<u64>,
     /// Revision of the newest cancellation or change of leadership that the sender knows. `None` until it has read
     /// the records, since an earlier run of its process may have known a newer one.
-    pub newest: Option<u64>,
+    pub newest_revision: Option<u64>,
     /// Whether the sender has read the records and the key-value store is available to it.
-    pub served: bool,
+    pub store_available: bool,
     /// Newest format that the sender reads. The first version neither sends it nor reads past the fields before it.
     #[serde(skip)]
     pub format: u32,
     /// Share of the write budget that the sender requests, in thousandths of changes a second.
     #[serde(skip)]
-    pub asks: u64,
+    pub requested_writes: u64,
     /// Number of the newest grant of budget shares that the sender has seen; 0: none.
     #[serde(skip)]
-    pub epoch: u64,
+    pub grant_epoch: u64,
     /// Lease delegation; `None` if the sender's format is older than `LEASE_DELEGATION`.
     #[serde(skip)]
-    pub more: Option<LeaseDelegationStatus>,
+    pub delegation: Option<LeaseDelegationStatus>,
     /// Only in a response to a peer that has not read the records.
     #[serde(skip)]
     pub record_summary: Option<RecordSummary>,
     /// Which cancellations the sender knows; in a request, which part of the receiver's log it has.
     #[serde(skip)]
-    pub knows: Option<CancellationCursor>,
+    pub cancellation_cursor: Option<CancellationCursor>,
     /// Only in a response: cancellations that the requesting peer does not know yet.
     #[serde(skip)]
-    pub news: Option<CancellationUpdate>,
+    pub cancellation_update: Option<CancellationUpdate>,
 }
 
 /// Which cancellations a controller knows when it asks a peer for more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationCursor {
     /// The sender's cache of the records is complete up to this revision.
-    pub complete: u64,
+    pub complete_revision: u64,
     /// Position in the receiver's log up to which the sender has received it.
-    pub heard: LogPosition,
+    pub log_position: LogPosition,
 }
 
 impl CancellationCursor {
     /// Returns the number of the first entry to send from the log of this run of the receiver's process.
-    pub fn from(&self, run: u64) -> u64 {
-        if self.heard.run == run {
-            self.heard.next
+    pub fn first_entry(&self, incarnation: u64) -> u64 {
+        if self.log_position.incarnation == incarnation {
+            self.log_position.next_entry
         } else {
             0
         }
@@ -106,16 +106,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogPosition {
     /// Incarnation of the controller: each run of its process has its own log.
-    pub run: u64,
+    pub incarnation: u64,
     /// Number of the first entry that was not received.
-    pub next: u64,
+    pub next_entry: u64,
 }
 
 impl From<LogCursor> for LogPosition {
     fn from(cursor: LogCursor) -> LogPosition {
         LogPosition {
-            run: cursor.run,
-            next: cursor.next,
+            incarnation: cursor.run,
+            next_entry: cursor.next,
         }
     }
 }
@@ -124,35 +124,35 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationUpdate {
     /// Version of the leader's record in the sender's cache; 0: it knows none.
-    pub lead: u64,
+    pub leader_version: u64,
     /// Number of the first log entry of the batch.
-    pub from: u64,
+    pub first_entry: u64,
     /// Number of the first log entry after the batch.
-    pub next: u64,
+    pub next_entry: u64,
     /// Whether the log has entries after the batch.
-    pub more: bool,
+    pub has_more: bool,
     /// Cancelled jobs, each with the version of the record that shows the cancellation.
     pub jobs: Vec<(String, u64)>,
     /// Per peer of the sender: age in microseconds of the moment at which the sender last knew everything that this
     /// peer had told its clients.
-    pub known: Vec<(String, u64)>,
+    pub peer_coverage_ages: Vec<(String, u64)>,
 }
 
 impl CancellationUpdate {
     /// Returns the batch of the sender's log.
     pub fn batch(&self) -> LogBatch {
         LogBatch {
-            from: self.from,
-            next: self.next,
-            more: self.more,
+            from: self.first_entry,
+            next: self.next_entry,
+            more: self.has_more,
             jobs: self.jobs.clone(),
         }
     }
 
     fn is_valid(&self) -> bool {
-        self.jobs.len() <= MOST_CANCELLATIONS
-            && self.known.len() <= MAX_PEERS
-            && self.from <= self.next
+        self.jobs.len() <= MAX_CANCELLATIONS
+            && self.peer_coverage_ages.len() <= MAX_PEERS
+            && self.first_entry <= self.next_entry
             && self.jobs.iter().all(|(id, _)| valid_id(id))
     }
 }
@@ -162,27 +162,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordSummary {
     /// The leader on record.
-    pub lead: LeaderRecord,
+    pub leader: LeaderRecord,
     /// Revision up to which the sender's cache of the records is complete.
     pub revision: u64,
     /// Cancelled jobs that may still have tasks on machines.
-    pub cancelled: Vec<String>,
-    /// See [`CancellationUpdate::known`].
-    pub known: Vec<(String, u64)>,
+    pub cancelled_jobs: Vec<String>,
+    /// See [`CancellationUpdate::peer_coverage_ages`].
+    pub peer_coverage_ages: Vec<(String, u64)>,
 }
 
 /// Lease delegation in a heartbeat, since format `LEASE_DELEGATION`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseDelegationStatus {
     /// Incarnation of the sender: which run of its process this is.
-    pub run: u64,
+    pub incarnation: u64,
     /// Only in a response: the requesting peer may renew agents' leases under this term of the sender.
-    pub right: Option<u64>,
+    pub delegated_term: Option<u64>,
     /// Microseconds since the sender last renewed a lease by such a delegation; `None`: never in this run.
-    pub used_ago: Option<u64>,
+    pub last_use_age_us: Option<u64>,
     /// The key-value store is not available to the sender. In a response this is also a pledge: for a while the
     /// sender tells its clients nothing that the requesting peer may not know.
-    pub quiet: bool,
+    pub pledges_silence: bool,
 }
 
 /// The fields that format `BUDGET_SHARES` appends.
@@ -193,7 +193,7 @@
 type CancellationFields = (Option<CancellationCursor>, Option<CancellationUpdate>);
 
 impl PeerHeartbeat {
-    /// Encodes the heartbeat. The fields of `LEASE_DELEGATION` and `CANCELLATIONS` are left out if `more` is `None`.
+    /// Encodes the heartbeat. The fields of `LEASE_DELEGATION` and `CANCELLATIONS` are left out if `delegation` is `None`.
     pub fn encode(&self) -> Vec<u8> {
         // Encoding into memory does not fail for these types.
         self.try_encode().unwrap_or_default()
@@ -201,12 +201,18 @@
 
     fn try_encode(&self) -> postcard::Result<Vec<u8>> {
         let bytes = postcard::to_stdvec(self)?;
-        let bytes = postcard::to_extend(&(self.format, self.asks, self.epoch), bytes)?;
-        let Some(more) = &self.more else {
+        let bytes = postcard::to_extend(
+            &(self.format, self.requested_writes, self.grant_epoch),
+            bytes,
+        )?;
+        let Some(delegation) = &self.delegation else {
             return Ok(bytes);
         };
-        let bytes = postcard::to_extend(&(more, &self.record_summary), bytes)?;
-        postcard::to_extend(&(&self.knows, &self.news), bytes)
+        let bytes = postcard::to_extend(&(delegation, &self.record_summary), bytes)?;
+        postcard::to_extend(
+            &(&self.cancellation_cursor, &self.cancellation_update),
+            bytes,
+        )
     }
 
     /// Decodes a heartbeat.
@@ -228,8 +234,12 @@
         }
         heartbeat.format = reader.take_format()?;
         heartbeat.read_appended_fields(&mut reader)?;
-        if heartbeat.news.as_ref().is_some_and(|news| !news.is_valid()) {
-            return Err(InvalidPeerHeartbeat::Cancellations);
+        if heartbeat
+            .cancellation_update
+            .as_ref()
+            .is_some_and(|update| !update.is_valid())
+        {
+            return Err(InvalidPeerHeartbeat::InvalidCancellations);
         }
         reader.finish()?;
         Ok(heartbeat)
@@ -241,16 +251,16 @@
     ) -> Result<(), InvalidPeerHeartbeat> {
         if self.format >= format::BUDGET_SHARES {
             let fields: BudgetFields = reader.take()?;
-            (self.asks, self.epoch) = fields;
+            (self.requested_writes, self.grant_epoch) = fields;
         }
         if self.format >= format::LEASE_DELEGATION {
-            let (more, record_summary): DelegationFields = reader.take()?;
-            self.more = Some(more);
+            let (delegation, record_summary): DelegationFields = reader.take()?;
+            self.delegation = Some(delegation);
             self.record_summary = record_summary;
         }
         if self.format >= format::CANCELLATIONS {
             let fields: CancellationFields = reader.take()?;
-            (self.knows, self.news) = fields;
+            (self.cancellation_cursor, self.cancellation_update) = fields;
         }
         Ok(())
     }
@@ -266,7 +276,7 @@
 impl<'bytes> FieldReader<'bytes> {
     fn take<T: Deserialize<'bytes>>(&mut self) -> Result<T, InvalidPeerHeartbeat> {
         let (value, rest) = postcard::take_from_bytes(self.rest)
-            .map_err(|_| InvalidPeerHeartbeat::Unreadable(self.format))?;
+            .map_err(|_| InvalidPeerHeartbeat::Malformed(self.format))?;
         self.rest = rest;
         Ok(value)
     }
@@ -274,7 +284,7 @@
     fn take_format(&mut self) -> Result<u32, InvalidPeerHeartbeat> {
         let stated: u32 = self.take()?;
         if stated == 0 {
-            return Err(InvalidPeerHeartbeat::NoFormat);
+            return Err(InvalidPeerHeartbeat::ZeroFormat);
         }
         self.format = stated;
         Ok(stated)
@@ -285,7 +295,7 @@
     fn finish(self) -> Result<(), InvalidPeerHeartbeat> {
         let is_checked = (format::BUDGET_SHARES..=format::NEWEST).contains(&self.format);
         if is_checked && !self.rest.is_empty() {
-            return Err(InvalidPeerHeartbeat::TooLong(self.rest.len()));
+            return Err(InvalidPeerHeartbeat::TrailingBytes(self.rest.len()));
         }
         Ok(())
     }
--- a/src/protocol/records/budget_shares.rs
+++ b/src/protocol/records/budget_shares.rs
@@ -68,7 +68,7 @@
 
 impl BudgetSharesRecord {
     /// Converts a grant into its stored form.
-    pub fn of(grant: &Grant) -> BudgetSharesRecord {
+    pub fn from_grant(grant: &Grant) -> BudgetSharesRecord {
         let shares = grant.parts.iter();
         let shares = shares.map(|(holder, part)| (holder.clone(), part.into()));
         let earlier = grant.owed.iter().map(|(holder, parts)| {
@@ -83,7 +83,7 @@
     }
 
     /// Converts the stored form into a grant.
-    pub fn grant(self) -> Grant {
+    pub fn into_grant(self) -> Grant {
         let shares = self.shares.into_iter();
         let shares = shares.map(|(holder, share)| (holder, share.into()));
         let earlier = self.earlier_shares.into_iter();
--- a/src/protocol/records/jobs.rs
+++ b/src/protocol/records/jobs.rs
@@ -167,16 +167,16 @@
     pub spec: JobSpec,
     /// Time of day of the acceptance, which also orders the queue.
     #[serde(rename = "at")]
-    pub at: Micros,
+    pub accepted_at: Micros,
     /// Lifecycle stage.
     #[serde(rename = "st")]
     pub stage: JobStage,
     /// Time of day at which the job was done or cancelled; 0 before.
     #[serde(rename = "end", default)]
-    pub end: Micros,
+    pub ended_at: Micros,
     /// Chunk 0: the tasks 0 to `TASKS_PER_CHUNK` - 1.
     #[serde(rename = "c", default)]
-    pub first: TaskChunk,
+    pub first_chunk: TaskChunk,
     /// The job is over and none of its tasks is on a machine, whatever placement batches still contain.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub cleaned: bool,
@@ -192,5 +192,5 @@
 pub struct PlacementBatch {
     /// Job ids, each with the placements of its tasks.
     #[serde(rename = "p")]
-    pub places: Vec<(String, Vec<TaskEntry>)>,
+    pub placements: Vec<(String, Vec<TaskEntry>)>,
 }
--- a/src/protocol/time.rs
+++ b/src/protocol/time.rs
@@ -18,7 +18,7 @@
     /// The zero duration, and the start of a clock.
     pub const ZERO: Micros = Micros(0);
     /// Later than any deadline; adding a duration to it does not overflow.
-    pub const FAR: Micros = Micros(u64::MAX / 4);
+    pub const FAR_FUTURE: Micros = Micros(u64::MAX / 4);
 
     /// Converts seconds as the wire gives them; negative values and NaN become zero.
     pub fn secs(seconds: f64) -> Micros {
@@ -41,7 +41,7 @@
     }
 
     /// Multiplies a duration by a factor and rounds down.
-    pub fn times(self, factor: f64) -> Micros {
+    pub fn scale(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
 }
--- a/src/records/pending_write.rs
+++ b/src/records/pending_write.rs
@@ -82,10 +82,10 @@
             if done_count >= job.record.spec.tasks as u64 {
                 return schedule(Micros::ZERO, Micros::ZERO);
             }
-            return schedule(MERGE_COMPLETIONS_FOR, MERGE_COMPLETIONS_FOR.times(2.0));
+            return schedule(MERGE_COMPLETIONS_FOR, MERGE_COMPLETIONS_FOR.scale(2.0));
         }
         if self.clean {
-            return schedule(CLEANUP_DELAY, CLEANUP_DELAY.times(3.0));
+            return schedule(CLEANUP_DELAY, CLEANUP_DELAY.scale(3.0));
         }
         schedule(Micros::ZERO, MERGE_BATCHED_PATIENCE)
     }
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -99,7 +99,7 @@
         // The version of the job's record shows that nobody has cancelled the job meanwhile.
         let unchanged = VersionCondition::new(&job_key(id), job.version);
         self.conditions.push(unchanged);
-        self.batch.places.push(places);
+        self.batch.placements.push(places);
         self.jobs.push(BatchedJob {
             id: id.to_string(),
             rest,
@@ -143,7 +143,7 @@
         if draft.jobs.len() < MIN_JOBS {
             return false;
         }
-        let tasks: usize = draft.batch.places.iter().map(|(_, p)| p.len()).sum();
+        let tasks: usize = draft.batch.placements.iter().map(|(_, p)| p.len()).sum();
         let jobs = draft.jobs.len();
         log::info!("placement batch written batch={number} tasks={tasks} jobs={jobs}");
         conditions.extend(draft.conditions);
@@ -155,7 +155,7 @@
             ],
         };
         let mut ids = Vec::new();
-        for (job, (_, places)) in draft.jobs.into_iter().zip(draft.batch.places) {
+        for (job, (_, places)) in draft.jobs.into_iter().zip(draft.batch.placements) {
             edits.mark_places_in_flight(&job.id, job.rest, places);
             ids.push(job.id);
         }
@@ -189,10 +189,10 @@
     /// superseded; returns when to call it again.
     pub(crate) fn merge_placement_batches(&mut self, clock: Clock) -> Micros {
         if self.cache.placement_batches.is_empty() {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         match &self.leader {
-            None => return Micros::FAR,
+            None => return Micros::FAR_FUTURE,
             Some(leader) if clock.now < leader.batch_merge_due => return leader.batch_merge_due,
             Some(_) => {}
         }
@@ -200,7 +200,7 @@
         let merge_all = !self.all_peers_read(PLACEMENT_BATCHES);
         let share = (self.store.write_rate() * MERGE_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         leader.batch_merge_due = clock.now + MERGE_INTERVAL;
         if !merge_all && !leader.record_writer.idle() {
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -97,7 +97,7 @@
 
     /// Drops the entries of an ended job. Entries left in chunks beyond the limit do not matter any more.
     fn drop_entries(&mut self, in_batches: bool) {
-        self.record.first.entries.clear();
+        self.record.first_chunk.entries.clear();
         self.record.cleaned |= in_batches;
         for (number, stored) in &self.job.chunks {
             if !stored.chunk.entries.is_empty() && self.chunks.len() < self.max_chunks {
@@ -142,7 +142,7 @@
     fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
         match self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => chunk,
-            None => &mut self.record.first,
+            None => &mut self.record.first_chunk,
         }
     }
 
@@ -201,7 +201,7 @@
         let spec = &self.record.spec;
         if self.done_count() >= spec.tasks && spec.kind != JobKind::Service {
             self.record.stage = JobStage::Done;
-            self.record.end = clock.wall;
+            self.record.ended_at = clock.wall;
         }
     }
 
@@ -210,7 +210,7 @@
         let untouched = recorded.filter(|(number, _)| !self.chunks.contains_key(number));
         let untouched: u32 = untouched.map(|(_, s)| s.chunk.done.count_ones()).sum();
         let written: u32 = self.chunks.values().map(|c| c.done.count_ones()).sum();
-        self.record.first.done.count_ones() + untouched + written
+        self.record.first_chunk.done.count_ones() + untouched + written
     }
 
     /// `merge_batched`: places that only placement batches hold have to be written, although the cached record has
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -40,7 +40,7 @@
 impl DueWrites {
     const NONE: DueWrites = DueWrites {
         count: 0,
-        next_at: Micros::FAR,
+        next_at: Micros::FAR_FUTURE,
     };
 }
 
@@ -123,7 +123,7 @@
         let writes = self.writes_in_flight.values();
         let changes = writes.flat_map(|write| &write.transaction.changes);
         let batch_number = |change: &Change| match change {
-            Change::Put { put, .. } => placement_batch_number(put),
+            Change::Put { key, .. } => placement_batch_number(key),
             Change::Delete { .. } => None,
         };
         changes.filter_map(batch_number).collect()
--- a/src/scheduling/job_queue.rs
+++ b/src/scheduling/job_queue.rs
@@ -231,7 +231,7 @@
         let profile_id = self.profiles.id_of(spec, &mut self.names);
         let queued = QueuedJob {
             id: id.into(),
-            accepted_at: job.record.at,
+            accepted_at: job.record.accepted_at,
             released_at: job.released_at,
             estimate: Estimate(spec.estimate_s),
             need: task_resources(spec),
--- a/src/scheduling/job_queue/tests.rs
+++ b/src/scheduling/job_queue/tests.rs
@@ -12,10 +12,10 @@
     Job {
         record: JobRecord {
             spec,
-            at: accepted_at,
+            accepted_at,
             stage: JobStage::Active,
-            end: Micros::ZERO,
-            first: TaskChunk::default(),
+            ended_at: Micros::ZERO,
+            first_chunk: TaskChunk::default(),
             cleaned: false,
         },
         version: 1,
@@ -47,7 +47,7 @@
     };
     let mut job = job(spec, Micros(rng.random_range(0..40)));
     job.record.stage = [JobStage::Active, JobStage::Cancelled][usize::from(is_cancelled)];
-    job.record.first.entries = entries;
+    job.record.first_chunk.entries = entries;
     job.unmet_dependencies = usize::from(rng.random_bool(0.1));
     job
 }
@@ -100,7 +100,7 @@
             ..JobSpec::sample(JobKind::Array)
         };
         let mut job = job(spec, Micros(accepted_at));
-        job.record.first.done = done;
+        job.record.first_chunk.done = done;
         job
     };
     let jobs = BTreeMap::from([
@@ -117,7 +117,7 @@
         .expect("the name table holds the teams of all queued jobs");
     let covered: Vec<&String> = jobs
         .iter()
-        .filter(|(id, job)| cutoffs.covers(red, job.record.at, id))
+        .filter(|(id, job)| cutoffs.covers(red, job.record.accepted_at, id))
         .map(|(id, _)| id)
         .collect();
     assert_eq!(covered, ["a", "b"], "jobs that the guarantee covers");
--- a/src/scheduling/priority_inheritance.rs
+++ b/src/scheduling/priority_inheritance.rs
@@ -25,7 +25,7 @@
             .map(|job| (job, job.record.spec.priority))
             .collect();
         while let Some((job, priority)) = worklist.pop() {
-            for dependency in &job.record.spec.needs {
+            for dependency in &job.record.spec.dependencies {
                 let Some((id, needed_job)) = cache.jobs.get_key_value(dependency) else {
                     continue;
                 };
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -30,13 +30,14 @@
             task,
             attempt: reported.attempt,
             phase: reported.phase,
-            why: reported.why,
+            why: reported.exit_reason,
         })
     }
 
     /// Whether a heartbeat's task is the same, in the same phase.
     fn is_same(&self, reported: &TaskStatus) -> bool {
-        (self.attempt, self.phase, self.why) == (reported.attempt, reported.phase, reported.why)
+        (self.attempt, self.phase, self.why)
+            == (reported.attempt, reported.phase, reported.exit_reason)
             && parse_task_name(&reported.task) == Some((self.job.as_str(), self.task))
     }
 }
@@ -193,7 +194,7 @@
         Agent {
             address: None,
             reported_address: String::new(),
-            machine_type: report.kind.clone(),
+            machine_type: report.machine_type.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
             agent_epoch: 0,
@@ -264,8 +265,8 @@
             self.reported_address.clone_from(&report.address);
             self.address = report.address.parse().ok();
         }
-        if self.machine_type != report.kind || self.zone != report.zone {
-            self.machine_type.clone_from(&report.kind);
+        if self.machine_type != report.machine_type || self.zone != report.zone {
+            self.machine_type.clone_from(&report.machine_type);
             self.zone.clone_from(&report.zone);
         }
         self.spot = report.spot;
--- a/src/state/cached_job.rs
+++ b/src/state/cached_job.rs
@@ -44,7 +44,7 @@
     /// The chunk that holds a task.
     pub fn chunk_of(&self, task: u32) -> Option<&TaskChunk> {
         match task / TASKS_PER_CHUNK {
-            0 => Some(&self.record.first),
+            0 => Some(&self.record.first_chunk),
             number => self.chunks.get(&number).map(|stored| &stored.chunk),
         }
     }
@@ -62,14 +62,14 @@
     /// The newest attempts of all tasks that have any.
     pub fn entries(&self) -> impl Iterator<Item = &TaskEntry> {
         let further = self.chunks.values().flat_map(|s| s.chunk.entries.iter());
-        self.record.first.entries.iter().chain(further)
+        self.record.first_chunk.entries.iter().chain(further)
     }
 
     /// The number of tasks that are done.
     pub fn done_count(&self) -> u64 {
         let further = self.chunks.values();
         let further: u64 = further.map(|s| s.chunk.done.count_ones() as u64).sum();
-        self.record.first.done.count_ones() as u64 + further
+        self.record.first_chunk.done.count_ones() as u64 + further
     }
 
     /// Whether the job has not ended.
--- a/src/state/placement_batches.rs
+++ b/src/state/placement_batches.rs
@@ -50,7 +50,7 @@
     /// Jobs that a batch names, with their places.
     pub fn places(&self, number: u32) -> &[(String, Vec<TaskEntry>)] {
         let stored = self.batches.get(&number);
-        stored.map_or(&[], |b| &b.batch.places)
+        stored.map_or(&[], |b| &b.batch.placements)
     }
 
     /// Whether any batch names the job.
@@ -86,7 +86,7 @@
             return false;
         }
         self.remove(number);
-        for (id, _) in &batch.places {
+        for (id, _) in &batch.placements {
             let numbers = self.batches_by_job.entry(id.clone()).or_default();
             numbers.insert(number);
         }
@@ -105,7 +105,7 @@
         let Some(stored) = self.batches.remove(&number) else {
             return;
         };
-        for (id, _) in stored.batch.places {
+        for (id, _) in stored.batch.placements {
             if let Some(numbers) = self.batches_by_job.get_mut(&id) {
                 numbers.remove(&number);
                 if numbers.is_empty() {
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -8,7 +8,7 @@
 
 fn batch(job: &str, places: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![(job.to_string(), places)],
+        placements: vec![(job.to_string(), places)],
     }
 }
 
--- a/src/state/record_cache.rs
+++ b/src/state/record_cache.rs
@@ -263,7 +263,7 @@
         if is_newer(self.budget_shares.as_ref(), version)
             && let Some(record) = self.read::<BudgetSharesRecord>(key, value, version)
         {
-            self.budget_shares = Some((record.grant(), version));
+            self.budget_shares = Some((record.into_grant(), version));
         }
     }
 
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -37,12 +37,16 @@
         }
         self.changed.insert(id.to_string());
         if self.job_version(id) == 0 && record.stage == JobStage::Active {
-            self.register_dependencies(id, &record.spec.needs);
+            self.register_dependencies(id, &record.spec.dependencies);
         }
         let previous = self.jobs.remove(id);
         let is_new = previous.is_none();
         let (old_entries, chunks, batched_places) = match previous {
-            Some(job) => (job.record.first.entries, job.chunks, job.batched_places),
+            Some(job) => (
+                job.record.first_chunk.entries,
+                job.chunks,
+                job.batched_places,
+            ),
             None => Default::default(),
         };
         let mut job = Job {
@@ -56,12 +60,17 @@
         if job.record.cleaned {
             job.batched_places.clear();
         } else {
-            let first = &mut job.record.first;
+            let first = &mut job.record.first_chunk;
             self.placement_batches
                 .overlay(id, 0, first, &mut job.batched_places);
         }
         let image = JobImage::of(&job.record.spec);
-        self.index_places(id, &old_entries, &job.record.first.entries, Some(image));
+        self.index_places(
+            id,
+            &old_entries,
+            &job.record.first_chunk.entries,
+            Some(image),
+        );
         if let Some(chunks) = self.chunks_without_job.remove(id) {
             job.chunks.extend(chunks);
         }
@@ -151,7 +160,7 @@
         if !self.placement_batches.put(number, batch.clone(), version) {
             return;
         }
-        for (id, places) in batch.places {
+        for (id, places) in batch.placements {
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
@@ -167,7 +176,7 @@
 
     fn overlay_on_job(&mut self, id: &str, job: &mut Job, place: TaskEntry) {
         let chunk = match place.task() / TASKS_PER_CHUNK {
-            0 => &mut job.record.first,
+            0 => &mut job.record.first_chunk,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
         let old: Vec<TaskEntry> = chunk.entry(place.task()).cloned().into_iter().collect();
@@ -225,12 +234,12 @@
 
     /// Derives from a job's dependencies how many are unmet, since when the job may run, and whether it is cancelled.
     fn resolve_dependencies(&self, job: &mut Job) {
-        job.released_at = job.record.at;
+        job.released_at = job.record.accepted_at;
         job.unmet_dependencies = 0;
         if !job.active() {
             return;
         }
-        for need in &job.record.spec.needs {
+        for need in &job.record.spec.dependencies {
             let Some(outcome) = self.outcome_of(need) else {
                 job.unmet_dependencies += 1;
                 continue;
@@ -242,7 +251,7 @@
             // No job starts before its dependencies are done, and a cancelled one never will be: this job has no
             // task anywhere and never gets one.
             job.record.stage = JobStage::Cancelled;
-            job.record.end = outcome.end.max(job.record.at);
+            job.record.ended_at = outcome.end.max(job.record.accepted_at);
             return;
         }
     }
@@ -258,7 +267,7 @@
         let job = self.jobs.get(id).filter(|j| !j.active())?;
         Some(JobOutcome {
             stage: job.record.stage,
-            end: job.record.end,
+            end: job.record.ended_at,
         })
     }
 
@@ -290,7 +299,7 @@
             return;
         };
         self.ended_with_tasks.remove(id);
-        self.index_places(id, &job.record.first.entries, &[], None);
+        self.index_places(id, &job.record.first_chunk.entries, &[], None);
         for stored in job.chunks.values() {
             self.index_places(id, &stored.chunk.entries, &[], None);
         }
@@ -304,7 +313,7 @@
         stage: job.record.stage,
         tasks: job.record.spec.tasks,
         version: job.version,
-        end: job.record.end,
+        end: job.record.ended_at,
         service: job.record.spec.kind == JobKind::Service,
     }
 }
--- a/src/state/record_cache/listing.rs
+++ b/src/state/record_cache/listing.rs
@@ -28,7 +28,7 @@
         for item in page.items {
             self.put(&item.key, item.value, item.version);
         }
-        if page.more {
+        if page.has_more {
             return false;
         }
         if let Some(listing) = self.listing.take() {
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -297,7 +297,7 @@
         let response = read_response(&sent.request, outcome);
         match (&response, outcome) {
             // A rate limit shows neither that the store serves us nor that it does not.
-            (_, Outcome::Reply { status: 429, .. }) => {}
+            (_, Outcome::Response { status: 429, .. }) => {}
             (StoreResponse::Refused, _) => self.failure_weight += REFUSED_WEIGHT,
             (StoreResponse::Lost, _) => self.failure_weight += LOST_WEIGHT,
             _ => self.failure_weight = 0,
@@ -386,7 +386,7 @@
     let (status, body) = match outcome {
         Outcome::NotSent => return StoreResponse::Refused,
         Outcome::Lost => return StoreResponse::Lost,
-        Outcome::Reply { status, body } => (*status, body),
+        Outcome::Response { status, body } => (*status, body),
     };
     let response = match request {
         StoreRequest::Transaction(transaction) => {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -29,7 +29,7 @@
 /// A call to another process: a request whose response is awaited.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Id of the call, which comes back in [`NetworkEvent::Answer`].
+    /// Id of the call, which comes back in [`NetworkEvent::CallFinished`].
     pub id: u64,
     /// Address of the process.
     pub addr: SocketAddr,
@@ -60,7 +60,7 @@
         body: Vec<u8>,
     },
     /// A call has ended.
-    Answer {
+    CallFinished {
         /// Id of the call.
         id: u64,
         /// Result of the call.
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// A response has arrived.
-    Reply {
+    Response {
         /// Status code.
         status: u16,
         /// Body.
--- a/src/transport/net/calls.rs
+++ b/src/transport/net/calls.rs
@@ -65,7 +65,7 @@
 
     /// Reports how a call went.
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
-        self.events.push(NetworkEvent::Answer { id, outcome });
+        self.events.push(NetworkEvent::CallFinished { id, outcome });
     }
 
     /// Takes the response that has arrived on a connection, if all of it has; `ended`: no more will arrive.
@@ -92,7 +92,7 @@
     }
 
     fn on_response(&mut self, token: Token, id: u64, response: Message, ended: bool) {
-        let outcome = Outcome::Reply {
+        let outcome = Outcome::Response {
             status: response.status,
             body: response.body,
         };
--- a/tests/agent_session_model.rs
+++ b/tests/agent_session_model.rs
@@ -114,13 +114,13 @@
             Attempt::Ended => TaskPhase::Exited,
             Attempt::Running => TaskPhase::Running,
         },
-        why: (attempt == Attempt::Ended).then_some(ExitReason::Stopped),
+        exit_reason: (attempt == Attempt::Ended).then_some(ExitReason::Stopped),
         saved: None,
     };
     AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: heartbeat.agent_epoch,
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -85,7 +85,7 @@
         assert!(
             !sim.jobs
                 .values()
-                .any(|t| t.accepted && !t.spec.needs.is_empty())
+                .any(|t| t.accepted && !t.spec.dependencies.is_empty())
         );
         sim.crash_controller(order[2], 2 * SECOND);
         sim.run_seconds(6);
@@ -99,7 +99,7 @@
             assert!(
                 !sim.jobs
                     .values()
-                    .any(|t| t.accepted && !t.spec.needs.is_empty())
+                    .any(|t| t.accepted && !t.spec.dependencies.is_empty())
             );
             upgrade(&mut sim, order[0]);
         } else {
@@ -144,14 +144,17 @@
     };
     let job = bytes(OLD_JOB);
     let rec: JobRecord = decode(&job).unwrap();
-    assert!(rec.spec.needs.is_empty() && rec.spec.tasks == 130);
-    assert_eq!(rec.first.entry(3).unwrap().machine(), Some("n-000231"));
+    assert!(rec.spec.dependencies.is_empty() && rec.spec.tasks == 130);
+    assert_eq!(
+        rec.first_chunk.entry(3).unwrap().machine(),
+        Some("n-000231")
+    );
     // A record that we write without dependencies is the same to the byte, and the first version reads it.
     assert_eq!(encode(&rec), job);
     assert!(decode::<first_version::FirstJobRecord>(&job).is_some());
     let beat = bytes("086b65726e656c2d31012901ac02014d01");
     let mut heard = PeerHeartbeat::decode(&beat).unwrap();
-    assert_eq!((heard.format, heard.newest), (1, Some(77)));
+    assert_eq!((heard.format, heard.newest_revision), (1, Some(77)));
     heard.format = 2;
     let sent = heard.encode();
     assert_eq!(PeerHeartbeat::decode(&sent).unwrap().format, 2);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -5,7 +5,7 @@
 use walnuttrestle::protocol::job::valid_id;
 use walnuttrestle::protocol::peer_messages::{
     CancellationCursor, CancellationUpdate, InvalidPeerHeartbeat, LeaseDelegationStatus,
-    LogPosition, MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
+    LogPosition, MAX_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
 use walnuttrestle::protocol::records::LeaderRecord;
 
@@ -14,47 +14,50 @@
     let job = |number: usize| (format!("req-{number:06}"), 400 + number as u64);
     PeerHeartbeat {
         node: "kernel-1".into(),
-        leading: Some(7),
+        leading_term: Some(7),
         leader_silent_ms: Some(300),
-        newest: Some(412),
-        served: true,
+        newest_revision: Some(412),
+        store_available: true,
         format: format::NEWEST,
-        asks: 30_000,
-        epoch: 4,
-        more: Some(LeaseDelegationStatus {
-            run: 77,
-            right: Some(7),
-            used_ago: None,
-            quiet: false,
+        requested_writes: 30_000,
+        grant_epoch: 4,
+        delegation: Some(LeaseDelegationStatus {
+            incarnation: 77,
+            delegated_term: Some(7),
+            last_use_age_us: None,
+            pledges_silence: false,
         }),
         record_summary: Some(RecordSummary {
-            lead: LeaderRecord {
+            leader: LeaderRecord {
                 node: "kernel-0".into(),
                 incarnation: 3,
                 term: 7,
             },
             revision: 411,
-            cancelled: vec!["req-000009".into()],
-            known: vec![("kernel-2".into(), 12)],
+            cancelled_jobs: vec!["req-000009".into()],
+            peer_coverage_ages: vec![("kernel-2".into(), 12)],
         }),
-        knows: Some(CancellationCursor {
-            complete: 400,
-            heard: LogPosition { run: 78, next: 3 },
+        cancellation_cursor: Some(CancellationCursor {
+            complete_revision: 400,
+            log_position: LogPosition {
+                incarnation: 78,
+                next_entry: 3,
+            },
         }),
-        news: Some(CancellationUpdate {
-            lead: 12,
-            from: 3,
-            next: 3 + jobs as u64,
-            more: false,
+        cancellation_update: Some(CancellationUpdate {
+            leader_version: 12,
+            first_entry: 3,
+            next_entry: 3 + jobs as u64,
+            has_more: false,
             jobs: (0..jobs).map(job).collect(),
-            known: vec![("kernel-2".into(), 700_000)],
+            peer_coverage_ages: vec![("kernel-2".into(), 700_000)],
         }),
     }
 }
 
 #[test]
 fn a_heartbeat_survives_encoding_and_decoding() {
-    for jobs in [0, 1, MOST_CANCELLATIONS] {
+    for jobs in [0, 1, MAX_CANCELLATIONS] {
         let sent = heartbeat(jobs);
         assert_eq!(PeerHeartbeat::decode(&sent.encode()), Ok(sent));
     }
@@ -66,13 +69,17 @@
     let ours = heartbeat(3);
     let bytes = postcard::to_stdvec(&ours).unwrap();
     let bytes = postcard::to_extend(&(format::LEASE_DELEGATION, 30_000u64, 4u64), bytes).unwrap();
-    let bytes = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), bytes).unwrap();
+    let bytes =
+        postcard::to_extend(&(ours.delegation.unwrap(), &ours.record_summary), bytes).unwrap();
     let decoded = PeerHeartbeat::decode(&bytes).unwrap();
     assert_eq!(
-        (decoded.format, decoded.more),
-        (format::LEASE_DELEGATION, ours.more)
+        (decoded.format, decoded.delegation),
+        (format::LEASE_DELEGATION, ours.delegation)
+    );
+    assert_eq!(
+        (decoded.cancellation_cursor, decoded.cancellation_update),
+        (None, None)
     );
-    assert_eq!((decoded.knows, decoded.news), (None, None));
     // A version of that format finds its fields in ours at the same place.
     let encoded = ours.encode();
     let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
@@ -81,7 +88,7 @@
         postcard::from_bytes(rest).unwrap();
     assert_eq!(
         (Some(more), record_summary),
-        (ours.more, ours.record_summary)
+        (ours.delegation, ours.record_summary)
     );
 }
 
@@ -100,10 +107,10 @@
 fn a_heartbeat_with_one_invalid_field_is_rejected_as_a_whole() {
     let decode_changed = |change: fn(&mut CancellationUpdate)| {
         let mut heartbeat = heartbeat(2);
-        heartbeat.news.iter_mut().for_each(change);
+        heartbeat.cancellation_update.iter_mut().for_each(change);
         PeerHeartbeat::decode(&heartbeat.encode())
     };
-    let invalid = Err(InvalidPeerHeartbeat::Cancellations);
+    let invalid = Err(InvalidPeerHeartbeat::InvalidCancellations);
     assert_eq!(
         decode_changed(|news| news.jobs[1].0 = "req-".into()),
         invalid
@@ -112,13 +119,13 @@
         decode_changed(|news| news.jobs[0].0 = "../req-1".into()),
         invalid
     );
-    assert_eq!(decode_changed(|news| news.next = 2), invalid);
+    assert_eq!(decode_changed(|news| news.next_entry = 2), invalid);
     assert_eq!(
-        decode_changed(|news| news.known = vec![("kernel-9".into(), 1); 65]),
+        decode_changed(|news| news.peer_coverage_ages = vec![("kernel-9".into(), 1); 65]),
         invalid
     );
     assert_eq!(
-        PeerHeartbeat::decode(&heartbeat(MOST_CANCELLATIONS + 1).encode()),
+        PeerHeartbeat::decode(&heartbeat(MAX_CANCELLATIONS + 1).encode()),
         invalid
     );
     let no_format = PeerHeartbeat {
@@ -127,13 +134,13 @@
     };
     assert_eq!(
         PeerHeartbeat::decode(&no_format.encode()),
-        Err(InvalidPeerHeartbeat::NoFormat)
+        Err(InvalidPeerHeartbeat::ZeroFormat)
     );
     let mut too_long = heartbeat(1).encode();
     too_long.push(0);
     assert_eq!(
         PeerHeartbeat::decode(&too_long),
-        Err(InvalidPeerHeartbeat::TooLong(1))
+        Err(InvalidPeerHeartbeat::TrailingBytes(1))
     );
 }
 
@@ -163,9 +170,9 @@
     #[test]
     fn random_bytes_never_decode_to_too_many_cancellations(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
-            && let Some(news) = heartbeat.news
+            && let Some(news) = heartbeat.cancellation_update
         {
-            prop_assert!(news.jobs.len() <= MOST_CANCELLATIONS);
+            prop_assert!(news.jobs.len() <= MAX_CANCELLATIONS);
         }
     }
 
@@ -177,8 +184,8 @@
         let mut bytes = heartbeat(4).encode();
         let position = position % bytes.len();
         bytes[position] = replacement;
-        if let Ok(PeerHeartbeat { news: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
-            prop_assert!(news.from <= news.next);
+        if let Ok(PeerHeartbeat { cancellation_update: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
+            prop_assert!(news.first_entry <= news.next_entry);
             prop_assert!(news.jobs.iter().all(|(id, _)| valid_id(id)));
         }
     }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -23,7 +23,7 @@
     let report = |agent_epoch: u64, seq: u64| AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch,
@@ -48,7 +48,7 @@
         &settings,
         &cache,
         Micros::ZERO,
-        shown + lease.times(1.1) + Micros::millis(400),
+        shown + lease.scale(1.1) + Micros::millis(400),
     );
     assert!(leader.agents.values().all(Agent::epoch_ended));
 }
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -111,7 +111,7 @@
     }
     encode(&MachinePage {
         machines: Vec::new(),
-        more: false,
+        has_more: false,
     })
 }
 
--- a/tests/loopback/submissions.rs
+++ b/tests/loopback/submissions.rs
@@ -107,7 +107,7 @@
 
 #[test]
 fn needed_jobs_are_sorted_and_named_once() {
-    let needs = |value| parse(&body_with("awaits", value)).unwrap().1.needs;
+    let needs = |value| parse(&body_with("awaits", value)).unwrap().1.dependencies;
     assert!(needs(Value::Nil).is_empty());
     assert!(needs(Value::Array(vec![])).is_empty());
     let duplicates = ["req-2", "req-1", "req-2"].map(Value::from);
@@ -123,7 +123,10 @@
         let mut body = Vec::new();
         rmpv::encode::write_value(&mut body, &job).unwrap();
         let (id, spec) = parse(&body).unwrap();
-        assert!(spec.needs.iter().all(|need| earlier.contains(need)), "{id}");
+        assert!(
+            spec.dependencies.iter().all(|need| earlier.contains(need)),
+            "{id}"
+        );
         earlier.push(id);
     }
     assert_eq!(earlier.len(), 5);
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -130,7 +130,7 @@
         checkpoint_s: [0.0, 20.0][rng.random_range(0..2)],
         save_s: rng.random_range(0..4) as f64,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -155,7 +155,7 @@
         task: format!("{job}/{}", entry.task()),
         attempt: entry.attempt(),
         phase,
-        why: is_exited.then(|| reasons[rng.random_range(0..4)]),
+        exit_reason: is_exited.then(|| reasons[rng.random_range(0..4)]),
         saved: None,
     }
 }
@@ -218,7 +218,7 @@
             let Some(job) = self.cache.jobs.get(&id) else {
                 return;
             };
-            (id, job.record.spec.clone(), job.record.at)
+            (id, job.record.spec.clone(), job.record.accepted_at)
         } else {
             let id = format!("req-{}", self.job_count);
             self.job_count += 1;
@@ -229,10 +229,10 @@
         let is_cancelled = self.chance(0.05);
         let rec = JobRecord {
             spec,
-            at: accepted_at,
+            accepted_at,
             stage: [JobStage::Active, JobStage::Cancelled][usize::from(is_cancelled)],
-            end: self.clock.wall,
-            first,
+            ended_at: self.clock.wall,
+            first_chunk: first,
             cleaned: false,
         };
         self.version += 1;
@@ -286,7 +286,7 @@
                 task: "req-7/0".into(),
                 attempt: 9,
                 phase: TaskPhase::Running,
-                why: None,
+                exit_reason: None,
                 saved: None,
             });
         }
@@ -294,7 +294,7 @@
         let heartbeat = AgentHeartbeat {
             machine: machine.clone(),
             address: "127.0.0.1:9".into(),
-            kind: ["big", "small"][machine_number as usize % 2].into(),
+            machine_type: ["big", "small"][machine_number as usize % 2].into(),
             zone: ["a", "b"][machine_number as usize / 2 % 2].into(),
             spot: machine_number % 5 == 4,
             agent_epoch: 1 + u64::from(*seq > 6),
@@ -455,7 +455,7 @@
             };
             let mut rec = job.record.clone();
             if start.task < 48 {
-                rec.first.set(entry);
+                rec.first_chunk.set(entry);
             }
             self.version += 1;
             self.cache.put_job(&start.job, rec, self.version);
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -511,7 +511,7 @@
     let lost = tasks.iter().filter(is_displaced).count();
     Some(QueueEntry {
         id,
-        at: job.record.at,
+        at: job.record.accepted_at,
         lost_tasks: lost as u32,
         spec,
         requirements,
@@ -586,7 +586,7 @@
         .iter()
         .filter(|(_, job)| job.active() && !job.waits_for_dependencies());
     let mut jobs: Vec<(&String, &Job)> = queued.collect();
-    jobs.sort_by_key(|(id, job)| (job.record.at, *id));
+    jobs.sort_by_key(|(id, job)| (job.record.accepted_at, *id));
     for (id, job) in jobs {
         let spec = &job.record.spec;
         let Some([cpus, gpus]) = left.get_mut(spec.team.as_str()) else {
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -15,10 +15,10 @@
     let spec = simulation::job(JobKind::Service, 60, 1.0);
     JobRecord {
         spec,
-        at: Micros::ZERO,
+        accepted_at: Micros::ZERO,
         stage,
-        end: Micros::ZERO,
-        first: TaskChunk { entries, done: 0 },
+        ended_at: Micros::ZERO,
+        first_chunk: TaskChunk { entries, done: 0 },
         cleaned: false,
     }
 }
@@ -29,7 +29,7 @@
 
 fn bundle(places: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![("req-1".into(), places)],
+        placements: vec![("req-1".into(), places)],
     }
 }
 
@@ -66,7 +66,7 @@
     });
     let page = ItemPage {
         items: items.collect(),
-        more: false,
+        has_more: false,
         revision: 9,
     };
     assert!(listed.apply_listing_page(page));
--- a/tests/simulation/event_loop.rs
+++ b/tests/simulation/event_loop.rs
@@ -130,7 +130,10 @@
         let was_open = self.open_calls.remove(&key);
         if was_open && self.controllers[key.controller].incarnation == key.incarnation {
             let id = key.call_id;
-            self.deliver(key.controller, vec![NetworkEvent::Answer { id, outcome }]);
+            self.deliver(
+                key.controller,
+                vec![NetworkEvent::CallFinished { id, outcome }],
+            );
         }
     }
 
--- a/tests/simulation/fake_agent.rs
+++ b/tests/simulation/fake_agent.rs
@@ -118,7 +118,7 @@
         AgentHeartbeat {
             machine: self.name.clone(),
             address: super::network::agent_address(self.index),
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: self.zone.clone(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
@@ -136,7 +136,7 @@
                 task: name.clone(),
                 attempt: *attempt,
                 phase: task.phase,
-                why: task.exit_reason,
+                exit_reason: task.exit_reason,
                 saved: task.saved.then_some(true),
             })
             .collect()
--- a/tests/simulation/fake_cloud.rs
+++ b/tests/simulation/fake_cloud.rs
@@ -51,7 +51,7 @@
             .map(|agent| ListedMachine {
                 id: agent.name.clone(),
                 address: None,
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: agent.zone.clone(),
                 spot: agent.spot,
                 state: if self.failed_machines.contains(&agent.name) {
@@ -65,15 +65,15 @@
         machines.sort_by(|one, other| one.id.cmp(&other.id));
         MachinePage {
             machines,
-            more: false,
+            has_more: false,
         }
     }
 
     fn rent(&mut self, request: RentRequest) -> (u16, Vec<u8>) {
-        if let Some(rental) = self.rentals.get(&request.request) {
+        if let Some(rental) = self.rentals.get(&request.request_id) {
             let machines = rental.machines.clone();
             if self.now > rental.requested_at + RENTAL_RETRY_TIME {
-                self.report_violation("hire reused", request.request);
+                self.report_violation("hire reused", request.request_id);
             }
             return (200, encode(&MachineNames { machines }));
         }
@@ -96,7 +96,7 @@
             machines: machines.clone(),
             requested_at: self.now,
         };
-        self.rentals.insert(request.request, rental);
+        self.rentals.insert(request.request_id, rental);
         (200, encode(&MachineNames { machines }))
     }
 
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -308,7 +308,7 @@
             .collect();
         let page = ItemPage {
             items,
-            more: rest.next().is_some(),
+            has_more: rest.next().is_some(),
             revision: self.revision,
         };
         (200, encode(&page))
@@ -339,7 +339,7 @@
         self.revision += 1;
         for change in transaction.changes {
             match change {
-                Change::Put { put, value, lease } => self.put(put, value, lease),
+                Change::Put { key, value, lease } => self.put(key, value, lease),
                 Change::Delete { key } => self.delete(key),
             }
         }
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -273,7 +273,7 @@
             return None;
         }
         let transaction = decode::<Transaction>(&call.body)?;
-        let is_affected = |change: &Change| matches!(change, Change::Put { put, .. } if put.starts_with(delayed.prefix));
+        let is_affected = |change: &Change| matches!(change, Change::Put { key, .. } if key.starts_with(delayed.prefix));
         if !transaction.changes.iter().any(is_affected) {
             return None;
         }
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -128,8 +128,8 @@
     let mut transaction: Transaction = decode(&body)?;
     for change in &mut transaction.changes {
         match change {
-            Change::Put { put, value, .. } if is_known(put) => {
-                *value = rewritten(put, value.clone());
+            Change::Put { key, value, .. } if is_known(key) => {
+                *value = rewritten(key, value.clone());
             }
             Change::Delete { key } if is_known(key) => {}
             _ => return None,
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -157,7 +157,11 @@
         )?;
     }
     for (id, job) in &cache.jobs {
-        writeln!(out, "  {id}: {:?} {:?}", job.record.stage, job.record.first)?;
+        writeln!(
+            out,
+            "  {id}: {:?} {:?}",
+            job.record.stage, job.record.first_chunk
+        )?;
         for entry in job.entries() {
             writeln!(
                 out,
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -35,7 +35,7 @@
         let mut found = BTreeSet::new();
         let mut unvisited = vec![job];
         while let Some(truth) = unvisited.pop().and_then(|job| self.jobs.get(job)) {
-            for need in &truth.spec.needs {
+            for need in &truth.spec.dependencies {
                 if found.insert(need.as_str()) {
                     unvisited.push(need);
                 }
@@ -226,7 +226,7 @@
             let truth = self.jobs.get(need);
             truth.is_some_and(|truth| truth.accepted && truth.spec.kind != JobKind::Service)
         };
-        let needs = &self.jobs[job].spec.needs;
+        let needs = &self.jobs[job].spec.dependencies;
         if !needs.is_empty() && needs.iter().all(can_be_needed) {
             let details = format!("{job}: all that it needs is accepted");
             self.report_violation("refused", details);
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -229,7 +229,7 @@
         if self.lost_answers_from.iter().any(loses) {
             return;
         }
-        let outcome = Outcome::Reply { status, body };
+        let outcome = Outcome::Response { status, body };
         self.schedule(at, Event::CallAnswer { key, outcome });
     }
 
--- a/tests/simulation/setup.rs
+++ b/tests/simulation/setup.rs
@@ -106,14 +106,14 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 /// The same job with dependencies.
 pub fn after(needs: &[&str], spec: JobSpec) -> JobSpec {
     JobSpec {
-        needs: needs.iter().map(|need| need.to_string()).collect(),
+        dependencies: needs.iter().map(|need| need.to_string()).collect(),
         ..spec
     }
 }
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -13,7 +13,7 @@
         task: "req-17/3".into(),
         attempt: 2,
         phase,
-        why: None,
+        exit_reason: None,
         saved: None,
     }
 }
@@ -22,7 +22,7 @@
     AgentHeartbeat {
         machine: "n-000017".into(),
         address: "10.1.4.17:9000".into(),
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 4_000_000_000,
@@ -105,7 +105,7 @@
         ExitReason::Unknown,
     ];
     let causes = causes.map(|why| TaskStatus {
-        why: Some(why),
+        exit_reason: Some(why),
         saved: Some(why == ExitReason::Stopped),
         ..task_status(TaskPhase::Exited)
     });
@@ -143,7 +143,7 @@
         ("sheets", list([running, stopped])),
     ]);
     let stopped = TaskStatus {
-        why: Some(ExitReason::GangMemberGone),
+        exit_reason: Some(ExitReason::GangMemberGone),
         saved: Some(true),
         ..task_status(TaskPhase::Exited)
     };
--- a/tests/wire_compatibility/client_api.rs
+++ b/tests/wire_compatibility/client_api.rs
@@ -4,7 +4,7 @@
 use crate::samples::{full_spec, plain_spec, plain_spec_fields};
 use rmpv::Value;
 use walnuttrestle::protocol::JobSpec;
-use walnuttrestle::protocol::client_api::{JobState, Problem};
+use walnuttrestle::protocol::client_api::{ErrorBody, JobState};
 use walnuttrestle::protocol::codec::encode;
 use walnuttrestle::protocol::job::parse;
 use walnuttrestle::transport::http::put_response;
@@ -45,7 +45,7 @@
         running: Some(0),
     };
     fixtures.both_ways("state_counted", &counted);
-    let problem = Problem {
+    let problem = ErrorBody {
         error: "field sheets is missing or invalid".into(),
     };
     fixtures.both_ways("problem", &problem);
--- a/tests/wire_compatibility/cloud_api.rs
+++ b/tests/wire_compatibility/cloud_api.rs
@@ -10,7 +10,7 @@
     ListedMachine {
         id: "n-000017".into(),
         address: None,
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: false,
         state,
@@ -22,8 +22,8 @@
 fn cloud_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::open("cloud_api.hex");
     let rent = RentRequest {
-        request: "kernel-1-7-12".into(),
-        kind: "big".into(),
+        request_id: "kernel-1-7-12".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: true,
         count: 50,
@@ -44,7 +44,7 @@
             },
             listed(MachineState::Failed),
         ],
-        more: true,
+        has_more: true,
     };
     fixtures.both_ways("machine_page", &page);
     fixtures.both_ways("machine_types", &machine_types());
@@ -84,7 +84,7 @@
     let page = map([("kernels", list([machine])), ("more", false.into())]);
     let value = MachinePage {
         machines: vec![listed(MachineState::Booting)],
-        more: false,
+        has_more: false,
     };
     fixtures.read_as("page_of_the_cloud", &page, &value);
 }
--- a/tests/wire_compatibility/key_value_api.rs
+++ b/tests/wire_compatibility/key_value_api.rs
@@ -21,12 +21,12 @@
         version,
     };
     let job = Change::Put {
-        put: records::job_key("req-17"),
+        key: records::job_key("req-17"),
         value: to_value(&plain_job()),
         lease: None,
     };
     let live = Change::Put {
-        put: records::LEADER_LEASE_KEY.into(),
+        key: records::LEADER_LEASE_KEY.into(),
         value: "kernel-1".into(),
         lease: Some(91),
     };
@@ -63,7 +63,7 @@
     let (mut id, mut sent) = (0, Vec::new());
     store.enqueue(RequestPriority::Urgent, (), ask);
     store.send_queued(Micros::millis(10_000), &mut id, &mut sent);
-    let outcome = Outcome::Reply {
+    let outcome = Outcome::Response {
         status,
         body: body.to_vec(),
     };
@@ -150,7 +150,7 @@
                 version: 412,
             },
         ],
-        more: true,
+        has_more: true,
         revision: 413,
     };
     fixtures.both_ways("page", &page);
--- a/tests/wire_compatibility/peer_heartbeats.rs
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -13,44 +13,47 @@
     let since = |first: u32| number >= first;
     PeerHeartbeat {
         node: "kernel-1".into(),
-        leading: Some(7),
+        leading_term: Some(7),
         leader_silent_ms: Some(300),
-        newest: Some(412),
-        served: true,
+        newest_revision: Some(412),
+        store_available: true,
         format: number,
-        asks: if since(format::BUDGET_SHARES) {
+        requested_writes: if since(format::BUDGET_SHARES) {
             30_000
         } else {
             0
         },
-        epoch: if since(format::BUDGET_SHARES) { 4 } else { 0 },
-        more: since(format::LEASE_DELEGATION).then_some(LeaseDelegationStatus {
-            run: 77,
-            right: Some(7),
-            used_ago: Some(1_500_000),
-            quiet: true,
+        grant_epoch: if since(format::BUDGET_SHARES) { 4 } else { 0 },
+        delegation: since(format::LEASE_DELEGATION).then_some(LeaseDelegationStatus {
+            incarnation: 77,
+            delegated_term: Some(7),
+            last_use_age_us: Some(1_500_000),
+            pledges_silence: true,
         }),
         record_summary: since(format::LEASE_DELEGATION).then(|| RecordSummary {
-            lead: LeaderRecord {
+            leader: LeaderRecord {
                 node: "kernel-0".into(),
                 incarnation: 3,
                 term: 7,
             },
             revision: 411,
-            cancelled: strings(["req-000009", "req-10"]),
-            known: vec![("kernel-2".into(), 12)],
+            cancelled_jobs: strings(["req-000009", "req-10"]),
+            peer_coverage_ages: vec![("kernel-2".into(), 12)],
         }),
-        knows: since(format::CANCELLATIONS).then_some(CancellationCursor {
-            complete: 400,
-            heard: LogPosition { run: 78, next: 3 },
+        cancellation_cursor: since(format::CANCELLATIONS).then_some(CancellationCursor {
+            complete_revision: 400,
+            log_position: LogPosition {
+                incarnation: 78,
+                next_entry: 3,
+            },
         }),
-        news: since(format::CANCELLATIONS).then(|| CancellationUpdate {
-            lead: 12,
-            from: 3,
-            next: 5,
-            more: true,
+        cancellation_update: since(format::CANCELLATIONS).then(|| CancellationUpdate {
+            leader_version: 12,
+            first_entry: 3,
+            next_entry: 5,
+            has_more: true,
             jobs: vec![("req-1".into(), 408), ("req-2".into(), 409)],
-            known: vec![("kernel-2".into(), 700_000)],
+            peer_coverage_ages: vec![("kernel-2".into(), 700_000)],
         }),
     }
 }
@@ -58,14 +61,14 @@
 /// Returns a heartbeat without any optional field.
 fn bare_heartbeat(number: u32) -> PeerHeartbeat {
     PeerHeartbeat {
-        leading: None,
+        leading_term: None,
         leader_silent_ms: None,
-        newest: None,
-        served: false,
+        newest_revision: None,
+        store_available: false,
         record_summary: None,
-        knows: None,
-        news: None,
-        more: (number >= format::LEASE_DELEGATION).then(LeaseDelegationStatus::default),
+        cancellation_cursor: None,
+        cancellation_update: None,
+        delegation: (number >= format::LEASE_DELEGATION).then(LeaseDelegationStatus::default),
         ..heartbeat(number)
     }
 }
@@ -76,7 +79,7 @@
         // The format, no requested budget share, and no grant seen.
         format::FIRST => &[1, 0, 0],
         format::PIPELINES | format::PLACEMENT_BATCHES => &[0, 0],
-        // Neither `knows` nor `news`.
+        // Neither `cancellation_cursor` nor `cancellation_update`.
         format::LEASE_DELEGATION => &[0, 0],
         _ => &[],
     }
--- a/tests/wire_compatibility/records.rs
+++ b/tests/wire_compatibility/records.rs
@@ -69,12 +69,12 @@
     }
     fixtures.record("machine_types", &machine_types());
     fixtures.record("machine_types_none", &MachineTypes { types: Vec::new() });
-    fixtures.record("parts", &BudgetSharesRecord::of(&grant()));
+    fixtures.record("parts", &BudgetSharesRecord::from_grant(&grant()));
     fixtures.record("parts_none", &BudgetSharesRecord::default());
     let parts: BudgetSharesRecord = decode(&fixtures.used["parts"]).unwrap();
-    assert_eq!(parts.grant(), grant());
+    assert_eq!(parts.into_grant(), grant());
     let bundle = PlacementBatch {
-        places: vec![
+        placements: vec![
             ("req-1".into(), chunk().entries),
             ("req-2".into(), Vec::new()),
         ],
@@ -87,8 +87,8 @@
     let full = JobRecord {
         spec: full_spec(),
         stage: JobStage::Cancelled,
-        end: Micros(1_700_000_100_000_001),
-        first: chunk(),
+        ended_at: Micros(1_700_000_100_000_001),
+        first_chunk: chunk(),
         cleaned: true,
         ..plain_job()
     };
--- a/tests/wire_compatibility/samples.rs
+++ b/tests/wire_compatibility/samples.rs
@@ -30,7 +30,7 @@
         checkpoint_s: 0.0,
         save_s: 1.5,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -47,7 +47,7 @@
         spot: true,
         checkpoint_s: 120.0,
         deadline_s: Some(86_400.0),
-        needs: strings(["req-1", "req-20"]),
+        dependencies: strings(["req-1", "req-20"]),
         ..plain_spec()
     }
 }
@@ -55,10 +55,10 @@
 pub(crate) fn plain_job() -> JobRecord {
     JobRecord {
         spec: plain_spec(),
-        at: Micros(1_700_000_000_000_000),
+        accepted_at: Micros(1_700_000_000_000_000),
         stage: JobStage::Active,
-        end: Micros::ZERO,
-        first: TaskChunk::default(),
+        ended_at: Micros::ZERO,
+        first_chunk: TaskChunk::default(),
         cleaned: false,
     }
 }
