--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::messages::{PendingRequest, StoreRequestPurpose};
 use crate::protocol::Clock;
-use crate::protocol::job::valid_id;
+use crate::protocol::job::is_valid_job_id;
 use crate::protocol::key_value_api::{Change, Transaction, VersionCondition};
 use crate::protocol::records::{JobRecord, JobStage, NEWEST_PLACEMENT_BATCH_KEY, job_key};
 use crate::state::record_cache::{Job, JobLookup};
@@ -31,7 +31,7 @@
                 let state = job_status(&id, &lookup).state;
                 self.respond_with_state(clock, conn, 200, &state);
             }
-            None if freshness == CacheFreshness::Unconfirmed && valid_id(&id) => {
+            None if freshness == CacheFreshness::Unconfirmed && is_valid_job_id(&id) => {
                 self.request_read_barrier(clock, PendingRequest::Cancel { conn, id });
             }
             None => self.refuse(conn, 404, "no such job"),
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::messages::PendingRequest;
 use crate::protocol::client_api::JobState;
-use crate::protocol::job::valid_id;
+use crate::protocol::job::is_valid_job_id;
 use crate::protocol::key_value_api::{Change, VersionCondition};
 use crate::protocol::records::{JobRecord, JobStage, job_key};
 use crate::protocol::{Clock, Micros};
@@ -176,7 +176,7 @@
         id: String,
         freshness: CacheFreshness,
     ) {
-        if !valid_id(&id) {
+        if !is_valid_job_id(&id) {
             self.refuse(conn, 404, "no such job");
             return;
         }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -173,9 +173,9 @@
     fn record_too_large(&self, spec: &JobSpec) -> bool {
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
-            && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.least_txn_ops();
+            && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.effective_txn_ops();
         gang_too_wide
-            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.least_value_bytes()
+            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.effective_value_bytes()
     }
 
     /// Returns whether the cache holds all jobs that a submission depends on, or an error if one of them is a service.
--- a/src/controller/record_writes.rs
+++ b/src/controller/record_writes.rs
@@ -31,7 +31,7 @@
     /// are larger. Returns when to check again.
     pub(super) fn write_due_records(&mut self, clock: Clock) -> Micros {
         let now = clock.now;
-        let max_changes = self.settings.params.state.least_txn_ops();
+        let max_changes = self.settings.params.state.effective_txn_ops();
         loop {
             // Finding the due records is expensive under load, when hundreds of records wait and hundreds of events
             // arrive per second. It is skipped while the budget does not allow even one write.
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -112,7 +112,7 @@
 /// A controller's fixed share of the write budget.
 fn fixed_writes(settings: &Settings, leads: bool) -> Thousandths {
     let share = Share::of(Membership::complete(settings.peers.len(), leads));
-    (share.writes * settings.params.state.least_write_rps() * MILLI) as Thousandths
+    (share.writes * settings.params.state.effective_write_rps() * MILLI) as Thousandths
 }
 
 fn grant_rules(settings: &Settings) -> Rules {
@@ -165,11 +165,11 @@
     /// The rates that follow from the share and the current grant.
     pub fn rates(&self, settings: &Settings) -> StoreRates {
         let limits = &settings.params.state;
-        let write_budget = limits.least_write_rps();
+        let write_budget = limits.effective_write_rps();
         let writes = write_budget * self.share.writes + self.granted_writes;
         let writes = writes.max(write_budget * MIN_WRITE_SHARE);
         StoreRates {
-            requests: limits.least_rps() * self.share.requests,
+            requests: limits.effective_rps() * self.share.requests,
             writes,
             // The store accepts the writes of a second at once. A follower's burst need not be as small as its
             // share: a burst of submissions arrives at one controller at a time.
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -59,9 +59,9 @@
         let limits = &self.settings.params.state;
         let machines = self.renewals.last_answers.keys();
         let mut parts =
-            RenewalsRecord::split(leadership.term, machines, limits.least_value_bytes());
+            RenewalsRecord::split(leadership.term, machines, limits.effective_value_bytes());
         // Machines that do not fit into one transaction are not named, and so their leases are not renewed.
-        parts.truncate(limits.least_txn_ops());
+        parts.truncate(limits.effective_txn_ops());
         let named: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
         let stored_parts = self.cache.renewals_of(&self.settings.node);
         let empty = RenewalsRecord::new(leadership.term, [].into_iter());
--- a/src/protocol/codec.rs
+++ b/src/protocol/codec.rs
@@ -3,7 +3,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Initial buffer for the bytes of one value; most records fit into it.
-const VALUE_CAPACITY: usize = 256;
+const VALUE_CAPACITY_BYTES: usize = 256;
 
 /// Encodes a value as MessagePack with named fields.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -20,7 +20,7 @@
 ///
 /// The conversion goes through bytes, because `rmpv` itself does not convert strings to enum variants.
 pub fn from_value<T: DeserializeOwned>(value: &rmpv::Value) -> Option<T> {
-    let mut bytes = Vec::with_capacity(VALUE_CAPACITY);
+    let mut bytes = Vec::with_capacity(VALUE_CAPACITY_BYTES);
     rmpv::encode::write_value(&mut bytes, value).ok()?;
     decode(&bytes)
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -4,7 +4,7 @@
 
 mod submission;
 
-pub use submission::{InvalidSubmission, MAX_TASKS, parse, valid_id};
+pub use submission::{InvalidSubmission, MAX_TASKS, is_valid_job_id, parse};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/protocol/job/submission.rs
+++ b/src/protocol/job/submission.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns whether `id` has the form of a job id: `req-` and decimal digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     let has_valid_number =
         |number: &str| !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
     id.len() <= MAX_ID_BYTES && id.strip_prefix("req-").is_some_and(has_valid_number)
@@ -47,7 +47,7 @@
 pub fn parse(body: &[u8]) -> Result<(String, JobSpec), InvalidSubmission> {
     let fields = Fields::parse(body)?;
     let id = fields.text("id")?;
-    if !valid_id(&id) {
+    if !is_valid_job_id(&id) {
         return Err(InvalidSubmission::Field("id"));
     }
     let tasks = fields.task_count("sheets")?;
@@ -176,7 +176,7 @@
             Some(_) => return Err(InvalidSubmission::Field(name)),
         };
         let valid = |value: &Value| {
-            let id = value.as_str().filter(|id| valid_id(id))?;
+            let id = value.as_str().filter(|id| is_valid_job_id(id))?;
             Some(id.to_string())
         };
         let ids: Option<Vec<String>> = values.iter().map(valid).collect();
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -15,7 +15,7 @@
 //! A receiver that reads only an older format ignores the fields that it does not know.
 
 use super::format;
-use super::job::valid_id;
+use super::job::is_valid_job_id;
 use super::records::LeaderRecord;
 use lease_delegation::cancellations::{LogBatch, LogCursor};
 use serde::{Deserialize, Serialize};
@@ -153,7 +153,7 @@
         self.jobs.len() <= MAX_CANCELLATIONS
             && self.peer_coverage_ages.len() <= MAX_PEERS
             && self.first_entry <= self.next_entry
-            && self.jobs.iter().all(|(id, _)| valid_id(id))
+            && self.jobs.iter().all(|(id, _)| is_valid_job_id(id))
     }
 }
 
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -13,7 +13,7 @@
 /// Fewest sockets that we can work with.
 const MIN_SOCKETS: usize = 32;
 /// Share of the store's value limit that we use, since we do not know how exactly the store counts.
-const VALUE_LIMIT_USED: f64 = 0.9;
+const VALUE_LIMIT_FRACTION: f64 = 0.9;
 const BYTES_PER_KB: f64 = 1024.0;
 
 /// Why a settings file is rejected.
@@ -154,29 +154,29 @@
 impl StoreLimits {
     /// Returns the lower of a present limit and its future value. The moment of the change is not announced, so the
     /// lower limit is kept from the start.
-    fn lower(&self, present: f64, future: impl Fn(&FutureStoreLimits) -> Option<f64>) -> f64 {
+    fn lower_limit(&self, present: f64, future: impl Fn(&FutureStoreLimits) -> Option<f64>) -> f64 {
         let future = self.next.as_ref().and_then(future);
         future.map_or(present, |limit| present.min(limit))
     }
 
     /// Returns the requests a second that the store accepts now and later.
-    pub fn least_rps(&self) -> f64 {
-        self.lower(self.rps, |future| future.rps)
+    pub fn effective_rps(&self) -> f64 {
+        self.lower_limit(self.rps, |future| future.rps)
     }
 
     /// Returns the changes a second that the store accepts now and later.
-    pub fn least_write_rps(&self) -> f64 {
-        self.lower(self.write_rps, |future| future.write_rps)
+    pub fn effective_write_rps(&self) -> f64 {
+        self.lower_limit(self.write_rps, |future| future.write_rps)
     }
 
     /// Returns the largest value, in bytes of JSON, that we write.
-    pub fn least_value_bytes(&self) -> usize {
-        let limit_kb = self.lower(self.value_kb, |future| future.value_kb);
-        (limit_kb * BYTES_PER_KB * VALUE_LIMIT_USED) as usize
+    pub fn effective_value_bytes(&self) -> usize {
+        let limit_kb = self.lower_limit(self.value_kb, |future| future.value_kb);
+        (limit_kb * BYTES_PER_KB * VALUE_LIMIT_FRACTION) as usize
     }
 
     /// Returns the changes that a transaction may have now and later.
-    pub fn least_txn_ops(&self) -> usize {
+    pub fn effective_txn_ops(&self) -> usize {
         let future = self.next.as_ref().and_then(|future| future.txn_ops);
         future.map_or(self.txn_ops, |limit| self.txn_ops.min(limit))
     }
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -322,8 +322,8 @@
         let accepted = leader.record_writer.max_changes.unwrap_or(usize::MAX);
         let max_changes = max_changes.min(accepted);
         let limits = WriteLimits {
-            max_changes: params.least_txn_ops().min(accepted),
-            max_value_bytes: params.least_value_bytes(),
+            max_changes: params.effective_txn_ops().min(accepted),
+            max_value_bytes: params.effective_value_bytes(),
         };
         let due_jobs = leader.record_writer.due_jobs(&self.cache.jobs, clock.now);
         // A batch takes two changes.
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -6,9 +6,9 @@
 use std::io::Write;
 
 /// Largest request body, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Largest request head, in bytes, that is waited for.
-const MAX_HEAD: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Most headers of a message.
 const MAX_HEADERS: usize = 48;
 
@@ -80,7 +80,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
             return Parsed::Invalid(STATUS_HEADERS_TOO_LARGE);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
@@ -90,12 +90,12 @@
         return Parsed::Invalid(STATUS_BAD_REQUEST);
     };
     let content_length = framing.content_length.unwrap_or(0);
-    if content_length > MAX_BODY {
+    if content_length > MAX_BODY_BYTES {
         return Parsed::Invalid(STATUS_CONTENT_TOO_LARGE);
     }
     let received = &buffer[head_length..];
     let body = if framing.is_chunked {
-        Body::chunked(received, MAX_BODY)
+        Body::chunked(received, MAX_BODY_BYTES)
     } else {
         Body::sized(received, content_length)
     };
@@ -161,7 +161,7 @@
 }
 
 /// Returns the reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -178,7 +178,7 @@
 }
 
 /// Appends a response to `output`; `retry_after` is in seconds, `close` announces that the connection is closed.
-pub fn put_response(
+pub fn write_response(
     output: &mut Vec<u8>,
     status: u16,
     body: &[u8],
@@ -189,7 +189,7 @@
     let _ = write!(
         output,
         "HTTP/1.1 {status} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
-        reason(status),
+        reason_phrase(status),
         body.len()
     );
     if let Some(seconds) = retry_after {
@@ -203,7 +203,7 @@
 }
 
 /// Appends a request to `output`.
-pub fn put_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
+pub fn write_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
     // Writing into memory does not fail.
     let _ = write!(output, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn requests_are_parsed_from_single_bytes_one_after_the_other() {
     let mut sent = Vec::new();
-    put_request(&mut sent, "POST", "/a", "h", b"xyz");
-    put_request(&mut sent, "GET", "/b?c=1", "h", b"");
+    write_request(&mut sent, "POST", "/a", "h", b"xyz");
+    write_request(&mut sent, "GET", "/b?c=1", "h", b"");
     let mut buffer = Vec::new();
     let mut received = Vec::new();
     for byte in sent {
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -38,7 +38,7 @@
 /// Delay of the event loop's timer, so that a deadline has certainly passed when it fires.
 const TIMER_SLACK: Micros = Micros(500);
 /// Pause after a failed poll, so that a lasting failure does not take a whole core.
-const POLL_FAILURE_PAUSE: Duration = Duration::from_millis(50);
+const POLL_ERROR_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Passes commands to the network thread.
 pub struct Handle {
@@ -71,7 +71,7 @@
     /// Most connections on which we serve requests.
     max_servers: usize,
     /// Most connections of any kind beside which one is kept for later calls.
-    max_kept: usize,
+    max_open_with_idle: usize,
     /// Start of the monotonic clock.
     started: Instant,
 }
@@ -109,7 +109,7 @@
             events: Vec::new(),
             next_server_id: 1,
             max_servers: (sockets as f64 * SERVER_SHARE) as usize,
-            max_kept: sockets.saturating_sub(RESERVED_SOCKETS).max(1),
+            max_open_with_idle: sockets.saturating_sub(RESERVED_SOCKETS).max(1),
             started,
         };
         let handle = Handle {
@@ -157,7 +157,7 @@
             && error.kind() != ErrorKind::Interrupted
         {
             log::error!("poll failed error=\"{error}\"");
-            std::thread::sleep(POLL_FAILURE_PAUSE);
+            std::thread::sleep(POLL_ERROR_BACKOFF);
         }
     }
 
--- a/src/transport/net/calls.rs
+++ b/src/transport/net/calls.rs
@@ -9,9 +9,9 @@
 use mio::net::TcpStream;
 
 /// A connection that is kept for later calls is closed after being idle for this long.
-const CLIENT_IDLE: Micros = Micros::millis(20_000);
+const CLIENT_IDLE_TIMEOUT: Micros = Micros::millis(20_000);
 /// Initial buffer for a request, apart from its body.
-const HEAD_CAPACITY: usize = 160;
+const HEAD_CAPACITY_BYTES: usize = 160;
 
 impl NetworkThread {
     /// Makes a call, on a connection that was kept or on a new one.
@@ -22,8 +22,8 @@
             return;
         };
         let host = call.addr.to_string();
-        let mut request = Vec::with_capacity(HEAD_CAPACITY + call.body.len());
-        http::put_request(&mut request, call.method, &call.path, &host, &call.body);
+        let mut request = Vec::with_capacity(HEAD_CAPACITY_BYTES + call.body.len());
+        http::write_request(&mut request, call.method, &call.path, &host, &call.body);
         let mut connected = false;
         if let Some(connection) = self.connections.get_mut(token)
             && let Role::Client(client) = &mut connection.role
@@ -43,7 +43,7 @@
         if let Some(token) = self.connections.take_idle_client(call.addr) {
             return Some(token);
         }
-        if self.connections.len() >= self.max_kept {
+        if self.connections.len() >= self.max_open_with_idle {
             self.close_first(Connection::is_idle_client);
         }
         let stream = match TcpStream::connect(call.addr) {
@@ -106,7 +106,7 @@
             return;
         }
         let remote = connection.remote;
-        let deadline = self.now() + CLIENT_IDLE;
+        let deadline = self.now() + CLIENT_IDLE_TIMEOUT;
         self.connections.keep_idle_client(token, remote);
         self.connections.set_deadline(token, deadline);
     }
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -11,7 +11,7 @@
 /// Bytes that one call to the operating system reads at most.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
 /// Unparsed bytes of a client after which reading pauses.
-const MAX_SERVER_INPUT_BYTES: usize = 2 * http::MAX_BODY;
+const MAX_SERVER_INPUT_BYTES: usize = 2 * http::MAX_BODY_BYTES;
 
 /// What a socket is ready for.
 #[derive(Clone, Copy)]
--- a/src/transport/net/listeners.rs
+++ b/src/transport/net/listeners.rs
@@ -12,7 +12,7 @@
 
 /// A connection without a request for this long is closed. Clients poll every 5 s and agents send heartbeats every
 /// few seconds, so this closes abandoned connections only.
-const SERVER_IDLE: Micros = Micros::millis(40_000);
+const SERVER_IDLE_TIMEOUT: Micros = Micros::millis(40_000);
 /// Time within which all of a request must arrive once its first part has.
 const REQUEST_TIMEOUT: Micros = Micros::millis(10_000);
 
@@ -57,7 +57,7 @@
                     log::warn!("accept failed error=\"{error}\"");
                     // No socket is free. If none can be freed either, the event loop reports the listener again with
                     // the next connection.
-                    if !self.close_one_idle() {
+                    if !self.close_first_idle() {
                         return;
                     }
                 }
@@ -67,7 +67,7 @@
 
     fn add_server(&mut self, stream: TcpStream, remote: SocketAddr, internal: bool) {
         let is_full = self.connections.server_count() >= self.max_servers;
-        if is_full && !self.close_one_idle() {
+        if is_full && !self.close_first_idle() {
             log::warn!("connection refused reason=no_free_socket");
             return;
         }
@@ -80,12 +80,12 @@
             close_after_response: false,
         });
         self.next_server_id += 1;
-        let deadline = self.now() + SERVER_IDLE;
+        let deadline = self.now() + SERVER_IDLE_TIMEOUT;
         self.connections.add(stream, remote, role, deadline);
     }
 
     /// Closes the idle connection with the earliest deadline; returns whether there was one.
-    fn close_one_idle(&mut self) -> bool {
+    fn close_first_idle(&mut self) -> bool {
         self.close_first(Connection::is_idle)
     }
 
@@ -100,12 +100,12 @@
         let Some(token) = self.connections.server(server_id) else {
             return;
         };
-        let deadline = self.now() + SERVER_IDLE;
+        let deadline = self.now() + SERVER_IDLE_TIMEOUT;
         if let Some(connection) = self.connections.get_mut(token)
             && let Role::Server(server) = &mut connection.role
         {
             let close = server.close_after_response;
-            http::put_response(&mut connection.output, status, body, retry_after, close);
+            http::write_response(&mut connection.output, status, body, retry_after, close);
             server.busy = false;
         }
         self.connections.set_deadline(token, deadline);
@@ -142,7 +142,7 @@
                 }
                 Parsed::Invalid(status) => {
                     server.close_after_response = true;
-                    http::put_response(&mut connection.output, status, b"", None, true);
+                    http::write_response(&mut connection.output, status, b"", None, true);
                     self.flush(token);
                     return;
                 }
@@ -160,7 +160,7 @@
             |connection| matches!(&connection.role, Role::Server(server) if server.busy),
         );
         if is_busy {
-            let deadline = self.now() + SERVER_IDLE;
+            let deadline = self.now() + SERVER_IDLE_TIMEOUT;
             self.connections.set_deadline(token, deadline);
         }
         is_busy
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
-use walnuttrestle::protocol::job::valid_id;
+use walnuttrestle::protocol::job::is_valid_job_id;
 use walnuttrestle::protocol::peer_messages::{
     CancellationCursor, CancellationUpdate, InvalidPeerHeartbeat, LeaseDelegationStatus,
     LogPosition, MAX_CANCELLATIONS, PeerHeartbeat, RecordSummary,
@@ -186,7 +186,7 @@
         bytes[position] = replacement;
         if let Ok(PeerHeartbeat { cancellation_update: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
             prop_assert!(news.first_entry <= news.next_entry);
-            prop_assert!(news.jobs.iter().all(|(id, _)| valid_id(id)));
+            prop_assert!(news.jobs.iter().all(|(id, _)| is_valid_job_id(id)));
         }
     }
 }
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -162,7 +162,7 @@
     /// Sends a request; returns status and body of the response.
     fn request(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let mut request = Vec::new();
-        http::put_request(&mut request, method, path, "test", body);
+        http::write_request(&mut request, method, path, "test", body);
         self.stream.write_all(&request).unwrap();
         self.response()
     }
--- a/tests/loopback/settings.rs
+++ b/tests/loopback/settings.rs
@@ -40,10 +40,14 @@
     }
     let lower = with_future_limits("write_rps = 7.5\ntxn_ops = 4000").unwrap();
     let limits = &lower.params.state;
-    assert_eq!(limits.least_write_rps(), 7.5);
-    assert_eq!(limits.least_txn_ops(), 8, "never above the present limit");
+    assert_eq!(limits.effective_write_rps(), 7.5);
     assert_eq!(
-        limits.least_rps(),
+        limits.effective_txn_ops(),
+        8,
+        "never above the present limit"
+    );
+    assert_eq!(
+        limits.effective_rps(),
         limits.rps,
         "a limit that is not named does not change"
     );
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -6,7 +6,7 @@
     TaskPhase, TaskStatus,
 };
 use walnuttrestle::protocol::codec::encode;
-use walnuttrestle::transport::http::put_request;
+use walnuttrestle::transport::http::write_request;
 
 fn task_status(phase: TaskPhase) -> TaskStatus {
     TaskStatus {
@@ -79,7 +79,7 @@
     fixtures.both_ways("misdirected_to_leader", &elsewhere);
     let mut request = Vec::new();
     let body = encode(&direct_commands);
-    put_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
+    write_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
     fixtures.written("http_request", &request);
     fixtures.finish();
 }
--- a/tests/wire_compatibility/client_api.rs
+++ b/tests/wire_compatibility/client_api.rs
@@ -7,7 +7,7 @@
 use walnuttrestle::protocol::client_api::{ErrorBody, JobState};
 use walnuttrestle::protocol::codec::encode;
 use walnuttrestle::protocol::job::parse;
-use walnuttrestle::transport::http::put_response;
+use walnuttrestle::transport::http::write_response;
 
 /// Returns a submission with these fields and more.
 fn submission(mut fields: Vec<(Value, Value)>, more: Value) -> Value {
@@ -51,7 +51,7 @@
     fixtures.both_ways("problem", &problem);
     fixtures.written("healthy", &encode(&()));
     let mut response = Vec::new();
-    put_response(&mut response, 503, &encode(&problem), Some(1), true);
+    write_response(&mut response, 503, &encode(&problem), Some(1), true);
     fixtures.written("http_response", &response);
     fixtures.finish();
 }
