--- a/src/protocol/agent_api.rs
+++ b/src/protocol/agent_api.rs
@@ -7,16 +7,16 @@
 /// State of a task on an agent's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// Waits until the machine has its image.
+    /// The machine is still fetching the image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Gang task: waits for the other tasks of its attempt.
+    /// Gang task that is waiting for the other tasks of its attempt.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs; also reported for gang tasks that are about to exit.
+    /// Running; also reported for gang tasks that are about to exit.
     #[serde(rename = "running")]
     Running,
-    /// Saves its progress after a stop command, and then exits.
+    /// Saving its progress after a stop command, before it exits.
     #[serde(rename = "flushing")]
     Saving,
     /// Exited; reported until a `Forget` command removes it.
@@ -33,22 +33,22 @@
     /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Gang task: another task of the gang is gone.
+    /// Gang task that lost another task of its gang.
     #[serde(rename = "mates_gone")]
     GangMemberGone,
-    /// Gang task: the gang was not complete within `gang_wait_s`.
+    /// Gang task whose gang was not complete within `gang_wait_s`.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// Failed by itself.
+    /// The task itself failed.
     #[serde(rename = "error")]
     Error,
     /// Start refused: not enough free resources on the machine.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Start refused: the task is on this machine with another attempt.
+    /// Start refused: another attempt of the task is on this machine.
     #[serde(rename = "busy")]
     Busy,
-    /// Start refused: the agent knows no such job or task.
+    /// Start refused: the agent does not recognize the job or task.
     #[serde(rename = "unknown")]
     Unknown,
 }
@@ -65,7 +65,7 @@
     /// State of the task.
     #[serde(rename = "status")]
     pub phase: TaskPhase,
-    /// Reason of the exit; present only for an exited task.
+    /// Reason for the exit; present only for an exited task.
     #[serde(rename = "cause", default)]
     pub exit_reason: Option<ExitReason>,
     /// Whether the progress was saved; present only for a stopped task.
@@ -79,10 +79,10 @@
     /// Machine name.
     #[serde(rename = "kernel")]
     pub machine: String,
-    /// Address, host and port, that takes direct commands.
+    /// Host and port at which the agent accepts direct commands.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// Name of the machine type.
+    /// Machine type.
     #[serde(rename = "press")]
     pub machine_type: String,
     /// Zone of the machine.
@@ -100,10 +100,10 @@
     /// Highest term that the agent has seen.
     #[serde(rename = "baton")]
     pub term: u64,
-    /// Seconds until the cloud reclaims the spot instance; absent without a notice.
+    /// Seconds until the cloud reclaims the spot instance; absent if no notice was given.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, including exited ones that were not forgotten.
+    /// All tasks on the machine, including exited ones until a `Forget` command removes them.
     #[serde(rename = "sheets")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Starts a task; has no effect if the agent already knows this attempt.
+    /// Starts a task; has no effect if the agent already has this attempt.
     #[serde(rename = "launch")]
     Start {
         /// Task id.
@@ -131,7 +131,7 @@
         /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that the task may take to save its progress; 0 ends it at once.
+        /// Seconds that the task may take to save its progress; 0 kills it immediately.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
@@ -175,7 +175,7 @@
 /// Body of a 421 response to an agent's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Misdirected {
-    /// Name of the controller that takes the agent's heartbeats; absent if unknown.
+    /// Name of the controller that accepts heartbeats of this agent; absent if unknown.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
 }
--- a/src/protocol/client_api.rs
+++ b/src/protocol/client_api.rs
@@ -2,17 +2,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a job as clients see it.
+/// State of a job in a response to a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobState {
     /// Job id.
     pub id: String,
     /// `pending`, `running`, `done` or `cancelled`.
     pub status: String,
-    /// Number of tasks that are done, if it is known.
+    /// Number of completed tasks; absent if unknown.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u64>,
-    /// Number of running tasks, if it is known.
+    /// Number of running tasks; absent if unknown.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u64>,
 }
@@ -20,6 +20,6 @@
 /// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Description of the error for people.
+    /// Human-readable description of the error.
     pub error: String,
 }
--- a/src/protocol/cloud_api.rs
+++ b/src/protocol/cloud_api.rs
@@ -19,7 +19,7 @@
     /// Size of the image cache, in gigabytes.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images, in gigabytes a second.
+    /// Rate at which a machine fetches images, in gigabytes per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// On-demand price per hour.
@@ -39,7 +39,7 @@
 /// Response with all machine types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// Machine types in the order of the cloud.
+    /// Machine types in the order in which the cloud returns them.
     #[serde(rename = "presses")]
     pub types: Vec<MachineType>,
 }
@@ -47,7 +47,7 @@
 /// Request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request, which makes retries idempotent; never reused for another request.
+    /// Idempotency key of the request: a retry repeats it, and no other request uses it.
     #[serde(rename = "hire")]
     pub request_id: String,
     /// Name of the machine type.
@@ -63,7 +63,7 @@
     pub count: u32,
 }
 
-/// Names of machines: the response to a rental, and the request of a deletion.
+/// Names of machines: the response to a rental request and the body of a deletion request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines.
@@ -75,11 +75,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Rented and not up yet.
+    /// Rented, but not up yet.
     Booting,
-    /// Up; a machine that died is still listed so for a while.
+    /// Up. A machine that died remains in this state for a while.
     Running,
-    /// Stopped by itself; listed until it is deleted.
+    /// Stopped without a deletion request; listed until it is deleted.
     Failed,
 }
 
@@ -88,22 +88,22 @@
 pub struct ListedMachine {
     /// Name of the machine.
     pub id: String,
-    /// Address, host and port, that takes direct commands; absent while it is unknown.
+    /// Host and port at which the agent accepts direct commands; absent while unknown.
     #[serde(rename = "endpoint", default)]
     pub address: Option<String>,
     /// Name of the machine type.
     #[serde(rename = "press")]
     pub machine_type: String,
-    /// Zone of the machines.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the machines are spot instances.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
-    /// Seconds between the rental request and the time that the list describes.
+    /// Seconds from the rental request to the point in time that the list describes.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -111,10 +111,10 @@
 /// A page of the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in the order of their names, which is the order of their creation.
+    /// Machines sorted by name, which is also the order of creation.
     #[serde(rename = "kernels")]
     pub machines: Vec<ListedMachine>,
-    /// Whether machines follow after this page.
+    /// Whether another page follows.
     #[serde(rename = "more")]
     pub has_more: bool,
 }
--- a/src/protocol/codec.rs
+++ b/src/protocol/codec.rs
@@ -2,12 +2,12 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Initial buffer for the bytes of one value; most records fit into it.
+/// Initial buffer size for one value, large enough for most records.
 const VALUE_CAPACITY_BYTES: usize = 256;
 
 /// Encodes a value as MessagePack with named fields.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding into memory fails only for types that MessagePack cannot represent, and we use none.
+    // Encoding into memory fails only for types that MessagePack cannot represent, and none are used here.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
@@ -18,7 +18,7 @@
 
 /// Converts a generic value into a typed one; returns `None` if it does not fit the type.
 ///
-/// The conversion goes through bytes, because `rmpv` itself does not convert strings to enum variants.
+/// The conversion goes through bytes, because `rmpv` does not convert strings to enum variants.
 pub fn from_value<T: DeserializeOwned>(value: &rmpv::Value) -> Option<T> {
     let mut bytes = Vec::with_capacity(VALUE_CAPACITY_BYTES);
     rmpv::encode::write_value(&mut bytes, value).ok()?;
@@ -30,12 +30,12 @@
     rmpv::decode::read_value(&mut encode(value).as_slice()).unwrap_or(rmpv::Value::Nil)
 }
 
-/// Returns the size of a value in bytes as the key-value store counts it, which is the length of its JSON form.
+/// Returns the size of a value in bytes as counted by the key-value store: the length of its JSON encoding.
 pub fn json_len<T: Serialize>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     match serde_json::to_writer(&mut counter, value) {
         Ok(()) => counter.0,
-        // Serialization fails only for types that JSON cannot represent, and we use none.
+        // Serialization fails only for types that JSON cannot represent, and none are used here.
         Err(_) => usize::MAX,
     }
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients submit them.
+//! Jobs as submitted by clients.
 //!
 //! The wire names are in the serde renames; the table in [`super`] lists them.
 
@@ -11,10 +11,10 @@
 /// How the tasks of a job run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to completion.
+    /// Independent tasks that each run to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// All tasks run at the same time, or none does.
+    /// All tasks run at the same time or not at all.
     #[serde(rename = "gang")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -42,7 +42,7 @@
 /// A job as submitted. Amounts are per task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class of jobs, to which the objectives in the settings refer.
+    /// Job class, referenced by the objectives in the settings.
     #[serde(rename = "docket")]
     pub class: String,
     /// Team whose guarantee and quota apply.
@@ -85,7 +85,7 @@
     /// Whether tasks may run on spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of the run time in seconds, without the image fetch; often wrong. 0 for services.
+    /// The client's estimate of the run time in seconds, without the image fetch; often inaccurate. 0 for services.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
     /// Seconds of progress between checkpoints; 0: the task never saves its progress.
@@ -94,7 +94,7 @@
     /// Seconds that a task needs to save its progress when it is stopped.
     #[serde(rename = "stash_s")]
     pub save_s: f64,
-    /// Deadline in seconds after the submission.
+    /// Deadline, in seconds after submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Ids of jobs that must be done before any task of this one starts, sorted (format `PIPELINES`).
@@ -108,7 +108,7 @@
         self.checkpoint_s > 0.0
     }
 
-    /// Returns whether tasks start one by one and the zones of started tasks limit the zones of the others.
+    /// Returns whether tasks start one by one and the zones of started tasks restrict those of the others.
     pub fn has_zone_constraint(&self) -> bool {
         self.kind != JobKind::Gang && (self.one_zone || self.spread)
     }
--- a/src/protocol/job/submission.rs
+++ b/src/protocol/job/submission.rs
@@ -5,17 +5,17 @@
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Largest valid amount. A job with a larger one is malformed; below it, a job may still be too large to ever run.
+/// Largest valid amount. A larger one makes the submission malformed; a smaller one may still exceed what can ever run.
 const MAX_AMOUNT: f64 = 1e9;
-/// Longest valid string field, in bytes.
+/// Maximum length of a string field, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
-/// Longest valid job id, in bytes.
+/// Maximum length of a job id, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Most machine types that a job may name.
+/// Maximum number of machine types listed by a job.
 const MAX_MACHINE_TYPES: usize = 64;
-/// Deepest nesting of a body that is still parsed.
+/// Maximum nesting depth of a body.
 const MAX_DEPTH: usize = 16;
 
 /// Why a submission is malformed.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Reads a string that is not empty.
+    /// Reads a non-empty string of at most [`MAX_TEXT_BYTES`].
     fn text(&self, name: &'static str) -> Result<String, InvalidSubmission> {
         match self.get(name).and_then(Value::as_str) {
             Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text.to_string()),
--- a/src/protocol/key_value_api.rs
+++ b/src/protocol/key_value_api.rs
@@ -5,7 +5,7 @@
 use super::codec::to_value;
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction: the key has this version.
+/// A condition of a transaction: the key must have this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionCondition {
     /// Key to compare.
@@ -39,13 +39,13 @@
     },
 }
 
-/// A transaction: makes all changes atomically if all conditions hold, and none otherwise.
+/// A transaction: applies all changes atomically if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<VersionCondition>,
-    /// Changes, which all get the same revision.
+    /// Changes, which are all committed at the same revision.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
@@ -107,10 +107,10 @@
 pub struct ItemPage {
     /// Keys in ascending order.
     pub items: Vec<Item>,
-    /// Whether keys follow after this page.
+    /// Whether another page follows.
     #[serde(rename = "more")]
     pub has_more: bool,
-    /// Revision of the store that the page shows.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "edition")]
     pub revision: u64,
 }
@@ -132,7 +132,7 @@
 }
 
 impl VersionCondition {
-    /// Requires that `key` has this version; 0 requires that it does not exist.
+    /// Requires `key` to have this version; 0 requires that it does not exist.
     pub fn new(key: &str, version: u64) -> VersionCondition {
         VersionCondition {
             key: key.to_string(),
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! Messages on the wire, stored records and the settings file, each with its validation.
 //!
-//! The field names of the wire were chosen by its other side. They appear in this module only, as serde renames
-//! (in [`job`] also where a submission is parsed); everywhere else the code uses the terms of the right column.
+//! The field names on the wire are defined by the external APIs. They appear only in this module, as serde renames
+//! and in the parser of submissions in [`job`]; all other code uses the terms in the second column.
 //!
 //! | on the wire | in the code | module |
 //! | --- | --- | --- |
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -1,8 +1,8 @@
 //! Heartbeats between controllers, encoded with postcard.
 //!
-//! A heartbeat and its response are both a [`PeerHeartbeat`]. Postcard encodes fields by position and without names.
+//! A heartbeat and its response are both a [`PeerHeartbeat`]. Postcard encodes fields by position, without names.
 //! Fields are therefore never reordered, and each format (see [`mod@format`]) appends its fields to the earlier ones.
-//! These are the fields in the order in which they are sent:
+//! The fields in wire order:
 //!
 //! | since format | fields |
 //! | --- | --- |
@@ -12,7 +12,7 @@
 //! | `LEASE_DELEGATION` | `delegation`, `record_summary` |
 //! | `CANCELLATIONS` | `cancellation_cursor`, `cancellation_update` |
 //!
-//! A receiver that reads only an older format ignores the fields that it does not know.
+//! A receiver that reads only an older format ignores the fields after those of its own format.
 
 use super::format;
 use super::job::is_valid_job_id;
@@ -20,28 +20,28 @@
 use lease_delegation::cancellations::{LogBatch, LogCursor};
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the paths under which a controller takes client requests that a peer forwards.
+/// Path prefix of client requests that a peer forwards.
 pub const FORWARD_PREFIX: &str = "/user";
 
-/// Most cancellations in one heartbeat; the others follow with the next one.
+/// Maximum number of cancellations in one heartbeat; the rest follow in the next one.
 pub const MAX_CANCELLATIONS: usize = 512;
-/// Most peers in one list of a heartbeat.
+/// Maximum number of entries in a heartbeat's list of peers.
 const MAX_PEERS: usize = 64;
 
-/// Why a heartbeat of a peer is rejected as a whole.
+/// Why a peer heartbeat is rejected.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum InvalidPeerHeartbeat {
     /// The message is too short for its format, or a field is malformed.
-    #[error("it cannot be read as format {0}")]
+    #[error("truncated or malformed for format {0}")]
     Malformed(u32),
-    /// This number of bytes follows the last field of a format that is known completely.
-    #[error("{0} bytes follow its end")]
+    /// Number of bytes after the last field, in a format that does not allow any.
+    #[error("{0} bytes after the last field")]
     TrailingBytes(usize),
     /// The format number is 0, which no version sends.
-    #[error("there is no format 0")]
+    #[error("invalid format number 0")]
     ZeroFormat,
-    /// The cancellations exceed their limits, contradict themselves, or contain an invalid job id.
-    #[error("its cancellations are impossible")]
+    /// The cancellations exceed a size limit, have inverted log positions, or contain an invalid job id.
+    #[error("invalid cancellations: too many entries, inverted log positions or an invalid job id")]
     InvalidCancellations,
 }
 
@@ -50,19 +50,19 @@
 pub struct PeerHeartbeat {
     /// Name of the sender.
     pub node: String,
-    /// Term of the sender, if it leads and has recent proof of its leadership.
+    /// Term of the sender if it is the leader and has recently confirmed its leadership.
     pub leading_term: Option<u64>,
-    /// Milliseconds since the sender last received a heartbeat of the leader that it knows; `None`: never.
+    /// Milliseconds since the sender last received a heartbeat from the leader; `None`: never.
     pub leader_silent_ms: Option<u64>,
-    /// Revision of the newest cancellation or change of leadership that the sender knows. `None` until it has read
-    /// the records, since an earlier run of its process may have known a newer one.
+    /// Revision of the newest cancellation or leadership change that the sender has seen. `None` until it has read
+    /// the records, because an earlier incarnation may have seen a newer one.
     pub newest_revision: Option<u64>,
     /// Whether the sender has read the records and the key-value store is available to it.
     pub store_available: bool,
-    /// Newest format that the sender reads. The first version neither sends it nor reads past the fields before it.
+    /// Newest format that the sender reads. The first version does not send it, and ignores all bytes from here on.
     #[serde(skip)]
     pub format: u32,
-    /// Share of the write budget that the sender requests, in thousandths of changes a second.
+    /// Share of the write budget that the sender requests, in thousandths of a change per second.
     #[serde(skip)]
     pub requested_writes: u64,
     /// Number of the newest grant of budget shares that the sender has seen; 0: none.
@@ -71,18 +71,18 @@
     /// Lease delegation; `None` if the sender's format is older than `LEASE_DELEGATION`.
     #[serde(skip)]
     pub delegation: Option<LeaseDelegationStatus>,
-    /// Only in a response to a peer that has not read the records.
+    /// Set only in a response to a peer that has not read the records.
     #[serde(skip)]
     pub record_summary: Option<RecordSummary>,
-    /// Which cancellations the sender knows; in a request, which part of the receiver's log it has.
+    /// Which cancellations the sender has; in a request, also how much of the receiver's log it has received.
     #[serde(skip)]
     pub cancellation_cursor: Option<CancellationCursor>,
-    /// Only in a response: cancellations that the requesting peer does not know yet.
+    /// Set only in a response: cancellations that the requesting peer does not have yet.
     #[serde(skip)]
     pub cancellation_update: Option<CancellationUpdate>,
 }
 
-/// Which cancellations a controller knows when it asks a peer for more.
+/// Which cancellations a controller already has when it requests further ones from a peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationCursor {
     /// The sender's cache of the records is complete up to this revision.
@@ -92,7 +92,8 @@
 }
 
 impl CancellationCursor {
-    /// Returns the number of the first entry to send from the log of this run of the receiver's process.
+    /// Returns the number of the first entry to send from the log of this incarnation of the receiver. A position in
+    /// the log of an earlier incarnation does not apply, so the number is 0 then.
     pub fn first_entry(&self, incarnation: u64) -> u64 {
         if self.log_position.incarnation == incarnation {
             self.log_position.next_entry
@@ -105,9 +106,9 @@
 /// A position in the cancellation log of a controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// Incarnation of the controller: each run of its process has its own log.
+    /// Incarnation of the controller; each run of its process has its own log.
     pub incarnation: u64,
-    /// Number of the first entry that was not received.
+    /// Number of the first entry that has not been received.
     pub next_entry: u64,
 }
 
@@ -120,10 +121,10 @@
     }
 }
 
-/// A batch of the sender's cancellation log, and what the sender knows of its other peers.
+/// A batch of the sender's cancellation log, and how current the sender is with its other peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationUpdate {
-    /// Version of the leader's record in the sender's cache; 0: it knows none.
+    /// Version of the leader record in the sender's cache; 0: none is cached.
     pub leader_version: u64,
     /// Number of the first log entry of the batch.
     pub first_entry: u64,
@@ -131,10 +132,10 @@
     pub next_entry: u64,
     /// Whether the log has entries after the batch.
     pub has_more: bool,
-    /// Cancelled jobs, each with the version of the record that shows the cancellation.
+    /// Cancelled jobs, each with the version of the job record that contains the cancellation.
     pub jobs: Vec<(String, u64)>,
-    /// Per peer of the sender: age in microseconds of the moment at which the sender last knew everything that this
-    /// peer had told its clients.
+    /// For each peer of the sender: microseconds since the sender last had everything that this peer had reported
+    /// to its clients.
     pub peer_coverage_ages: Vec<(String, u64)>,
 }
 
@@ -157,11 +158,11 @@
     }
 }
 
-/// What a controller that starts while the store is unavailable has to know of the records to keep agents alive.
-/// It gets this from a peer that has read them.
+/// The part of the records that a controller needs to renew agent leases if it starts while the store is unavailable.
+/// A peer that has read the records sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordSummary {
-    /// The leader on record.
+    /// The leader according to the records.
     pub leader: LeaderRecord,
     /// Revision up to which the sender's cache of the records is complete.
     pub revision: u64,
@@ -174,14 +175,14 @@
 /// Lease delegation in a heartbeat, since format `LEASE_DELEGATION`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseDelegationStatus {
-    /// Incarnation of the sender: which run of its process this is.
+    /// Incarnation of the sender, which identifies a run of its process.
     pub incarnation: u64,
-    /// Only in a response: the requesting peer may renew agents' leases under this term of the sender.
+    /// Set only in a response of the leader: the requesting peer may renew agent leases in this term.
     pub delegated_term: Option<u64>,
-    /// Microseconds since the sender last renewed a lease by such a delegation; `None`: never in this run.
+    /// Microseconds since the sender last renewed a lease under a delegation; `None`: never in this incarnation.
     pub last_use_age_us: Option<u64>,
-    /// The key-value store is not available to the sender. In a response this is also a pledge: for a while the
-    /// sender tells its clients nothing that the requesting peer may not know.
+    /// The key-value store is unavailable to the sender. In a response this is also a pledge: for a limited time the
+    /// sender reports nothing to its clients that the requesting peer may not have received.
     pub pledges_silence: bool,
 }
 
@@ -195,7 +196,7 @@
 impl PeerHeartbeat {
     /// Encodes the heartbeat. The fields of `LEASE_DELEGATION` and `CANCELLATIONS` are left out if `delegation` is `None`.
     pub fn encode(&self) -> Vec<u8> {
-        // Encoding into memory does not fail for these types.
+        // Encoding these types into memory cannot fail.
         self.try_encode().unwrap_or_default()
     }
 
@@ -219,8 +220,8 @@
     ///
     /// # Errors
     ///
-    /// Any field that does not fit the stated format makes the whole message invalid. Bytes after the known fields
-    /// are accepted only if the stated format is newer than ours, or so old that it says nothing of them.
+    /// Any field that does not fit the format in the message makes the whole message invalid. Bytes after the last
+    /// field are accepted only if the format is newer than `NEWEST`, or older than `BUDGET_SHARES`.
     pub fn decode(bytes: &[u8]) -> Result<PeerHeartbeat, InvalidPeerHeartbeat> {
         let mut reader = FieldReader {
             rest: bytes,
@@ -228,7 +229,7 @@
         };
         let mut heartbeat: PeerHeartbeat = reader.take()?;
         if reader.rest.is_empty() {
-            // The first version ends here and states no format.
+            // The first version sends no format number and ends here.
             heartbeat.format = format::FIRST;
             return Ok(heartbeat);
         }
@@ -266,10 +267,10 @@
     }
 }
 
-/// Reads the fields of a heartbeat one after the other.
+/// Reads the fields of a heartbeat in wire order.
 struct FieldReader<'bytes> {
     rest: &'bytes [u8],
-    /// The format that the message states; `FIRST` until it was read.
+    /// Format number of the message; `FIRST` until it has been read.
     format: u32,
 }
 
@@ -282,16 +283,16 @@
     }
 
     fn take_format(&mut self) -> Result<u32, InvalidPeerHeartbeat> {
-        let stated: u32 = self.take()?;
-        if stated == 0 {
+        let format: u32 = self.take()?;
+        if format == 0 {
             return Err(InvalidPeerHeartbeat::ZeroFormat);
         }
-        self.format = stated;
-        Ok(stated)
+        self.format = format;
+        Ok(format)
     }
 
-    /// Checks that nothing follows the last field. Versions before format `BUDGET_SHARES` did not check it, and a newer
-    /// format than ours may append fields.
+    /// Checks that nothing follows the last field. Formats before `BUDGET_SHARES` are exempt because their versions did
+    /// not check this, and formats after `NEWEST` because they may append fields.
     fn finish(self) -> Result<(), InvalidPeerHeartbeat> {
         let is_checked = (format::BUDGET_SHARES..=format::NEWEST).contains(&self.format);
         if is_checked && !self.rest.is_empty() {
--- a/src/protocol/records.rs
+++ b/src/protocol/records.rs
@@ -1,9 +1,9 @@
-//! Records in the key-value store: their keys and their contents.
+//! Keys and values of the records in the key-value store.
 //!
 //! | key | constant or function | content |
 //! | --- | --- | --- |
 //! | `wt/lead` | [`LEADER_KEY`] | [`LeaderRecord`] |
-//! | `wt/live` | [`LEADER_LEASE_KEY`] | name of the leader; attached to its lease |
+//! | `wt/live` | [`LEADER_LEASE_KEY`] | name of the leader, attached to its lease |
 //! | `wt/types` | [`MACHINE_TYPES_KEY`] | `cloud_api::MachineTypes` |
 //! | `wt/base` | [`BASELINE_MACHINES_KEY`] | number of machines |
 //! | `wt/j/{job}` | [`job_key`] | [`JobRecord`] |
@@ -26,32 +26,34 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all our keys.
+/// Prefix of all keys of the scheduler.
 pub const KEY_PREFIX: &str = "wt/";
-/// Key of the leader's record. Its version fences every write of the leader.
+/// Key of the leader record. Every write of the leader is conditional on its version, which fences earlier leaders.
 pub const LEADER_KEY: &str = "wt/lead";
-/// Key that is attached to the leader's lease and vanishes when the lease expires.
+/// Key attached to the leader's lease; the store deletes it when the lease expires.
 pub const LEADER_LEASE_KEY: &str = "wt/live";
-/// Key of the machine types that the cloud listed last.
+/// Key of the machine types most recently listed by the cloud.
 pub const MACHINE_TYPES_KEY: &str = "wt/types";
-/// Key of the number of machines that were up before we rented any.
+/// Key of the number of machines that existed before the scheduler rented any.
 pub const BASELINE_MACHINES_KEY: &str = "wt/base";
 /// Prefix of job records.
 pub const JOBS_PREFIX: &str = "wt/j/";
-/// Prefix of the further chunks of large jobs.
+/// Prefix of the chunks of large jobs after chunk 0.
 pub const CHUNKS_PREFIX: &str = "wt/t/";
-/// Prefix of the machines whose leases a follower renews.
+/// Prefix of the lists of machines whose leases a follower renews.
 pub const RENEWALS_PREFIX: &str = "wt/r/";
-/// Prefix of the newest format that each controller reads.
+/// Prefix of the records of the newest format that each controller reads.
 pub const FORMATS_PREFIX: &str = "wt/f/";
-/// Prefix of placement batches (format `PLACEMENT_BATCHES`). It sorts before [`JOBS_PREFIX`], so a listing returns batches first.
+/// Prefix of placement batches (format `PLACEMENT_BATCHES`). It sorts before [`JOBS_PREFIX`], so a listing
+/// returns batches first.
 pub const PLACEMENT_BATCHES_PREFIX: &str = "wt/b/";
-/// Key that is rewritten with every placement batch, so that its version shows whether one was written since.
+/// Key that is rewritten with every placement batch, so that its version reveals whether another batch was
+/// written in the meantime.
 pub const NEWEST_PLACEMENT_BATCH_KEY: &str = "wt/bundled";
 /// Key of the shares of the write budget (format `BUDGET_SHARES`).
 pub const BUDGET_SHARES_KEY: &str = "wt/parts";
 
-/// Returns the key of a job.
+/// Returns the key of a job record.
 pub fn job_key(id: &str) -> String {
     format!("{JOBS_PREFIX}{id}")
 }
@@ -66,24 +68,24 @@
     format!("{PLACEMENT_BATCHES_PREFIX}{number}")
 }
 
-/// Returns the number of the placement batch with this key; `None` if the key is not one of a batch.
+/// Returns the number of the placement batch with this key; `None` if it is not the key of a placement batch.
 pub fn placement_batch_number(key: &str) -> Option<u32> {
     key.strip_prefix(PLACEMENT_BATCHES_PREFIX)?.parse().ok()
 }
 
-/// Returns the key of the newest format that a controller reads.
+/// Returns the key of the record of the newest format that a controller reads.
 pub fn format_key(node: &str) -> String {
     format!("{FORMATS_PREFIX}{node}")
 }
 
 /// Returns the key of record `number` of a follower's renewals.
 ///
-/// A controller of the first version writes only record 0. As a leader it takes the further records for those of
-/// further followers, with the same effect.
+/// A controller of the first version writes only record 0. As leader it interprets the other records as those of
+/// additional followers, which has the same effect.
 pub fn renewals_key(node: &str, number: usize) -> String {
     match number {
         0 => format!("{RENEWALS_PREFIX}{node}"),
-        further => format!("{RENEWALS_PREFIX}{node}/{further}"),
+        _ => format!("{RENEWALS_PREFIX}{node}/{number}"),
     }
 }
 
@@ -92,7 +94,7 @@
 pub struct LeaderRecord {
     /// Name of the controller.
     pub node: String,
-    /// Incarnation of the controller: which run of its process leads.
+    /// Incarnation of the controller, which identifies a run of its process.
     #[serde(rename = "inc")]
     pub incarnation: u64,
     /// Term of the leadership, which agents treat as a fencing token.
--- a/src/protocol/records/budget_shares.rs
+++ b/src/protocol/records/budget_shares.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, Micros, u64)", into = "(u64, Micros, u64)")]
 struct StoredShare {
-    /// Thousandths of changes a second.
+    /// Thousandths of a change per second.
     amount: u64,
     /// Time of day at which the share expires.
     until: Micros,
-    /// Number of the grant that the share belongs to.
+    /// Number of the grant to which the share belongs.
     epoch: u64,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The newest grant of shares of the write budget (`admission_control::parts`), by holder in ascending order.
+/// The newest grant of shares of the write budget (`admission_control::parts`), sorted by holder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSharesRecord {
     /// Number of the grant.
--- a/src/protocol/records/jobs.rs
+++ b/src/protocol/records/jobs.rs
@@ -3,7 +3,7 @@
 use crate::protocol::{JobSpec, Micros};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Number of tasks in one chunk: few enough for one value of the store, and for done marks in a `u64`.
+/// Number of tasks per chunk: small enough for one value of the store and for a `u64` of done marks.
 pub const TASKS_PER_CHUNK: u32 = 48;
 
 /// Lifecycle stage of a job.
@@ -20,12 +20,12 @@
     Cancelled,
 }
 
-/// The newest attempt of a task that was started and is not done.
+/// The newest attempt of a task that has been started and is not done.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskEntry {
     task: u32,
     attempt: u64,
-    /// Empty: the task is on no machine.
+    /// Empty: the attempt has no machine.
     machine: String,
     agent_epoch: u64,
     term: u64,
@@ -33,7 +33,7 @@
 }
 
 impl TaskEntry {
-    /// Creates the entry of an attempt; an empty `machine` stands for none.
+    /// Creates the entry of an attempt; an empty `machine` means that it has none.
     pub fn new(
         task: u32,
         attempt: u64,
@@ -77,7 +77,7 @@
         self.term
     }
 
-    /// Whether the task was backfilled: placed ahead of a job that comes earlier in the queue.
+    /// Whether the task was backfilled, that is, placed ahead of a job that is earlier in the queue.
     pub fn backfilled(&self) -> bool {
         self.backfilled
     }
@@ -116,7 +116,7 @@
 /// The state of up to [`TASKS_PER_CHUNK`] consecutive tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskChunk {
-    /// Tasks that were started and are not done, in the order of their numbers.
+    /// Tasks that have been started and are not done, sorted by task number.
     #[serde(rename = "e", default)]
     pub entries: Vec<TaskEntry>,
     /// Done marks: bit `task % TASKS_PER_CHUNK` is set if the task is done.
@@ -165,32 +165,32 @@
     /// The job as submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// Time of day of the acceptance, which also orders the queue.
+    /// Wall-clock time of acceptance, which also determines the order of the queue.
     #[serde(rename = "at")]
     pub accepted_at: Micros,
     /// Lifecycle stage.
     #[serde(rename = "st")]
     pub stage: JobStage,
-    /// Time of day at which the job was done or cancelled; 0 before.
+    /// Wall-clock time at which the job was done or cancelled; 0 before that.
     #[serde(rename = "end", default)]
     pub ended_at: Micros,
     /// Chunk 0: the tasks 0 to `TASKS_PER_CHUNK` - 1.
     #[serde(rename = "c", default)]
     pub first_chunk: TaskChunk,
-    /// The job is over and none of its tasks is on a machine, whatever placement batches still contain.
+    /// The job has ended and none of its tasks is on a machine. Entries in placement batches no longer count.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub cleaned: bool,
 }
 
 /// Placements of many jobs that are not in the jobs' own records yet.
 ///
-/// When many machines are lost at once, one write per job would take many times as long as starting the tasks.
+/// After the loss of many machines at once, one write per job would take many times as long as starting the tasks.
 ///
-/// If both a batch and the job's own records hold a placement of a task, the later attempt counts. A placement in a
-/// batch does not count if the task is done according to the job's records, or if the job's record is `cleaned`.
+/// If a batch and the job's own records both hold a placement of a task, the higher attempt number takes precedence. A
+/// placement in a batch is ignored if the job's records mark the task as done, or if the job's record is `cleaned`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementBatch {
-    /// Job ids, each with the placements of its tasks.
+    /// Placements of tasks, by job id.
     #[serde(rename = "p")]
     pub placements: Vec<(String, Vec<TaskEntry>)>,
 }
--- a/src/protocol/records/renewals.rs
+++ b/src/protocol/records/renewals.rs
@@ -3,13 +3,13 @@
 use crate::protocol::codec::json_len;
 use serde::{Deserialize, Serialize};
 
-/// A name, shortened by the prefix that it shares with the name before it; stored as an array.
+/// A name without the prefix that it shares with the previous name; stored as an array.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u16, String)", into = "(u16, String)")]
 struct PrefixedName {
     /// Length of the shared prefix, in bytes.
     shared_length: u16,
-    /// The rest of the name.
+    /// Remainder of the name.
     suffix: String,
 }
 
@@ -43,10 +43,11 @@
     }
 }
 
-/// Returns the length in bytes of a prefix that both names share; it ends at a character of `name` and fits a `u16`.
+/// Returns the length in bytes of a prefix shared by both names. It ends at a character boundary of `name` and fits
+/// into a `u16`.
 fn shared_prefix_length(name: &str, previous: &str) -> usize {
     let mut pairs = name.char_indices().zip(previous.chars());
-    let difference = pairs.find(|((_, ours), theirs)| ours != theirs);
+    let difference = pairs.find(|((_, character), previous)| character != previous);
     let end = name.len().min(previous.len());
     let length = difference.map_or(end, |((index, _), _)| index);
     let length = length.min(usize::from(u16::MAX));
@@ -59,7 +60,7 @@
 
 /// Machines whose leases a follower renews on behalf of the leader with this term.
 ///
-/// One value has to hold hundreds of names, so each is stored without the prefix that it shares with the one before.
+/// One value has to hold hundreds of names, so each is stored without the prefix that it shares with the previous one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewalsRecord {
     /// Term of the leader.
@@ -80,7 +81,8 @@
         RenewalsRecord { term, names }
     }
 
-    /// Creates as many records as are needed to keep each within `max_bytes`, and at least one.
+    /// Splits the machines into records of at most `max_bytes` each, and returns at least one record. A record of a
+    /// single machine may be larger.
     pub fn split<'a>(
         term: u64,
         machines: impl Iterator<Item = &'a String>,
--- a/src/protocol/records/renewals/tests.rs
+++ b/src/protocol/records/renewals/tests.rs
@@ -10,12 +10,20 @@
         .map(|i| format!("n-{i:06}"))
         .chain(["é1".into(), "éa".into(), "x".into(), "xy".into()])
         .collect();
-    let rec = RenewalsRecord::new(7, names.iter());
-    assert!(crate::protocol::codec::encode(&rec).len() < 4096);
-    assert_eq!(rec.machines(), names.iter().cloned().collect::<Vec<_>>());
-    let parts = RenewalsRecord::split(7, names.iter(), 1843);
-    assert!(parts.len() <= 4 && parts.iter().all(|p| json_len(p) <= 1843));
-    let all: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
+    let record = RenewalsRecord::new(7, names.iter());
+    let size = crate::protocol::codec::encode(&record).len();
+    assert!(
+        size < 4096,
+        "record of {size} bytes, expected fewer than 4096"
+    );
+    assert_eq!(record.machines(), names.iter().cloned().collect::<Vec<_>>());
+    let records = RenewalsRecord::split(7, names.iter(), 1843);
+    let sizes: Vec<usize> = records.iter().map(json_len).collect();
+    assert!(
+        sizes.len() <= 4 && sizes.iter().all(|size| *size <= 1843),
+        "expected at most 4 records of at most 1843 bytes, got sizes {sizes:?}"
+    );
+    let all: Vec<String> = records.iter().flat_map(RenewalsRecord::machines).collect();
     assert_eq!(all, names.into_iter().collect::<Vec<_>>());
     assert_eq!(RenewalsRecord::split(7, [].into_iter(), 1843).len(), 1);
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -6,13 +6,14 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Longest valid name of a controller, in bytes.
+/// Maximum length of a controller's name, in bytes.
 const MAX_NODE_NAME_BYTES: usize = 60;
-/// Fewest changes of a transaction that we can work with.
+/// Minimum number of changes that a transaction of the store must allow.
 const MIN_TXN_OPS: usize = 2;
-/// Fewest sockets that we can work with.
+/// Minimum number of open sockets that the process must be allowed.
 const MIN_SOCKETS: usize = 32;
-/// Share of the store's value limit that we use, since we do not know how exactly the store counts.
+/// Fraction of the value limit of the store that is used. The margin covers differences between the size computed here
+/// and the size that the store computes.
 const VALUE_LIMIT_FRACTION: f64 = 0.9;
 const BYTES_PER_KB: f64 = 1024.0;
 
@@ -42,7 +43,7 @@
         file: String,
         /// Path of the field within the file.
         field: String,
-        /// Requirement that the field does not meet.
+        /// Requirement that the field violates.
         reason: String,
     },
 }
@@ -90,15 +91,15 @@
 /// A service level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is measured: `wait`, `deadline`, `finished`, `guarantee`, ...
+    /// Measured quantity: `wait`, `deadline`, `finished`, `guarantee`, ...
     pub kind: String,
-    /// Class of jobs to which it applies; `None`: all.
+    /// Job class to which the objective applies; `None`: all.
     #[serde(default)]
     pub class: Option<String>,
     /// Time limit, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of the jobs that must meet it.
+    /// Share of the jobs that must meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -106,30 +107,30 @@
 /// Timing of the agents, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct AgentTimings {
-    /// Interval between two heartbeats of an agent.
+    /// Interval between heartbeats of an agent.
     pub report_s: f64,
-    /// Duration of an agent's lease: without a response for this long, the agent kills its tasks.
+    /// Duration of an agent's lease. An agent that receives no response for this long kills its tasks.
     pub lease_s: f64,
     /// How long a gang task waits for the other tasks of its attempt.
     pub gang_wait_s: f64,
-    /// How soon the tasks of a gang notice that one of them is gone.
+    /// Time within which the tasks of a gang detect that one of them is gone.
     pub gang_peer_s: f64,
-    /// How soon after a cancellation all tasks of the job must be gone.
+    /// Time after a cancellation within which all tasks of the job must be gone.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB of JSON.
+    /// Maximum size of a value, in KiB of JSON.
     pub value_kb: f64,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Limits that will apply from some moment on, without further notice.
+    /// Limits that take effect at an unannounced time.
     #[serde(default)]
     pub next: Option<FutureStoreLimits>,
 }
@@ -137,45 +138,45 @@
 /// Future limits of the key-value store; an absent limit does not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct FutureStoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB of JSON.
+    /// Maximum size of a value, in KiB of JSON.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// Returns the lower of a present limit and its future value. The moment of the change is not announced, so the
-    /// lower limit is kept from the start.
+    /// Returns the lower of a present limit and its future value. The time of the change is not announced, so the
+    /// lower limit is respected from the start.
     fn lower_limit(&self, present: f64, future: impl Fn(&FutureStoreLimits) -> Option<f64>) -> f64 {
         let future = self.next.as_ref().and_then(future);
         future.map_or(present, |limit| present.min(limit))
     }
 
-    /// Returns the requests a second that the store accepts now and later.
+    /// Returns the requests per second that are within the present and the future limit.
     pub fn effective_rps(&self) -> f64 {
         self.lower_limit(self.rps, |future| future.rps)
     }
 
-    /// Returns the changes a second that the store accepts now and later.
+    /// Returns the changes per second that are within the present and the future limit.
     pub fn effective_write_rps(&self) -> f64 {
         self.lower_limit(self.write_rps, |future| future.write_rps)
     }
 
-    /// Returns the largest value, in bytes of JSON, that we write.
+    /// Returns the maximum size of a written value in bytes of JSON, within the present and the future limit.
     pub fn effective_value_bytes(&self) -> usize {
         let limit_kb = self.lower_limit(self.value_kb, |future| future.value_kb);
         (limit_kb * BYTES_PER_KB * VALUE_LIMIT_FRACTION) as usize
     }
 
-    /// Returns the changes that a transaction may have now and later.
+    /// Returns the number of changes of a transaction that is within the present and the future limit.
     pub fn effective_txn_ops(&self) -> usize {
         let future = self.next.as_ref().and_then(|future| future.txn_ops);
         future.map_or(self.txn_ops, |limit| self.txn_ops.min(limit))
@@ -185,9 +186,9 @@
 /// Limits of the cloud API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Usual age of the cloud's list of machines, in seconds; at times it is twice as old.
+    /// Usual age of the cloud's list of machines, in seconds. It is occasionally twice as old.
     pub list_lag_s: f64,
 }
 
@@ -207,7 +208,7 @@
 pub struct Params {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Bound on the error of the time of day, in milliseconds.
+    /// Upper bound on the error of the wall clock, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
     /// Teams.
@@ -248,7 +249,7 @@
     pub params: Params,
 }
 
-/// A field that is out of range.
+/// A field with an invalid value.
 struct FieldError {
     field: String,
     reason: &'static str,
--- a/src/protocol/time.rs
+++ b/src/protocol/time.rs
@@ -17,15 +17,15 @@
 impl Micros {
     /// The zero duration, and the start of a clock.
     pub const ZERO: Micros = Micros(0);
-    /// Later than any deadline; adding a duration to it does not overflow.
+    /// Later than any real deadline, and small enough to add durations without overflow.
     pub const FAR_FUTURE: Micros = Micros(u64::MAX / 4);
 
-    /// Converts seconds as the wire gives them; negative values and NaN become zero.
+    /// Converts from fractional seconds; negative values and NaN become zero.
     pub fn secs(seconds: f64) -> Micros {
         Micros((seconds.max(0.0) * MICROS_PER_SECOND) as u64)
     }
 
-    /// Converts whole milliseconds.
+    /// Converts from whole milliseconds.
     pub const fn millis(milliseconds: u64) -> Micros {
         Micros(milliseconds * MICROS_PER_MILLISECOND)
     }
@@ -68,11 +68,11 @@
     }
 }
 
-/// One reading of both clocks of the process.
+/// A reading of the monotonic clock and the wall clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// Monotonic clock, counted from the start of the process.
     pub now: Micros,
-    /// Time of day, counted from 1970-01-01 UTC.
+    /// Wall clock, counted from the Unix epoch.
     pub wall: Micros,
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,22 +1,22 @@
-//! HTTP/1.1 messages in byte buffers: parsing (heads by `httparse`) and writing.
+//! Parsing and writing of HTTP/1.1 messages in byte buffers. `httparse` parses the heads.
 
 mod body;
 
 use body::Body;
 use std::io::Write;
 
-/// Largest request body, in bytes.
+/// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Largest request head, in bytes, that is waited for.
+/// Size of an incomplete request head above which the request is rejected.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 48;
 
 const STATUS_NO_CONTENT: u16 = 204;
 const STATUS_BAD_REQUEST: u16 = 400;
 const STATUS_CONTENT_TOO_LARGE: u16 = 413;
 const STATUS_HEADERS_TOO_LARGE: u16 = 431;
-/// Stands for "no status" in a request, and in [`Parsed::Invalid`] for a response.
+/// Status of a request, and of [`Parsed::Invalid`] for a response: none.
 const NO_STATUS: u16 = 0;
 
 /// A complete message.
@@ -28,24 +28,24 @@
     pub path: String,
     /// Status code; 0 in a request.
     pub status: u16,
-    /// Body, without its framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
     /// Whether the sender keeps the connection open after this exchange.
     pub keep_alive: bool,
 }
 
-/// Result of parsing the front of a buffer.
+/// Result of parsing the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
     /// The message is not complete yet; the buffer is unchanged.
     Partial,
-    /// A complete message, which was removed from the buffer.
+    /// A complete message, which has been removed from the buffer.
     Complete(Message),
     /// The message is invalid: answer a request with this status (0 for a response) and close the connection.
     Invalid(u16),
 }
 
-/// What the headers say about the body and the connection.
+/// Headers that determine the body length and the reuse of the connection.
 struct Framing {
     content_length: Option<usize>,
     is_chunked: bool,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Parses a request at the front of `buffer` and removes it.
+/// Parses a request at the start of `buffer` and removes it.
 pub fn take_request(buffer: &mut Vec<u8>) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -117,7 +117,8 @@
     Parsed::Complete(message)
 }
 
-/// Parses a response at the front of `buffer` and removes it; `ended`: the other side has closed the connection.
+/// Parses a response at the start of `buffer` and removes it. `ended` means that the remote side has closed the
+/// connection.
 pub fn take_response(buffer: &mut Vec<u8>, ended: bool) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -139,7 +140,7 @@
     } else if status == STATUS_NO_CONTENT {
         Body::sized(received, 0)
     } else if ended {
-        // A body without a length extends to the end of the connection.
+        // A body without a length ends when the connection is closed.
         keep_alive = false;
         Body::sized(received, received.len())
     } else {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Appends a response to `output`; `retry_after` is in seconds, `close` announces that the connection is closed.
+/// Appends a response to `output`. `retry_after` is in seconds; `close` announces that the connection will be closed.
 pub fn write_response(
     output: &mut Vec<u8>,
     status: u16,
--- a/src/transport/http/body.rs
+++ b/src/transport/http/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of HTTP messages: of known length, or in chunks.
+//! Parsing of HTTP message bodies of known length and in chunked encoding.
 
-/// Line break after each chunk.
+/// Length of the line break after each chunk.
 const LINE_BREAK_BYTES: usize = 2;
 
 /// Result of parsing a body.
@@ -15,13 +15,13 @@
     Complete {
         /// The body without its framing.
         bytes: Vec<u8>,
-        /// Length in the buffer, with the framing.
+        /// Length in the buffer, including the framing.
         length: usize,
     },
 }
 
 impl Body {
-    /// Takes a body of known length.
+    /// Parses a body of known length.
     pub(super) fn sized(received: &[u8], length: usize) -> Body {
         match received.get(..length) {
             Some(bytes) => Body::Complete {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes a body in chunks, of at most `max_bytes` in all.
+    /// Parses a body in chunked encoding, of at most `max_bytes` in total.
     pub(super) fn chunked(received: &[u8], max_bytes: usize) -> Body {
         let mut bytes = Vec::new();
         let mut position = 0;
@@ -53,7 +53,7 @@
                 return Body::Partial;
             }
             if size == 0 {
-                // The last chunk is empty. These interfaces use no trailers.
+                // The last chunk is empty. Trailers are not parsed, since these interfaces use none.
                 return Body::Complete { bytes, length: end };
             }
             bytes.extend_from_slice(&received[position..position + size]);
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of HTTP parsing and writing.
+//! Tests of parsing and writing HTTP messages.
 
 use super::*;
 
@@ -33,7 +33,7 @@
     let mut buffer =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec();
     let Parsed::Complete(response) = take_response(&mut buffer, false) else {
-        panic!("not complete")
+        panic!("the response should be complete")
     };
     assert_eq!(
         (response.status, response.body.as_slice()),
@@ -43,7 +43,7 @@
     let mut buffer = b"HTTP/1.1 503 No\r\n\r\nsorry".to_vec();
     assert_eq!(take_response(&mut buffer, false), Parsed::Partial);
     let Parsed::Complete(response) = take_response(&mut buffer, true) else {
-        panic!("not complete")
+        panic!("the response should be complete")
     };
     assert_eq!(
         (response.body.as_slice(), response.keep_alive),
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,6 +1,6 @@
-//! Transport: the network thread, which owns all sockets, and the messages that it exchanges with the controller.
+//! The network thread, which owns all sockets, and the commands and events that it exchanges with the controller.
 //!
-//! The thread serves HTTP and makes calls with a time limit. It knows nothing of the contents of the messages.
+//! The thread serves HTTP requests and makes HTTP calls with a timeout. It does not interpret message bodies.
 
 pub mod http;
 pub mod net;
@@ -26,10 +26,10 @@
     Call(Call),
 }
 
-/// A call to another process: a request whose response is awaited.
+/// An HTTP call to another process.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Id of the call, which comes back in [`NetworkEvent::CallFinished`].
+    /// Id of the call, repeated in [`NetworkEvent::CallFinished`].
     pub id: u64,
     /// Address of the process.
     pub addr: SocketAddr,
@@ -39,18 +39,18 @@
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// Time limit for the whole call.
+    /// Timeout of the whole call, including connecting.
     pub timeout: Micros,
 }
 
 /// An event that the network thread reports to the controller.
 #[derive(Debug)]
 pub enum NetworkEvent {
-    /// A request has arrived.
+    /// A request was received.
     Request {
         /// Id of the connection. A connection has one request at a time, so the id also identifies the request.
         conn: u64,
-        /// Whether it arrived at the address for other controllers.
+        /// Whether it was received at the address for other controllers.
         internal: bool,
         /// Method.
         method: String,
@@ -71,7 +71,7 @@
 /// Result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A response has arrived.
+    /// A response was received.
     Response {
         /// Status code.
         status: u16,
@@ -80,6 +80,7 @@
     },
     /// Nothing was sent, because no connection was established.
     NotSent,
-    /// The request was sent, at least in part, and no response has arrived: it may still be executed later.
+    /// A connection was established and no complete response was received. The request may have been executed, or may
+    /// still be executed later.
     Lost,
 }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,7 +1,7 @@
 //! The network thread: all sockets of the process on one event loop.
 //!
-//! A connection that hangs costs a socket and a deadline, but no thread. Idle connections are closed. When no socket
-//! is free, new connections are refused or delayed, and the listeners stay open.
+//! A connection that hangs occupies a socket and an entry in the table of deadlines, but no thread. Idle connections
+//! are closed. While no socket is free, new connections are refused or delayed; the listeners stay open.
 
 mod calls;
 mod connection;
@@ -20,27 +20,27 @@
 use std::thread::Thread;
 use std::time::{Duration, Instant};
 
-/// Token of the waker by which other threads announce commands.
+/// Token of the waker that signals commands from other threads.
 const WAKER: Token = Token(0);
 /// Token of the listener for clients and agents.
 const PUBLIC_LISTENER: Token = Token(1);
 /// Token of the listener for other controllers.
 const INTERNAL_LISTENER: Token = Token(2);
-/// Tokens of connections start here.
+/// Lowest token of a connection.
 const FIRST_CONNECTION: Token = Token(3);
-/// Share of the socket limit for connections on which we serve requests; the others are for our own calls.
+/// Share of the socket limit for inbound connections; the rest is for outbound calls.
 const SERVER_SHARE: f64 = 0.75;
-/// Sockets that must stay free when a connection is kept for later calls. Connections to hundreds of agents would
-/// otherwise fill the table, and the store or a peer could not be called when it matters.
+/// Sockets that stay free of idle outbound connections. Idle connections to hundreds of agents could otherwise use up
+/// the sockets needed to call the store or a peer.
 const RESERVED_SOCKETS: usize = 32;
-/// Events that one round of the event loop handles at most.
+/// Maximum number of events per iteration of the event loop.
 const EVENTS_PER_ROUND: usize = 256;
-/// Delay of the event loop's timer, so that a deadline has certainly passed when it fires.
+/// Added to the poll timeout so that the deadline has passed when the poll returns.
 const TIMER_SLACK: Micros = Micros(500);
-/// Pause after a failed poll, so that a lasting failure does not take a whole core.
+/// Backoff after a failed poll, so that a persistent failure does not use a whole core.
 const POLL_ERROR_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Passes commands to the network thread.
+/// Sends commands to the network thread.
 pub struct Handle {
     commands: Sender<Vec<NetworkCommand>>,
     waker: Waker,
@@ -50,7 +50,7 @@
     /// Sends a batch of commands.
     pub fn send(&self, batch: Vec<NetworkCommand>) {
         if !batch.is_empty() && self.commands.send(batch).is_ok() {
-            // If the wake-up fails, the batch is only delayed until the next event.
+            // If the wake-up fails, the batch is handled with the next event or deadline.
             let _ = self.waker.wake();
         }
     }
@@ -62,27 +62,27 @@
     listeners: Listeners,
     commands: Receiver<Vec<NetworkCommand>>,
     event_sender: Sender<Vec<NetworkEvent>>,
-    /// The thread that receives the events. It sleeps parked, because a blocking receive would spin and yield first,
-    /// which on a small share of a core costs more than the work itself.
+    /// The thread that receives the events. It waits parked, because a blocking receive spins and yields first, which
+    /// costs more than the actual work when the process has only a small share of a core.
     event_receiver: Thread,
-    /// Events of this round that are not sent yet.
+    /// Events of this iteration that have not been sent yet.
     events: Vec<NetworkEvent>,
     next_server_id: u64,
-    /// Most connections on which we serve requests.
+    /// Maximum number of inbound connections.
     max_servers: usize,
-    /// Most connections of any kind beside which one is kept for later calls.
+    /// Number of open connections of any kind at which a new outbound connection replaces an idle outbound one.
     max_open_with_idle: usize,
     /// Start of the monotonic clock.
     started: Instant,
 }
 
 impl NetworkThread {
-    /// Prepares the network thread. `event_receiver` is unparked when events are sent; `sockets` is the limit of the
-    /// process; times are counted from `started`.
+    /// Creates the network thread's state. `event_receiver` is unparked when events are sent, `sockets` is the socket
+    /// limit of the process, and times are counted from `started`.
     ///
     /// # Errors
     ///
-    /// The operating system refuses an event queue or a registration.
+    /// The operating system refuses to create the event queue or to register a socket.
     pub fn new(
         mut listeners: Listeners,
         event_sender: Sender<Vec<NetworkEvent>>,
@@ -123,7 +123,7 @@
         Micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Runs until the receiver of the events is gone.
+    /// Runs until the receiving end of the event channel is dropped.
     pub fn run(mut self) {
         let mut ready = Events::with_capacity(EVENTS_PER_ROUND);
         loop {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Sends the events of this round; returns whether there is still a receiver.
+    /// Sends the events of this iteration; returns whether the channel still has a receiver.
     fn send_events(&mut self) -> bool {
         if self.events.is_empty() {
             return true;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Takes whole messages from what has arrived on a connection; `ended`: no more will arrive.
+    /// Parses the received bytes of a connection. `ended` means that no more bytes will arrive.
     fn parse_input(&mut self, token: Token, ended: bool) {
         match self
             .connections
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Writes what is to be sent on a connection, and closes it if that fails or was the last response.
+    /// Writes the pending output of a connection. Closes the connection if writing fails or its last response is written.
     fn flush(&mut self, token: Token) {
         let Some(connection) = self.connections.get_mut(token) else {
             return;
@@ -249,7 +249,8 @@
         }
     }
 
-    /// Closes a connection. `outcome` is reported for a call that waits on it, unless the connection never came about.
+    /// Closes a connection. A call that is pending on it is reported with `outcome`, or as not sent if the connection was
+    /// never established.
     fn close(&mut self, token: Token, outcome: Outcome) {
         let Some(connection) = self.connections.remove(token) else {
             return;
@@ -276,7 +277,7 @@
         true
     }
 
-    /// Closes the connections whose deadlines have passed.
+    /// Closes connections whose deadlines have passed, except those with a request in progress.
     fn close_expired(&mut self) {
         let now = self.now();
         while let Some((deadline, token)) = self.connections.first_deadline() {
--- a/src/transport/net/calls.rs
+++ b/src/transport/net/calls.rs
@@ -1,4 +1,4 @@
-//! Making calls: connections to other processes, requests and responses.
+//! Outbound calls: connecting, sending requests and receiving responses.
 
 use super::NetworkThread;
 use super::connection::{ClientRole, Connection, Role};
@@ -8,13 +8,13 @@
 use mio::Token;
 use mio::net::TcpStream;
 
-/// A connection that is kept for later calls is closed after being idle for this long.
+/// An outbound connection that has been idle for this long is closed.
 const CLIENT_IDLE_TIMEOUT: Micros = Micros::millis(20_000);
-/// Initial buffer for a request, apart from its body.
+/// Initial buffer size for a request without its body.
 const HEAD_CAPACITY_BYTES: usize = 160;
 
 impl NetworkThread {
-    /// Makes a call, on a connection that was kept or on a new one.
+    /// Starts a call on an idle connection or on a new one.
     pub(super) fn call(&mut self, call: Call) {
         let now = self.now();
         let Some(token) = self.client_connection(&call) else {
@@ -53,7 +53,7 @@
                 return None;
             }
         };
-        // With Nagle's algorithm a small request could be delayed by 40 ms. Without the option we still work.
+        // Nagle's algorithm could delay a small request by 40 ms. A failure to disable it is harmless.
         let _ = stream.set_nodelay(true);
         let role = Role::Client(ClientRole {
             call: None,
@@ -63,12 +63,12 @@
         self.connections.add(stream, call.addr, role, deadline)
     }
 
-    /// Reports how a call went.
+    /// Reports the outcome of a call.
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
         self.events.push(NetworkEvent::CallFinished { id, outcome });
     }
 
-    /// Takes the response that has arrived on a connection, if all of it has; `ended`: no more will arrive.
+    /// Parses the response to a pending call if it is complete. `ended` means that no more bytes will arrive.
     pub(super) fn parse_response(&mut self, token: Token, ended: bool) {
         let Some(connection) = self.connections.get_mut(token) else {
             return;
@@ -77,7 +77,7 @@
             return;
         };
         let Some(id) = client.call else {
-            // No call is pending, so the other side has closed the connection, or sends what nobody asked for.
+            // No call is pending: the remote side closed the connection or sent an unsolicited response.
             self.close(token, Outcome::Lost);
             return;
         };
@@ -100,8 +100,8 @@
         let Some(connection) = self.connections.get_mut(token) else {
             return;
         };
-        let is_clean = connection.input.is_empty() && connection.output.is_empty();
-        if !response.keep_alive || ended || !is_clean {
+        let buffers_empty = connection.input.is_empty() && connection.output.is_empty();
+        if !response.keep_alive || ended || !buffers_empty {
             self.close(token, Outcome::Lost);
             return;
         }
--- a/src/transport/net/connection.rs
+++ b/src/transport/net/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: its role, its buffers, and reading and writing without blocking.
+//! A TCP connection with its role, its buffers, and non-blocking reads and writes.
 
 use crate::protocol::Micros;
 use crate::transport::http;
@@ -8,17 +8,17 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
 
-/// Bytes that one call to the operating system reads at most.
+/// Maximum number of bytes per read call.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Unparsed bytes of a client after which reading pauses.
+/// Number of unparsed bytes on an inbound connection above which reading pauses.
 const MAX_SERVER_INPUT_BYTES: usize = 2 * http::MAX_BODY_BYTES;
 
-/// What a socket is ready for.
+/// Readiness of a socket.
 #[derive(Clone, Copy)]
 pub(super) struct Readiness {
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The other side will send no more, or the connection has failed.
+    /// The remote side has finished sending, or the connection has failed.
     pub(super) ended: bool,
 }
 
@@ -33,47 +33,47 @@
     }
 }
 
-/// Which side of the connection we are.
+/// Role of this process on a connection.
 pub(super) enum Role {
-    /// The other side opened the connection and sends requests.
+    /// Inbound connection: the remote side sends requests.
     Server(ServerRole),
-    /// We opened the connection and make calls.
+    /// Outbound connection: this process makes calls.
     Client(ClientRole),
 }
 
-/// State of a connection on which we serve requests, one at a time.
+/// State of an inbound connection, which serves one request at a time.
 pub(super) struct ServerRole {
     /// The connection was made to the address for other controllers.
     pub(super) internal: bool,
     /// Id of the connection in `NetworkEvent::Request` and `NetworkCommand::Respond`.
     pub(super) id: u64,
-    /// A request was passed on, and its response has not come yet.
+    /// A request was passed to the controller, and its response is pending.
     pub(super) busy: bool,
-    /// The connection is closed after the response to the present request.
+    /// The connection is closed after the response to the current request.
     pub(super) close_after_response: bool,
 }
 
-/// State of a connection on which we make calls, one at a time.
+/// State of an outbound connection, which makes one call at a time.
 pub(super) struct ClientRole {
-    /// Id of the call that waits for its response; `None`: the connection is idle.
+    /// Id of the pending call; `None`: the connection is idle.
     pub(super) call: Option<u64>,
-    /// The connection attempt has succeeded.
+    /// The connection is established.
     pub(super) connected: bool,
 }
 
-/// How far a connection attempt is.
+/// Progress of a connection attempt.
 pub(super) enum ConnectProgress {
     Connected,
     Pending,
     Failed,
 }
 
-/// How far the output of a connection is written.
+/// Progress of writing the output of a connection.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum WriteProgress {
-    /// All of it is written.
+    /// All output is written.
     Done,
-    /// The socket takes no more for now.
+    /// The send buffer of the socket is full.
     Blocked,
     /// The connection has failed.
     Broken,
@@ -82,7 +82,7 @@
 /// A TCP connection.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// Address of the other side.
+    /// Address of the remote side.
     pub(super) remote: SocketAddr,
     pub(super) role: Role,
     /// Received bytes that are not parsed yet.
@@ -91,9 +91,9 @@
     pub(super) output: Vec<u8>,
     /// Number of bytes of `output` that are written.
     written: usize,
-    /// When the connection is closed unless its deadline is moved.
+    /// Time at which the connection is closed unless the deadline is extended.
     pub(super) deadline: Micros,
-    /// The event loop reports when the socket becomes writable.
+    /// The event loop is to report when the socket becomes writable.
     pub(super) awaits_writable: bool,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Returns the events that the event loop has to report.
+    /// Returns the readiness events to register for.
     pub(super) fn interest(&self) -> Interest {
         if self.awaits_writable {
             Interest::READABLE | Interest::WRITABLE
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Returns whether nobody waits for a response on this connection.
+    /// Returns whether no request or call is pending on this connection.
     pub(super) fn is_idle(&self) -> bool {
         match &self.role {
             Role::Server(server) => !server.busy,
@@ -135,19 +135,19 @@
         }
     }
 
-    /// Returns whether this is a connection that we keep for later calls.
+    /// Returns whether this is an outbound connection without a pending call.
     pub(super) fn is_idle_client(&self) -> bool {
         matches!(&self.role, Role::Client(client) if client.call.is_none())
     }
 
-    /// Replaces both buffers by the request of a new call.
+    /// Replaces the output with the request of a new call and clears the input.
     pub(super) fn set_request(&mut self, request: Vec<u8>) {
         self.output = request;
         self.written = 0;
         self.input.clear();
     }
 
-    /// Checks whether the connection attempt of a client has ended.
+    /// Checks whether the connection attempt of an outbound connection has finished.
     pub(super) fn finish_connect(&mut self) -> ConnectProgress {
         let client = match &mut self.role {
             Role::Client(client) if !client.connected => client,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub(super) fn write_output(&mut self) -> WriteProgress {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -180,8 +180,8 @@
         WriteProgress::Done
     }
 
-    /// Reads what has arrived; returns whether the connection has ended. `ended`: the event loop has reported that
-    /// the other side will send no more, so the end is read even if the socket seems empty.
+    /// Reads the available bytes; returns whether the connection has ended. `ended` means that the event loop has
+    /// reported the end of input, so reading continues up to the end even after a short read.
     pub(super) fn read_input(&mut self, ended: bool) -> bool {
         let is_server = matches!(self.role, Role::Server(_));
         let mut chunk = [0u8; READ_CHUNK_BYTES];
@@ -193,7 +193,7 @@
                     if is_server && self.input.len() > MAX_SERVER_INPUT_BYTES {
                         return false;
                     }
-                    // A short read has emptied the socket; the event loop reports what comes later.
+                    // A short read has emptied the socket; the event loop reports later input.
                     if count < chunk.len() && !ended {
                         return false;
                     }
--- a/src/transport/net/connections.rs
+++ b/src/transport/net/connections.rs
@@ -1,4 +1,4 @@
-//! All open connections with their deadlines, and their registration with the event loop.
+//! Table of open connections with their deadlines and their registration with the event loop.
 
 use super::connection::{Connection, Role};
 use crate::protocol::Micros;
@@ -7,21 +7,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// All open connections by their tokens.
+/// Open connections by token.
 pub(super) struct Connections {
     pub(super) poll: Poll,
     open: HashMap<Token, Connection>,
-    /// Connections in the order of their deadlines.
+    /// Connections sorted by deadline.
     deadlines: BTreeSet<(Micros, Token)>,
-    /// Tokens of the connections on which we serve requests, by their ids.
+    /// Tokens of inbound connections, by connection id.
     servers: HashMap<u64, Token>,
-    /// Connections that we keep for later calls, by remote address.
+    /// Idle outbound connections, by remote address.
     idle_clients: HashMap<SocketAddr, Vec<Token>>,
     next_token: Token,
 }
 
 impl Connections {
-    /// Creates an empty table that gives out tokens from `first_token` upwards.
+    /// Creates an empty table that assigns tokens from `first_token` upwards.
     pub(super) fn new(poll: Poll, first_token: Token) -> Connections {
         Connections {
             poll,
@@ -38,7 +38,7 @@
         self.open.len()
     }
 
-    /// Returns the number of open connections on which we serve requests.
+    /// Returns the number of open inbound connections.
     pub(super) fn server_count(&self) -> usize {
         self.servers.len()
     }
@@ -47,7 +47,7 @@
         self.open.get_mut(&token)
     }
 
-    /// Returns the token of the connection on which we serve requests under this id.
+    /// Returns the token of the inbound connection with this id.
     pub(super) fn server(&self, id: u64) -> Option<Token> {
         self.servers.get(&id).copied()
     }
@@ -81,7 +81,7 @@
     pub(super) fn remove(&mut self, token: Token) -> Option<Connection> {
         let mut connection = self.open.remove(&token)?;
         self.deadlines.remove(&(connection.deadline, token));
-        // A socket that is not registered any more is of no interest either.
+        // A failure is harmless: the socket is then no longer registered.
         let _ = self.poll.registry().deregister(&mut connection.stream);
         match &connection.role {
             Role::Server(server) => {
@@ -98,20 +98,20 @@
         Some(connection)
     }
 
-    /// Tells the event loop which events of a connection to report from now on.
+    /// Updates the readiness events for which a connection is registered.
     pub(super) fn update_interest(&mut self, token: Token) {
         let Some(connection) = self.open.get_mut(&token) else {
             return;
         };
         let interest = connection.interest();
-        // If this fails, the connection ends by its deadline.
+        // If this fails, the connection is closed at its deadline.
         let _ = self
             .poll
             .registry()
             .reregister(&mut connection.stream, token, interest);
     }
 
-    /// Moves the deadline of a connection.
+    /// Changes the deadline of a connection.
     pub(super) fn set_deadline(&mut self, token: Token, deadline: Micros) {
         if let Some(connection) = self.open.get_mut(&token) {
             self.deadlines.remove(&(connection.deadline, token));
@@ -131,12 +131,12 @@
         tokens.find(|token| self.open.get(token).is_some_and(&matches))
     }
 
-    /// Keeps a connection for later calls to the same address.
+    /// Adds an outbound connection to the idle ones, for later calls to the same address.
     pub(super) fn keep_idle_client(&mut self, token: Token, remote: SocketAddr) {
         self.idle_clients.entry(remote).or_default().push(token);
     }
 
-    /// Takes a connection to this address that was kept for later calls; the one used last comes first.
+    /// Removes and returns the most recently used idle connection to this address.
     pub(super) fn take_idle_client(&mut self, remote: SocketAddr) -> Option<Token> {
         self.idle_clients.get_mut(&remote)?.pop()
     }
--- a/src/transport/net/listeners.rs
+++ b/src/transport/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Serving requests: listening sockets, accepted connections, requests and responses.
+//! Inbound requests: listening sockets, accepted connections, requests and responses.
 
 use super::NetworkThread;
 use super::connection::{Connection, Role, ServerRole};
@@ -10,10 +10,10 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// A connection without a request for this long is closed. Clients poll every 5 s and agents send heartbeats every
-/// few seconds, so this closes abandoned connections only.
+/// An inbound connection without a request for this long is closed. Clients poll every 5 s and agents send heartbeats
+/// every few seconds, so only abandoned connections are closed.
 const SERVER_IDLE_TIMEOUT: Micros = Micros::millis(40_000);
-/// Time within which all of a request must arrive once its first part has.
+/// Time within which a request must be complete after its first bytes were received.
 const REQUEST_TIMEOUT: Micros = Micros::millis(10_000);
 
 /// The bound listening sockets.
@@ -46,7 +46,7 @@
 }
 
 impl NetworkThread {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, internal: bool) {
         loop {
             match self.listeners.accept(internal) {
@@ -55,8 +55,8 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
                     log::warn!("accept failed error=\"{error}\"");
-                    // No socket is free. If none can be freed either, the event loop reports the listener again with
-                    // the next connection.
+                    // No socket is free. If none can be freed, the event loop reports the listener again at the next
+                    // connection attempt.
                     if !self.close_first_idle() {
                         return;
                     }
@@ -71,7 +71,7 @@
             log::warn!("connection refused reason=no_free_socket");
             return;
         }
-        // With Nagle's algorithm a small response could be delayed by 40 ms. Without the option we still work.
+        // Nagle's algorithm could delay a small response by 40 ms. A failure to disable it is harmless.
         let _ = stream.set_nodelay(true);
         let role = Role::Server(ServerRole {
             internal,
@@ -89,7 +89,7 @@
         self.close_first(Connection::is_idle)
     }
 
-    /// Sends the response to a request, unless its connection is gone.
+    /// Sends the response to a request, unless its connection has been closed.
     pub(super) fn respond(
         &mut self,
         server_id: u64,
@@ -110,11 +110,11 @@
         }
         self.connections.set_deadline(token, deadline);
         self.flush(token);
-        // The next request may already have arrived.
+        // The next request may already be in the input buffer.
         self.parse_input(token, false);
     }
 
-    /// Passes on the request that has arrived on a connection, if all of it has; `ended`: no more will arrive.
+    /// Passes a received request to the controller if it is complete. `ended` means that no more bytes will arrive.
     pub(super) fn parse_request(&mut self, token: Token, ended: bool) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(token) else {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Extends the deadline of a connection whose response we still owe; returns whether this is one.
+    /// Extends the deadline of an inbound connection with a request in progress; returns whether it has one.
     pub(super) fn extend_if_busy(&mut self, token: Token) -> bool {
         let connection = self.connections.get_mut(token);
         let is_busy = connection.is_some_and(
