--- a/src/controller/store_responses.rs
+++ b/src/controller/store_responses.rs
@@ -51,12 +51,14 @@
             StoreRequestPurpose::BackgroundWrite => {
                 self.apply_if_committed(&request, &response);
             }
-            StoreRequestPurpose::BudgetShares => self.on_budget_shares(clock, request, response),
+            StoreRequestPurpose::BudgetShares => {
+                self.on_budget_grant_response(clock, request, response)
+            }
             StoreRequestPurpose::TransferLeadership => {
                 self.on_transfer_response(clock, &request, &response);
             }
             StoreRequestPurpose::RecordRenewals(machines) => {
-                self.on_renewals_result(clock, machines, request, sent, response);
+                self.on_renewals_write_response(clock, machines, request, sent, response);
             }
             StoreRequestPurpose::RecordFormat => {
                 self.format_record_due = Some(clock.now + FORMAT_CHECK_INTERVAL);
--- a/src/protocol/format.rs
+++ b/src/protocol/format.rs
@@ -4,7 +4,7 @@
 //! newest format that it reads under `records::format_key` and sends it in its heartbeats. A controller without
 //! such a record runs the first version. Additions of a format are written only after every controller named in the
 //! settings has stored a format at least as new. Any further change of the records needs a new number here and a
-//! check with `Controller::all_peers_read`.
+//! check with `Controller::all_controllers_read`.
 
 /// Records and heartbeats of the first version, which sends no format number.
 pub const FIRST: u32 = 1;
--- a/src/scheduling/backfill/wide_arrays.rs
+++ b/src/scheduling/backfill/wide_arrays.rs
@@ -1,7 +1,8 @@
-//! Arrays with a full pass of tasks to start and more.
+//! Wide arrays: arrays with enough startable tasks to use up a whole pass.
 //!
-//! An array of 25,000 short tasks once held up all other jobs for minutes. In its turn a wide array gets a
-//! part of the pass and of the free room only; after all other jobs it continues with what is left.
+//! An array of 25,000 short tasks delayed all other jobs for minutes. At its position in the queue, a wide
+//! array therefore gets only a share of the pass and of the free room. After all other jobs have been
+//! considered, it continues with the remaining room.
 
 use crate::protocol::JobKind;
 use crate::scheduling::backfill::{
@@ -12,26 +13,26 @@
 /// An array with at least this many tasks to start is wide.
 pub(super) const MIN_WIDE_TASKS: u32 = MAX_PLACEMENTS as u32;
 
-/// Number of tasks that wide arrays start together before all other jobs have been considered.
+/// Total number of tasks that all wide arrays may start before all other jobs have been considered.
 pub(super) const WIDE_ARRAY_BUDGET: u32 = MAX_PLACEMENTS as u32 / 2;
 
 /// A wide array that continues after all other jobs have been considered.
 pub(super) struct DeferredWideArray<'a> {
     candidate: QueueCandidate<'a>,
-    /// Number of its tasks that have been started in its turn.
+    /// Number of its tasks that were started before all other jobs had been considered.
     started: u32,
-    /// It was reached while backfilling.
+    /// The pass reached the array while backfilling.
     backfilled: bool,
 }
 
 /// Free room for a wide array, in tasks.
 struct WideArrayRoom {
     free: u32,
-    /// Part of `free` that the array may use in its turn.
+    /// Part of `free` that the array may use before all other jobs have been considered.
     first_share: u32,
 }
 
-/// Whether an array is wide. Arrays with conditions on zones are not treated as wide.
+/// Whether a job is a wide array. Arrays with zone constraints are not treated as wide.
 pub(super) fn is_wide(entry: &QueueEntry<'_>) -> bool {
     let spec = entry.spec;
     let zone_conditions = spec.one_zone || spec.spread;
@@ -40,8 +41,8 @@
 }
 
 impl<'p, 'a> SchedulingPass<'p, 'a> {
-    /// Starts the first share of a wide array. Returns by how many tasks the `permitted` ones exceed the
-    /// free room.
+    /// Starts the first share of a wide array. Returns the number of `permitted` tasks that do not fit into
+    /// the free room.
     pub(super) fn start_wide_array(
         &mut self,
         candidate: QueueCandidate<'a>,
@@ -51,7 +52,8 @@
     ) -> u32 {
         let room = self.wide_array_room(entry);
         let first = permitted.min(self.wide_array_budget).min(room.first_share);
-        let unplaced = self.start_each(entry, &entry.tasks[..first as usize], backfilled);
+        let unplaced =
+            self.start_tasks_one_by_one(entry, &entry.tasks[..first as usize], backfilled);
         let started = first - unplaced;
         self.wide_array_budget -= started;
         self.deferred_wide_arrays.push(DeferredWideArray {
@@ -64,9 +66,9 @@
 
     /// Free room for a wide array.
     ///
-    /// The first share is half of the free room: with more, the array would take each machine that
-    /// becomes free ahead of all other jobs for as long as it runs. It is at least one task, so that an
-    /// array of which nothing runs can begin.
+    /// The first share is half of the free room. With a larger share, the array would take each machine that
+    /// becomes free ahead of all other jobs for as long as it runs. If no task of the array runs yet, the
+    /// share is at least one task, so that the array can begin.
     fn wide_array_room(&self, entry: &QueueEntry<'_>) -> WideArrayRoom {
         let need = &entry.requirements.need;
         let candidates = self.candidates(entry);
@@ -74,26 +76,32 @@
             .into_iter()
             .map(|host| slots(&self.hosts[host].free, need))
             .sum();
-        let at_least = u32::from(entry.present.is_empty()).min(free);
+        let min_share = u32::from(entry.task_locations.is_empty()).min(free);
         WideArrayRoom {
             free,
-            first_share: (free / 2).max(at_least),
+            first_share: (free / 2).max(min_share),
         }
     }
 
     /// Continues with wide arrays after all other jobs have been considered.
     pub(super) fn continue_wide_arrays(&mut self) {
         for deferred in std::mem::take(&mut self.deferred_wide_arrays) {
-            let mut built = None;
-            let Some(entry) = self.entry(deferred.candidate, &mut built) else {
+            let mut pending_entry = None;
+            let Some(entry) = self.entry(deferred.candidate, &mut pending_entry) else {
                 continue;
             };
-            let rest = &entry.tasks[deferred.started as usize..];
+            let remaining_tasks = &entry.tasks[deferred.started as usize..];
             let permitted = self.quotas.max_tasks(entry.team, &entry.requirements.need);
             let placed = self.plan.placements.len();
-            let left_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
-            let tasks = permitted.min(left_in_pass).min(rest.len() as u32);
-            self.start_each(entry, &rest[..tasks as usize], deferred.backfilled);
+            let remaining_in_pass = MAX_PLACEMENTS_WITH_WIDE_ARRAYS.saturating_sub(placed) as u32;
+            let tasks = permitted
+                .min(remaining_in_pass)
+                .min(remaining_tasks.len() as u32);
+            self.start_tasks_one_by_one(
+                entry,
+                &remaining_tasks[..tasks as usize],
+                deferred.backfilled,
+            );
         }
     }
 }
--- a/src/scheduling/capacity_index.rs
+++ b/src/scheduling/capacity_index.rs
@@ -1,8 +1,7 @@
-//! Index of the free room on machines, kept up to date while a pass fills it.
+//! Index of machines by free room, updated as a pass places tasks.
 //!
-//! Most jobs of a long queue find no room, and most machines of a full cluster have none. Machines are
-//! therefore indexed by their free room: whether any machine accepts a task, and which ones do, is found
-//! without visiting the full ones.
+//! Most jobs of a long queue find no room, and most machines of a full cluster have none. The index finds the
+//! machines that accept a task without visiting the full ones.
 
 mod infeasible_requests;
 
@@ -12,31 +11,32 @@
 use std::collections::BTreeMap;
 use std::ops::Deref;
 
-/// Levels of free room from an empty to a full machine.
-const LEVELS: f64 = 64.0;
+/// Number of levels into which the free room of a machine is divided.
+const CAPACITY_LEVELS: f64 = 64.0;
 
-/// Tolerance added to free room before it is rounded down to a level; well above the tolerance of
-/// `placement::slots`, so that no machine that accepts a task is missed.
-const TOLERANCE: f64 = 1e-5;
+/// Tolerance added to free room before it is rounded down to a level. It is well above the
+/// `RESOURCE_TOLERANCE` of `placement::slots`, so that the index misses no machine that accepts a task.
+const LEVEL_TOLERANCE: f64 = 1e-5;
 
-/// Free room of each of the three resources, in units of 1/`LEVELS` of an empty machine of the bucket.
+/// Free room of each of the three resources, in units of 1/`CAPACITY_LEVELS` of an empty machine of the
+/// bucket.
 type CapacityLevel = [u8; 3];
 
-/// Level of an amount of room on a machine, rounded down.
+/// Level of an amount of room on a machine of size `total`, rounded down.
 fn level(total: &Resources, room: &Resources, tolerance: f64) -> CapacityLevel {
     std::array::from_fn(|resource| {
         if total[resource] <= 0.0 {
             return 0;
         }
         let share = (room[resource] + tolerance) / total[resource];
-        (share * LEVELS).floor().clamp(0.0, u8::MAX as f64) as u8
+        (share * CAPACITY_LEVELS).floor().clamp(0.0, u8::MAX as f64) as u8
     })
 }
 
-/// Machines of the same type, zone and size that are all spot instances or all not.
+/// Machines of the same type, zone and size; either all or none of them are spot instances.
 #[derive(Debug, Clone)]
 struct HostBucket {
-    kind: u32,
+    machine_type: u32,
     zone: u32,
     spot: bool,
     total: Resources,
@@ -44,10 +44,10 @@
 }
 
 impl HostBucket {
-    /// An empty bucket for machines like this one.
+    /// An empty bucket for machines with the properties of `host`.
     fn of(host: &Host) -> HostBucket {
         HostBucket {
-            kind: host.kind,
+            machine_type: host.machine_type,
             zone: host.zone,
             spot: host.spot,
             total: host.total,
@@ -57,17 +57,17 @@
 
     /// Whether a machine belongs to the bucket.
     fn contains(&self, host: &Host) -> bool {
-        (self.kind, self.zone, self.spot) == (host.kind, host.zone, host.spot)
+        (self.machine_type, self.zone, self.spot) == (host.machine_type, host.zone, host.spot)
             && self.total == host.total
     }
 
-    /// Machines whose level has at least this much room, in ascending order of levels.
+    /// Machines whose level may have room for `need`, in ascending order of levels.
     fn with_room(&self, need: &Resources) -> impl DoubleEndedIterator<Item = usize> {
-        let least = level(&self.total, need, 0.0);
+        let min_level = level(&self.total, need, 0.0);
         // The map is ordered by the first resource, so levels with less of it are skipped.
         self.levels
-            .range([least[0], 0, 0]..)
-            .filter(move |(level, _)| level[1] >= least[1] && level[2] >= least[2])
+            .range([min_level[0], 0, 0]..)
+            .filter(move |(level, _)| level[1] >= min_level[1] && level[2] >= min_level[2])
             .flat_map(|(_, hosts)| hosts.iter().map(|host| *host as usize))
     }
 }
@@ -99,7 +99,7 @@
 }
 
 impl CapacityIndex {
-    /// Indexes these machines.
+    /// Builds an index of `hosts`.
     pub fn new(hosts: Vec<Host>) -> CapacityIndex {
         let mut index = CapacityIndex::default();
         for host in hosts {
@@ -117,8 +117,8 @@
     }
 
     /// Allocates the resources of a task on a machine.
-    pub fn take(&mut self, host: usize, need: &Resources) {
-        self.hosts[host].take(need);
+    pub fn allocate(&mut self, host: usize, need: &Resources) {
+        self.hosts[host].allocate(need);
         self.reindex(host);
     }
 
@@ -132,29 +132,29 @@
         self.hosts[host].reserved = Some(job.into());
     }
 
-    /// Whether any unreserved machine accepts a task with these needs.
+    /// Whether any unreserved machine accepts a task that needs these resources.
     pub fn has_room(&self, need: &Resources, constraints: &PlacementConstraints) -> bool {
         self.with_room(need, constraints)
             .any(|host| accepts_task(&self.hosts[host], "", need, constraints))
     }
 
-    /// Unreserved machines that together accept this many tasks, or all that accept any. Those with most
-    /// room come first, which are the ones rented last.
+    /// Unreserved machines that together accept this many tasks; if they accept fewer, all machines that
+    /// accept any. Within a bucket, machines with the most room come first, which are the ones rented last.
     pub fn hosts_for(
         &self,
         need: &Resources,
         constraints: &PlacementConstraints,
         tasks: u32,
     ) -> Vec<usize> {
-        let mut left = tasks;
+        let mut remaining = tasks;
         let mut found = Vec::new();
         let buckets = self.permitted_buckets(constraints);
         for host in buckets.flat_map(|bucket| bucket.with_room(need).rev()) {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             if accepts_task(&self.hosts[host], "", need, constraints) {
-                left = left.saturating_sub(slots(&self.hosts[host].free, need));
+                remaining = remaining.saturating_sub(slots(&self.hosts[host].free, need));
                 found.push(host);
             }
         }
@@ -178,12 +178,13 @@
         &self,
         constraints: &PlacementConstraints,
     ) -> impl Iterator<Item = &HostBucket> {
-        let permitted =
-            |bucket: &&HostBucket| constraints.permit(bucket.kind, bucket.zone, bucket.spot);
+        let permitted = |bucket: &&HostBucket| {
+            constraints.permit(bucket.machine_type, bucket.zone, bucket.spot)
+        };
         self.buckets.iter().filter(permitted)
     }
 
-    /// Permitted machines whose level has at least this much room.
+    /// Machines that the constraints permit and whose level may have room for `need`.
     fn with_room(
         &self,
         need: &Resources,
@@ -196,15 +197,15 @@
     /// Moves a machine to the level of its free room.
     fn reindex(&mut self, index: usize) {
         let host = &self.hosts[index];
-        let open = host.open;
-        let level = level(&host.total, &host.free, TOLERANCE);
+        let schedulable = host.schedulable;
+        let level = level(&host.total, &host.free, LEVEL_TOLERANCE);
         if let Some(position) = self.positions[index] {
-            if open && position.level == level {
+            if schedulable && position.level == level {
                 return;
             }
             self.remove(index, position);
         }
-        if open {
+        if schedulable {
             self.insert(index, level);
         }
     }
@@ -229,10 +230,10 @@
             return;
         };
         hosts.swap_remove(position.index as usize);
-        if let Some(moved) = hosts.get(position.index as usize)
-            && let Some(moved) = &mut self.positions[*moved as usize]
+        if let Some(moved_host) = hosts.get(position.index as usize)
+            && let Some(moved_position) = &mut self.positions[*moved_host as usize]
         {
-            moved.index = position.index;
+            moved_position.index = position.index;
         }
         if hosts.is_empty() {
             levels.remove(&position.level);
@@ -242,8 +243,8 @@
     /// The bucket of a machine, which is added if it is new.
     fn bucket_of(&mut self, index: usize) -> usize {
         let host = &self.hosts[index];
-        let known = self.buckets.iter().position(|bucket| bucket.contains(host));
-        known.unwrap_or_else(|| {
+        let existing = self.buckets.iter().position(|bucket| bucket.contains(host));
+        existing.unwrap_or_else(|| {
             self.buckets.push(HostBucket::of(host));
             self.buckets.len() - 1
         })
--- a/src/scheduling/capacity_index/tests.rs
+++ b/src/scheduling/capacity_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the index against scans of all machines.
+//! Compares the results of the index with those of a scan of all machines.
 
 use super::*;
 use rand::{RngExt, SeedableRng};
@@ -9,18 +9,18 @@
 const SIZES: [Resources; 2] = [[64.0, 8.0, 256.0], [24.0, 0.0, 10.0]];
 
 fn random_host(rng: &mut ChaCha8Rng) -> Host {
-    let kind = rng.random_range(0..2);
-    let total = SIZES[kind as usize];
+    let machine_type = rng.random_range(0..2);
+    let total = SIZES[machine_type as usize];
     Host {
-        kind,
+        machine_type,
         zone: rng.random_range(10..12),
         spot: rng.random_bool(0.3),
         agent_epoch: 1,
         total,
         free: total.map(|amount| (amount * rng.random_range(0.0..1.05)).round()),
-        open: rng.random_bool(0.8),
+        schedulable: rng.random_bool(0.8),
         images: Arc::default(),
-        leaving: [0.0; 3],
+        stopping: [0.0; 3],
         reserved: rng.random_bool(0.1).then(|| "req-9".into()),
     }
 }
@@ -30,7 +30,7 @@
     (0..count).map(|_| random_host(rng)).collect()
 }
 
-/// A cluster in the index and as a plain list.
+/// The same machines in the index and in a plain list.
 struct Cluster {
     seed: u64,
     plain: Vec<Host>,
@@ -39,13 +39,15 @@
 }
 
 impl Cluster {
-    /// Machines that accept a task, found by a scan.
+    /// Machines that accept a task, found by a scan of the plain list.
     fn scan(&self, id: &str, need: &Resources) -> Vec<usize> {
         let fits = |host: &Host| {
-            host.open
+            host.schedulable
                 && slots(&host.free, need) > 0
                 && host.reserved.as_deref().is_none_or(|job| job == id)
-                && self.constraints.permit(host.kind, host.zone, host.spot)
+                && self
+                    .constraints
+                    .permit(host.machine_type, host.zone, host.spot)
         };
         let hosts = self.plain.iter().enumerate();
         hosts
@@ -63,10 +65,21 @@
         let seed = self.seed;
         let found = self.index.hosts_for(need, &self.constraints, tasks);
         let expected = tasks.min(self.slots_on(all, need));
-        assert!(self.slots_on(&found, need) >= expected, "seed {seed}");
-        assert!(found.iter().all(|host| all.contains(host)), "seed {seed}");
+        let slots_found = self.slots_on(&found, need);
+        assert!(
+            slots_found >= expected,
+            "seed {seed}: hosts_for() found {slots_found} slots, expected at least {expected}"
+        );
+        assert!(
+            found.iter().all(|host| all.contains(host)),
+            "seed {seed}: hosts_for() found {found:?}, but only {all:?} accept the task"
+        );
         let has_room = self.index.has_room(need, &self.constraints);
-        assert_eq!(has_room, !all.is_empty(), "seed {seed}");
+        assert_eq!(
+            has_room,
+            !all.is_empty(),
+            "seed {seed}: has_room() differs from the scan, which found {all:?}"
+        );
     }
 }
 
@@ -95,13 +108,16 @@
                 let all = cluster.scan(id, &need);
                 let mut found = cluster.index.candidates(id, &need, &cluster.constraints);
                 found.sort_unstable();
-                assert_eq!(found, all, "seed {seed}, step {step}");
+                assert_eq!(
+                    found, all,
+                    "seed {seed}, step {step}: the index and the scan found different machines"
+                );
                 if id.is_empty() {
                     cluster.check_hosts_for(&need, rng.random_range(1..40), &all);
                 }
                 if let Some(host) = all.first() {
-                    cluster.plain[*host].take(&need);
-                    cluster.index.take(*host, &need);
+                    cluster.plain[*host].allocate(&need);
+                    cluster.index.allocate(*host, &need);
                 }
             }
             if rng.random_bool(0.1) {
