--- a/src/agents/heartbeats.rs
+++ b/src/agents/heartbeats.rs
@@ -96,7 +96,7 @@
         if !relayed {
             agent.reachability.on_direct_heartbeat(clock.now);
         }
-        if clock.now.since(agent.epoch_began_at) > lease.times(RENEWAL_PROVEN_AFTER_LEASES) {
+        if clock.now.since(agent.epoch_began_at) > lease.scale(RENEWAL_PROVEN_AFTER_LEASES) {
             agent.reachability.on_confirmation(clock.now);
         }
     }
--- a/src/leadership/format_negotiation.rs
+++ b/src/leadership/format_negotiation.rs
@@ -35,10 +35,10 @@
     /// format; returns when to check again.
     pub(crate) fn negotiate_format(&mut self, clock: Clock) -> Micros {
         let Some(due_at) = self.format_record_due else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         if !self.cache.synced {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         if !self.format_rollout_logged && self.all_controllers_read(format::NEWEST) {
             self.format_rollout_logged = true;
@@ -46,7 +46,7 @@
         }
         let transaction = self.own_format_update();
         let Some(transaction) = transaction.or_else(|| self.downgrade_update(clock, due_at)) else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         if clock.now < due_at {
             return due_at;
@@ -57,7 +57,7 @@
             StoreRequestPurpose::RecordFormat,
             StoreRequest::Transaction(transaction),
         );
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     /// The transaction that records this controller's format; `None` if it is already recorded.
--- a/src/records/record_writer.rs
+++ b/src/records/record_writer.rs
@@ -40,7 +40,7 @@
 impl DueWrites {
     const NONE: DueWrites = DueWrites {
         count: 0,
-        next_at: Micros::FAR,
+        next_at: Micros::FAR_FUTURE,
     };
 }
 
@@ -124,7 +124,7 @@
         let writes = self.writes_in_flight.values();
         let changes = writes.flat_map(|write| &write.transaction.changes);
         let batch_number = |change: &Change| match change {
-            Change::Put { put, .. } => placement_batch_number(put),
+            Change::Put { key, .. } => placement_batch_number(key),
             Change::Delete { .. } => None,
         };
         changes.filter_map(batch_number).collect()
@@ -324,8 +324,8 @@
         let change_limit = leader.record_writer.max_changes.unwrap_or(usize::MAX);
         let max_changes = max_changes.min(change_limit);
         let limits = WriteLimits {
-            max_changes: params.least_txn_ops().min(change_limit),
-            max_value_bytes: params.least_value_bytes(),
+            max_changes: params.effective_txn_ops().min(change_limit),
+            max_value_bytes: params.effective_value_bytes(),
         };
         let due_jobs = leader.record_writer.due_jobs(&self.cache.jobs, clock.now);
         // A batch takes two changes.
