--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -118,7 +118,8 @@
         settings.peers.len(),
         is_leader,
     ));
-    (share.writes * settings.params.state.least_write_rps() * THOUSANDTHS_PER_UNIT) as Thousandths
+    (share.writes * settings.params.state.effective_write_rps() * THOUSANDTHS_PER_UNIT)
+        as Thousandths
 }
 
 fn grant_rules(settings: &Settings) -> Rules {
@@ -174,11 +175,11 @@
     /// The rates that follow from the share and the current grant.
     pub fn rates(&self, settings: &Settings) -> StoreRates {
         let limits = &settings.params.state;
-        let write_budget = limits.least_write_rps();
+        let write_budget = limits.effective_write_rps();
         let writes = write_budget * self.share.writes + self.granted_writes;
         let writes = writes.max(write_budget * MIN_WRITE_SHARE);
         StoreRates {
-            requests: limits.least_rps() * self.share.requests,
+            requests: limits.effective_rps() * self.share.requests,
             writes,
             // The store accepts one second's writes in one burst. A follower's burst may exceed its share, since
             // bursts of submissions arrive at one controller at a time.
@@ -336,7 +337,7 @@
             ],
             changes: vec![Change::put(
                 BUDGET_SHARES_KEY,
-                &BudgetSharesRecord::of(&next),
+                &BudgetSharesRecord::from_grant(&next),
                 None,
             )],
         })
--- a/src/records/placement_batching.rs
+++ b/src/records/placement_batching.rs
@@ -106,7 +106,7 @@
         // Fails the transaction if the job has been cancelled since.
         let unchanged = VersionCondition::new(&job_key(id), job.version);
         self.conditions.push(unchanged);
-        self.batch.places.push(placements);
+        self.batch.placements.push(placements);
         self.jobs.push(BatchedJob {
             id: id.to_string(),
             still_pending,
@@ -157,7 +157,7 @@
         if draft.jobs.len() < MIN_JOBS_PER_BATCH {
             return false;
         }
-        let tasks: usize = draft.batch.places.iter().map(|(_, p)| p.len()).sum();
+        let tasks: usize = draft.batch.placements.iter().map(|(_, p)| p.len()).sum();
         let jobs = draft.jobs.len();
         log::info!("placement batch written batch={number} tasks={tasks} jobs={jobs}");
         conditions.extend(draft.conditions);
@@ -169,7 +169,7 @@
             ],
         };
         let mut ids = Vec::new();
-        for (job, (_, placements)) in draft.jobs.into_iter().zip(draft.batch.places) {
+        for (job, (_, placements)) in draft.jobs.into_iter().zip(draft.batch.placements) {
             writer.mark_placements_in_flight(&job.id, job.still_pending, placements);
             ids.push(job.id);
         }
@@ -203,10 +203,10 @@
     /// returns when it should be called again.
     pub(crate) fn merge_placement_batches(&mut self, clock: Clock) -> Micros {
         if self.cache.placement_batches.is_empty() {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         match &self.leader {
-            None => return Micros::FAR,
+            None => return Micros::FAR_FUTURE,
             Some(leader) if clock.now < leader.batch_merge_due => return leader.batch_merge_due,
             Some(_) => {}
         }
@@ -214,7 +214,7 @@
         let merge_all = !self.all_controllers_read(PLACEMENT_BATCHES);
         let share = (self.store.write_rate() * MERGE_BUDGET_SHARE).max(1.0) as usize;
         let Some(leader) = &mut self.leader else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         leader.batch_merge_due = clock.now + MERGE_INTERVAL;
         if !merge_all && !leader.record_writer.has_no_pending_writes() {
--- a/src/state/placement_batches/tests.rs
+++ b/src/state/placement_batches/tests.rs
@@ -8,7 +8,7 @@
 
 fn batch(job: &str, placements: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![(job.to_string(), placements)],
+        placements: vec![(job.to_string(), placements)],
     }
 }
 
