--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -16,7 +16,7 @@
 /// Cancellations between two heartbeats.
 const NEW_CANCELLATIONS: u64 = 12;
 /// Cancellations that a controller has ever logged, more than the log keeps.
-const LOGGED: u64 = 20_000;
+const LOGGED_CANCELLATIONS: u64 = 20_000;
 
 /// Returns a heartbeat of this format without cancellations.
 fn heartbeat(format: u32) -> PeerHeartbeat {
@@ -24,7 +24,7 @@
         node: "kernel-1".into(),
         leading: Some(7),
         leader_silent_ms: Some(300),
-        newest: Some(LOGGED),
+        newest: Some(LOGGED_CANCELLATIONS),
         served: true,
         format,
         asks: 30_000,
@@ -43,13 +43,14 @@
 
 fn full_log() -> CancellationLog {
     let mut log = CancellationLog::default();
-    (0..LOGGED).for_each(|number| log.append(&format!("req-{number:06}"), number + 1));
+    (0..LOGGED_CANCELLATIONS)
+        .for_each(|number| log.append(&format!("req-{number:06}"), number + 1));
     log
 }
 
 /// Encodes and decodes a heartbeat and its response, which carries entries of `log`; returns the bytes of both.
-fn exchange(log: &CancellationLog, heard: &mut ReportedCancellations, complete: u64) -> usize {
-    let cursor = heard.cursor(0);
+fn exchange(log: &CancellationLog, reported: &mut ReportedCancellations, complete: u64) -> usize {
+    let cursor = reported.cursor(0);
     let request = PeerHeartbeat {
         knows: Some(CancellationCursor {
             complete,
@@ -58,10 +59,10 @@
         ..heartbeat(format::NEWEST)
     };
     let request_bytes = request.encode();
-    let knows = PeerHeartbeat::decode(&request_bytes)
+    let received_cursor = PeerHeartbeat::decode(&request_bytes)
         .ok()
         .and_then(|heartbeat| heartbeat.knows);
-    let from = knows.map_or(0, |cursor| cursor.from(1));
+    let from = received_cursor.map_or(0, |cursor| cursor.from(1));
     let batch = log
         .batch(from, complete, MOST_CANCELLATIONS)
         .unwrap_or_default();
@@ -78,21 +79,21 @@
     };
     let response_bytes = response.encode();
     if let Ok(PeerHeartbeat {
-        news: Some(news), ..
+        news: Some(update), ..
     }) = PeerHeartbeat::decode(&response_bytes)
     {
-        heard.apply(0, 1, &news.batch(), 1);
+        reported.apply(0, 1, &update.batch(), 1);
     }
     request_bytes.len() + response_bytes.len()
 }
 
 /// Returns the state of a peer that has received all but the newest entries.
 fn almost_up_to_date(log: &CancellationLog) -> ReportedCancellations {
-    let mut heard = ReportedCancellations::new(1);
-    let mut batch = log.batch(0, LOGGED, 1).unwrap_or_default();
+    let mut reported = ReportedCancellations::new(1);
+    let mut batch = log.batch(0, LOGGED_CANCELLATIONS, 1).unwrap_or_default();
     batch.next -= NEW_CANCELLATIONS;
-    heard.apply(0, 1, &batch, 0);
-    heard
+    reported.apply(0, 1, &batch, 0);
+    reported
 }
 
 fn heartbeats(criterion: &mut Criterion) {
@@ -102,34 +103,37 @@
         .sample_size(30);
     let log = full_log();
     // Each controller sends heartbeats to two peers every 0.7 s, and responds to theirs.
-    let bytes_a_second = |bytes: usize| bytes as f64 * 4.0 / 0.7;
+    let bytes_per_second = |bytes: usize| bytes as f64 * 4.0 / 0.7;
     group.bench_function("format before", |bencher| {
         bencher.iter(|| {
             let bytes = heartbeat(format::LEASE_DELEGATION).encode();
             PeerHeartbeat::decode(&bytes).is_ok()
         })
     });
-    for (name, complete) in [("calm", LOGGED), ("refused", LOGGED - NEW_CANCELLATIONS)] {
+    for (name, complete) in [
+        ("calm", LOGGED_CANCELLATIONS),
+        ("refused", LOGGED_CANCELLATIONS - NEW_CANCELLATIONS),
+    ] {
         let bytes = exchange(&log, &mut almost_up_to_date(&log), complete);
         println!(
             "{name}: {bytes} bytes, {:.0} a second",
-            bytes_a_second(bytes)
+            bytes_per_second(bytes)
         );
         group.bench_function(name, |bencher| {
             bencher.iter_batched(
                 || almost_up_to_date(&log),
-                |mut heard| exchange(&log, &mut heard, complete),
+                |mut reported| exchange(&log, &mut reported, complete),
                 criterion::BatchSize::SmallInput,
             )
         });
     }
-    let known = postcard::to_stdvec(&heartbeat(format::LEASE_DELEGATION))
+    let first_format_bytes = postcard::to_stdvec(&heartbeat(format::LEASE_DELEGATION))
         .unwrap_or_default()
         .len();
     println!(
         "before: about {} bytes, {:.0} a second",
-        2 * (known + 22),
-        bytes_a_second(2 * (known + 22))
+        2 * (first_format_bytes + 22),
+        bytes_per_second(2 * (first_format_bytes + 22))
     );
 }
 
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -62,21 +62,21 @@
 }
 
 #[test]
-fn renewing_follower_stops_renewing_without_reads_and_news() {
+fn renewing_follower_stops_renewing_without_store_and_peers() {
     for seed in 0..8 {
         let (mut sim, follower, third) = simulation_with_renewing_follower(6320 + seed);
-        let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
+        let mode = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
         sim.partition(
             Endpoint::Controller(follower),
             Endpoint::Store,
-            how,
+            mode,
             70 * SECOND,
         );
         for i in (0..3).filter(|i| *i != follower) {
             sim.partition(
                 Endpoint::Controller(follower),
                 Endpoint::Controller(i),
-                how,
+                mode,
                 70 * SECOND,
             );
         }
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -63,30 +63,30 @@
 /// A heartbeat of format 5 ends before the cancellations.
 #[test]
 fn a_heartbeat_of_the_previous_format_has_no_cancellations() {
-    let ours = heartbeat(3);
-    let bytes = postcard::to_stdvec(&ours).unwrap();
+    let sent = heartbeat(3);
+    let bytes = postcard::to_stdvec(&sent).unwrap();
     let bytes = postcard::to_extend(&(format::LEASE_DELEGATION, 30_000u64, 4u64), bytes).unwrap();
-    let bytes = postcard::to_extend(&(ours.more.unwrap(), &ours.record_summary), bytes).unwrap();
+    let bytes = postcard::to_extend(&(sent.more.unwrap(), &sent.record_summary), bytes).unwrap();
     let decoded = PeerHeartbeat::decode(&bytes).unwrap();
     assert_eq!(
         (decoded.format, decoded.more),
-        (format::LEASE_DELEGATION, ours.more)
+        (format::LEASE_DELEGATION, sent.more)
     );
     assert_eq!((decoded.knows, decoded.news), (None, None));
     // A version of that format finds its fields in ours at the same place.
-    let encoded = ours.encode();
+    let encoded = sent.encode();
     let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
     let (more, record_summary): (LeaseDelegationStatus, Option<RecordSummary>) =
         postcard::from_bytes(rest).unwrap();
     assert_eq!(
         (Some(more), record_summary),
-        (ours.more, ours.record_summary)
+        (sent.more, sent.record_summary)
     );
 }
 
 #[test]
-fn of_a_newer_format_the_known_fields_are_decoded() {
+fn known_fields_of_a_newer_format_are_decoded() {
     let sent = PeerHeartbeat {
         format: format::NEWEST + 1,
         ..heartbeat(2)
@@ -105,16 +105,16 @@
     };
     let invalid = Err(InvalidPeerHeartbeat::Cancellations);
     assert_eq!(
-        decode_changed(|news| news.jobs[1].0 = "req-".into()),
+        decode_changed(|update| update.jobs[1].0 = "req-".into()),
         invalid
     );
     assert_eq!(
-        decode_changed(|news| news.jobs[0].0 = "../req-1".into()),
+        decode_changed(|update| update.jobs[0].0 = "../req-1".into()),
         invalid
     );
-    assert_eq!(decode_changed(|news| news.next = 2), invalid);
+    assert_eq!(decode_changed(|update| update.next = 2), invalid);
     assert_eq!(
-        decode_changed(|news| news.known = vec![("kernel-9".into(), 1); 65]),
+        decode_changed(|update| update.known = vec![("kernel-9".into(), 1); 65]),
         invalid
     );
     assert_eq!(
@@ -163,9 +163,9 @@
     #[test]
     fn random_bytes_never_decode_to_too_many_cancellations(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
-            && let Some(news) = heartbeat.news
+            && let Some(update) = heartbeat.news
         {
-            prop_assert!(news.jobs.len() <= MOST_CANCELLATIONS);
+            prop_assert!(update.jobs.len() <= MOST_CANCELLATIONS);
         }
     }
 
@@ -177,9 +177,9 @@
         let mut bytes = heartbeat(4).encode();
         let position = position % bytes.len();
         bytes[position] = replacement;
-        if let Ok(PeerHeartbeat { news: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
-            prop_assert!(news.from <= news.next);
-            prop_assert!(news.jobs.iter().all(|(id, _)| valid_id(id)));
+        if let Ok(PeerHeartbeat { news: Some(update), .. }) = PeerHeartbeat::decode(&bytes) {
+            prop_assert!(update.from <= update.next);
+            prop_assert!(update.jobs.iter().all(|(id, _)| valid_id(id)));
         }
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -31,19 +31,19 @@
     sim.call_counts = CallCounts::default();
     // All agents report to the leader; its process ends, and that of one peer.
     let leader = sim.leader().expect("a leader");
-    let left = (leader + 1) % 3;
+    let survivor = (leader + 1) % 3;
     sim.crash_controller(leader, 60 * SECOND);
     sim.crash_controller((leader + 2) % 3, 60 * SECOND);
-    sim.crash_controller(left, 200_000);
+    sim.crash_controller(survivor, 200_000);
     sim.run_seconds(30);
-    assert_eq!(sim.leader(), Some(left));
+    assert_eq!(sim.leader(), Some(survivor));
     assert_eq!(
         sim.start_counts.values().sum::<u32>(),
         TASKS,
         "nothing starts twice"
     );
     assert!(
-        sim.agents.values().all(|x| x.agent_epoch == 1),
+        sim.agents.values().all(|agent| agent.agent_epoch == 1),
         "no lease ran out"
     );
     // One listing of the records, heartbeats, barriers of polls; each agent is told the term at most once.
@@ -64,20 +64,33 @@
 /// incarnation.
 #[test]
 fn restart_storm_stays_within_the_store_budget() {
-    for every in [150_000, 400_000, 1_000_000] {
+    for crash_interval in [150_000, 400_000, 1_000_000] {
         let mut sim = full_fleet(2);
         sim.call_counts = CallCounts::default();
-        for step in 0..6 * SECOND / every {
-            sim.after(step * every, |sim| {
+        for step in 0..6 * SECOND / crash_interval {
+            sim.after(step * crash_interval, |sim| {
                 (0..3).for_each(|i| sim.crash_controller(i, 50_000))
             });
         }
         sim.run_seconds(6);
-        let costs = sim.call_counts;
-        assert!(costs.store_requests < 6 * 200, "every {every}: {costs:?}");
-        assert!(costs.store_changes < 6 * 150, "every {every}: {costs:?}");
+        let call_counts = sim.call_counts;
+        assert!(
+            call_counts.store_requests < 6 * 200,
+            "interval {crash_interval}: {call_counts:?}"
+        );
+        assert!(
+            call_counts.store_changes < 6 * 150,
+            "interval {crash_interval}: {call_counts:?}"
+        );
         sim.run_seconds(40);
-        let up: usize = sim.agents.values().map(|x| x.active_tasks().count()).sum();
-        assert_eq!(up as u32, TASKS, "every {every}: all are there again");
+        let running_tasks: usize = sim
+            .agents
+            .values()
+            .map(|agent| agent.active_tasks().count())
+            .sum();
+        assert_eq!(
+            running_tasks as u32, TASKS,
+            "interval {crash_interval}: all are there again"
+        );
     }
 }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -20,7 +20,7 @@
         now: at(0),
         wall: at(0),
     };
-    let report = |agent_epoch: u64, seq: u64| AgentHeartbeat {
+    let heartbeat = |agent_epoch: u64, seq: u64| AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
         kind: "box".into(),
@@ -33,22 +33,27 @@
         tasks: Vec::new(),
     };
     let mut leader = LeaderState::new(1, 1, clock);
-    let mut agent = Agent::new(&report(1, 1));
-    agent.update(&report(1, 1), at(0));
+    let mut agent = Agent::new(&heartbeat(1, 1));
+    agent.update(&heartbeat(1, 1), at(0));
     agent.last_answered_at = Some(at(0));
     leader.agents.insert("n-1".into(), agent);
-    let shown = at(0) + lease + Micros::millis(400);
+    let new_epoch_seen_at = at(0) + lease + Micros::millis(400);
     if let Some(agent) = leader.agents.get_mut("n-1") {
-        agent.update(&report(2, 2), shown);
+        agent.update(&heartbeat(2, 2), new_epoch_seen_at);
     }
     let cache = RecordCache::default();
-    leader.expire_leases(&settings, &cache, Micros::ZERO, shown + Micros::millis(1));
+    leader.expire_leases(
+        &settings,
+        &cache,
+        Micros::ZERO,
+        new_epoch_seen_at + Micros::millis(1),
+    );
     assert!(leader.agents.values().all(|agent| !agent.epoch_ended()));
     leader.expire_leases(
         &settings,
         &cache,
         Micros::ZERO,
-        shown + lease.times(1.1) + Micros::millis(400),
+        new_epoch_seen_at + lease.times(1.1) + Micros::millis(400),
     );
     assert!(leader.agents.values().all(Agent::epoch_ended));
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -15,14 +15,14 @@
 }
 
 /// A simulation that rents no more machines, in which `n` arrays of two tasks each are submitted within `s` seconds.
-fn simulation_with_queue(seed: u64, n: usize, seconds: u64) -> Simulation {
+fn simulation_with_queue(seed: u64, jobs: usize, seconds: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
     sim.no_capacity = true;
     sim.run_seconds(6);
-    for i in 0..n {
-        let at = i as u64 * seconds * SECOND / n as u64;
-        sim.after(at, move |sim| {
-            sim.spawn_client(&id(i), job(JobKind::Array, 2, 1.0), 3 * SECOND)
+    for number in 0..jobs {
+        let delay = number as u64 * seconds * SECOND / jobs as u64;
+        sim.after(delay, move |sim| {
+            sim.spawn_client(&id(number), job(JobKind::Array, 2, 1.0), 3 * SECOND)
         });
     }
     sim.run_seconds(seconds);
@@ -39,24 +39,27 @@
 
 /// Length of the leader's queue; 0 without a leader.
 fn queue_length(sim: &Simulation) -> usize {
-    let leads = sim.leader().and_then(|i| sim.controller(i));
-    let leader = leads.and_then(|n| n.leader.as_ref());
-    leader.map_or(0, |l| l.pass_state.job_queue.queued_count())
+    let controller = sim.leader().and_then(|i| sim.controller(i));
+    let leader = controller.and_then(|controller| controller.leader.as_ref());
+    leader.map_or(0, |leader| leader.pass_state.job_queue.queued_count())
 }
 
 /// Asserts that jobs started in the order of their submission, except for jobs submitted at about the same time: up to
 /// `apart` clients may have repeated their submissions meanwhile.
-fn assert_started_in_order(sim: &Simulation, apart: usize) {
-    let mut first: Vec<(u64, usize)> = Vec::new();
+fn assert_started_in_order(sim: &Simulation, max_overtaking: usize) {
+    let mut first_starts: Vec<(u64, usize)> = Vec::new();
     for start in &sim.task_starts {
         let (job, _) = start.task.rsplit_once('/').expect("a task's name");
         let n: usize = job[4..].parse().expect("a number");
-        if first.iter().all(|(_, m)| *m != n) {
-            first.push((start.at, n));
+        if first_starts.iter().all(|(_, m)| *m != n) {
+            first_starts.push((start.at, n));
         }
     }
-    for (at, (_, n)) in first.iter().enumerate() {
-        let late = first[..at].iter().filter(|(_, m)| *m > n + apart).count();
+    for (index, (_, n)) in first_starts.iter().enumerate() {
+        let late = first_starts[..index]
+            .iter()
+            .filter(|(_, m)| *m > n + max_overtaking)
+            .count();
         assert_eq!(
             late, 0,
             "req-{n} began behind {late} that came long after it"
@@ -83,10 +86,10 @@
 #[test]
 fn zone_loss_with_a_full_queue_is_survived() {
     let mut sim = simulation_with_queue(2, 300, 6);
-    let replicas = "req-900000";
+    let service = "req-900000";
     let mut spec = job(JobKind::Service, 4, 1.0);
     spec.priority = Priority::Production;
-    sim.spawn_client(replicas, spec, 0);
+    sim.spawn_client(service, spec, 0);
     sim.run_seconds(12);
     for machine in ["n-000002", "n-000004"] {
         for i in 0..3 {
@@ -100,8 +103,9 @@
     }
     sim.run_seconds(75);
     // The replicas did not queue up behind hundreds of arrays, and the arrays went on.
-    let up = (0..4).filter(|t| !sim.machines_running(&format!("{replicas}/{t}")).is_empty());
-    assert_eq!(up.count(), 4);
+    let running_replicas =
+        (0..4).filter(|t| !sim.machines_running(&format!("{service}/{t}")).is_empty());
+    assert_eq!(running_replicas.count(), 4);
     assert!(done(&sim, 0..300) > 60, "{}", done(&sim, 0..300));
 }
 
@@ -109,7 +113,7 @@
 fn queue_growth_during_a_store_outage_is_handled() {
     let mut sim = simulation_with_queue(3, 60, 3);
     sim.run_seconds(4);
-    let (before, waited) = (done(&sim, 0..60), accepted(&sim));
+    let (before, accepted_before) = (done(&sim, 0..60), accepted(&sim));
     sim.store.outage = true;
     sim.after(20 * SECOND, |sim| {
         let now = sim.now;
@@ -123,7 +127,7 @@
     sim.run_seconds(19);
     assert_eq!(
         accepted(&sim),
-        waited,
+        accepted_before,
         "nothing is accepted that is not on record"
     );
     sim.run_seconds(90);
@@ -139,9 +143,12 @@
         sim.cancel_until_answered(&id(n));
     }
     sim.run_seconds(110);
-    let kept = (0..400).filter(|n| n % 4 == 0);
-    let over = kept.clone().filter(|n| sim.job_done(&id(*n))).count();
-    assert_eq!(over, kept.count(), "{}", sim.dump());
+    let uncancelled = (0..400).filter(|n| n % 4 == 0);
+    let finished = uncancelled
+        .clone()
+        .filter(|n| sim.job_done(&id(*n)))
+        .count();
+    assert_eq!(finished, uncancelled.count(), "{}", sim.dump());
     assert_eq!(queue_length(&sim), 0);
 }
 
@@ -215,7 +222,7 @@
 /// Returns the time to acceptance of each of the latter, in seconds.
 fn acceptance_times_beside_flood(
     seed: u64,
-    trouble: impl FnOnce(&mut Simulation) + 'static,
+    inject_fault: impl FnOnce(&mut Simulation) + 'static,
 ) -> Vec<f64> {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 12.0);
     sim.no_capacity = true;
@@ -226,32 +233,35 @@
             sim.spawn_client(&id(n), job(JobKind::Array, 1, 1.0), SECOND)
         });
     }
-    sim.after(8 * SECOND, trouble);
-    let mut took = Vec::new();
+    sim.after(8 * SECOND, inject_fault);
+    let mut acceptance_times = Vec::new();
     for n in 0..9 {
-        let rare = id(800_000 + n);
+        let rare_job = id(800_000 + n);
         let mut spec = job(JobKind::Array, 1, 1.0);
         spec.class = "rare".into();
-        sim.spawn_client(&rare, spec, SECOND);
-        let began = sim.now;
-        while !sim.jobs[&rare].accepted && sim.now < began + 40 * SECOND {
+        sim.spawn_client(&rare_job, spec, SECOND);
+        let submitted_at = sim.now;
+        while !sim.jobs[&rare_job].accepted && sim.now < submitted_at + 40 * SECOND {
             sim.run_micros(SECOND / 10);
         }
-        took.push((sim.now - began) as f64 / SECOND as f64);
+        acceptance_times.push((sim.now - submitted_at) as f64 / SECOND as f64);
         sim.run_seconds(3);
     }
-    took
+    acceptance_times
 }
 
 #[test]
 fn flooding_class_does_not_block_other_classes() {
-    let took = acceptance_times_beside_flood(11, |_| {});
-    assert!(took.iter().all(|s| *s < 4.0), "{took:?}");
+    let acceptance_times = acceptance_times_beside_flood(11, |_| {});
+    assert!(
+        acceptance_times.iter().all(|s| *s < 4.0),
+        "{acceptance_times:?}"
+    );
 }
 
 #[test]
 fn flooding_class_does_not_block_other_classes_during_controller_loss() {
-    let took = acceptance_times_beside_flood(12, |sim| {
+    let acceptance_times = acceptance_times_beside_flood(12, |sim| {
         let i = sim.leader().expect("a leader");
         sim.crash_controller(i, 6 * SECOND);
         sim.partition(
@@ -261,9 +271,12 @@
             8 * SECOND,
         );
     });
-    let late = took.iter().filter(|s| **s > 4.0).count();
+    let late = acceptance_times.iter().filter(|s| **s > 4.0).count();
     // No job can become durable without a leader or with the store out of reach.
-    assert!(late <= 3 && took.iter().all(|s| *s < 15.0), "{took:?}");
+    assert!(
+        late <= 3 && acceptance_times.iter().all(|s| *s < 15.0),
+        "{acceptance_times:?}"
+    );
 }
 
 /// Changes a second that the controllers may write, in total.
@@ -280,31 +293,46 @@
     sim.no_capacity = true;
     sim.run_seconds(6);
     let leader = sim.leader().expect("a leader");
-    let one = (0..3).find(|i| *i != leader).expect("a follower");
-    let before = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
+    let follower = (0..3).find(|i| *i != leader).expect("a follower");
+    let rate_before = sim
+        .controller(follower)
+        .map_or(0.0, |n| n.store.write_rate());
     for n in 0..2_000 {
         sim.declare_job(&id(n), job(JobKind::Array, 1, 1.0), SECOND);
-        for again in 0..3u64 {
-            let at = n as u64 * SECOND / 60 + again * 9 * SECOND;
-            sim.after(at, move |sim| {
+        for retry in 0..3u64 {
+            let delay = n as u64 * SECOND / 60 + retry * 9 * SECOND;
+            sim.after(delay, move |sim| {
                 if !sim.jobs[&id(n)].accepted {
-                    sim.submit(one, &id(n));
+                    sim.submit(follower, &id(n));
                 }
             });
         }
     }
-    let mut most: f64 = 0.0;
+    let mut max_granted_rate: f64 = 0.0;
     for _ in 0..300 {
         sim.run_micros(SECOND / 10);
-        most = most.max(granted_write_rate(&sim));
+        max_granted_rate = max_granted_rate.max(granted_write_rate(&sim));
     }
-    let after = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
-    assert!(after > 1.6 * before, "{before} to {after}");
-    assert!(most <= 30.0, "{most} changes a second given of 30");
+    let rate_under_load = sim
+        .controller(follower)
+        .map_or(0.0, |n| n.store.write_rate());
+    assert!(
+        rate_under_load > 1.6 * rate_before,
+        "{rate_before} to {rate_under_load}"
+    );
+    assert!(
+        max_granted_rate <= 30.0,
+        "{max_granted_rate} changes a second given of 30"
+    );
     // Without demand the grant is returned.
     sim.run_seconds(75);
-    let calm = sim.controller(one).map_or(0.0, |n| n.store.write_rate());
-    assert!(calm < 1.3 * before, "{calm}");
+    let rate_without_demand = sim
+        .controller(follower)
+        .map_or(0.0, |n| n.store.write_rate());
+    assert!(
+        rate_without_demand < 1.3 * rate_before,
+        "{rate_without_demand}"
+    );
 }
 
 /// Grants expire; a new leader continues from the records, and a controller of an older version keeps its fixed share.
@@ -314,18 +342,18 @@
     sim.no_capacity = true;
     sim.run_seconds(6);
     for n in 0..1_500 {
-        let at = n as u64 * SECOND / 30;
-        sim.after(at, move |sim| {
+        let delay = n as u64 * SECOND / 30;
+        sim.after(delay, move |sim| {
             sim.spawn_client(&id(n), job(JobKind::Array, 1, 1.0), SECOND)
         });
     }
     sim.run_seconds(8);
     let epoch = |sim: &Simulation| {
         let i = sim.leader().expect("a leader");
-        let parts = sim
+        let shares = sim
             .controller(i)
             .and_then(|n| n.cache.budget_shares.as_ref());
-        parts.map_or(0, |(g, _)| g.epoch)
+        shares.map_or(0, |(shares, _)| shares.epoch)
     };
     assert!(epoch(&sim) > 0, "somebody asked for more");
     let mut last = epoch(&sim);
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -290,7 +290,7 @@
                 saved: None,
             });
         }
-        let knows_term = rng.random_bool(0.9);
+        let has_current_term = rng.random_bool(0.9);
         let heartbeat = AgentHeartbeat {
             machine: machine.clone(),
             address: "127.0.0.1:9".into(),
@@ -299,7 +299,11 @@
             spot: machine_number % 5 == 4,
             agent_epoch: 1 + u64::from(*seq > 6),
             seq: *seq,
-            term: if knows_term { self.leader.term } else { 0 },
+            term: if has_current_term {
+                self.leader.term
+            } else {
+                0
+            },
             notice_s: rng.random_bool(0.05).then_some(12.0),
             tasks,
         };
@@ -404,13 +408,13 @@
         for start in decision.starts {
             self.apply_start(start);
         }
-        let wanted: Vec<String> = self
+        let jobs_with_pending_writes: Vec<String> = self
             .leader
             .record_writer
             .jobs()
             .map(str::to_string)
             .collect();
-        for id in wanted {
+        for id in jobs_with_pending_writes {
             let placements = self
                 .leader
                 .record_writer
@@ -464,7 +468,7 @@
 }
 
 #[test]
-fn passes_over_the_updated_queue_decide_as_the_reference_does() {
+fn passes_over_the_incremental_queue_decide_as_the_reference_does() {
     let mut starts = 0;
     let mut preemptions = 0;
     for seed in 0..1_200 {
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -35,11 +35,11 @@
 /// A gang that has waited this long may preempt tasks that cannot save.
 const AGED_AFTER: Micros = Micros::millis(20_000);
 /// A job class that takes no more than this fraction of the cluster is spared from aged gangs.
-const SPARED_FRACTION: f64 = 0.1;
+const MAX_EXEMPT_CLASS_SHARE: f64 = 0.1;
 /// Sums of resource amounts may be off by this much.
 const TOLERANCE: f64 = 1e-6;
 /// Lower bound of the image fetch rate, in GB a second.
-const MIN_FETCH_RATE: f64 = 1e-3;
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 /// Lower bound of the largest demand, which demands are divided by.
 const MIN_LARGEST_DEMAND: f64 = 1e-9;
 
@@ -84,18 +84,18 @@
 
 #[derive(Default)]
 struct SchedulingPlan {
-    placements: Vec<Placement>,
+    placements: Vec<TaskPlacement>,
     preemptions: Vec<TaskRef>,
     /// Machines, by index, that are held for a job.
     reservations: Vec<(usize, String)>,
     unplaced: Vec<UnplacedJob>,
     /// Number of tasks that wide arrays may still start before all other jobs have been considered.
-    wide_budget: u32,
+    wide_array_budget: u32,
     /// Wide arrays that were cut short.
-    cut_arrays: Vec<CutArray>,
+    deferred_wide_arrays: Vec<DeferredWideArray>,
 }
 
-struct Placement {
+struct TaskPlacement {
     job: String,
     task: u32,
     host: usize,
@@ -103,12 +103,12 @@
 }
 
 /// A wide array that continues after all other jobs have been considered.
-struct CutArray {
+struct DeferredWideArray {
     job: String,
     /// Number of its startable tasks that have been placed.
     placed: u32,
     demand_ratio: f64,
-    backfill: bool,
+    backfilled: bool,
 }
 
 /// Decides on one pass.
@@ -125,10 +125,10 @@
     let mut host_table = host_table(leader, settings, policy, cache, &mut names, now);
     let mut quotas: Quotas = Quotas::new();
     for team in &settings.params.teams {
-        let limit = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+        let or_unlimited = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
         quotas.insert(
             team.name.clone(),
-            [limit(team.cpus_max), limit(team.gpus_max)],
+            [or_unlimited(team.cpus_max), or_unlimited(team.gpus_max)],
         );
     }
     let mut preemptible: Vec<PreemptibleTask<'_>> = Vec::new();
@@ -141,7 +141,7 @@
         .iter()
         .flatten()
         .map(|kind| kind.fetch_gb_per_s);
-    let fetch_rate = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_RATE);
+    let slowest_fetch_gb_per_s = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_GB_PER_S);
     let mut cluster_total = [0.0; 3];
     for host in &host_table.hosts {
         placement::add_resources(&mut cluster_total, &host.total);
@@ -160,15 +160,15 @@
             &mut decision,
             guaranteed_jobs.contains(id.as_str()),
             &inherited,
-            fetch_rate,
+            slowest_fetch_gb_per_s,
             clock,
         );
         entries.extend(entry);
     }
     add_unrecorded_tasks(leader, cache, &mut host_table, &mut quotas);
-    let is_urgent =
+    let has_lost_replicas =
         |entry: &QueueEntry<'_>| entry.lost_tasks > 0 && entry.spec.kind == JobKind::Service;
-    entries.sort_by_key(|entry| (!is_urgent(entry), entry.accepted_at, entry.id));
+    entries.sort_by_key(|entry| (!has_lost_replicas(entry), entry.accepted_at, entry.id));
     for host in &mut host_table.hosts {
         let reserved = host.reserved.as_deref();
         if reserved.is_some_and(|job| entries.iter().all(|entry| entry.id != job)) {
@@ -178,10 +178,13 @@
     if !leader.agents_known(settings, now) {
         preemptible.clear();
     }
-    let class = |id: &str| cache.jobs[id].record.spec.class.as_str();
+    let class_of = |id: &str| cache.jobs[id].record.spec.class.as_str();
     for task in &mut preemptible {
-        let usage = usage_by_class.get(class(task.job)).copied().unwrap_or(0.0);
-        task.exempt = usage <= SPARED_FRACTION;
+        let usage = usage_by_class
+            .get(class_of(task.job))
+            .copied()
+            .unwrap_or(0.0);
+        task.exempt = usage <= MAX_EXEMPT_CLASS_SHARE;
     }
     let typical_host = host_table.hosts.first().map_or([1.0; 3], |host| host.total);
     let queued = cache
@@ -195,21 +198,21 @@
     });
     let largest_demand = demands.fold(leader.max_demand, f64::max);
     decision.largest_demand = largest_demand;
-    let plan = pass(
+    let plan = run_pass(
         &entries,
         &mut host_table.hosts,
         &preemptible,
         &mut quotas,
         largest_demand,
     );
-    let start = |placement: Placement| TaskStart {
+    let task_start = |placement: TaskPlacement| TaskStart {
         job: placement.job,
         task: placement.task,
         machine: host_table.names[placement.host].clone(),
         agent_epoch: host_table.hosts[placement.host].agent_epoch,
         backfilled: placement.backfilled,
     };
-    decision.starts = plan.placements.into_iter().map(start).collect();
+    decision.starts = plan.placements.into_iter().map(task_start).collect();
     decision.preemptions = plan.preemptions;
     decision.reservations = plan
         .reservations
@@ -232,7 +235,7 @@
     names: &mut NameTable,
     now: Micros,
 ) -> HostTable {
-    let fresh = Micros::secs(settings.params.agents.report_s * FRESH_REPORTS);
+    let max_answer_age = Micros::secs(settings.params.agents.report_s * FRESH_REPORTS);
     let count = leader.agents.len();
     let mut host_table = HostTable {
         hosts: Vec::with_capacity(count),
@@ -241,14 +244,17 @@
     };
     for (name, agent) in &leader.agents {
         let mut types = cache.machine_types.iter().flatten();
-        let Some(machine_type) = types.find(|known| known.name == agent.machine_type) else {
+        let Some(machine_type) = types.find(|candidate| candidate.name == agent.machine_type)
+        else {
             continue;
         };
         if agent.epoch_ended() || leader.fleet.is_gone(name) {
             continue;
         }
-        let open = agent.term == leader.term
-            && agent.last_answered_at.is_some_and(|at| now < at + fresh)
+        let schedulable = agent.term == leader.term
+            && agent
+                .last_answered_at
+                .is_some_and(|at| now < at + max_answer_age)
             && agent.preemption_at.is_none()
             && agent.reachability.receives()
             && !leader.fleet.leaving(name)
@@ -267,7 +273,7 @@
             total,
             free: total,
             stopping: [0.0; 3],
-            schedulable: open,
+            schedulable,
             images: cache
                 .image_caches
                 .of(name, machine_type.cache_gb)
@@ -299,7 +305,7 @@
     decision: &mut ReferenceDecision,
     guaranteed: bool,
     inherited: &InheritedPriorities<'_>,
-    fetch_rate: f64,
+    slowest_fetch_gb_per_s: f64,
     clock: Clock,
 ) -> Option<QueueEntry<'a>> {
     if job.waits_for_dependencies() {
@@ -319,13 +325,13 @@
         avoided_hosts: Vec::new(),
     };
     let in_flight = leader.record_writer.in_flight(id);
-    let pending: Vec<TaskEntry> = leader
+    let pending_placements: Vec<TaskEntry> = leader
         .record_writer
         .unrecorded_places(id)
         .cloned()
         .collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
-    let mut lost = 0;
+    let mut ended_attempts = 0;
     let mut latest_attempt = 0;
     let mut has_unknown_zone = false;
     let mut gang_is_done = false;
@@ -334,15 +340,19 @@
     // A task with a pending placement has been proven gone from its recorded machine. If the recorded
     // attempt counted as lost beside the new one, a gang would be taken for broken before it has
     // started.
-    let is_replaced = |entry: &&TaskEntry| pending.iter().any(|new| new.task() == entry.task());
+    let is_replaced = |entry: &&TaskEntry| {
+        pending_placements
+            .iter()
+            .any(|placement| placement.task() == entry.task())
+    };
     let recorded = job.entries().filter(|entry| !is_replaced(entry));
-    for attempt in recorded.chain(&pending) {
+    for attempt in recorded.chain(&pending_placements) {
         let Some(machine) = attempt.machine() else {
             continue;
         };
         let liveness = leader.attempt_liveness(id, attempt);
         if !leader.may_be_running(id, attempt, job.active()) {
-            lost += 1;
+            ended_attempts += 1;
             if liveness == TaskLiveness::Ended(ExitReason::Done) && job.active() && !in_flight {
                 gang_is_done = spec.kind == JobKind::Gang;
                 decision.done_tasks.push(TaskRef {
@@ -391,18 +401,19 @@
                 let stops_alone = spec.kind == JobKind::Array || spec.tasks == 1;
                 if spec.kind != JobKind::Service
                     && job.active()
-                    && pending.is_empty()
+                    && pending_placements.is_empty()
                     && !in_flight
                     && leader.due_stop(id, attempt.task()).is_none()
                 {
-                    let orders = leader.start_order.get(id);
-                    let order = orders.and_then(|orders| orders.get(&attempt.task()));
+                    let start_orders = leader.start_order.get(id);
+                    let start_order =
+                        start_orders.and_then(|start_orders| start_orders.get(&attempt.task()));
                     preemptible.push(PreemptibleTask {
                         job: id,
                         task: attempt.task(),
                         host: index,
                         need: requirements.need,
-                        start_order: order.copied().unwrap_or(0),
+                        start_order: start_order.copied().unwrap_or(0),
                         backfilled: attempt.backfilled(),
                         priority,
                         saves_checkpoints: stops_alone && spec.saves_checkpoints(),
@@ -444,7 +455,7 @@
         return None;
     }
     if spec.kind == JobKind::Gang && !present.is_empty() {
-        if lost > 0 {
+        if ended_attempts > 0 {
             decision.incomplete_gangs.push(IncompleteGang {
                 job: id.to_string(),
                 attempt: latest_attempt,
@@ -486,7 +497,7 @@
     if (spec.one_zone || spec.spread) && has_unknown_zone {
         return None;
     }
-    let mut tasks = startable(leader, id, job, 2 * MAX_PLACEMENTS);
+    let mut tasks = startable_tasks(leader, id, job, 2 * MAX_PLACEMENTS);
     let is_failing = |failures: &FailureHistory| {
         failures.is_at_fault() && !(is_running && failures.has_not_failed_recently(now))
     };
@@ -508,18 +519,18 @@
             entry.machine().is_some() && displaced
         })
     };
-    let lost = tasks.iter().filter(is_displaced).count();
+    let lost_tasks = tasks.iter().filter(is_displaced).count();
     Some(QueueEntry {
         id,
         accepted_at: job.record.at,
-        lost_tasks: lost as u32,
+        lost_tasks: lost_tasks as u32,
         spec,
         requirements,
         team,
         feasibility_class: 0,
         tasks,
         task_locations: present,
-        fetch_s: spec.image_gb / fetch_rate,
+        fetch_s: spec.image_gb / slowest_fetch_gb_per_s,
         estimate_s: spec.estimate_s,
         priority,
         guaranteed,
@@ -547,15 +558,15 @@
                 host.schedulable = false;
                 continue;
             };
-            let places_it = |entry: &TaskEntry| {
+            let places_attempt = |entry: &TaskEntry| {
                 let attempt = (entry.task(), entry.attempt());
                 attempt == (status.task, status.attempt) && entry.machine().is_some()
             };
-            let is_placed = job.entry(status.task).is_some_and(places_it)
+            let is_placed = job.entry(status.task).is_some_and(places_attempt)
                 || leader
                     .record_writer
                     .unrecorded_places(&status.job)
-                    .any(places_it);
+                    .any(places_attempt);
             if !is_placed {
                 let spec = &job.record.spec;
                 host.allocate(&[spec.cpus, spec.gpus, spec.memory_gb]);
@@ -570,15 +581,18 @@
 
 /// Jobs that fit into their team's guarantee together with all earlier unfinished jobs of the team.
 fn guaranteed_jobs<'a>(settings: &Settings, cache: &'a RecordCache) -> HashSet<&'a str> {
-    let mut left: HashMap<&str, [f64; 2]> = HashMap::new();
+    let mut remaining_by_team: HashMap<&str, [f64; 2]> = HashMap::new();
     for team in &settings.params.teams {
         if team.cpus > 0.0 || team.gpus > 0.0 {
-            let amount = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
-            left.insert(&team.name, [amount(team.cpus), amount(team.gpus)]);
+            let or_unlimited = |amount: f64| if amount > 0.0 { amount } else { f64::INFINITY };
+            remaining_by_team.insert(
+                &team.name,
+                [or_unlimited(team.cpus), or_unlimited(team.gpus)],
+            );
         }
     }
     let mut guaranteed = HashSet::new();
-    if left.is_empty() {
+    if remaining_by_team.is_empty() {
         return guaranteed;
     }
     let queued = cache
@@ -589,7 +603,7 @@
     jobs.sort_by_key(|(id, job)| (job.record.at, *id));
     for (id, job) in jobs {
         let spec = &job.record.spec;
-        let Some([cpus, gpus]) = left.get_mut(spec.team.as_str()) else {
+        let Some([cpus, gpus]) = remaining_by_team.get_mut(spec.team.as_str()) else {
             continue;
         };
         let unfinished = (spec.tasks as u64).saturating_sub(job.done_count()) as f64;
@@ -603,7 +617,7 @@
 }
 
 /// Tasks of a job that may start: neither done nor on a machine. At most `limit`, except for gangs.
-fn startable(leader: &LeaderState, id: &str, job: &Job, limit: usize) -> Vec<u32> {
+fn startable_tasks(leader: &LeaderState, id: &str, job: &Job, limit: usize) -> Vec<u32> {
     let spec = &job.record.spec;
     let limit = if spec.kind == JobKind::Gang {
         spec.tasks as usize
@@ -616,14 +630,14 @@
         leader.may_be_running(id, entry, true)
             || leader.attempt_liveness(id, entry) == TaskLiveness::Ended(ExitReason::Done)
     };
-    for first in (0..spec.tasks).step_by(TASKS_PER_CHUNK as usize) {
-        let chunk = job.chunk_of(first);
-        for task in first..spec.tasks.min(first + TASKS_PER_CHUNK) {
-            let is_free = match chunk {
+    for first_task in (0..spec.tasks).step_by(TASKS_PER_CHUNK as usize) {
+        let chunk = job.chunk_of(first_task);
+        for task in first_task..spec.tasks.min(first_task + TASKS_PER_CHUNK) {
+            let is_startable = match chunk {
                 None => true,
                 Some(chunk) => !chunk.is_done(task) && !chunk.entry(task).is_some_and(is_occupied),
             };
-            if is_free
+            if is_startable
                 && !leader.record_writer.is_recording_completion(id, task)
                 && !leader.record_writer.is_placing(id, task)
             {
@@ -641,13 +655,13 @@
 /// not grow with the length of the queue times the size of the fleet.
 const MAX_PREEMPTION_ATTEMPTS: usize = 8;
 /// Tasks that start one by one are given this many machines at once.
-const MAX_CLEARED_MACHINES: usize = 16;
+const MAX_HOSTS_FOR_GUARANTEE: usize = 16;
 /// Seconds from the stop of a task to the start of the next one in its place, besides saving: a stop
 /// command, a heartbeat, a pass, a record and a start.
-const STOP_S: f64 = 2.0;
+const PREEMPTION_OVERHEAD_S: f64 = 2.0;
 
 /// How many tasks of a job fit into its team's limit.
-fn team_slots(quotas: &Quotas, spec: &JobSpec) -> u32 {
+fn max_tasks_in_quota(quotas: &Quotas, spec: &JobSpec) -> u32 {
     let Some([cpus, gpus]) = quotas.get(&spec.team) else {
         return u32::MAX;
     };
@@ -655,7 +669,7 @@
 }
 
 /// Takes the resources of one task of a job.
-fn take(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
+fn allocate_task(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
     host.allocate(&entry.requirements.need);
     if let Some([cpus, gpus]) = quotas.get_mut(&entry.spec.team) {
         *cpus -= entry.spec.cpus;
@@ -665,7 +679,7 @@
 }
 
 /// Places what fits, in order. `largest_demand` is that of any job so far, these jobs included.
-fn pass(
+fn run_pass(
     entries: &[QueueEntry<'_>],
     hosts: &mut [Host],
     preemptible: &[PreemptibleTask<'_>],
@@ -673,46 +687,46 @@
     largest_demand: f64,
 ) -> SchedulingPlan {
     let mut plan = SchedulingPlan {
-        wide_budget: MAX_PLACEMENTS as u32 / 2,
+        wide_array_budget: MAX_PLACEMENTS as u32 / 2,
         ..SchedulingPlan::default()
     };
     let mut is_blocked = false;
-    let mut later: Vec<&QueueEntry<'_>> = Vec::new();
+    let mut deferred: Vec<&QueueEntry<'_>> = Vec::new();
     let typical_host = hosts.first().map_or([1.0; 3], |host| host.total);
     let demand_ratio = |entry: &QueueEntry<'_>| {
         let size = placement::dominant_share(&typical_host, &entry.requirements.need);
         entry.spec.tasks as f64 * size / largest_demand.max(MIN_LARGEST_DEMAND)
     };
-    let mut attempts = MAX_PREEMPTION_ATTEMPTS;
+    let mut preemption_attempts_left = MAX_PREEMPTION_ATTEMPTS;
     for entry in entries {
         if plan.placements.len() >= MAX_PLACEMENTS {
             break;
         }
         if is_blocked && entry.spec.kind != JobKind::Service {
-            later.push(entry);
+            deferred.push(entry);
             continue;
         }
         let before = plan.placements.len();
         let ratio = demand_ratio(entry);
-        let short = start(entry, hosts, quotas, ratio, false, preemptible, &mut plan);
-        if short == 0 {
+        let unplaced = start_job(entry, hosts, quotas, ratio, false, preemptible, &mut plan);
+        if unplaced == 0 {
             continue;
         }
         plan.unplaced.push(UnplacedJob {
             job: entry.id.to_string(),
-            tasks: short,
+            tasks: unplaced,
         });
         let may_preempt = entry.spec.kind != JobKind::Array || entry.guaranteed;
-        let starts_singly = entry.spec.kind == JobKind::Array;
+        let is_array = entry.spec.kind == JobKind::Array;
         let placed_none = plan.placements.len() == before;
-        if may_preempt && (placed_none || starts_singly) && attempts > 0 {
-            let is_top = !is_blocked;
-            let tried = make_way(entry, short, hosts, preemptible, is_top, &mut plan);
-            attempts -= usize::from(tried);
+        if may_preempt && (placed_none || is_array) && preemption_attempts_left > 0 {
+            let at_head = !is_blocked;
+            let considered = preempt(entry, unplaced, hosts, preemptible, at_head, &mut plan);
+            preemption_attempts_left -= usize::from(considered);
         }
         is_blocked |= entry.spec.kind != JobKind::Service;
     }
-    later.sort_by(|left, right| {
+    deferred.sort_by(|left, right| {
         let estimate_s = |entry: &QueueEntry<'_>| match entry.starved {
             true => 0.0,
             false => entry.estimate_s,
@@ -720,42 +734,42 @@
         let starved_first = right.starved.cmp(&left.starved);
         starved_first.then(estimate_s(left).total_cmp(&estimate_s(right)))
     });
-    let mut has_top = false;
-    for entry in later {
+    let mut starved_gang_found = false;
+    for entry in deferred {
         if plan.placements.len() >= MAX_PLACEMENTS {
             break;
         }
         let ratio = demand_ratio(entry);
-        let short = start(entry, hosts, quotas, ratio, true, preemptible, &mut plan);
-        if short > 0 {
+        let unplaced = start_job(entry, hosts, quotas, ratio, true, preemptible, &mut plan);
+        if unplaced > 0 {
             plan.unplaced.push(UnplacedJob {
                 job: entry.id.to_string(),
-                tasks: short,
+                tasks: unplaced,
             });
-            let is_top = entry.starved && !has_top && entry.spec.kind == JobKind::Gang;
-            has_top |= is_top;
+            let at_head = entry.starved && !starved_gang_found && entry.spec.kind == JobKind::Gang;
+            starved_gang_found |= at_head;
             let may_preempt = entry.spec.kind == JobKind::Gang || entry.guaranteed;
-            if may_preempt && attempts > 0 {
-                let tried = make_way(entry, short, hosts, preemptible, is_top, &mut plan);
-                attempts -= usize::from(tried);
+            if may_preempt && preemption_attempts_left > 0 {
+                let considered = preempt(entry, unplaced, hosts, preemptible, at_head, &mut plan);
+                preemption_attempts_left -= usize::from(considered);
             }
         }
     }
-    for cut in std::mem::take(&mut plan.cut_arrays) {
-        let Some(entry) = entries.iter().find(|entry| entry.id == cut.job) else {
+    for wide_array in std::mem::take(&mut plan.deferred_wide_arrays) {
+        let Some(entry) = entries.iter().find(|entry| entry.id == wide_array.job) else {
             continue;
         };
-        let left = (2 * MAX_PLACEMENTS).saturating_sub(plan.placements.len());
-        let rest = &entry.tasks[cut.placed as usize..];
-        let count = (team_slots(quotas, entry.spec) as usize).min(left);
-        let rest = &rest[..count.min(rest.len())];
-        place_singly(
+        let remaining_in_pass = (2 * MAX_PLACEMENTS).saturating_sub(plan.placements.len());
+        let remaining_tasks = &entry.tasks[wide_array.placed as usize..];
+        let permitted = (max_tasks_in_quota(quotas, entry.spec) as usize).min(remaining_in_pass);
+        let remaining_tasks = &remaining_tasks[..permitted.min(remaining_tasks.len())];
+        start_tasks_one_by_one(
             entry,
-            rest,
+            remaining_tasks,
             hosts,
             quotas,
-            cut.demand_ratio,
-            cut.backfill,
+            wide_array.demand_ratio,
+            wide_array.backfilled,
             preemptible,
             &mut plan,
         );
@@ -765,7 +779,7 @@
 
 /// Places what fits of one job. Returns how many tasks do not fit, not counting those beyond the limit
 /// of its team.
-fn start(
+fn start_job(
     entry: &QueueEntry<'_>,
     hosts: &mut [Host],
     quotas: &mut Quotas,
@@ -775,29 +789,29 @@
     plan: &mut SchedulingPlan,
 ) -> u32 {
     let spec = entry.spec;
-    let wanted = entry.tasks.len() as u32;
-    let allowed = team_slots(quotas, spec).min(wanted);
+    let requested = entry.tasks.len() as u32;
+    let permitted = max_tasks_in_quota(quotas, spec).min(requested);
     if spec.kind == JobKind::Gang {
-        if allowed < wanted {
+        if permitted < requested {
             return 0;
         }
         let all_hosts = 0..hosts.len();
         let requirements = &entry.requirements;
-        let found = placement::place_gang(
+        let chosen = placement::place_gang(
             hosts,
             all_hosts,
             entry.id,
             spec,
             requirements,
-            wanted,
+            requested,
             demand_ratio,
         );
-        let Some(found) = found else {
-            return wanted;
+        let Some(chosen) = chosen else {
+            return requested;
         };
-        for (task, host) in entry.tasks.iter().zip(found) {
-            take(&mut hosts[host], quotas, entry);
-            plan.placements.push(Placement {
+        for (task, host) in entry.tasks.iter().zip(chosen) {
+            allocate_task(&mut hosts[host], quotas, entry);
+            plan.placements.push(TaskPlacement {
                 job: entry.id.to_string(),
                 task: *task,
                 host,
@@ -809,7 +823,7 @@
     let is_wide = spec.kind == JobKind::Array
         && !spec.one_zone
         && !spec.spread
-        && wanted as usize >= MAX_PLACEMENTS;
+        && requested as usize >= MAX_PLACEMENTS;
     let (need, constraints) = (&entry.requirements.need, &entry.requirements.constraints);
     let free: u32 = if is_wide {
         hosts
@@ -822,12 +836,12 @@
     };
     let first = if is_wide {
         let share = (free / 2).max(u32::from(entry.task_locations.is_empty()).min(free));
-        allowed.min(plan.wide_budget).min(share)
+        permitted.min(plan.wide_array_budget).min(share)
     } else {
-        allowed
+        permitted
     };
     let tasks = &entry.tasks[..first as usize];
-    let short = place_singly(
+    let unplaced = start_tasks_one_by_one(
         entry,
         tasks,
         hosts,
@@ -838,22 +852,22 @@
         plan,
     );
     if !is_wide {
-        return short;
+        return unplaced;
     }
-    let placed = first - short;
-    plan.wide_budget -= placed;
-    plan.cut_arrays.push(CutArray {
+    let placed = first - unplaced;
+    plan.wide_array_budget -= placed;
+    plan.deferred_wide_arrays.push(DeferredWideArray {
         job: entry.id.to_string(),
         placed,
         demand_ratio,
-        backfill,
+        backfilled: backfill,
     });
-    allowed.saturating_sub(free)
+    permitted.saturating_sub(free)
 }
 
 /// Places tasks one by one. Returns how many do not fit.
 #[allow(clippy::too_many_arguments)]
-fn place_singly(
+fn start_tasks_one_by_one(
     entry: &QueueEntry<'_>,
     tasks: &[u32],
     hosts: &mut [Host],
@@ -867,7 +881,7 @@
     let need = &entry.requirements.need;
     let is_service = spec.kind == JobKind::Service;
     let mut zones: Vec<u32> = entry.task_locations.iter().map(|(zone, _)| *zone).collect();
-    let most_per_zone = spec.tasks.div_ceil(2) as usize;
+    let max_tasks_per_zone = spec.tasks.div_ceil(2) as usize;
     let has_task = |host: usize| {
         entry
             .task_locations
@@ -883,11 +897,12 @@
         is_service,
         has_task,
     );
-    let mut being_cleared = None;
+    let mut hosts_being_cleared = None;
     for (index, task) in tasks.iter().enumerate() {
         let fits_zone = |zone: u32| {
             let in_zone = zones.iter().filter(|other| **other == zone).count();
-            (!spec.one_zone || in_zone == zones.len()) && (!spec.spread || in_zone < most_per_zone)
+            (!spec.one_zone || in_zone == zones.len())
+                && (!spec.spread || in_zone < max_tasks_per_zone)
         };
         let Some(host) = picker.pick(hosts, fits_zone) else {
             return (tasks.len() - index) as u32;
@@ -898,15 +913,15 @@
                     && slots(&host.free, need) == 0
                     && slots(&host.free_after_stops(), need) > 0
             };
-            let count = || hosts.iter().filter(is_being_cleared).count();
-            let waiting = being_cleared.get_or_insert_with(count);
-            if *waiting > 0 {
+            let count_hosts = || hosts.iter().filter(is_being_cleared).count();
+            let being_cleared = hosts_being_cleared.get_or_insert_with(count_hosts);
+            if *being_cleared > 0 {
                 // The replica starts as soon as its place is clear.
-                *waiting -= 1;
+                *being_cleared -= 1;
                 picker.put_back(hosts, host);
                 continue;
             }
-            if let Some(task) = in_the_way(entry, hosts, preemptible, fits_zone) {
+            if let Some(task) = find_victim_with_image(entry, hosts, preemptible, fits_zone) {
                 plan.preemptions.push(task_ref(task));
                 plan.reservations.push((task.host, entry.id.to_string()));
                 hosts[task.host].reserved = Some(entry.id.into());
@@ -915,10 +930,10 @@
                 continue;
             }
         }
-        take(&mut hosts[host], quotas, entry);
+        allocate_task(&mut hosts[host], quotas, entry);
         picker.task_placed(hosts, host);
         zones.push(hosts[host].zone);
-        plan.placements.push(Placement {
+        plan.placements.push(TaskPlacement {
             job: entry.id.to_string(),
             task: *task,
             host,
@@ -937,15 +952,15 @@
 
 /// A task of a lower priority that can save, stops alone, and keeps a replica from a machine with its
 /// image, if the replica would start there in less than half the time that a fetch takes.
-fn in_the_way<'a, 'b>(
+fn find_victim_with_image<'a, 'b>(
     entry: &QueueEntry<'_>,
     hosts: &[Host],
     preemptible: &'a [PreemptibleTask<'b>],
     fits_zone: impl Fn(u32) -> bool,
 ) -> Option<&'a PreemptibleTask<'b>> {
-    let serves = |task: &&PreemptibleTask<'_>| {
+    let is_suitable = |task: &&PreemptibleTask<'_>| {
         let host = &hosts[task.host];
-        let free_afterwards = || {
+        let free_without_task = || {
             let mut free = host.free;
             placement::add_resources(&mut free, &task.need);
             free
@@ -953,11 +968,11 @@
         task.stops_alone
             && task.saves_checkpoints
             && task.priority < entry.priority
-            && entry.fetch_s > 2.0 * (task.save_s + STOP_S)
+            && entry.fetch_s > 2.0 * (task.save_s + PREEMPTION_OVERHEAD_S)
             && host.schedulable
             && host.reserved.is_none()
             && host.has_image(entry.requirements.image)
-            && slots(&free_afterwards(), &entry.requirements.need) > 0
+            && slots(&free_without_task(), &entry.requirements.need) > 0
             && entry
                 .requirements
                 .constraints
@@ -969,7 +984,7 @@
                 .all(|(_, other)| *other != Some(task.host))
             && fits_zone(host.zone)
     };
-    let candidates = preemptible.iter().filter(serves);
+    let candidates = preemptible.iter().filter(is_suitable);
     candidates.max_by_key(|task| task.start_order)
 }
 
@@ -978,12 +993,12 @@
 /// make room for replicas; and what other teams run beyond their guarantees, for a job within its own.
 /// The machines are reserved for the job until it has started. Returns whether any task could be
 /// preempted.
-fn make_way(
+fn preempt(
     entry: &QueueEntry<'_>,
-    short: u32,
+    unplaced: u32,
     hosts: &[Host],
     preemptible: &[PreemptibleTask<'_>],
-    is_top: bool,
+    at_head: bool,
     plan: &mut SchedulingPlan,
 ) -> bool {
     let is_service = entry.spec.kind == JobKind::Service;
@@ -991,8 +1006,8 @@
     let is_array = entry.spec.kind == JobKind::Array;
     let need = entry.requirements.need;
     let is_reserved = |host: &&Host| host.reserved.as_deref() == Some(entry.id);
-    let holds_any = hosts.iter().any(|host| is_reserved(&host));
-    if (is_gang || !entry.guaranteed) && holds_any {
+    let has_reservation = hosts.iter().any(|host| is_reserved(&host));
+    if (is_gang || !entry.guaranteed) && has_reservation {
         return false;
     }
     let reserved_slots: u32 = hosts
@@ -1000,50 +1015,50 @@
         .filter(is_reserved)
         .map(|host| slots(&host.free_after_stops(), &need))
         .sum();
-    let mut left = short.saturating_sub(reserved_slots);
-    if left == 0 {
+    let mut remaining = unplaced.saturating_sub(reserved_slots);
+    if remaining == 0 {
         return false;
     }
     let may_preempt = |task: &&PreemptibleTask<'_>| {
         let is_lower = task.priority < entry.priority;
-        let yields_to_priority = is_lower && (task.saves_checkpoints || is_service) && !is_array;
+        let by_priority = is_lower && (task.saves_checkpoints || is_service) && !is_array;
         // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
         // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
         let is_surplus =
             task.beyond_guarantee && task.team != entry.team && (task.stops_alone || entry.overdue);
-        let yields_to_guarantee = entry.guaranteed && is_surplus;
-        let yields_to_age = is_gang && entry.aged && task.stops_alone && !task.exempt && is_lower;
-        let yields_to_top = is_top && is_gang && task.backfilled;
-        let yields = yields_to_top || yields_to_priority || yields_to_guarantee || yields_to_age;
-        let is_free = hosts[task.host].reserved.is_none()
+        let by_guarantee = entry.guaranteed && is_surplus;
+        let by_age = is_gang && entry.aged && task.stops_alone && !task.exempt && is_lower;
+        let by_backfill = at_head && is_gang && task.backfilled;
+        let is_permitted = by_backfill || by_priority || by_guarantee || by_age;
+        let is_unreserved = hosts[task.host].reserved.is_none()
             && plan.reservations.iter().all(|(host, _)| *host != task.host);
-        is_free && yields
+        is_unreserved && is_permitted
     };
-    let victims: Vec<&PreemptibleTask<'_>> = preemptible.iter().filter(may_preempt).collect();
-    if victims.is_empty() {
+    let candidates: Vec<&PreemptibleTask<'_>> = preemptible.iter().filter(may_preempt).collect();
+    if candidates.is_empty() {
         return false;
     }
     let mut cleared: Vec<Host> = hosts.to_vec();
     for (host, _) in &plan.reservations {
         cleared[*host].schedulable = false;
     }
-    for victim in &victims {
-        cleared[victim.host].release(&victim.need);
+    for candidate in &candidates {
+        cleared[candidate.host].release(&candidate.need);
     }
     let mut tasks_by_host: BTreeMap<usize, u32> = BTreeMap::new();
-    if is_gang && short > 1 {
+    if is_gang && unplaced > 1 {
         let all_hosts = 0..cleared.len();
         let requirements = &entry.requirements;
-        let found = placement::place_gang(
+        let chosen = placement::place_gang(
             &cleared,
             all_hosts,
             entry.id,
             entry.spec,
             requirements,
-            short,
+            unplaced,
             1.0,
         );
-        for host in found.into_iter().flatten() {
+        for host in chosen.into_iter().flatten() {
             *tasks_by_host.entry(host).or_default() += 1;
         }
     } else {
@@ -1053,18 +1068,19 @@
         let usable = reserved.filter(|host| slots(&host.free_after_stops(), &need) > 0);
         zones.extend(usable.map(|host| host.zone));
         let max_hosts = if entry.guaranteed {
-            MAX_CLEARED_MACHINES
+            MAX_HOSTS_FOR_GUARANTEE
         } else {
             1
         };
-        while left > 0 && tasks_by_host.len() < max_hosts {
+        while remaining > 0 && tasks_by_host.len() < max_hosts {
             let fits_zone = |host: &Host| {
                 let in_zone = zones.iter().filter(|zone| **zone == host.zone).count() as u32;
-                let is_apart = entry.spec.one_zone && zones.iter().any(|zone| *zone != host.zone);
-                let is_crowded = entry.spec.spread && in_zone >= entry.spec.tasks.div_ceil(2);
-                !is_apart && !is_crowded
+                let violates_one_zone =
+                    entry.spec.one_zone && zones.iter().any(|zone| *zone != host.zone);
+                let violates_spread = entry.spec.spread && in_zone >= entry.spec.tasks.div_ceil(2);
+                !violates_one_zone && !violates_spread
             };
-            let gpus_lost = |host: usize| (cleared[host].free[1] - hosts[host].free[1]).max(0.0);
+            let cleared_gpus = |host: usize| (cleared[host].free[1] - hosts[host].free[1]).max(0.0);
             let lacks_image = |host: usize| !cleared[host].has_image(entry.requirements.image);
             let best = (0..cleared.len())
                 .filter(|host| {
@@ -1077,30 +1093,30 @@
                             &entry.requirements.constraints,
                         )
                 })
-                .min_by(|one, other| {
-                    (gpus_lost(*one), lacks_image(*one))
-                        .partial_cmp(&(gpus_lost(*other), lacks_image(*other)))
+                .min_by(|left, right| {
+                    (cleared_gpus(*left), lacks_image(*left))
+                        .partial_cmp(&(cleared_gpus(*right), lacks_image(*right)))
                         .unwrap_or(std::cmp::Ordering::Equal)
                 });
             let Some(host) = best else { break };
-            let limit = if is_array { left } else { 1 };
-            let count = slots(&cleared[host].free, &need).min(limit);
+            let max_tasks_on_host = if is_array { remaining } else { 1 };
+            let count = slots(&cleared[host].free, &need).min(max_tasks_on_host);
             zones.push(cleared[host].zone);
             tasks_by_host.insert(host, count);
-            left -= count;
+            remaining -= count;
         }
     }
     for (host, count) in tasks_by_host {
         let mut free = hosts[host].free;
-        let on_host = victims.iter().filter(|victim| victim.host == host);
+        let on_host = candidates.iter().filter(|candidate| candidate.host == host);
         let mut on_host: Vec<&&PreemptibleTask<'_>> = on_host.collect();
-        on_host.sort_by_key(|victim| std::cmp::Reverse(victim.start_order));
-        for victim in on_host {
+        on_host.sort_by_key(|candidate| std::cmp::Reverse(candidate.start_order));
+        for candidate in on_host {
             if slots(&free, &need) >= count {
                 break;
             }
-            placement::add_resources(&mut free, &victim.need);
-            plan.preemptions.push(task_ref(victim));
+            placement::add_resources(&mut free, &candidate.need);
+            plan.preemptions.push(task_ref(candidate));
         }
         plan.reservations.push((host, entry.id.to_string()));
     }
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -27,13 +27,13 @@
     TaskEntry::new(task, attempt, format!("n-{attempt}"), 1, 1, false)
 }
 
-fn bundle(places: Vec<TaskEntry>) -> PlacementBatch {
+fn placement_batch(entries: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![("req-1".into(), places)],
+        places: vec![("req-1".into(), entries)],
     }
 }
 
-fn places(cache: &RecordCache) -> Vec<(u32, u64)> {
+fn placements(cache: &RecordCache) -> Vec<(u32, u64)> {
     let job = cache.jobs.get("req-1").into_iter();
     job.flat_map(Job::entries)
         .map(|e| (e.task(), e.attempt()))
@@ -44,22 +44,26 @@
 #[test]
 fn listing_and_watch_apply_placement_batches_alike() {
     let job = record(JobStage::Active, vec![entry(0, 1), entry(1, 1)]);
-    let far = TaskChunk {
+    let second_chunk = TaskChunk {
         entries: vec![entry(50, 1)],
         done: 0,
     };
-    let keys = [
+    let records = [
         (
             placement_batch_key(0),
-            to_value(&bundle(vec![entry(0, 2), entry(49, 1), entry(50, 2)])),
+            to_value(&placement_batch(vec![
+                entry(0, 2),
+                entry(49, 1),
+                entry(50, 2),
+            ])),
             9,
         ),
         (job_key("req-1"), to_value(&job), 3),
-        (chunk_key("req-1", 1), to_value(&far), 4),
+        (chunk_key("req-1", 1), to_value(&second_chunk), 4),
     ];
     let expected = vec![(0, 2), (1, 1), (49, 1), (50, 2)];
     let mut listed = RecordCache::default();
-    let items = keys.iter().map(|(key, value, version)| Item {
+    let items = records.iter().map(|(key, value, version)| Item {
         key: key.clone(),
         value: value.clone(),
         version: *version,
@@ -70,13 +74,13 @@
         revision: 9,
     };
     assert!(listed.apply_listing_page(page));
-    assert_eq!(places(&listed), expected);
+    assert_eq!(placements(&listed), expected);
     let mut watched = RecordCache::default();
     for i in [1, 2, 0] {
-        let (key, value, version) = &keys[i];
+        let (key, value, version) = &records[i];
         watched.put(key, value.clone(), *version);
     }
-    assert_eq!(places(&watched), expected);
+    assert_eq!(placements(&watched), expected);
     assert_eq!(watched.tasks_placed_on("n-2").count(), 2);
     assert!(!watched.is_batch_superseded(0));
     // The job's own records hold the placements: the batch is obsolete and may be deleted.
@@ -85,15 +89,15 @@
         record(JobStage::Active, vec![entry(0, 2), entry(1, 1)]),
         10,
     );
-    let folded = TaskChunk {
+    let merged_chunk = TaskChunk {
         entries: vec![entry(49, 1), entry(50, 2)],
         done: 0,
     };
-    watched.put_chunk("req-1", 1, folded, 11);
-    assert_eq!(places(&watched), expected);
+    watched.put_chunk("req-1", 1, merged_chunk, 11);
+    assert_eq!(placements(&watched), expected);
     assert!(watched.is_batch_superseded(0));
     watched.delete(&placement_batch_key(0), 12);
-    assert_eq!(places(&watched), expected);
+    assert_eq!(placements(&watched), expected);
 }
 
 /// A canceller may not have seen the batch, and a batch may outlive the cleanup.
@@ -103,11 +107,11 @@
     cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
     cache.put(
         &placement_batch_key(4),
-        to_value(&bundle(vec![entry(0, 2)])),
+        to_value(&placement_batch(vec![entry(0, 2)])),
         5,
     );
     cache.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
-    assert_eq!(places(&cache), [(0, 2)]);
+    assert_eq!(placements(&cache), [(0, 2)]);
     let cleaned = JobRecord {
         cleaned: true,
         ..record(JobStage::Cancelled, Vec::new())
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -63,17 +63,17 @@
 /// Tasks that had started before `since` and started again after it, by the machine they were on, each with the time of
 /// its second start.
 fn task_returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
-    let mut on: BTreeMap<&str, &str> = BTreeMap::new();
-    let mut lost: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
+    let mut machine_of: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut returns: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
     for start in &sim.task_starts {
         if start.at < since {
-            on.insert(&start.task, &start.machine);
-        } else if let Some(machine) = on.remove(start.task.as_str()) {
-            let of = lost.entry(machine.to_string()).or_default();
-            of.insert(start.task.clone(), start.at);
+            machine_of.insert(&start.task, &start.machine);
+        } else if let Some(machine) = machine_of.remove(start.task.as_str()) {
+            let tasks = returns.entry(machine.to_string()).or_default();
+            tasks.insert(start.task.clone(), start.at);
         }
     }
-    lost
+    returns
 }
 
 /// Asserts the order of recovery: of two jobs of one kind that lost tasks on one machine, the one accepted first is not
@@ -85,9 +85,9 @@
         for (a, at_a) in &tasks {
             for (b, at_b) in &tasks {
                 let (kind_a, kind_b) = (kind_of(sim, a), kind_of(sim, b));
-                let first = job_of(a) < job_of(b) && kind_a == kind_b;
-                let replica = kind_a == JobKind::Service && kind_b != JobKind::Service;
-                if !(first || replica) {
+                let accepted_first = job_of(a) < job_of(b) && kind_a == kind_b;
+                let replica_first = kind_a == JobKind::Service && kind_b != JobKind::Service;
+                if !(accepted_first || replica_first) {
                     continue;
                 }
                 compared += 1;
@@ -103,10 +103,10 @@
 
 /// Asserts that all replicas run and that all other jobs are done.
 fn assert_all_jobs_recovered(sim: &Simulation) {
-    for (id, truth) in &sim.jobs {
-        match truth.spec.kind {
+    for (id, ground_truth) in &sim.jobs {
+        match ground_truth.spec.kind {
             JobKind::Service => {
-                for task in 0..truth.spec.tasks {
+                for task in 0..ground_truth.spec.tasks {
                     assert_eq!(
                         sim.machines_running(&format!("{id}/{task}")).len(),
                         1,
@@ -127,55 +127,56 @@
 
 /// Machines with their zones.
 fn machines(sim: &Simulation) -> Vec<(String, String)> {
-    let of = |x: &simulation::fake_agent::FakeAgent| (x.name.clone(), x.zone.clone());
-    sim.agents.values().map(of).collect()
+    let name_and_zone =
+        |agent: &simulation::fake_agent::FakeAgent| (agent.name.clone(), agent.zone.clone());
+    sim.agents.values().map(name_and_zone).collect()
 }
 
 /// Partitions a zone from everything outside it, its controllers included.
-fn partition_zone(sim: &mut Simulation, zone: &str, dt: u64) {
-    let of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
+fn partition_zone(sim: &mut Simulation, zone: &str, duration: u64) {
+    let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     let machines = machines(sim);
     for i in 0..3 {
-        if of(i) == zone {
+        if zone_of(i) == zone {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Store,
                 PartitionMode::Delay,
-                dt,
+                duration,
             );
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Cloud,
                 PartitionMode::Delay,
-                dt,
+                duration,
             );
         }
         for j in i + 1..3 {
-            if (of(i) == zone) != (of(j) == zone) {
+            if (zone_of(i) == zone) != (zone_of(j) == zone) {
                 sim.partition(
                     Endpoint::Controller(i),
                     Endpoint::Controller(j),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
-        for (m, z) in &machines {
-            if (of(i) == zone) != (z == zone) {
+        for (machine, machine_zone) in &machines {
+            if (zone_of(i) == zone) != (machine_zone == zone) {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
     }
 }
 
-fn kill_machines(sim: &mut Simulation, which: impl Fn(usize) -> bool) {
-    for (i, x) in sim.agents.values_mut().enumerate() {
-        x.alive &= !which(i);
+fn kill_machines(sim: &mut Simulation, is_lost: impl Fn(usize) -> bool) {
+    for (i, agent) in sim.agents.values_mut().enumerate() {
+        agent.alive &= !is_lost(i);
     }
 }
 
@@ -199,13 +200,13 @@
 fn assert_recovery_in_order(
     seeds: Range<u64>,
     machines: usize,
-    after: u64,
-    trouble: impl Fn(&mut Simulation, u64),
+    loss_delay: u64,
+    inject_faults: impl Fn(&mut Simulation, u64),
 ) {
     for seed in seeds {
         let mut sim = busy_simulation(seed, machines);
-        let since = sim.now + after;
-        trouble(&mut sim, seed);
+        let since = sim.now + loss_delay;
+        inject_faults(&mut sim, seed);
         assert_recovered_in_order(&sim, since);
         assert_all_jobs_recovered(&sim);
     }
@@ -233,14 +234,14 @@
 fn returning_zone_during_replacement_recovers_in_order() {
     assert_recovery_in_order(30..34, 10, LEASE_S * SECOND, |sim, seed| {
         // Leases of 10 s expire and replacements take 5 s to boot: the partition ends in between.
-        let dt = (LEASE_S + 4 + seed % 4) * SECOND;
-        for (m, _) in machines(sim).iter().filter(|(_, z)| z == "b") {
+        let duration = (LEASE_S + 4 + seed % 4) * SECOND;
+        for (machine, _) in machines(sim).iter().filter(|(_, zone)| zone == "b") {
             for i in 0..3 {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
@@ -318,10 +319,10 @@
         kill_machines(&mut sim, |i| i % 4 < 2);
         for n in 0..SERVICES + ARRAYS + GANGS {
             if sim.rng.random_bool(0.5) {
-                let dt = sim
+                let delay = sim
                     .rng
                     .random_range((LEASE_S + 1) * SECOND..(LEASE_S + 5) * SECOND);
-                sim.after(dt, move |sim| sim.cancel_until_answered(&id(n)));
+                sim.after(delay, move |sim| sim.cancel_until_answered(&id(n)));
             }
         }
         if seed % 2 == 0 {
@@ -332,12 +333,15 @@
         }
         sim.run_seconds(200);
         assert!(sim.now > since);
-        for (id, truth) in &sim.jobs {
-            if truth.cancel_requested {
-                let told = sim.last_status(id);
-                assert!(told == "cancelled" || told == "done", "{id} is {told}");
+        for (id, ground_truth) in &sim.jobs {
+            if ground_truth.cancel_requested {
+                let status = sim.last_status(id);
                 assert!(
-                    (0..truth.spec.tasks)
+                    status == "cancelled" || status == "done",
+                    "{id} is {status}"
+                );
+                assert!(
+                    (0..ground_truth.spec.tasks)
                         .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty())
                 );
             }
@@ -348,7 +352,7 @@
 #[test]
 fn takeover_prefers_machines_with_cached_images() {
     let mut sim = simulation_with_write_rate(90, 12, 60.0);
-    let mut led: BTreeSet<usize> = sim.leader().into_iter().collect();
+    let mut past_leaders: BTreeSet<usize> = sim.leader().into_iter().collect();
     // Six images, one for each machine of the zone; there are twice as many machines.
     for n in 0..6 {
         let mut spec = job(JobKind::Array, 8, 1.0);
@@ -359,16 +363,17 @@
     }
     for _ in 0..30 {
         sim.run_seconds(1);
-        led.extend(sim.leader());
+        past_leaders.extend(sim.leader());
     }
-    assert!((0..6).all(|n| sim.job_done(&id(n))) && led.len() < 3);
-    let had: BTreeMap<String, BTreeSet<String>> = sim
+    assert!((0..6).all(|n| sim.job_done(&id(n))) && past_leaders.len() < 3);
+    let cached_images: BTreeMap<String, BTreeSet<String>> = sim
         .agents
         .iter()
-        .map(|(m, x)| (m.clone(), x.cached_images.clone()))
+        .map(|(machine, agent)| (machine.clone(), agent.cached_images.clone()))
         .collect();
     // The next leader has followed the records and has not heard from any machine.
-    led.iter()
+    past_leaders
+        .iter()
         .for_each(|i| sim.crash_controller(*i, 60 * SECOND));
     sim.run_seconds(24);
     for n in 0..6 {
@@ -380,10 +385,10 @@
         }
         sim.run_seconds(2);
         let task = format!("{}/0", id(10 + n));
-        let on = sim.recorded_machine(&task).expect("placed");
+        let machine = sim.recorded_machine(&task).expect("placed");
         assert!(
-            had[&on].contains(&format!("img-{n}")),
-            "{task} fetches on {on}"
+            cached_images[&machine].contains(&format!("img-{n}")),
+            "{task} fetches on {machine}"
         );
     }
 }
@@ -447,14 +452,14 @@
     kill_machines(&mut sim, |i| i % 4 < 2);
     run_until_batched(&mut sim, 20_000);
     let leader = sim.leader().unwrap();
-    let back = (0..3).find(|i| *i != leader).unwrap();
-    sim.set_first_version(back, true);
-    sim.crash_controller(back, SECOND);
+    let rolled_back = (0..3).find(|i| *i != leader).unwrap();
+    sim.set_first_version(rolled_back, true);
+    sim.crash_controller(rolled_back, SECOND);
     sim.run_seconds(20);
     assert_eq!(
         sim.store.count_keys_under("wt/b/"),
         0,
-        "kernel-{back} does not see them"
+        "kernel-{rolled_back} does not see them"
     );
     sim.run_seconds(140);
     assert_all_jobs_recovered(&sim);
@@ -467,8 +472,8 @@
         let since = sim.now;
         kill_machines(&mut sim, |i| i % 4 < 2);
         for step in 0..40u64 {
-            let dt = (LEASE_S - 2) * SECOND + step * SECOND / 2;
-            sim.after(dt, |sim| {
+            let delay = (LEASE_S - 2) * SECOND + step * SECOND / 2;
+            sim.after(delay, |sim| {
                 let until = sim.now + SECOND / 4;
                 sim.lost_answers_from.push((Endpoint::Store, until));
             });
@@ -484,31 +489,32 @@
     for seed in 200..230 {
         let mut sim = busy_simulation(seed, 10);
         for _ in 0..6 {
-            let at = sim.rng.random_range(0..70 * SECOND);
-            let dt = sim.rng.random_range(3..40) * SECOND;
-            let what = sim.rng.random_range(0..8);
+            let delay = sim.rng.random_range(0..70 * SECOND);
+            let duration = sim.rng.random_range(3..40) * SECOND;
+            let fault = sim.rng.random_range(0..8);
             let i = sim.rng.random_range(0..3usize);
-            sim.after(at, move |sim| match what {
-                0 => partition_zone(sim, if i == 1 { "b" } else { "a" }, dt),
+            sim.after(delay, move |sim| match fault {
+                0 => partition_zone(sim, if i == 1 { "b" } else { "a" }, duration),
                 1 => (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND)),
                 2 => sim.crash_controller(i, 5 * SECOND),
                 3 => kill_machines(sim, |k| k % 5 == i),
                 4 => {
-                    let until = sim.now + dt;
-                    let some = sim.agents.values_mut().enumerate();
-                    some.filter(|(k, _)| k % 3 == i)
-                        .for_each(|(_, x)| x.hung_until = until);
+                    let until = sim.now + duration;
+                    let agents = sim.agents.values_mut().enumerate();
+                    agents
+                        .filter(|(k, _)| k % 3 == i)
+                        .for_each(|(_, agent)| agent.hung_until = until);
                 }
                 5 => {
                     sim.store.outage = true;
-                    sim.after(dt, |sim| {
+                    sim.after(duration, |sim| {
                         let now = sim.now;
                         sim.store.end_outage(now);
                     });
                 }
                 6 => sim
                     .lost_answers_from
-                    .push((Endpoint::Store, sim.now + dt / 4)),
+                    .push((Endpoint::Store, sim.now + duration / 4)),
                 _ => {
                     for n in (0..SERVICES + ARRAYS + GANGS).filter(|n| n % 3 == i) {
                         sim.cancel_until_answered(&id(n));
