--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -1,7 +1,8 @@
-//! Cost of passing cancellations to peers: a heartbeat and its response between two of three controllers.
+//! Cost of sending cancellations to peers: a heartbeat and its response between two of three controllers.
 //!
-//! There are 1,900 machines and 1,000 cancellations a minute, with the store available to both (`calm`) and while it
-//! refuses one of them (`refused`). A heartbeat of the previous format is measured for comparison.
+//! The load is that of 1,900 machines and 1,000 cancellations per minute. In `calm`, the store is available to both
+//! controllers; in `refused`, it refuses the requests of the one that sends the heartbeat. A heartbeat of the previous
+//! format is measured for comparison.
 //! `cargo bench --bench heartbeats`; figures in `docs/measured/limits.md`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -13,12 +14,12 @@
     PeerHeartbeat,
 };
 
-/// Cancellations between two heartbeats.
+/// Number of cancellations between two heartbeats.
 const NEW_CANCELLATIONS: u64 = 12;
-/// Cancellations that a controller has ever logged, more than the log keeps.
+/// Number of cancellations appended to a controller's log, more than the log keeps.
 const LOGGED_CANCELLATIONS: u64 = 20_000;
 
-/// Returns a heartbeat of this format without cancellations.
+/// Returns a heartbeat of the given format without cancellations.
 fn heartbeat(format: u32) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "kernel-1".into(),
@@ -48,7 +49,8 @@
     log
 }
 
-/// Encodes and decodes a heartbeat and its response, which carries entries of `log`; returns the bytes of both.
+/// Encodes and decodes a heartbeat and its response, which contains entries of `log`. Returns the number of bytes of
+/// both.
 fn exchange(log: &CancellationLog, reported: &mut ReportedCancellations, complete: u64) -> usize {
     let cursor = reported.cursor(0);
     let request = PeerHeartbeat {
@@ -87,7 +89,7 @@
     request_bytes.len() + response_bytes.len()
 }
 
-/// Returns the state of a peer that has received all but the newest entries.
+/// Returns the cancellations of a peer that has received all log entries but the newest `NEW_CANCELLATIONS`.
 fn almost_up_to_date(log: &CancellationLog) -> ReportedCancellations {
     let mut reported = ReportedCancellations::new(1);
     let mut batch = log.batch(0, LOGGED_CANCELLATIONS, 1).unwrap_or_default();
@@ -102,7 +104,7 @@
         .measurement_time(Duration::from_secs(2))
         .sample_size(30);
     let log = full_log();
-    // Each controller sends heartbeats to two peers every 0.7 s, and responds to theirs.
+    // Every 0.7 s, each controller sends a heartbeat to two peers and responds to one from each of them.
     let bytes_per_second = |bytes: usize| bytes as f64 * 4.0 / 0.7;
     group.bench_function("format before", |bencher| {
         bencher.iter(|| {
@@ -116,7 +118,7 @@
     ] {
         let bytes = exchange(&log, &mut almost_up_to_date(&log), complete);
         println!(
-            "{name}: {bytes} bytes, {:.0} a second",
+            "{name}: {bytes} bytes, {:.0} per second",
             bytes_per_second(bytes)
         );
         group.bench_function(name, |bencher| {
@@ -127,11 +129,12 @@
             )
         });
     }
+    // Only the fields of the first format; those of the later formats up to `LEASE_DELEGATION` take about 22 bytes.
     let first_format_bytes = postcard::to_stdvec(&heartbeat(format::LEASE_DELEGATION))
         .unwrap_or_default()
         .len();
     println!(
-        "before: about {} bytes, {:.0} a second",
+        "format before: about {} bytes, {:.0} per second",
         2 * (first_format_bytes + 22),
         bytes_per_second(2 * (first_format_bytes + 22))
     );
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,7 +1,7 @@
-//! Cost of a leader's work as the fleet and the queue grow: a pass, reading all records at a takeover,
-//! the pass after half of the machines are lost, and passes while thousands of jobs wait, compared with
-//! the reference implementation. `cargo bench --bench scale -- FILTER`; results are in
-//! `docs/measured/limits.md`.
+//! Cost of a leader's work as the cluster and the queue grow: a scheduling pass, reading all records at a
+//! takeover, the pass after half of the machines are lost, and passes while thousands of jobs wait. The
+//! benchmarks `kept` run passes over the incrementally updated queue, those called `plain` run passes of the
+//! reference implementation. `cargo bench --bench scale -- FILTER`; results are in `docs/measured/limits.md`.
 
 #[path = "../tests/plain/mod.rs"]
 mod plain;
@@ -231,7 +231,8 @@
     }
 }
 
-/// A leader that has heartbeats of all agents. Those for which `is_lost` holds are proven gone.
+/// A leader that has received heartbeats of all agents. The epochs of the agents for which `is_lost` is true
+/// have ended.
 fn leading_controller(
     machines: usize,
     pages: &[ItemPage],
@@ -311,7 +312,7 @@
     })
 }
 
-/// Takes the free slots of all machines with running services of one replica each.
+/// Fills the free slots of all machines with running services of one replica each.
 fn fill_machines(controller: &mut Controller, machines: usize) {
     let Some(leader) = &mut controller.leader else {
         return;
@@ -429,8 +430,8 @@
     pages.unwrap_or(0) * PAGE_SIZE
 }
 
-/// Prints the memory that a waiting job takes in a controller: its record in the cache, and its entries
-/// in the queue.
+/// Prints the memory that a waiting job uses in a controller: its record in the cache, and its entries in the
+/// queue.
 fn memory(_: &mut Criterion) {
     const JOBS: usize = 50_000;
     let before = resident_bytes();
@@ -445,7 +446,7 @@
     assert_eq!(queue.queued_count(), JOBS);
     let per_job = |bytes: u64| bytes / JOBS as u64;
     println!(
-        "memory: {} bytes a waiting job in the cache, {} more in the queue",
+        "memory per waiting job: {} bytes in the cache and {} bytes in the queue",
         per_job(with_cache.saturating_sub(before)),
         per_job(with_queue.saturating_sub(with_cache))
     );
--- a/tests/delegated_renewal.rs
+++ b/tests/delegated_renewal.rs
@@ -1,5 +1,6 @@
-//! A follower that renews leases for an unreachable leader is bound by the same limits as the leader (docs/safety.md, line
-//! 14). The cloud is out of reach, too: otherwise the machines would be deleted in time (line 17).
+//! A follower that renews agents' leases on behalf of a leader that cannot reach the agents obeys the same limits as
+//! the leader (docs/safety.md, line 14). The cloud is unavailable in these tests, because otherwise the machines would be
+//! deleted in time (line 17).
 
 mod simulation;
 
@@ -8,8 +9,9 @@
 };
 use walnuttrestle::protocol::JobKind;
 
-/// A simulation in which only a follower reaches half of the machines and renews their leases on record, without a cloud.
-/// The leader has the other half, or it would hand over leadership. Returns that follower and the third controller, too.
+/// A simulation in which only one follower reaches half of the machines and renews the leases of their agents by a
+/// recorded delegation, and in which the cloud is unavailable. The leader still reaches the other half, because
+/// otherwise it would transfer leadership. Also returns the indices of that follower and of the third controller.
 fn simulation_with_renewing_follower(seed: u64) -> (Simulation, usize, usize) {
     let mut sim = simulation_with_leader(seed, 4);
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
@@ -27,7 +29,7 @@
             );
         }
     }
-    // The follower cannot forward heartbeats either.
+    // The follower cannot forward agent heartbeats to the leader either.
     sim.partition(
         Endpoint::Controller(leader),
         Endpoint::Controller(follower),
@@ -39,7 +41,7 @@
     assert_eq!(
         sim.running_instances("req-2"),
         4,
-        "seed {seed}: kept by the follower\n{}",
+        "seed {seed}: running tasks of req-2, whose leases the follower renews\n{}",
         sim.dump()
     );
     (sim, follower, third)
@@ -55,7 +57,7 @@
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: renewed on\n{}",
+            "seed {seed}: running tasks of req-1, whose leases are still renewed\n{}",
             sim.dump()
         );
     }
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of heartbeats between controllers: of other formats, truncated, too long, or corrupted.
+//! Encoding and decoding of heartbeats between controllers, also in other formats, truncated, too long, or corrupted.
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
@@ -60,7 +60,7 @@
     }
 }
 
-/// A heartbeat of format 5 ends before the cancellations.
+/// Format 5 has no fields for cancellations: its heartbeats end before them.
 #[test]
 fn a_heartbeat_of_the_previous_format_has_no_cancellations() {
     let sent = heartbeat(3);
@@ -72,8 +72,12 @@
         (decoded.format, decoded.more),
         (format::LEASE_DELEGATION, sent.more)
     );
-    assert_eq!((decoded.knows, decoded.news), (None, None));
-    // A version of that format finds its fields in ours at the same place.
+    assert_eq!(
+        (decoded.knows, decoded.news),
+        (None, None),
+        "cancellation fields decoded from format 5"
+    );
+    // A version that reads only format 5 finds its fields at the same positions in a heartbeat of the newest format.
     let encoded = sent.encode();
     let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
@@ -106,20 +110,28 @@
     let invalid = Err(InvalidPeerHeartbeat::Cancellations);
     assert_eq!(
         decode_changed(|update| update.jobs[1].0 = "req-".into()),
-        invalid
+        invalid,
+        "job id without a name"
     );
     assert_eq!(
         decode_changed(|update| update.jobs[0].0 = "../req-1".into()),
-        invalid
+        invalid,
+        "job id with a path"
+    );
+    assert_eq!(
+        decode_changed(|update| update.next = 2),
+        invalid,
+        "next is before from"
     );
-    assert_eq!(decode_changed(|update| update.next = 2), invalid);
     assert_eq!(
         decode_changed(|update| update.known = vec![("kernel-9".into(), 1); 65]),
-        invalid
+        invalid,
+        "too many peers"
     );
     assert_eq!(
         PeerHeartbeat::decode(&heartbeat(MOST_CANCELLATIONS + 1).encode()),
-        invalid
+        invalid,
+        "too many cancellations"
     );
     let no_format = PeerHeartbeat {
         format: 0,
@@ -137,8 +149,8 @@
     );
 }
 
-/// A heartbeat of the first version ends where ours states its format. Truncation at any other place is detected; at
-/// that one, the rest is a valid heartbeat of the first version, which vouches for no more than those do.
+/// Truncation is detected at every position but one: the fields before `format` are a valid heartbeat of the first
+/// version. This is harmless, because such a heartbeat is only treated like one that the first version sent.
 #[test]
 fn a_truncated_heartbeat_is_rejected() {
     let sent = heartbeat(3);
@@ -147,13 +159,18 @@
     for length in 0..bytes.len() {
         let decoded = PeerHeartbeat::decode(&bytes[..length]);
         let is_valid = length == first_version;
-        assert_eq!(decoded.is_ok(), is_valid, "cut at {length}: {decoded:?}");
+        assert_eq!(
+            decoded.is_ok(),
+            is_valid,
+            "truncated to {length} of {} bytes, expected valid: {is_valid}, decoded: {decoded:?}",
+            bytes.len()
+        );
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        // The same cases in each run, and no file of failures.
+        // Use the same cases in each run and write no file of failures.
         failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         cases: 2_000,
@@ -165,7 +182,7 @@
         if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
             && let Some(update) = heartbeat.news
         {
-            prop_assert!(update.jobs.len() <= MOST_CANCELLATIONS);
+            prop_assert!(update.jobs.len() <= MOST_CANCELLATIONS, "{} cancellations decoded", update.jobs.len());
         }
     }
 
@@ -178,8 +195,8 @@
         let position = position % bytes.len();
         bytes[position] = replacement;
         if let Ok(PeerHeartbeat { news: Some(update), .. }) = PeerHeartbeat::decode(&bytes) {
-            prop_assert!(update.from <= update.next);
-            prop_assert!(update.jobs.iter().all(|(id, _)| valid_id(id)));
+            prop_assert!(update.from <= update.next, "from {} is after next {}", update.from, update.next);
+            prop_assert!(update.jobs.iter().all(|(id, _)| valid_id(id)), "invalid job id in {:?}", update.jobs);
         }
     }
 }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! When a leader considers leases expired.
+//! Expiry of agents' leases as the leader computes it.
 
 use walnuttrestle::agents::leader_state::LeaderState;
 use walnuttrestle::protocol::Clock;
@@ -7,8 +7,8 @@
 use walnuttrestle::state::agent::Agent;
 use walnuttrestle::state::record_cache::RecordCache;
 
-/// After a partition the answer to a direct command may be the first message that shows an agent's new epoch, while our
-/// last heartbeat response went to the previous epoch, more than a lease ago.
+/// After a partition, the answer to a direct command may be the first message with an agent's new epoch. The leader's
+/// last heartbeat response went to the previous epoch, more than a lease ago. This must not expire the new epoch.
 #[test]
 fn epoch_learned_from_a_command_answer_has_its_own_lease() {
     let example = include_str!("../examples/settings.toml");
@@ -48,12 +48,18 @@
         Micros::ZERO,
         new_epoch_seen_at + Micros::millis(1),
     );
-    assert!(leader.agents.values().all(|agent| !agent.epoch_ended()));
+    assert!(
+        leader.agents.values().all(|agent| !agent.epoch_ended()),
+        "the new epoch expired with the lease of the previous one"
+    );
     leader.expire_leases(
         &settings,
         &cache,
         Micros::ZERO,
         new_epoch_seen_at + lease.times(1.1) + Micros::millis(400),
     );
-    assert!(leader.agents.values().all(Agent::epoch_ended));
+    assert!(
+        leader.agents.values().all(Agent::epoch_ended),
+        "the new epoch did not expire after its own lease"
+    );
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,20 +1,22 @@
-//! Long queues: many more jobs wait than there is room for, and then something fails. The simulation checks the rules
-//! after every step, debug builds compare the kept queue with a new one in every pass, and `assert_started_in_order` asserts that
-//! equal jobs started in order.
+//! Faults while the queue is much longer than the capacity of the cluster.
+//!
+//! The simulation checks its invariants after every step. Debug builds compare the incrementally updated queue with a
+//! rebuilt one in every pass. `assert_started_in_order` asserts that equal jobs started in order of submission.
 
 mod simulation;
 
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job};
 use walnuttrestle::protocol::{JobKind, Priority};
 
-/// Number of machines; each has room for eight of the tasks below.
+/// Number of machines; each has room for eight tasks with one GPU.
 const MACHINES: usize = 4;
 
 fn id(n: usize) -> String {
     format!("req-{n:06}")
 }
 
-/// A simulation that rents no more machines, in which `n` arrays of two tasks each are submitted within `s` seconds.
+/// A simulation in which no further machines can be rented and in which this number of arrays, each of two tasks, are
+/// submitted evenly over this number of seconds.
 fn simulation_with_queue(seed: u64, jobs: usize, seconds: u64) -> Simulation {
     let mut sim = Simulation::with_write_rate(seed, 3, MACHINES, 200.0);
     sim.no_capacity = true;
@@ -44,8 +46,8 @@
     leader.map_or(0, |leader| leader.pass_state.job_queue.queued_count())
 }
 
-/// Asserts that jobs started in the order of their submission, except for jobs submitted at about the same time: up to
-/// `apart` clients may have repeated their submissions meanwhile.
+/// Asserts that no job started after a job that was submitted more than `max_overtaking` positions behind it. Jobs that
+/// were submitted at about the same time may change places, because clients repeat submissions that are not answered.
 fn assert_started_in_order(sim: &Simulation, max_overtaking: usize) {
     let mut first_starts: Vec<(u64, usize)> = Vec::new();
     for start in &sim.task_starts {
@@ -62,7 +64,7 @@
             .count();
         assert_eq!(
             late, 0,
-            "req-{n} began behind {late} that came long after it"
+            "req-{n} started after {late} jobs that were submitted more than {max_overtaking} positions behind it"
         );
     }
 }
@@ -70,16 +72,27 @@
 #[test]
 fn new_leader_continues_a_queue_of_hundreds() {
     let mut sim = simulation_with_queue(1, 500, 8);
-    assert!(queue_length(&sim) > 300, "{} wait", queue_length(&sim));
+    assert!(
+        queue_length(&sim) > 300,
+        "only {} jobs are queued, expected more than 300",
+        queue_length(&sim)
+    );
     let before = done(&sim, 0..500);
     for _ in 0..3 {
         let i = sim.leader().expect("a leader");
         sim.crash_controller(i, 4 * SECOND);
         sim.run_seconds(12);
-        assert!(sim.leader().is_some(), "nobody leads");
+        assert!(
+            sim.leader().is_some(),
+            "no leader 12 s after the crash of controller {i}"
+        );
     }
     sim.run_seconds(20);
-    assert!(done(&sim, 0..500) > before + 60, "{}", done(&sim, 0..500));
+    assert!(
+        done(&sim, 0..500) > before + 60,
+        "{} jobs are done, expected more than 60 beyond the {before} before the crashes",
+        done(&sim, 0..500)
+    );
     assert_started_in_order(&sim, 60);
 }
 
@@ -102,11 +115,19 @@
         }
     }
     sim.run_seconds(75);
-    // The replicas did not queue up behind hundreds of arrays, and the arrays went on.
+    // The lost replicas were replaced ahead of hundreds of queued arrays, and the arrays continued, too.
     let running_replicas =
         (0..4).filter(|t| !sim.machines_running(&format!("{service}/{t}")).is_empty());
-    assert_eq!(running_replicas.count(), 4);
-    assert!(done(&sim, 0..300) > 60, "{}", done(&sim, 0..300));
+    assert_eq!(
+        running_replicas.count(),
+        4,
+        "running replicas of {service} after the zone loss"
+    );
+    assert!(
+        done(&sim, 0..300) > 60,
+        "only {} arrays are done, expected more than 60",
+        done(&sim, 0..300)
+    );
 }
 
 #[test]
@@ -128,11 +149,19 @@
     assert_eq!(
         accepted(&sim),
         accepted_before,
-        "nothing is accepted that is not on record"
+        "jobs were accepted during the store outage, which cannot be on record"
     );
     sim.run_seconds(90);
-    assert!(accepted(&sim) > 240, "{}", accepted(&sim));
-    assert!(done(&sim, 0..260) > before + 100);
+    assert!(
+        accepted(&sim) > 240,
+        "only {} jobs were accepted, expected more than 240",
+        accepted(&sim)
+    );
+    assert!(
+        done(&sim, 0..260) > before + 100,
+        "{} jobs are done, expected more than 100 beyond the {before} before the outage",
+        done(&sim, 0..260)
+    );
 }
 
 #[test]
@@ -148,11 +177,17 @@
         .clone()
         .filter(|n| sim.job_done(&id(*n)))
         .count();
-    assert_eq!(finished, uncancelled.count(), "{}", sim.dump());
-    assert_eq!(queue_length(&sim), 0);
+    assert_eq!(
+        finished,
+        uncancelled.count(),
+        "jobs that were not cancelled are not done\n{}",
+        sim.dump()
+    );
+    assert_eq!(queue_length(&sim), 0, "jobs are still queued");
 }
 
-/// A team at its quota does not block other teams, and when room frees its oldest job starts first.
+/// The queued jobs of a team that has used up its quota do not block other teams. They start, oldest first, when its
+/// quota becomes free.
 #[test]
 fn team_at_its_quota_waits_without_blocking_others() {
     let mut sim = Simulation::with_write_rate(5, 3, MACHINES, 200.0);
@@ -163,7 +198,7 @@
         spec.team = "red".into();
         spec
     };
-    // Twelve GPUs are the red team's limit.
+    // This job uses the red team's whole quota of twelve GPUs.
     sim.spawn_client("req-100000", red(6, 2.0), 40 * SECOND);
     sim.run_seconds(4);
     for n in 0..150 {
@@ -173,13 +208,25 @@
         sim.spawn_client(&id(n), job(JobKind::Array, 2, 1.0), 2 * SECOND);
     }
     sim.run_seconds(22);
-    assert_eq!(done(&sim, 500..520), 20);
-    assert_eq!(done(&sim, 0..150), 0);
+    assert_eq!(
+        done(&sim, 500..520),
+        20,
+        "jobs of the other team that are done"
+    );
+    assert_eq!(
+        done(&sim, 0..150),
+        0,
+        "jobs that ran beyond their team's quota"
+    );
     sim.run_seconds(60);
-    assert!(done(&sim, 0..150) > 50, "{}", done(&sim, 0..150));
+    assert!(
+        done(&sim, 0..150) > 50,
+        "only {} jobs of the red team are done, expected more than 50",
+        done(&sim, 0..150)
+    );
 }
 
-/// The first job needs more than there is; all jobs that fit pass it, for as long as it waits.
+/// The first job needs more machines than the cluster has. All jobs that fit are started ahead of it while it waits.
 #[test]
 fn gang_that_cannot_fit_blocks_no_other_job() {
     let mut sim = Simulation::with_write_rate(6, 3, MACHINES, 200.0);
@@ -191,11 +238,18 @@
         sim.spawn_client(&id(n), job(JobKind::Array, 2, 1.0), 2 * SECOND);
     }
     sim.run_seconds(80);
-    assert_eq!(done(&sim, 0..200), 200);
-    assert!(sim.machines_running("req-100000/0").is_empty());
+    assert_eq!(
+        done(&sim, 0..200),
+        200,
+        "arrays behind the blocked gang that are done"
+    );
+    assert!(
+        sim.machines_running("req-100000/0").is_empty(),
+        "req-100000/0 runs although its gang does not fit"
+    );
 }
 
-/// The first version leads in between and knows no kept queue.
+/// A controller of the first version leads in between. That version has no incrementally updated queue.
 #[test]
 fn first_version_leader_handles_a_queue_of_hundreds() {
     let mut sim = simulation_with_queue(7, 300, 6);
@@ -207,19 +261,27 @@
     }
     sim.crash_controller(i, 20 * SECOND);
     sim.run_seconds(15);
-    assert!(sim.leader().is_some_and(|l| l != i));
+    assert!(
+        sim.leader().is_some_and(|l| l != i),
+        "leader is {:?}, expected one other than controller {i}",
+        sim.leader()
+    );
     for n in (0..3).filter(|n| *n != i) {
         sim.set_first_version(n, false);
         sim.crash_controller(n, 2 * SECOND);
         sim.run_seconds(8);
     }
     sim.run_seconds(60);
-    assert!(done(&sim, 0..300) > 150, "{}", done(&sim, 0..300));
+    assert!(
+        done(&sim, 0..300) > 150,
+        "only {} jobs are done, expected more than 150",
+        done(&sim, 0..300)
+    );
     assert_started_in_order(&sim, 60);
 }
 
-/// One class submits many times what the store takes; another submits a job every three seconds, to any controller.
-/// Returns the time to acceptance of each of the latter, in seconds.
+/// Submits jobs of one class at several times the write rate of the store, and a job of another class about every three
+/// seconds to any controller. Returns the times from submission to acceptance of the latter, in seconds.
 fn acceptance_times_beside_flood(
     seed: u64,
     inject_fault: impl FnOnce(&mut Simulation) + 'static,
@@ -255,7 +317,7 @@
     let acceptance_times = acceptance_times_beside_flood(11, |_| {});
     assert!(
         acceptance_times.iter().all(|s| *s < 4.0),
-        "{acceptance_times:?}"
+        "acceptance took 4 s or longer: {acceptance_times:?}"
     );
 }
 
@@ -272,21 +334,22 @@
         );
     });
     let late = acceptance_times.iter().filter(|s| **s > 4.0).count();
-    // No job can become durable without a leader or with the store out of reach.
+    // Jobs cannot be recorded while there is no leader or while the store is unreachable.
     assert!(
         late <= 3 && acceptance_times.iter().all(|s| *s < 15.0),
-        "{acceptance_times:?}"
+        "{late} jobs took longer than 4 s to be accepted, expected at most 3 and none above 15 s: {acceptance_times:?}"
     );
 }
 
-/// Changes a second that the controllers may write, in total.
+/// Sum of the write rates granted to all controllers, in changes per second.
 fn granted_write_rate(sim: &Simulation) -> f64 {
     let nodes = (0..sim.controller_count()).filter_map(|i| sim.controller(i));
     nodes.map(|n| n.store.write_rate()).sum()
 }
 
-/// A load balancer may send all clients to one controller, which has a sixth of the budget. Told of its demand, the leader
-/// grants it what the others do not need; the sum of all grants never exceeds the budget.
+/// A load balancer may send all clients to one controller, which has a sixth of the write budget. That controller
+/// reports its demand to the leader, which grants it the shares that the others do not need. The sum of all grants
+/// never exceeds the budget.
 #[test]
 fn all_clients_at_one_follower_are_served() {
     let mut sim = Simulation::with_write_rate(21, 3, MACHINES, 30.0);
@@ -318,11 +381,11 @@
         .map_or(0.0, |n| n.store.write_rate());
     assert!(
         rate_under_load > 1.6 * rate_before,
-        "{rate_before} to {rate_under_load}"
+        "the follower's write rate rose only from {rate_before} to {rate_under_load}"
     );
     assert!(
         max_granted_rate <= 30.0,
-        "{max_granted_rate} changes a second given of 30"
+        "{max_granted_rate} changes per second were granted, the budget is 30"
     );
     // Without demand the grant is returned.
     sim.run_seconds(75);
@@ -331,11 +394,12 @@
         .map_or(0.0, |n| n.store.write_rate());
     assert!(
         rate_without_demand < 1.3 * rate_before,
-        "{rate_without_demand}"
+        "the write rate is still {rate_without_demand} without demand, it was {rate_before} before"
     );
 }
 
-/// Grants expire; a new leader continues from the records, and a controller of an older version keeps its fixed share.
+/// Grants expire. A new leader continues from the recorded shares, and a controller of an older version keeps its fixed
+/// share.
 #[test]
 fn write_shares_hold_across_leader_changes_and_a_rollback() {
     let mut sim = Simulation::with_write_rate(22, 3, MACHINES, 30.0);
@@ -355,20 +419,24 @@
             .and_then(|n| n.cache.budget_shares.as_ref());
         shares.map_or(0, |(shares, _)| shares.epoch)
     };
-    assert!(epoch(&sim) > 0, "somebody asked for more");
+    assert!(epoch(&sim) > 0, "no budget shares were granted");
     let mut last = epoch(&sim);
     for round in 0..4 {
         let i = sim.leader().expect("a leader");
         sim.set_first_version((i + 1) % 3, round == 1);
         sim.crash_controller((i + round) % 3, 3 * SECOND);
-        // Silent controllers leave their shares to the others; all three are back by the end.
+        // The shares of controllers without heartbeats go to the others. All three are up again when this ends.
         sim.run_seconds(12);
         assert!(
             granted_write_rate(&sim) <= 30.0,
-            "round {round}: {}",
+            "round {round}: {} changes per second are granted, the budget is 30",
             granted_write_rate(&sim)
         );
-        assert!(epoch(&sim) >= last, "{} after {last}", epoch(&sim));
+        assert!(
+            epoch(&sim) >= last,
+            "epoch of the budget shares fell from {last} to {}",
+            epoch(&sim)
+        );
         last = epoch(&sim);
     }
 }
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -1,6 +1,6 @@
-//! Passes over the incrementally updated queue decide the same as the reference implementation, which
-//! inspects every job and every machine anew: the same starts in the same order, the same stops and the
-//! same reservations.
+//! Scheduling passes over the incrementally updated queue must decide the same as the reference
+//! implementation, which inspects every job and every machine in each pass: the same starts in the same
+//! order, the same stops and the same reservations.
 
 mod plain;
 
@@ -34,7 +34,7 @@
 /// Teams of random jobs.
 const TEAMS: [&str; 2] = ["red", "blue"];
 
-/// The state of a leader that changes at random, with what is cached between passes.
+/// The state of a leader that changes at random, and the `PassState` that it caches between passes.
 struct RandomCluster {
     rng: ChaCha8Rng,
     settings: Settings,
@@ -48,7 +48,7 @@
     heartbeat_seqs: BTreeMap<String, u64>,
     /// Number of jobs accepted so far.
     job_count: u32,
-    /// No team has a limit. Only then are the unplaced jobs compared, too.
+    /// No team has a limit. The unplaced jobs are compared only in this case.
     is_unlimited: bool,
 }
 
@@ -319,7 +319,7 @@
             .record_heartbeat(&machine, &heartbeat, now);
     }
 
-    /// A random change: of a job, of an agent, or of what the leader knows about a job.
+    /// Applies a random change to a job, to an agent, or to the leader's state of a job.
     fn change(&mut self) {
         let machines: Vec<String> = self.leader.agents.keys().cloned().collect();
         let jobs: Vec<String> = self.cache.jobs.keys().cloned().collect();
@@ -377,24 +377,39 @@
         let actual = pass::decide(&inputs, &mut self.pass_state, Some(&mut unplaced));
         let expected = plain::decide(&inputs);
         let findings = &actual.findings;
-        assert_eq!(actual.starts, expected.starts, "{step}");
-        assert_eq!(actual.preemptions, expected.preemptions, "{step}");
-        assert_eq!(actual.reservations, expected.reservations, "{step}");
-        assert_eq!(actual.largest_demand, expected.largest_demand, "{step}");
-        assert_eq!(findings.cleanable_jobs, expected.cleanable_jobs, "{step}");
-        assert_eq!(findings.done_tasks, expected.done_tasks, "{step}");
-        assert_eq!(findings.stops, expected.stops, "{step}");
+        assert_eq!(actual.starts, expected.starts, "{step}: starts");
+        assert_eq!(
+            actual.preemptions, expected.preemptions,
+            "{step}: preemptions"
+        );
+        assert_eq!(
+            actual.reservations, expected.reservations,
+            "{step}: reservations"
+        );
+        assert_eq!(
+            actual.largest_demand, expected.largest_demand,
+            "{step}: largest demand"
+        );
+        assert_eq!(
+            findings.cleanable_jobs, expected.cleanable_jobs,
+            "{step}: cleanable jobs"
+        );
+        assert_eq!(
+            findings.done_tasks, expected.done_tasks,
+            "{step}: done tasks"
+        );
+        assert_eq!(findings.stops, expected.stops, "{step}: stops");
         assert_eq!(
             findings.incomplete_gangs, expected.incomplete_gangs,
-            "{step}"
+            "{step}: incomplete gangs"
         );
         if self.is_unlimited {
-            assert_eq!(unplaced, expected.unplaced, "{step}");
+            assert_eq!(unplaced, expected.unplaced, "{step}: unplaced jobs");
         }
         actual
     }
 
-    /// Applies a decision, in part: some starts are on record, some are being written, some are lost.
+    /// Applies a decision. Of its starts, some are recorded, some are being written, and some are dropped.
     fn apply(&mut self, decision: PassDecision) {
         let now = self.clock.now;
         self.leader.max_demand = decision.largest_demand;
@@ -483,15 +498,15 @@
             }
         }
     }
-    // The comparison means nothing unless passes decide on much.
+    // The comparison shows little unless the passes make many decisions.
     assert!(
         starts > 20_000 && preemptions > 300,
-        "{starts} {preemptions}"
+        "only {starts} starts and {preemptions} preemptions were compared"
     );
 }
 
-/// A leader that has updated its queue through ten thousand arrivals and a thousand changes decides the
-/// same as one that has just read the records.
+/// A leader that has updated its queue incrementally for ten thousand jobs and a thousand changes must decide
+/// the same as a leader that has just built its queue from the records.
 #[test]
 fn a_takeover_with_ten_thousand_jobs_waiting_changes_no_decision() {
     let mut cluster = RandomCluster::new(5);
@@ -507,6 +522,14 @@
     let old = cluster.compare_with_reference("the old leader");
     cluster.pass_state = PassState::default();
     let new = cluster.compare_with_reference("the new leader");
-    assert!(old.waiting_jobs > 4_000, "{} wait", old.waiting_jobs);
-    assert_eq!((old.starts, old.preemptions), (new.starts, new.preemptions));
+    assert!(
+        old.waiting_jobs > 4_000,
+        "only {} jobs wait, expected more than 4,000",
+        old.waiting_jobs
+    );
+    assert_eq!(
+        (old.starts, old.preemptions),
+        (new.starts, new.preemptions),
+        "starts and preemptions of the old leader and of the new one"
+    );
 }
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -1,8 +1,10 @@
-//! The reference implementation of a scheduling pass: the one of 2026-12-01 (commit 8b93c06), before the
-//! queue was updated incrementally. It inspects every job, sorts all of them, and tries each against
-//! every machine. The scheduler's passes are compared with it, and measured against it. Only two rules
-//! have followed later changes: the largest demand is determined before jobs are placed, and a gang that
-//! has waited long preempts tasks that cannot save.
+//! Reference implementation of a scheduling pass, without an incrementally updated queue: it inspects every
+//! job, sorts all of them, and tries each against every machine. Tests compare the decisions of the
+//! scheduler with those of this pass, and benchmarks compare the run times.
+//!
+//! The code is that of commit 8b93c06 except for two rules that follow the scheduler: the largest demand is
+//! determined before jobs are placed, and a gang that has waited long may preempt tasks that cannot save
+//! checkpoints.
 
 #![allow(dead_code)]
 
@@ -26,21 +28,23 @@
 use walnuttrestle::state::agent::TaskLiveness;
 use walnuttrestle::state::record_cache::{Job, RecordCache};
 
-/// Most placements of one pass.
+/// A pass ends when it has placed this many tasks.
 const MAX_PLACEMENTS: usize = 128;
-/// A guaranteed job that has waited this long may preempt gangs of other teams.
+/// A guaranteed job that has waited this long may preempt gangs that other teams run beyond their
+/// guarantees.
 const OVERDUE_AFTER: Micros = Micros::millis(60_000);
 /// A job that has waited this long is backfilled before shorter ones.
 const STARVED_AFTER: Micros = Micros::millis(120_000);
-/// A gang that has waited this long may preempt tasks that cannot save.
+/// A gang that has waited this long may preempt tasks that cannot save checkpoints.
 const AGED_AFTER: Micros = Micros::millis(20_000);
-/// A job class that takes no more than this fraction of the cluster is spared from aged gangs.
+/// The tasks of a job class that uses at most this share of the cluster are exempt from preemption for gangs
+/// that have waited long.
 const MAX_EXEMPT_CLASS_SHARE: f64 = 0.1;
-/// Sums of resource amounts may be off by this much.
+/// Tolerance for rounding errors in sums of resource amounts.
 const TOLERANCE: f64 = 1e-6;
-/// Lower bound of the image fetch rate, in GB a second.
+/// Lower bound of the image fetch rate, by which image sizes are divided.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
-/// Lower bound of the largest demand, which demands are divided by.
+/// Lower bound of the largest demand, which is a divisor.
 const MIN_LARGEST_DEMAND: f64 = 1e-9;
 
 /// The result of a pass, in the types of `pass::PassDecision`.
@@ -50,23 +54,23 @@
     pub starts: Vec<TaskStart>,
     /// Tasks to preempt.
     pub preemptions: Vec<TaskRef>,
-    /// Machines to hold for jobs whose room is being cleared.
+    /// Machines to reserve for jobs while preempted tasks on them are being stopped.
     pub reservations: Vec<Reservation>,
     /// Jobs with tasks that could not be placed.
     pub unplaced: Vec<UnplacedJob>,
-    /// The largest demand of any job so far.
+    /// The largest demand of any job so far, as a multiple of the first machine.
     pub largest_demand: f64,
-    /// Ended jobs without any task on a machine.
+    /// Jobs that have ended and have no task left on any machine.
     pub cleanable_jobs: Vec<String>,
-    /// Tasks that were reported as done, and are not recorded so yet.
+    /// Tasks that agents have reported as done but that are not yet recorded as done.
     pub done_tasks: Vec<TaskRef>,
-    /// Tasks to stop for other reasons than preemption.
+    /// Tasks to stop for reasons other than preemption.
     pub stops: Vec<TaskStop>,
     /// Gangs that have lost a member.
     pub incomplete_gangs: Vec<IncompleteGang>,
 }
 
-/// The machines. All lists are in the same order.
+/// The machines that a pass considers. All lists are in the same order.
 struct HostTable {
     hosts: Vec<Host>,
     names: Vec<String>,
@@ -79,19 +83,20 @@
     }
 }
 
-/// By team: CPUs and GPUs that it may still take.
+/// By team: CPUs and GPUs that it may still allocate.
 type Quotas = BTreeMap<String, [f64; 2]>;
 
 #[derive(Default)]
 struct SchedulingPlan {
     placements: Vec<TaskPlacement>,
     preemptions: Vec<TaskRef>,
-    /// Machines, by index, that are held for a job.
+    /// Machines on which tasks are preempted: index of the machine, and id of the job for which it is
+    /// reserved.
     reservations: Vec<(usize, String)>,
     unplaced: Vec<UnplacedJob>,
     /// Number of tasks that wide arrays may still start before all other jobs have been considered.
     wide_array_budget: u32,
-    /// Wide arrays that were cut short.
+    /// Wide arrays that continue after all other jobs have been considered.
     deferred_wide_arrays: Vec<DeferredWideArray>,
 }
 
@@ -105,13 +110,13 @@
 /// A wide array that continues after all other jobs have been considered.
 struct DeferredWideArray {
     job: String,
-    /// Number of its startable tasks that have been placed.
+    /// Number of its tasks that were placed before all other jobs had been considered.
     placed: u32,
     demand_ratio: f64,
     backfilled: bool,
 }
 
-/// Decides on one pass.
+/// Runs one pass.
 pub fn decide(inputs: &PassInputs<'_>) -> ReferenceDecision {
     let PassInputs {
         leader,
@@ -226,7 +231,7 @@
     decision
 }
 
-/// The machines that may run tasks, with all their resources free.
+/// Builds the table of all machines whose agents may still run tasks, with all resources free.
 fn host_table(
     leader: &LeaderState,
     settings: &Settings,
@@ -290,8 +295,8 @@
     host_table
 }
 
-/// Inspects a job: takes the resources of its tasks, notes what is to be done about them, and returns
-/// its queue entry if it has tasks to start.
+/// Inspects a job: deducts the resources of its tasks, adds the actions that they need to the decision, and
+/// returns its queue entry if it has tasks to start.
 #[allow(clippy::too_many_arguments)]
 fn inspect<'a>(
     leader: &LeaderState,
@@ -309,8 +314,8 @@
     clock: Clock,
 ) -> Option<QueueEntry<'a>> {
     if job.waits_for_dependencies() {
-        // None of its tasks starts before the jobs that it depends on are recorded as done, so it takes
-        // no resources and no position in the queue, and blocks no other job.
+        // Its tasks start only after the jobs that it depends on are recorded as done. Until then it
+        // uses no resources, has no position in the queue and blocks no other job.
         return None;
     }
     let priority = inherited.effective_priority(id, job);
@@ -337,9 +342,9 @@
     let mut gang_is_done = false;
     let mut is_running = false;
     let mut members: Vec<(u32, TaskLiveness)> = Vec::new();
-    // A task with a pending placement has been proven gone from its recorded machine. If the recorded
-    // attempt counted as lost beside the new one, a gang would be taken for broken before it has
-    // started.
+    // A pending placement is written only after the recorded attempt of the task is proven to have ended.
+    // If that attempt counted as ended next to the new one, a gang would be treated as incomplete before it
+    // has started.
     let is_replaced = |entry: &&TaskEntry| {
         pending_placements
             .iter()
@@ -376,8 +381,8 @@
                 if leader.due_stop(id, attempt.task()).is_some() {
                     placement::add_resources(&mut host.stopping, &requirements.need);
                 }
-                // The spot instance is about to be reclaimed: a task that can save does so now, a gang
-                // as a whole.
+                // The spot instance is about to be reclaimed. A task that can save a checkpoint is stopped
+                // now so that it saves one; a gang is stopped as a whole.
                 let reclaimed_at = leader
                     .agents
                     .get(machine)
@@ -449,8 +454,8 @@
         }
         return None;
     }
-    // The members of a gang complete together: when one has reported that it is done, the others are
-    // not lost.
+    // The members of a gang complete together: once one of them is reported done, missing members do not
+    // make the gang incomplete.
     if gang_is_done {
         return None;
     }
@@ -460,7 +465,7 @@
                 job: id.to_string(),
                 attempt: latest_attempt,
             });
-            // Members that are saving a checkpoint may finish.
+            // Members that are saving a checkpoint are allowed to finish that.
             let saving = TaskLiveness::Present(TaskPhase::Saving);
             if members.iter().all(|(_, liveness)| *liveness != saving) {
                 let stops = members.iter().map(|(task, _)| TaskStop {
@@ -473,13 +478,14 @@
         }
         return None;
     }
-    // The retry backoff of a failing job does not apply while tasks of it are running.
+    // The retry backoff of a failing job does not apply while any of its tasks is running.
     let failures = leader.failure_histories.get(id);
     let in_backoff = failures.is_some_and(|failures| failures.retry_at > now)
         && !is_running
         && job.done_count() == 0;
-    // Replicas of a service may be placed while others are being written: if they had to wait, jobs that
-    // arrived later would take their resources. For other jobs the pending change may be an end.
+    // Replicas of a service may be placed while records of other replicas are being written: if they had to
+    // wait, jobs that arrived later would take their resources. For jobs of other kinds, the change that is
+    // being written may be the end of the job.
     if (in_flight && spec.kind != JobKind::Service) || in_backoff {
         return None;
     }
@@ -507,8 +513,7 @@
     if tasks.is_empty() {
         return None;
     }
-    // A task that was stopped or has failed does not count as lost; one that was lost with its machine
-    // or its gang does.
+    // A task counts as lost if it ended with its machine or its gang, but not if it was stopped or failed.
     let is_displaced = |task: &&u32| {
         job.entry(**task).is_some_and(|entry| {
             let liveness = leader.attempt_liveness(id, entry);
@@ -540,8 +545,8 @@
     })
 }
 
-/// Takes the resources of tasks that agents report but no record places. Nothing is placed on a machine
-/// with a task of an unknown job.
+/// Deducts the resources of tasks that agents report but that have no placement on record. A machine that
+/// runs a task of an unknown job accepts no tasks.
 fn add_unrecorded_tasks(
     leader: &LeaderState,
     cache: &RecordCache,
@@ -579,7 +584,8 @@
     }
 }
 
-/// Jobs that fit into their team's guarantee together with all earlier unfinished jobs of the team.
+/// Jobs that fit into their team's guarantee together with all unfinished jobs of the team that arrived
+/// earlier.
 fn guaranteed_jobs<'a>(settings: &Settings, cache: &'a RecordCache) -> HashSet<&'a str> {
     let mut remaining_by_team: HashMap<&str, [f64; 2]> = HashMap::new();
     for team in &settings.params.teams {
@@ -616,7 +622,8 @@
     guaranteed
 }
 
-/// Tasks of a job that may start: neither done nor on a machine. At most `limit`, except for gangs.
+/// Tasks of a job that may start because they are neither done nor on a machine. Returns at most `limit`
+/// tasks, but all members of a gang.
 fn startable_tasks(leader: &LeaderState, id: &str, job: &Job, limit: usize) -> Vec<u32> {
     let spec = &job.record.spec;
     let limit = if spec.kind == JobKind::Gang {
@@ -626,7 +633,7 @@
     };
     let mut tasks = Vec::new();
     let is_occupied = |entry: &TaskEntry| {
-        // A task that was reported as done is about to be recorded so.
+        // A task that was reported as done is about to be recorded as done.
         leader.may_be_running(id, entry, true)
             || leader.attempt_liveness(id, entry) == TaskLiveness::Ended(ExitReason::Done)
     };
@@ -651,16 +658,17 @@
     tasks
 }
 
-/// In one pass, preemption is tried for this many blocked jobs, in their order: the work of a pass must
-/// not grow with the length of the queue times the size of the fleet.
+/// Number of blocked jobs for which a pass looks for tasks to preempt, in queue order. Without this limit the
+/// work of a pass would grow with the length of the queue times the size of the cluster.
 const MAX_PREEMPTION_ATTEMPTS: usize = 8;
-/// Tasks that start one by one are given this many machines at once.
+/// For a job within its team's guarantee, tasks are preempted on up to this many machines at once.
 const MAX_HOSTS_FOR_GUARANTEE: usize = 16;
-/// Seconds from the stop of a task to the start of the next one in its place, besides saving: a stop
-/// command, a heartbeat, a pass, a record and a start.
+/// Time in seconds from the decision to preempt a task until a task of another job starts in its place,
+/// without the time for the checkpoint: stop, report by the agent, scheduling pass, write to the store,
+/// and start.
 const PREEMPTION_OVERHEAD_S: f64 = 2.0;
 
-/// How many tasks of a job fit into its team's limit.
+/// Maximum number of tasks of a job that the remaining quota of its team permits.
 fn max_tasks_in_quota(quotas: &Quotas, spec: &JobSpec) -> u32 {
     let Some([cpus, gpus]) = quotas.get(&spec.team) else {
         return u32::MAX;
@@ -668,7 +676,7 @@
     slots(&[*cpus, *gpus, f64::INFINITY], &[spec.cpus, spec.gpus, 0.0])
 }
 
-/// Takes the resources of one task of a job.
+/// Allocates the resources of one task of a job on a machine and deducts them from the team's quota.
 fn allocate_task(host: &mut Host, quotas: &mut Quotas, entry: &QueueEntry<'_>) {
     host.allocate(&entry.requirements.need);
     if let Some([cpus, gpus]) = quotas.get_mut(&entry.spec.team) {
@@ -678,7 +686,8 @@
     host.add_image(entry.requirements.image);
 }
 
-/// Places what fits, in order. `largest_demand` is that of any job so far, these jobs included.
+/// Starts the tasks that fit, in the order of `entries`, and preempts tasks for blocked jobs.
+/// `largest_demand` is the largest demand of any job so far, including the jobs of this pass.
 fn run_pass(
     entries: &[QueueEntry<'_>],
     hosts: &mut [Host],
@@ -777,8 +786,8 @@
     plan
 }
 
-/// Places what fits of one job. Returns how many tasks do not fit, not counting those beyond the limit
-/// of its team.
+/// Starts the tasks of one job that fit. Returns the number of tasks that found no machine; tasks that
+/// exceed the team's quota are not counted.
 fn start_job(
     entry: &QueueEntry<'_>,
     hosts: &mut [Host],
@@ -865,7 +874,7 @@
     permitted.saturating_sub(free)
 }
 
-/// Places tasks one by one. Returns how many do not fit.
+/// Starts tasks one by one. Returns the number of tasks that found no machine.
 #[allow(clippy::too_many_arguments)]
 fn start_tasks_one_by_one(
     entry: &QueueEntry<'_>,
@@ -916,7 +925,7 @@
             let count_hosts = || hosts.iter().filter(is_being_cleared).count();
             let being_cleared = hosts_being_cleared.get_or_insert_with(count_hosts);
             if *being_cleared > 0 {
-                // The replica starts as soon as its place is clear.
+                // The replica waits for a machine with its image that is being cleared already.
                 *being_cleared -= 1;
                 picker.put_back(hosts, host);
                 continue;
@@ -950,8 +959,9 @@
     }
 }
 
-/// A task of a lower priority that can save, stops alone, and keeps a replica from a machine with its
-/// image, if the replica would start there in less than half the time that a fetch takes.
+/// Finds a task to preempt for a replica of a service: its machine has the service's image, and preempting it
+/// takes less than half as long as fetching the image on another machine. The task has a lower priority,
+/// saves checkpoints and stops alone. Of all such tasks, returns the one that started last.
 fn find_victim_with_image<'a, 'b>(
     entry: &QueueEntry<'_>,
     hosts: &[Host],
@@ -988,11 +998,16 @@
     candidates.max_by_key(|task| task.start_order)
 }
 
-/// If a blocked job fits once other tasks are gone, preempts those in its place, latest start first:
-/// backfilled tasks, for the job at the top of the queue; tasks of a lower priority, if they can save or
-/// make room for replicas; and what other teams run beyond their guarantees, for a job within its own.
-/// The machines are reserved for the job until it has started. Returns whether any task could be
-/// preempted.
+/// Preempts tasks to make room for a blocked job, and reserves their machines until the job has started. On
+/// each machine, the tasks that started last are preempted first. Returns whether there were tasks that may
+/// be preempted for the job.
+///
+/// These tasks may be preempted:
+/// - for a gang at the head of the queue: backfilled tasks;
+/// - for a gang or a service: tasks of a lower priority; for a gang only those that save checkpoints;
+/// - for a gang that has waited long: tasks of a lower priority that stop alone and are not exempt;
+/// - for a job within its team's guarantee: tasks beyond the guarantees of other teams; members of gangs only
+///   if the job is overdue.
 fn preempt(
     entry: &QueueEntry<'_>,
     unplaced: u32,
@@ -1022,8 +1037,8 @@
     let may_preempt = |task: &&PreemptibleTask<'_>| {
         let is_lower = task.priority < entry.priority;
         let by_priority = is_lower && (task.saves_checkpoints || is_service) && !is_array;
-        // A team that runs beyond its guarantee gives back what others are guaranteed: single tasks, which
-        // lose little, at once; gangs, which stop as a whole, when nothing else has helped.
+        // Tasks beyond another team's guarantee that stop alone lose little work and may be preempted at
+        // once. A gang stops as a whole, so its members may be preempted only when the job is overdue.
         let is_surplus =
             task.beyond_guarantee && task.team != entry.team && (task.stops_alone || entry.overdue);
         let by_guarantee = entry.guaranteed && is_surplus;
@@ -1062,7 +1077,8 @@
             *tasks_by_host.entry(host).or_default() += 1;
         }
     } else {
-        // The fullest machines come first, so that as few tasks as possible have to stop.
+        // Machines on which preemption releases the fewest GPUs come first, so that as little work as
+        // possible is lost.
         let mut zones: Vec<u32> = entry.task_locations.iter().map(|(zone, _)| *zone).collect();
         let reserved = hosts.iter().filter(is_reserved);
         let usable = reserved.filter(|host| slots(&host.free_after_stops(), &need) > 0);
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -1,4 +1,5 @@
-//! The cache of the records: listings, watches, placement batches applied to jobs, and new cancellations.
+//! The record cache: listings, watches, placement batches that are applied to jobs, new cancellations, and unreadable
+//! records.
 
 mod simulation;
 
@@ -40,7 +41,8 @@
         .collect()
 }
 
-/// A listing delivers batches before jobs, a watch after them; both give the same placements.
+/// A listing returns placement batches before jobs, a watch delivers them after the jobs. Both must result in the same
+/// placements.
 #[test]
 fn listing_and_watch_apply_placement_batches_alike() {
     let job = record(JobStage::Active, vec![entry(0, 1), entry(1, 1)]);
@@ -73,17 +75,31 @@
         more: false,
         revision: 9,
     };
-    assert!(listed.apply_listing_page(page));
-    assert_eq!(placements(&listed), expected);
+    assert!(
+        listed.apply_listing_page(page),
+        "the listing is not complete after its last page"
+    );
+    assert_eq!(
+        placements(&listed),
+        expected,
+        "placements after the listing"
+    );
     let mut watched = RecordCache::default();
     for i in [1, 2, 0] {
         let (key, value, version) = &records[i];
         watched.put(key, value.clone(), *version);
     }
-    assert_eq!(placements(&watched), expected);
-    assert_eq!(watched.tasks_placed_on("n-2").count(), 2);
-    assert!(!watched.is_batch_superseded(0));
-    // The job's own records hold the placements: the batch is obsolete and may be deleted.
+    assert_eq!(placements(&watched), expected, "placements after the watch");
+    assert_eq!(
+        watched.tasks_placed_on("n-2").count(),
+        2,
+        "tasks placed on n-2"
+    );
+    assert!(
+        !watched.is_batch_superseded(0),
+        "the batch is superseded before its placements are in the job's records"
+    );
+    // The placements are now in the records of the job itself, so the batch is superseded and may be deleted.
     watched.put_job(
         "req-1",
         record(JobStage::Active, vec![entry(0, 2), entry(1, 1)]),
@@ -94,13 +110,25 @@
         done: 0,
     };
     watched.put_chunk("req-1", 1, merged_chunk, 11);
-    assert_eq!(placements(&watched), expected);
-    assert!(watched.is_batch_superseded(0));
+    assert_eq!(
+        placements(&watched),
+        expected,
+        "placements after the merge into the job's records"
+    );
+    assert!(
+        watched.is_batch_superseded(0),
+        "the batch is not superseded after the merge"
+    );
     watched.delete(&placement_batch_key(0), 12);
-    assert_eq!(placements(&watched), expected);
+    assert_eq!(
+        placements(&watched),
+        expected,
+        "placements after the deletion of the batch"
+    );
 }
 
-/// A canceller may not have seen the batch, and a batch may outlive the cleanup.
+/// The controller that cancels a job may not have read the batch yet, so its record may lack the batch's placements. A
+/// batch may also still exist after the cleanup of the job.
 #[test]
 fn cancelled_job_keeps_its_batched_placements_until_cleanup() {
     let mut cache = RecordCache::default();
@@ -111,24 +139,35 @@
         5,
     );
     cache.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
-    assert_eq!(placements(&cache), [(0, 2)]);
+    assert_eq!(
+        placements(&cache),
+        [(0, 2)],
+        "placements of the cancelled job"
+    );
     let cleaned = JobRecord {
         cleaned: true,
         ..record(JobStage::Cancelled, Vec::new())
     };
     cache.put_job("req-1", cleaned, 7);
     assert!(
-        matches!(cache.job("req-1"), Some(JobLookup::Finished(f)) if f.stage == JobStage::Cancelled)
+        matches!(cache.job("req-1"), Some(JobLookup::Finished(f)) if f.stage == JobStage::Cancelled),
+        "req-1 is not found as a finished job in stage Cancelled"
+    );
+    assert!(
+        cache.is_batch_superseded(4),
+        "the batch is not superseded after the cleanup"
     );
-    assert!(cache.is_batch_superseded(4));
 }
 
-/// A cancellation is returned once, whatever follows it: the cleanup, a new listing, or an older record.
+/// A cancellation is returned only once, whatever the cache receives after it: the cleaned record or an older version.
 #[test]
 fn new_cancellation_is_returned_once() {
     let mut cache = RecordCache::default();
     cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 3);
-    assert!(cache.take_cancelled().is_empty());
+    assert!(
+        cache.take_cancelled().is_empty(),
+        "a cancellation is returned before there is one"
+    );
     cache.put_job("req-1", record(JobStage::Cancelled, vec![entry(0, 1)]), 6);
     cache.put_job("req-1", record(JobStage::Active, vec![entry(0, 1)]), 5);
     assert_eq!(cache.take_cancelled(), [("req-1".to_string(), 6)]);
@@ -137,28 +176,48 @@
         ..record(JobStage::Cancelled, Vec::new())
     };
     cache.put_job("req-1", cleaned, 8);
-    assert!(cache.take_cancelled().is_empty());
+    assert!(
+        cache.take_cancelled().is_empty(),
+        "the cancellation is returned again after the cleanup"
+    );
     cache.put_job("req-2", record(JobStage::Done, Vec::new()), 9);
     assert!(
-        cache.take_cancelled().is_empty() && cache.is_done("req-2") && cache.is_cancelled("req-1")
+        cache.take_cancelled().is_empty() && cache.is_done("req-2") && cache.is_cancelled("req-1"),
+        "expected no new cancellation, req-2 done and req-1 cancelled"
     );
 }
 
-/// An unreadable record stands until a newer one or its deletion: an older one that arrives late has no effect.
+/// A record counts as unreadable until a newer version or its deletion is received. An older version that arrives late
+/// has no effect.
 #[test]
 fn unreadable_record_is_kept_until_a_newer_version() {
     let (mut cache, key) = (RecordCache::default(), job_key("req-1"));
     let active = to_value(&record(JobStage::Active, Vec::new()));
     cache.put(&key, active.clone(), 3);
     cache.put(&key, "spoilt".into(), 7);
-    assert!(cache.is_unreadable("req-1") && !cache.is_unreadable("req-11"));
+    assert!(
+        cache.is_unreadable("req-1") && !cache.is_unreadable("req-11"),
+        "expected req-1 alone to be unreadable"
+    );
     cache.put(&key, active.clone(), 5);
     cache.delete(&key, 6);
-    assert!(cache.is_unreadable("req-1"));
+    assert!(
+        cache.is_unreadable("req-1"),
+        "req-1 counts as readable after older versions arrived"
+    );
     cache.put(&key, active, 8);
-    assert!(!cache.is_unreadable("req-1"));
+    assert!(
+        !cache.is_unreadable("req-1"),
+        "req-1 is still unreadable after a newer version"
+    );
     cache.put(&placement_batch_key(4), "spoilt".into(), 9);
-    assert!(cache.has_unreadable_batch());
+    assert!(
+        cache.has_unreadable_batch(),
+        "the batch does not count as unreadable"
+    );
     cache.delete(&placement_batch_key(4), 10);
-    assert!(!cache.has_unreadable_batch());
+    assert!(
+        !cache.has_unreadable_batch(),
+        "the deleted batch still counts as unreadable"
+    );
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,5 +1,7 @@
-//! Recovery from mass losses: many tasks are lost at once, and `assert_recovered_in_order` asserts that no job recovers ahead of another
-//! because its machines came back sooner. The simulation checks the rules of PROTOCOL after every step.
+//! Recovery after many tasks are lost at once.
+//!
+//! `assert_recovered_in_order` asserts that no job recovers ahead of an earlier one because its machines were available
+//! again sooner. The simulation checks the rules of PROTOCOL after every step.
 
 mod simulation;
 
@@ -13,14 +15,15 @@
 const ARRAYS: usize = 8;
 const GANGS: usize = 4;
 
-/// Write limit of the store, in changes a second: one change for each job would take seconds.
+/// Write limit of the store, in changes per second. It is so low that a write of its own for each lost job would take
+/// seconds.
 const WRITE_RPS: f64 = 12.0;
 
 fn id(n: usize) -> String {
     format!("req-{n:04}")
 }
 
-/// `LOG_LEVEL=debug cargo test --test recovery -- --nocapture NAME` shows what the controllers log.
+/// `LOG_LEVEL=debug cargo test --test recovery -- --nocapture NAME` prints the logs of the controllers.
 fn simulation_with_write_rate(seed: u64, machines: usize, write_rps: f64) -> Simulation {
     let _ = env_logger::Builder::from_env(env_logger::Env::default().filter("LOG_LEVEL"))
         .is_test(true)
@@ -30,8 +33,8 @@
     sim
 }
 
-/// A simulation in which services, arrays and gangs fill most of the machines. They are accepted in turns, so that no
-/// kind is older than another.
+/// A simulation in which services, arrays and gangs fill most of the machines. Jobs of these kinds are submitted
+/// alternately, so that the jobs of one kind are not all older than those of another.
 fn busy_simulation(seed: u64, machines: usize) -> Simulation {
     let mut sim = simulation_with_write_rate(seed, machines, WRITE_RPS);
     submit_filling_jobs(&mut sim);
@@ -49,7 +52,10 @@
         sim.run_seconds(1);
     }
     sim.run_seconds(6);
-    assert!(sim.leader().is_some(), "nobody leads");
+    assert!(
+        sim.leader().is_some(),
+        "no leader after all jobs were submitted"
+    );
 }
 
 fn kind_of(sim: &Simulation, task: &str) -> JobKind {
@@ -60,8 +66,8 @@
     task.split('/').next().unwrap()
 }
 
-/// Tasks that had started before `since` and started again after it, by the machine they were on, each with the time of
-/// its second start.
+/// Tasks that started before `since` and again at or after it: by the machine of the earlier start, the time of the
+/// later start of each task.
 fn task_returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut machine_of: BTreeMap<&str, &str> = BTreeMap::new();
     let mut returns: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
@@ -76,8 +82,9 @@
     returns
 }
 
-/// Asserts the order of recovery: of two jobs of one kind that lost tasks on one machine, the one accepted first is not
-/// back later than the other by more than a pass, a write and a fetch; and replicas do not wait for others.
+/// Asserts the order in which tasks that were lost on the same machine start again. Of two jobs of one kind, the tasks
+/// of the job that was accepted first start at most `slack` after those of the other. Replicas of services start at
+/// most `slack` after tasks of other kinds. The slack covers a scheduling pass, a write and the fetch of an image.
 fn assert_recovered_in_order(sim: &Simulation, since: u64) {
     let slack = 4 * SECOND;
     let mut compared = 0;
@@ -93,12 +100,16 @@
                 compared += 1;
                 assert!(
                     *at_a <= at_b + slack,
-                    "{machine}: {a} ({kind_a:?}) is back at {at_a}, {b} ({kind_b:?}) at {at_b}"
+                    "{machine}: {a} ({kind_a:?}) restarted at {at_a} us, more than {slack} us after {b} \
+                     ({kind_b:?}) at {at_b} us"
                 );
             }
         }
     }
-    assert!(compared > 10, "hardly anything was lost: {compared}");
+    assert!(
+        compared > 10,
+        "only {compared} pairs of lost tasks were compared, expected more than 10"
+    );
 }
 
 /// Asserts that all replicas run and that all other jobs are done.
@@ -110,14 +121,14 @@
                     assert_eq!(
                         sim.machines_running(&format!("{id}/{task}")).len(),
                         1,
-                        "{id}/{task}\n{}",
+                        "number of running instances of {id}/{task}\n{}",
                         sim.dump()
                     );
                 }
             }
             _ => assert!(
                 sim.job_done(id),
-                "{id} is {}\n{}",
+                "{id} is {}, expected done\n{}",
                 sim.last_status(id),
                 sim.dump()
             ),
@@ -125,14 +136,14 @@
     }
 }
 
-/// Machines with their zones.
+/// Names and zones of all machines.
 fn machines(sim: &Simulation) -> Vec<(String, String)> {
     let name_and_zone =
         |agent: &simulation::fake_agent::FakeAgent| (agent.name.clone(), agent.zone.clone());
     sim.agents.values().map(name_and_zone).collect()
 }
 
-/// Partitions a zone from everything outside it, its controllers included.
+/// Partitions the machines and controllers of a zone from everything outside it.
 fn partition_zone(sim: &mut Simulation, zone: &str, duration: u64) {
     let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     let machines = machines(sim);
@@ -180,7 +191,7 @@
     }
 }
 
-/// Whether the leader's cache has ever held a placement batch: the tests must not pass without one.
+/// Whether a placement batch has ever been written. Tests assert this so that they do not pass without any batch.
 fn has_placement_batch(sim: &Simulation) -> bool {
     sim.store.contains_key("wt/bundled")
 }
@@ -193,10 +204,14 @@
     sim.run_seconds(150);
     assert_recovered_in_order(&sim, since + LEASE_S * SECOND);
     assert_all_jobs_recovered(&sim);
-    assert!(has_placement_batch(&sim), "places went one by one");
+    assert!(
+        has_placement_batch(&sim),
+        "no placement batch was written during the recovery"
+    );
 }
 
-/// Applies `trouble` to a busy simulation and asserts that what was lost `after` its beginning recovers in order.
+/// Injects faults into a busy simulation and asserts that tasks that start again at least `loss_delay` after the first
+/// fault recover in order.
 fn assert_recovery_in_order(
     seeds: Range<u64>,
     machines: usize,
@@ -233,7 +248,7 @@
 #[test]
 fn returning_zone_during_replacement_recovers_in_order() {
     assert_recovery_in_order(30..34, 10, LEASE_S * SECOND, |sim, seed| {
-        // Leases of 10 s expire and replacements take 5 s to boot: the partition ends in between.
+        // Leases expire after 10 s and replacement machines take 5 s to boot. The partition ends in between.
         let duration = (LEASE_S + 4 + seed % 4) * SECOND;
         for (machine, _) in machines(sim).iter().filter(|(_, zone)| zone == "b") {
             for i in 0..3 {
@@ -270,11 +285,14 @@
     });
 }
 
-/// Runs until the first placement batch is written, and no longer.
+/// Runs until the first placement batch is written, in steps of this number of microseconds.
 fn run_until_batched(sim: &mut Simulation, step: u64) {
     let since = sim.now;
     while !has_placement_batch(sim) {
-        assert!(sim.now < since + 60 * SECOND, "nothing came back");
+        assert!(
+            sim.now < since + 60 * SECOND,
+            "no placement batch was written within 60 s"
+        );
         sim.run_micros(step);
     }
 }
@@ -297,17 +315,20 @@
     let mut sim = busy_simulation(70, 12);
     kill_machines(&mut sim, |i| i % 4 < 2);
     sim.run_seconds(200);
-    assert!(has_placement_batch(&sim));
+    assert!(has_placement_batch(&sim), "no placement batch was written");
     assert_eq!(
         sim.store.count_keys_under("wt/b/"),
         0,
-        "placement batches are left"
+        "placement batches that are not merged into job records"
     );
-    // A controller that lists the records only now sees the same.
+    // Controllers that read the records after the merge see the same placements.
     let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
     sim.run_seconds(30);
-    assert!(sim.leader().is_some(), "kernel-{leader} led before");
+    assert!(
+        sim.leader().is_some(),
+        "no leader after the restart of all controllers; kernel-{leader} was the leader"
+    );
     assert_all_jobs_recovered(&sim);
 }
 
@@ -332,17 +353,21 @@
             });
         }
         sim.run_seconds(200);
-        assert!(sim.now > since);
+        assert!(
+            sim.now > since,
+            "the simulated time did not advance beyond {since}"
+        );
         for (id, ground_truth) in &sim.jobs {
             if ground_truth.cancel_requested {
                 let status = sim.last_status(id);
                 assert!(
                     status == "cancelled" || status == "done",
-                    "{id} is {status}"
+                    "seed {seed}: {id} is {status}, expected cancelled or done"
                 );
                 assert!(
                     (0..ground_truth.spec.tasks)
-                        .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty())
+                        .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty()),
+                    "seed {seed}: tasks of {id} still run although it is {status}"
                 );
             }
         }
@@ -353,7 +378,7 @@
 fn takeover_prefers_machines_with_cached_images() {
     let mut sim = simulation_with_write_rate(90, 12, 60.0);
     let mut past_leaders: BTreeSet<usize> = sim.leader().into_iter().collect();
-    // Six images, one for each machine of the zone; there are twice as many machines.
+    // Six images for the six machines of one of the two zones, so that each machine caches one image.
     for n in 0..6 {
         let mut spec = job(JobKind::Array, 8, 1.0);
         spec.image = format!("img-{n}");
@@ -365,13 +390,16 @@
         sim.run_seconds(1);
         past_leaders.extend(sim.leader());
     }
-    assert!((0..6).all(|n| sim.job_done(&id(n))) && past_leaders.len() < 3);
+    assert!(
+        (0..6).all(|n| sim.job_done(&id(n))) && past_leaders.len() < 3,
+        "jobs are not done, or no controller is left that has not led: {past_leaders:?}"
+    );
     let cached_images: BTreeMap<String, BTreeSet<String>> = sim
         .agents
         .iter()
         .map(|(machine, agent)| (machine.clone(), agent.cached_images.clone()))
         .collect();
-    // The next leader has followed the records and has not heard from any machine.
+    // The next leader has watched the records but has received no heartbeat from any agent.
     past_leaders
         .iter()
         .for_each(|i| sim.crash_controller(*i, 60 * SECOND));
@@ -388,7 +416,7 @@
         let machine = sim.recorded_machine(&task).expect("placed");
         assert!(
             cached_images[&machine].contains(&format!("img-{n}")),
-            "{task} fetches on {machine}"
+            "{task} was placed on {machine}, which has not cached img-{n}"
         );
     }
 }
@@ -397,7 +425,7 @@
 fn new_leader_with_a_stale_cache_starts_nothing_twice() {
     for seed in 100..106 {
         let mut sim = simulation_with_write_rate(seed, 12, WRITE_RPS);
-        // No client polls: a poll would make the caches catch up.
+        // No client polls, because a poll would make the caches of the controllers catch up with the store.
         for n in 0..24 {
             sim.declare_job(&id(n), job(JobKind::Service, 2, 1.0), 0);
             while !sim.jobs[&id(n)].accepted {
@@ -418,7 +446,8 @@
         sim.run_seconds(4);
         assert!(
             sim.leader().is_some_and(|n| n != leader),
-            "nobody took over"
+            "seed {seed}: leader is {:?}, expected one other than controller {leader}",
+            sim.leader()
         );
         sim.run_seconds(3);
         sim.watch_delays.clear();
@@ -439,7 +468,7 @@
         sim.run_seconds(60);
         assert!(
             !has_placement_batch(&sim),
-            "seed {seed}: kernel-2 would take bundled tasks for lost"
+            "seed {seed}: a placement batch was written, but kernel-2 cannot read it and would treat its tasks as lost"
         );
         sim.run_seconds(100);
         assert_all_jobs_recovered(&sim);
@@ -459,7 +488,7 @@
     assert_eq!(
         sim.store.count_keys_under("wt/b/"),
         0,
-        "kernel-{rolled_back} does not see them"
+        "placement batches are left, which kernel-{rolled_back} cannot read"
     );
     sim.run_seconds(140);
     assert_all_jobs_recovered(&sim);
@@ -479,7 +508,10 @@
             });
         }
         sim.run_seconds(180);
-        assert!(sim.now > since && has_placement_batch(&sim));
+        assert!(
+            sim.now > since && has_placement_batch(&sim),
+            "seed {seed}: no placement batch was written, or the time did not advance beyond {since}"
+        );
         assert_all_jobs_recovered(&sim);
     }
 }
@@ -528,6 +560,9 @@
             sim.store.end_outage(now);
         }
         sim.run_seconds(120);
-        assert!(sim.leader().is_some(), "seed {seed}: nobody leads");
+        assert!(
+            sim.leader().is_some(),
+            "seed {seed}: no leader after all faults have ended"
+        );
     }
 }
