--- a/src/cloud/cloud_calls.rs
+++ b/src/cloud/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud and their responses, and the records that follow from them.
+//! Calls to the cloud, the handling of their responses, and the records that are written as a result.
 
 use crate::cloud::autoscaler::{InstanceOffer, ScalingPlan};
 use crate::controller::Controller;
@@ -13,9 +13,9 @@
 use crate::state::store_client::{RequestPriority, StoreRequest};
 use crate::transport::Outcome;
 
-/// Timeout of a call.
+/// Timeout of a call to the cloud.
 const CLOUD_TIMEOUT: Micros = Micros::millis(4000);
-/// Machines in one rent request at most.
+/// Maximum number of machines in one rent request.
 const MAX_RENTED_PER_CALL: u32 = 50;
 /// Version of a key that does not exist.
 const NO_VERSION: u64 = 0;
@@ -44,16 +44,18 @@
         }
     }
 
-    /// `list_cursor`: the machine after which a page of the list begins; empty: the first page.
+    /// `list_cursor`: name of the machine after which a page of the list begins; empty for the first page.
     fn new(request: &CloudRequest, list_cursor: &str) -> CloudCall {
         match request {
-            CloudRequest::Types => CloudCall::get("/flavors".to_string()),
-            CloudRequest::List if list_cursor.is_empty() => {
+            CloudRequest::ListMachineTypes => CloudCall::get("/flavors".to_string()),
+            CloudRequest::ListMachines if list_cursor.is_empty() => {
                 CloudCall::get("/machines?most=500".to_string())
             }
-            CloudRequest::List => CloudCall::get(format!("/machines?after={list_cursor}&most=500")),
-            CloudRequest::RentInstances(rent) => CloudCall::post("/machines", encode(rent)),
-            CloudRequest::Delete(machines) => {
+            CloudRequest::ListMachines => {
+                CloudCall::get(format!("/machines?after={list_cursor}&most=500"))
+            }
+            CloudRequest::RentMachines(rent) => CloudCall::post("/machines", encode(rent)),
+            CloudRequest::DeleteMachines(machines) => {
                 let names = MachineNames {
                     machines: machines.clone(),
                 };
@@ -63,7 +65,7 @@
     }
 }
 
-/// Response of the cloud; status 0: none.
+/// Response of the cloud; the status is 0 if there was none.
 struct CloudResponse {
     status: u16,
     body: Vec<u8>,
@@ -82,7 +84,7 @@
         self.status == 200
     }
 
-    /// The body of a successful response, if it can be read.
+    /// The decoded body of a successful response; None if it failed or cannot be decoded.
     fn content<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         if self.is_ok() {
             decode(&self.body)
@@ -93,13 +95,13 @@
 }
 
 impl Controller {
-    /// Sends the calls to the cloud that are due; returns when the next one is.
+    /// Sends the calls to the cloud that are due; returns when the next call is due.
     pub fn drive_inventory(&mut self, clock: Clock) -> Micros {
         let calls_per_s = self.settings.params.cloud.rps;
         let Some(leader) = &mut self.leader else {
             return Micros::FAR;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         inventory.queue_due_calls(clock.now);
         let requests = inventory.take_calls(calls_per_s, clock.now);
         let next = inventory.next_call_at(clock.now);
@@ -119,14 +121,14 @@
         next
     }
 
-    /// Handles the response of the cloud to a request, or the lack of one.
+    /// Handles the response of the cloud to a request, or its absence.
     pub fn on_cloud_response(&mut self, clock: Clock, request: CloudRequest, outcome: Outcome) {
         let response = CloudResponse::new(outcome);
         match request {
-            CloudRequest::Types => self.on_types_response(clock, &response),
-            CloudRequest::List => self.on_list_response(clock, &response),
-            CloudRequest::RentInstances(rent) => self.on_rent_response(clock, &rent, &response),
-            CloudRequest::Delete(machines) => self.on_delete_response(machines, &response),
+            CloudRequest::ListMachineTypes => self.on_types_response(clock, &response),
+            CloudRequest::ListMachines => self.on_list_response(clock, &response),
+            CloudRequest::RentMachines(rent) => self.on_rent_response(clock, &rent, &response),
+            CloudRequest::DeleteMachines(machines) => self.on_delete_response(machines, &response),
         }
     }
 
@@ -135,18 +137,18 @@
             return;
         };
         let content: Option<MachineTypes> = response.content();
-        leader.fleet.types_read(content.is_some(), clock.now);
+        leader.inventory.on_types_read(content.is_some(), clock.now);
         if let Some(content) = content {
             self.record_types(content.types);
         }
     }
 
-    /// Writes the machine types to the store if they have changed. Spot prices change all the time, and are no reason
-    /// to write a new record.
+    /// Writes the machine types to the store if they have changed. Spot prices change so often that they alone do not
+    /// justify a write.
     fn record_types(&mut self, mut types: Vec<MachineType>) {
-        types.sort_by(|one, other| one.name.cmp(&other.name));
-        let known = self.cache.machine_types.as_ref();
-        if known.is_some_and(|known| same_but_spot_prices(known, &types)) {
+        types.sort_by(|a, b| a.name.cmp(&b.name));
+        let recorded = self.cache.machine_types.as_ref();
+        if recorded.is_some_and(|recorded| equal_except_spot_prices(recorded, &types)) {
             return;
         }
         let Some(leader) = &self.leader else {
@@ -172,34 +174,34 @@
             return;
         };
         let Some(page) = response.content::<MachinePage>() else {
-            leader.fleet.list_failed(clock.now);
+            leader.inventory.on_list_failed(clock.now);
             return;
         };
-        leader.fleet.list_page_read(&page, clock.now);
+        leader.inventory.on_list_page(&page, clock.now);
         if !page.more && self.cache.initial_machines.is_none() {
-            self.record_base(page.machines.len());
+            self.record_initial_machines(page.machines.len());
         }
         let Some(leader) = &mut self.leader else {
             return;
         };
         for listed in page.machines {
-            leader.dirty |= leader.fleet.apply_listed(listed, clock.now);
+            leader.dirty |= leader.inventory.apply_listed(listed, clock.now);
         }
     }
 
-    /// Writes to the store how many machines there were before any was requested, once and for all: nothing is
-    /// requested before the first list has been read. `listed`: machines on the last page.
-    fn record_base(&mut self, listed: usize) {
+    /// Records in the store, only once, how many machines there were before any was requested. Nothing is requested
+    /// before the first list has been read. `last_page_len`: number of machines on the last page.
+    fn record_initial_machines(&mut self, last_page_len: usize) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let base = leader.fleet.machines.len().max(listed) as u64;
+        let initial_machines = leader.inventory.machines.len().max(last_page_len) as u64;
         let transaction = Transaction {
             conditions: vec![
                 VersionCondition::new(LEADER_KEY, leader.version),
                 VersionCondition::new(BASELINE_MACHINES_KEY, NO_VERSION),
             ],
-            changes: vec![Change::put(BASELINE_MACHINES_KEY, &base, None)],
+            changes: vec![Change::put(BASELINE_MACHINES_KEY, &initial_machines, None)],
         };
         self.store.enqueue(
             RequestPriority::Normal,
@@ -212,13 +214,13 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         if let Some(names) = response.content::<MachineNames>() {
-            inventory.rented(rent, names, clock.now);
+            inventory.on_rented(rent, names, clock.now);
         } else if matches!(response.status, 400 | 503) {
-            inventory.rent_refused(rent, clock.now);
+            inventory.on_rent_refused(rent, clock.now);
         } else {
-            inventory.rent_failed(rent);
+            inventory.on_rent_failed(rent);
         }
         leader.dirty = true;
     }
@@ -229,41 +231,43 @@
         };
         for name in machines {
             if response.is_ok() {
-                leader.fleet.deleted(&name);
+                leader.inventory.on_deleted(&name);
                 leader.agents.remove(&name);
                 leader.dirty = true;
             } else {
-                leader.fleet.deletion_failed(name);
+                leader.inventory.on_deletion_failed(name);
             }
         }
     }
 
-    /// Queues the rent requests and deletions of a plan.
+    /// Applies a plan: queues its deletions and rent requests.
     pub fn apply_scaling_plan(&mut self, plan: ScalingPlan) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         for deletion in plan.deletions {
-            leader.fleet.delete(&deletion.machine, deletion.reason);
+            leader
+                .inventory
+                .mark_for_deletion(&deletion.machine, deletion.reason);
         }
         if plan.may_scale_out {
-            leader.fleet.retry_rent_requests();
+            leader.inventory.retry_rent_requests();
         }
         for (offer, count) in plan.requests {
             self.rent(&offer, count);
         }
     }
 
-    /// Queues rent requests for a number of machines.
+    /// Queues rent requests for `count` machines.
     fn rent(&mut self, offer: &InstanceOffer, count: u32) {
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let inventory = &mut leader.fleet;
+        let inventory = &mut leader.inventory;
         let mut remaining = count;
         while remaining > 0 {
             inventory.rent_counter += 1;
-            // The term is part of the name: a controller that becomes the leader a second time counts from zero.
+            // The name contains the term, because a controller that becomes the leader again counts from zero.
             let request = format!(
                 "{}-{:x}-{}-{}",
                 self.settings.node, self.incarnation, leader.term, inventory.rent_counter
@@ -276,17 +280,17 @@
                 count: remaining.min(MAX_RENTED_PER_CALL),
             };
             remaining -= rent.count;
-            inventory.rent(rent);
+            inventory.queue_rent_request(rent);
         }
     }
 }
 
-/// Whether two lists in the order of names agree on everything but spot prices.
-fn same_but_spot_prices(known: &[MachineType], types: &[MachineType]) -> bool {
-    let same = |one: &MachineType, other: &MachineType| {
-        let mut one = one.clone();
-        one.spot_price = other.spot_price;
-        one == *other
+/// Whether two lists that are sorted by name are equal except for spot prices.
+fn equal_except_spot_prices(recorded: &[MachineType], listed: &[MachineType]) -> bool {
+    let equal = |a: &MachineType, b: &MachineType| {
+        let mut a = a.clone();
+        a.spot_price = b.spot_price;
+        a == *b
     };
-    known.len() == types.len() && known.iter().zip(types).all(|(one, other)| same(one, other))
+    recorded.len() == listed.len() && recorded.iter().zip(listed).all(|(a, b)| equal(a, b))
 }
--- a/src/cloud/scale_out.rs
+++ b/src/cloud/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: which machines are requested for demand that found no capacity.
+//! Scale-out: decides which machines are requested for demand that found no capacity.
 
 use crate::cloud::autoscaler::FleetSnapshot;
 use crate::cloud::demand::{CapacityDemand, DemandClass, DemandSource};
@@ -13,13 +13,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Machines requested in one pass at most.
+/// Maximum number of machines requested in one pass.
 const MAX_REQUESTED_PER_PASS: u32 = 400;
-/// Id of a name that no machine has.
+/// Id that stands for a name without an id.
 const NO_NAME: u32 = u32::MAX;
 const NO_RESOURCES: Resources = [0.0; 3];
 
-/// The number of machines to request, by offer.
+/// Returns the number of machines to request, by offer.
 pub(super) fn plan_scale_out<'a>(
     snapshot: &FleetSnapshot<'_>,
     names: &NameTable,
@@ -31,13 +31,13 @@
     planner.add_machines(silent_zones);
     planner.add_rent_requests();
     for demand in unmet {
-        // Capacity is promised only to find out what else to request.
+        // Assigning capacity to the remaining demand matters only for further requests.
         if planner.limit_reached() {
             break;
         }
         let requested_before = planner.requested;
         let job = || source.job(demand.candidate).map(|(_, job)| job);
-        planner.cover(&source.need(demand.candidate), demand.tasks, job);
+        planner.cover(&source.demand(demand.candidate), demand.tasks, job);
         let requested = planner.requested - requested_before;
         if requested > 0 {
             log::debug!(
@@ -56,13 +56,13 @@
     types: &'a [MachineType],
     capacity: ProvisioningCapacity,
     machines_per_zone: BTreeMap<&'a str, usize>,
-    /// Machines that are there, requested, or to be requested.
+    /// Number of machines that exist, are requested, or are to be requested.
     machines: usize,
-    /// Machines to be requested.
+    /// Number of machines to request.
     requested: u32,
     requests: BTreeMap<InstanceOffer, u32>,
     /// Demand for which there is no offer.
-    unoffered: HashMap<DemandClass, InfeasibleRequests>,
+    demand_without_offer: HashMap<DemandClass, InfeasibleRequests>,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
@@ -76,49 +76,49 @@
             machines: 0,
             requested: 0,
             requests: BTreeMap::new(),
-            unoffered: HashMap::default(),
+            demand_without_offer: HashMap::default(),
         }
     }
 
-    /// Counts the machines of the inventory, and adds the capacity of those that do not take tasks yet.
+    /// Counts the machines of the inventory, and adds the capacity of those that do not accept tasks yet.
     fn add_machines(&mut self, silent_zones: &BTreeSet<String>) {
         let leader = self.snapshot.leader;
-        for (name, machine) in &leader.fleet.machines {
+        for (name, machine) in &leader.inventory.machines {
             if machine.failed {
                 continue;
             }
-            self.count(&machine.zone, 1);
-            if machine.leaving {
+            self.count_machines(&machine.zone, 1);
+            if machine.marked_for_deletion {
                 continue;
             }
             let agent = leader.agents.get(name);
-            // The zone seems partitioned rather than lost: its machines are expected to come back.
+            // The zone seems partitioned rather than failed: its machines are expected to come back.
             let expected_back = silent_zones.contains(&machine.zone)
                 && agent.is_some_and(|agent| agent.epoch_ended());
             if !machine.reported || expected_back {
                 self.add_empty_host(&machine.kind, &machine.zone, machine.spot);
             }
-            // A machine that has sent heartbeats and not yet shown our term is about to take tasks. Without it, a
-            // number of machines that start together would be requested a second time.
+            // A machine that has sent heartbeats but has not shown our term yet will accept tasks soon. If its capacity
+            // were left out, machines that start at the same time would be requested a second time.
             if agent.is_some_and(|agent| agent.term < leader.term) {
                 self.add_started_host(name);
             }
         }
     }
 
-    /// Adds the machines of rent requests that are not answered yet.
+    /// Adds the machines of rent requests that have no final response yet.
     fn add_rent_requests(&mut self) {
         let snapshot = self.snapshot;
-        for pending in snapshot.leader.fleet.rent_requests.values() {
+        for pending in snapshot.leader.inventory.rent_requests.values() {
             let request = &pending.request;
             for _ in 0..request.count {
                 self.add_empty_host(&request.kind, &request.zone, request.spot);
             }
-            self.count(&request.zone, request.count as usize);
+            self.count_machines(&request.zone, request.count as usize);
         }
     }
 
-    fn count(&mut self, zone: &'a str, machines: usize) {
+    fn count_machines(&mut self, zone: &'a str, machines: usize) {
         *self.machines_per_zone.entry(zone).or_default() += machines;
         self.machines += machines;
     }
@@ -144,20 +144,20 @@
         });
     }
 
-    /// Adds a machine with the capacity that this pass has left on it.
+    /// Adds a machine with the capacity that is left on it after this pass.
     fn add_started_host(&mut self, name: &str) {
         let Some(index) = self.snapshot.hosts.find(name) else {
             return;
         };
-        let mut host = self.snapshot.rooms[index].clone();
+        let mut host = self.snapshot.hosts_after_pass[index].clone();
         host.schedulable = true;
         host.reserved = None;
         self.capacity.add(host);
     }
 
-    /// Whether no more machines may be requested in this pass, or at all.
+    /// Whether no more machines may be requested, either in this pass or at all.
     fn limit_reached(&self) -> bool {
-        let max_machines = self.snapshot.policy.most_machines as usize;
+        let max_machines = self.snapshot.policy.max_machines as usize;
         self.requested >= MAX_REQUESTED_PER_PASS
             || (max_machines > 0 && self.machines >= max_machines)
     }
@@ -188,27 +188,27 @@
         demand: &CapacityDemand<'_>,
         job: impl Fn() -> Option<&'j Job>,
     ) -> Option<ChosenOffer<'a>> {
-        let unoffered = self.unoffered.entry(demand.class()).or_default();
-        if unoffered.covers(demand.need, 1) {
+        let demand_without_offer = self.demand_without_offer.entry(demand.class()).or_default();
+        if demand_without_offer.covers(demand.need, 1) {
             return None;
         }
         let search = OfferSearch {
             types: self.types,
-            refused: &self.snapshot.leader.fleet.refused,
+            refused: &self.snapshot.leader.inventory.refused_offers,
             machines_per_zone: &self.machines_per_zone,
             now: self.snapshot.clock.now,
         };
         let zone_allowed = |zone: &str| demand.allows_zone(self.names.find(zone));
         let offer = job().and_then(|job| search.cheapest(&job.record.spec, zone_allowed));
         if offer.is_none() {
-            unoffered.add(demand.need, 1);
+            demand_without_offer.add(demand.need, 1);
         }
         offer
     }
 
     fn request(&mut self, offer: &ChosenOffer<'a>) {
         self.add_empty_host(&offer.machine_type.name, offer.zone, offer.spot);
-        self.count(offer.zone, 1);
+        self.count_machines(offer.zone, 1);
         *self.requests.entry(offer.instance_offer()).or_default() += 1;
         self.requested += 1;
     }
--- a/src/scheduling/apply_decision.rs
+++ b/src/scheduling/apply_decision.rs
@@ -82,7 +82,9 @@
         self.update_reservations(decision.reservations, now);
         self.record_starts(decision.starts, cache, now);
         for job in findings.cleanable_jobs {
-            self.record_writer.pending_write_mut(&job, now).clean = true;
+            self.record_writer
+                .pending_write_mut(&job, now)
+                .remove_entries = true;
         }
         self.record_done_tasks(findings.done_tasks, cache, now);
         let preemptions = preemption_stops(decision.preemptions, cache);
@@ -120,9 +122,9 @@
             start.backfilled,
             job.record.spec.image
         );
-        self.started += 1;
+        self.start_count += 1;
         let job_start_order = self.start_order.entry(start.job.clone()).or_default();
-        job_start_order.insert(start.task, self.started);
+        job_start_order.insert(start.task, self.start_count);
         if let Some(stops) = self.stopping.get_mut(&start.job) {
             stops.remove(&start.task);
         }
@@ -136,7 +138,7 @@
         );
         self.record_writer
             .pending_write_mut(&start.job, now)
-            .places
+            .placements
             .push(entry);
     }
 
--- a/src/state/placed_tasks.rs
+++ b/src/state/placed_tasks.rs
@@ -15,8 +15,8 @@
 }
 
 impl<'a> JobImage<'a> {
-    /// The image that a specification names.
-    pub fn of(spec: &'a JobSpec) -> JobImage<'a> {
+    /// The image in a job's specification.
+    pub fn from_spec(spec: &'a JobSpec) -> JobImage<'a> {
         JobImage {
             name: &spec.image,
             size_gb: spec.image_gb,
@@ -26,7 +26,7 @@
 
 /// Tasks with an attempt on record, by machine.
 ///
-/// The index is updated with every record, so that a look at one machine does not have to visit all jobs.
+/// The index is updated with every record, so that a query for one machine does not have to visit all jobs.
 #[derive(Debug, Default)]
 pub struct PlacedTasks {
     by_machine: BTreeMap<String, BTreeSet<(String, u32)>>,
@@ -34,12 +34,12 @@
 
 impl PlacedTasks {
     /// Tasks with an attempt on record on a machine, as job id and task number.
-    pub fn on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
+    pub fn tasks_on(&self, machine: &str) -> impl Iterator<Item = &(String, u32)> {
         self.by_machine.get(machine).into_iter().flatten()
     }
 
-    /// Replaces a job's old entries by its new ones; both are sorted by task. If the job's image is known, it is
-    /// noted in `image_caches` for each machine that gets a task.
+    /// Replaces a job's old entries by its new ones; both are sorted by task. If the job's image is known, its use is
+    /// recorded in `image_caches` for each machine that a task is newly placed on.
     pub fn update(
         &mut self,
         job: &str,
@@ -65,7 +65,7 @@
             let tasks = self.by_machine.entry(machine.to_string()).or_default();
             tasks.insert((job.to_string(), entry.task()));
             if let Some(image) = image {
-                image_caches.used(machine, image.name, image.size_gb);
+                image_caches.record_use(machine, image.name, image.size_gb);
             }
         }
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whether a sorted list has the entry's task on the same machine.
+/// Whether a list that is sorted by task has the entry's task on the same machine.
 fn stays_on_machine(entry: &TaskEntry, list: &[TaskEntry]) -> bool {
     list.binary_search_by_key(&entry.task(), TaskEntry::task)
         .is_ok_and(|index| list[index].machine() == entry.machine())
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use walnuttrestle::agents::failure_history::FailureHistory;
-use walnuttrestle::agents::leader_state::{FRESH_REPORTS, LeaderState, stop_grace_s};
+use walnuttrestle::agents::leader_state::{FRESH_HEARTBEAT_INTERVALS, LeaderState, stop_grace_s};
 use walnuttrestle::policy::Policy;
 use walnuttrestle::protocol::Clock;
 use walnuttrestle::protocol::agent_api::{ExitReason, TaskPhase};
@@ -180,7 +180,7 @@
             host.reserved = None;
         }
     }
-    if !leader.agents_known(settings, now) {
+    if !leader.takeover_grace_elapsed(settings, now) {
         preemptible.clear();
     }
     let class_of = |id: &str| cache.jobs[id].record.spec.class.as_str();
@@ -240,7 +240,7 @@
     names: &mut NameTable,
     now: Micros,
 ) -> HostTable {
-    let max_answer_age = Micros::secs(settings.params.agents.report_s * FRESH_REPORTS);
+    let max_answer_age = Micros::secs(settings.params.agents.report_s * FRESH_HEARTBEAT_INTERVALS);
     let count = leader.agents.len();
     let mut host_table = HostTable {
         hosts: Vec::with_capacity(count),
@@ -253,7 +253,7 @@
         else {
             continue;
         };
-        if agent.epoch_ended() || leader.fleet.is_gone(name) {
+        if agent.epoch_ended() || leader.inventory.is_gone(name) {
             continue;
         }
         let schedulable = agent.term == leader.term
@@ -261,8 +261,8 @@
                 .last_answered_at
                 .is_some_and(|at| now < at + max_answer_age)
             && agent.preemption_at.is_none()
-            && agent.reachability.receives()
-            && !leader.fleet.leaving(name)
+            && agent.reachability.is_reachable()
+            && !leader.inventory.is_marked_for_deletion(name)
             && !leader.is_unhealthy(agent, policy)
             && !leader.failed_recently(agent, now);
         let total = [machine_type.cpus, machine_type.gpus, machine_type.memory_gb];
@@ -281,7 +281,7 @@
             schedulable,
             images: cache
                 .image_caches
-                .of(name, machine_type.cache_gb)
+                .images_of(name, machine_type.cache_gb)
                 .map(|image| names.id(image))
                 .collect::<Vec<u32>>()
                 .into(),
@@ -332,7 +332,7 @@
     let in_flight = leader.record_writer.in_flight(id);
     let pending_placements: Vec<TaskEntry> = leader
         .record_writer
-        .unrecorded_places(id)
+        .unrecorded_placements(id)
         .cloned()
         .collect();
     let mut present: Vec<(u32, Option<usize>)> = Vec::new();
@@ -570,7 +570,7 @@
             let is_placed = job.entry(status.task).is_some_and(places_attempt)
                 || leader
                     .record_writer
-                    .unrecorded_places(&status.job)
+                    .unrecorded_placements(&status.job)
                     .any(places_attempt);
             if !is_placed {
                 let spec = &job.record.spec;
