--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -160,11 +160,11 @@
     fn adopt(&mut self, name: &str, heartbeat: &AgentHeartbeat, now: Micros) {
         log::info!(
             "machine adopted machine={name} type={} zone={}",
-            heartbeat.kind,
+            heartbeat.machine_type,
             heartbeat.zone
         );
         let offer = InstanceOffer {
-            kind: heartbeat.kind.clone(),
+            kind: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
         };
@@ -240,7 +240,7 @@
 
     /// When the next call is due.
     pub(super) fn next_call_at(&self, now: Micros) -> Micros {
-        let mut next = Micros::FAR;
+        let mut next = Micros::FAR_FUTURE;
         if !self.queued_calls.is_empty()
             && let Some(rate_limit) = &self.rate_limit
         {
@@ -275,7 +275,7 @@
     /// beginning.
     pub(super) fn on_list_page(&mut self, page: &MachinePage, now: Micros) {
         self.list_pending = false;
-        if page.more {
+        if page.has_more {
             let last = page.machines.last();
             self.list_cursor = last.map(|machine| machine.id.clone()).unwrap_or_default();
             self.next_list_at = now;
@@ -305,7 +305,7 @@
         }
         let machine = self.machines.entry(listed.id.clone()).or_insert_with(|| {
             let offer = InstanceOffer {
-                kind: listed.kind,
+                kind: listed.machine_type,
                 zone: listed.zone,
                 spot: listed.spot,
             };
@@ -328,7 +328,8 @@
             request: request.clone(),
             in_flight: true,
         };
-        self.rent_requests.insert(request.request.clone(), pending);
+        self.rent_requests
+            .insert(request.request_id.clone(), pending);
         self.queued_calls
             .push_back(CloudRequest::RentMachines(request));
     }
@@ -347,13 +348,13 @@
 
     /// Handles a rent request that the cloud executed, possibly in part.
     pub(super) fn on_rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
-        self.rent_requests.remove(&request.request);
+        self.rent_requests.remove(&request.request_id);
         let offer = offer_of(request);
         log::info!(
             "machines rented count={} requested={} type={} zone={} spot={}",
             rented.machines.len(),
             request.count,
-            request.kind,
+            request.machine_type,
             request.zone,
             request.spot
         );
@@ -370,12 +371,12 @@
 
     /// Handles a rent request that the cloud refused.
     pub(super) fn on_rent_refused(&mut self, request: &RentRequest, now: Micros) {
-        self.rent_requests.remove(&request.request);
+        self.rent_requests.remove(&request.request_id);
         self.refused_offers
             .insert(offer_of(request), now + REFUSED_OFFER_RETRY);
         log::info!(
             "no capacity to rent type={} zone={} spot={}",
-            request.kind,
+            request.machine_type,
             request.zone,
             request.spot
         );
@@ -383,7 +384,7 @@
 
     /// Handles a rent request without a usable response. It is unknown whether the cloud executed it.
     pub(super) fn on_rent_failed(&mut self, request: &RentRequest) {
-        if let Some(pending) = self.rent_requests.get_mut(&request.request) {
+        if let Some(pending) = self.rent_requests.get_mut(&request.request_id) {
             pending.in_flight = false;
         }
     }
@@ -405,7 +406,7 @@
 
 fn offer_of(request: &RentRequest) -> InstanceOffer {
     InstanceOffer {
-        kind: request.kind.clone(),
+        kind: request.machine_type.clone(),
         zone: request.zone.clone(),
         spot: request.spot,
     }
--- a/src/protocol/job/submission.rs
+++ b/src/protocol/job/submission.rs
@@ -5,17 +5,17 @@
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Largest valid amount. A job with a larger one is malformed; below it, a job may still be too large to ever run.
+/// Largest valid amount. A larger one makes the submission malformed; a smaller one may still exceed what can ever run.
 const MAX_AMOUNT: f64 = 1e9;
-/// Longest valid string field, in bytes.
+/// Maximum length of a string field, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
-/// Longest valid job id, in bytes.
+/// Maximum length of a job id, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Most machine types that a job may name.
+/// Maximum number of machine types listed by a job.
 const MAX_MACHINE_TYPES: usize = 64;
-/// Deepest nesting of a body that is still parsed.
+/// Maximum nesting depth of a body.
 const MAX_DEPTH: usize = 16;
 
 /// Why a submission is malformed.
@@ -33,7 +33,7 @@
 }
 
 /// Returns whether `id` has the form of a job id: `req-` and decimal digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     let has_valid_number =
         |number: &str| !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
     id.len() <= MAX_ID_BYTES && id.strip_prefix("req-").is_some_and(has_valid_number)
@@ -47,14 +47,14 @@
 pub fn parse(body: &[u8]) -> Result<(String, JobSpec), InvalidSubmission> {
     let fields = Fields::parse(body)?;
     let id = fields.text("id")?;
-    if !valid_id(&id) {
+    if !is_valid_job_id(&id) {
         return Err(InvalidSubmission::Field("id"));
     }
     let tasks = fields.task_count("sheets")?;
     let types = fields.machine_types("presses")?;
     let zone = fields.optional("yard", Fields::text)?;
     let deadline_s = fields.optional("due_s", Fields::amount)?;
-    let needs = fields.job_ids("awaits")?;
+    let dependencies = fields.job_ids("awaits")?;
     let spec = JobSpec {
         class: fields.text("docket")?,
         team: fields.text("crew")?,
@@ -75,7 +75,7 @@
         checkpoint_s: fields.amount("proof_s")?,
         save_s: fields.amount("stash_s")?,
         deadline_s,
-        needs,
+        dependencies,
     };
     Ok((id, spec))
 }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Reads a string that is not empty.
+    /// Reads a non-empty string of at most [`MAX_TEXT_BYTES`].
     fn text(&self, name: &'static str) -> Result<String, InvalidSubmission> {
         match self.get(name).and_then(Value::as_str) {
             Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text.to_string()),
@@ -176,7 +176,7 @@
             Some(_) => return Err(InvalidSubmission::Field(name)),
         };
         let valid = |value: &Value| {
-            let id = value.as_str().filter(|id| valid_id(id))?;
+            let id = value.as_str().filter(|id| is_valid_job_id(id))?;
             Some(id.to_string())
         };
         let ids: Option<Vec<String>> = values.iter().map(valid).collect();
--- a/src/protocol/records/budget_shares.rs
+++ b/src/protocol/records/budget_shares.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, Micros, u64)", into = "(u64, Micros, u64)")]
 struct StoredShare {
-    /// Thousandths of changes a second.
+    /// Thousandths of a change per second.
     amount: u64,
     /// Time of day at which the share expires.
     until: Micros,
-    /// Number of the grant that the share belongs to.
+    /// Number of the grant to which the share belongs.
     epoch: u64,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The newest grant of shares of the write budget (`admission_control::parts`), by holder in ascending order.
+/// The newest grant of shares of the write budget (`admission_control::parts`), sorted by holder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSharesRecord {
     /// Number of the grant.
@@ -68,7 +68,7 @@
 
 impl BudgetSharesRecord {
     /// Converts a grant into its stored form.
-    pub fn of(grant: &Grant) -> BudgetSharesRecord {
+    pub fn from_grant(grant: &Grant) -> BudgetSharesRecord {
         let shares = grant.parts.iter();
         let shares = shares.map(|(holder, part)| (holder.clone(), part.into()));
         let earlier = grant.owed.iter().map(|(holder, parts)| {
@@ -83,7 +83,7 @@
     }
 
     /// Converts the stored form into a grant.
-    pub fn grant(self) -> Grant {
+    pub fn into_grant(self) -> Grant {
         let shares = self.shares.into_iter();
         let shares = shares.map(|(holder, share)| (holder, share.into()));
         let earlier = self.earlier_shares.into_iter();
--- a/src/records/record_update.rs
+++ b/src/records/record_update.rs
@@ -98,7 +98,7 @@
 
     /// Removes the task entries of an ended job. Entries in chunks beyond the limit stay, which is harmless.
     fn remove_entries(&mut self, in_batches: bool) {
-        self.record.first.entries.clear();
+        self.record.first_chunk.entries.clear();
         self.record.cleaned |= in_batches;
         for (number, stored) in &self.job.chunks {
             if !stored.chunk.entries.is_empty() && self.chunks.len() < self.max_chunks {
@@ -143,7 +143,7 @@
     fn chunk_mut(&mut self, task: u32) -> &mut TaskChunk {
         match self.chunks.get_mut(&(task / TASKS_PER_CHUNK)) {
             Some(chunk) => chunk,
-            None => &mut self.record.first,
+            None => &mut self.record.first_chunk,
         }
     }
 
@@ -202,7 +202,7 @@
         let spec = &self.record.spec;
         if self.done_count() >= spec.tasks && spec.kind != JobKind::Service {
             self.record.stage = JobStage::Done;
-            self.record.end = clock.wall;
+            self.record.ended_at = clock.wall;
         }
     }
 
@@ -211,7 +211,7 @@
         let untouched = recorded.filter(|(number, _)| !self.chunks.contains_key(number));
         let untouched: u32 = untouched.map(|(_, s)| s.chunk.done.count_ones()).sum();
         let written: u32 = self.chunks.values().map(|c| c.done.count_ones()).sum();
-        self.record.first.done.count_ones() + untouched + written
+        self.record.first_chunk.done.count_ones() + untouched + written
     }
 
     /// With `merge_batched`, records with batched placements are written even if they equal the cached ones: the cached
--- a/src/state/store_client.rs
+++ b/src/state/store_client.rs
@@ -299,7 +299,7 @@
         let response = read_response(&sent.request, outcome);
         match (&response, outcome) {
             // A rate limit is no evidence of whether the store serves this controller.
-            (_, Outcome::Reply { status: 429, .. }) => {}
+            (_, Outcome::Response { status: 429, .. }) => {}
             (StoreResponse::Refused, _) => self.failure_weight += REFUSED_WEIGHT,
             (StoreResponse::Lost, _) => self.failure_weight += LOST_WEIGHT,
             _ => self.failure_weight = 0,
@@ -388,7 +388,7 @@
     let (status, body) = match outcome {
         Outcome::NotSent => return StoreResponse::Refused,
         Outcome::Lost => return StoreResponse::Lost,
-        Outcome::Reply { status, body } => (*status, body),
+        Outcome::Response { status, body } => (*status, body),
     };
     let response = match request {
         StoreRequest::Transaction(transaction) => {
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
-use walnuttrestle::protocol::job::valid_id;
+use walnuttrestle::protocol::job::is_valid_job_id;
 use walnuttrestle::protocol::peer_messages::{
     CancellationCursor, CancellationUpdate, InvalidPeerHeartbeat, LeaseDelegationStatus,
-    LogPosition, MOST_CANCELLATIONS, PeerHeartbeat, RecordSummary,
+    LogPosition, MAX_CANCELLATIONS, PeerHeartbeat, RecordSummary,
 };
 use walnuttrestle::protocol::records::LeaderRecord;
 
@@ -14,47 +14,50 @@
     let job = |number: usize| (format!("req-{number:06}"), 400 + number as u64);
     PeerHeartbeat {
         node: "kernel-1".into(),
-        leading: Some(7),
+        leading_term: Some(7),
         leader_silent_ms: Some(300),
-        newest: Some(412),
-        served: true,
+        newest_revision: Some(412),
+        store_available: true,
         format: format::NEWEST,
-        asks: 30_000,
-        epoch: 4,
-        more: Some(LeaseDelegationStatus {
-            run: 77,
-            right: Some(7),
-            used_ago: None,
-            quiet: false,
+        requested_writes: 30_000,
+        grant_epoch: 4,
+        delegation: Some(LeaseDelegationStatus {
+            incarnation: 77,
+            delegated_term: Some(7),
+            last_use_age_us: None,
+            pledges_silence: false,
         }),
         record_summary: Some(RecordSummary {
-            lead: LeaderRecord {
+            leader: LeaderRecord {
                 node: "kernel-0".into(),
                 incarnation: 3,
                 term: 7,
             },
             revision: 411,
-            cancelled: vec!["req-000009".into()],
-            known: vec![("kernel-2".into(), 12)],
+            cancelled_jobs: vec!["req-000009".into()],
+            peer_coverage_ages: vec![("kernel-2".into(), 12)],
         }),
-        knows: Some(CancellationCursor {
-            complete: 400,
-            heard: LogPosition { run: 78, next: 3 },
+        cancellation_cursor: Some(CancellationCursor {
+            complete_revision: 400,
+            log_position: LogPosition {
+                incarnation: 78,
+                next_entry: 3,
+            },
         }),
-        news: Some(CancellationUpdate {
-            lead: 12,
-            from: 3,
-            next: 3 + jobs as u64,
-            more: false,
+        cancellation_update: Some(CancellationUpdate {
+            leader_version: 12,
+            first_entry: 3,
+            next_entry: 3 + jobs as u64,
+            has_more: false,
             jobs: (0..jobs).map(job).collect(),
-            known: vec![("kernel-2".into(), 700_000)],
+            peer_coverage_ages: vec![("kernel-2".into(), 700_000)],
         }),
     }
 }
 
 #[test]
 fn a_heartbeat_survives_encoding_and_decoding() {
-    for jobs in [0, 1, MOST_CANCELLATIONS] {
+    for jobs in [0, 1, MAX_CANCELLATIONS] {
         let sent = heartbeat(jobs);
         assert_eq!(PeerHeartbeat::decode(&sent.encode()), Ok(sent));
     }
@@ -66,14 +69,15 @@
     let sent = heartbeat(3);
     let bytes = postcard::to_stdvec(&sent).unwrap();
     let bytes = postcard::to_extend(&(format::LEASE_DELEGATION, 30_000u64, 4u64), bytes).unwrap();
-    let bytes = postcard::to_extend(&(sent.more.unwrap(), &sent.record_summary), bytes).unwrap();
+    let bytes =
+        postcard::to_extend(&(sent.delegation.unwrap(), &sent.record_summary), bytes).unwrap();
     let decoded = PeerHeartbeat::decode(&bytes).unwrap();
     assert_eq!(
-        (decoded.format, decoded.more),
-        (format::LEASE_DELEGATION, sent.more)
+        (decoded.format, decoded.delegation),
+        (format::LEASE_DELEGATION, sent.delegation)
     );
     assert_eq!(
-        (decoded.knows, decoded.news),
+        (decoded.cancellation_cursor, decoded.cancellation_update),
         (None, None),
         "cancellation fields decoded from format 5"
     );
@@ -85,7 +89,7 @@
         postcard::from_bytes(rest).unwrap();
     assert_eq!(
         (Some(more), record_summary),
-        (sent.more, sent.record_summary)
+        (sent.delegation, sent.record_summary)
     );
 }
 
@@ -104,10 +108,10 @@
 fn a_heartbeat_with_one_invalid_field_is_rejected_as_a_whole() {
     let decode_changed = |change: fn(&mut CancellationUpdate)| {
         let mut heartbeat = heartbeat(2);
-        heartbeat.news.iter_mut().for_each(change);
+        heartbeat.cancellation_update.iter_mut().for_each(change);
         PeerHeartbeat::decode(&heartbeat.encode())
     };
-    let invalid = Err(InvalidPeerHeartbeat::Cancellations);
+    let invalid = Err(InvalidPeerHeartbeat::InvalidCancellations);
     assert_eq!(
         decode_changed(|update| update.jobs[1].0 = "req-".into()),
         invalid,
@@ -119,17 +123,17 @@
         "job id with a path"
     );
     assert_eq!(
-        decode_changed(|update| update.next = 2),
+        decode_changed(|update| update.next_entry = 2),
         invalid,
-        "next is before from"
+        "next_entry is before first_entry"
     );
     assert_eq!(
-        decode_changed(|update| update.known = vec![("kernel-9".into(), 1); 65]),
+        decode_changed(|update| update.peer_coverage_ages = vec![("kernel-9".into(), 1); 65]),
         invalid,
         "too many peers"
     );
     assert_eq!(
-        PeerHeartbeat::decode(&heartbeat(MOST_CANCELLATIONS + 1).encode()),
+        PeerHeartbeat::decode(&heartbeat(MAX_CANCELLATIONS + 1).encode()),
         invalid,
         "too many cancellations"
     );
@@ -139,13 +143,13 @@
     };
     assert_eq!(
         PeerHeartbeat::decode(&no_format.encode()),
-        Err(InvalidPeerHeartbeat::NoFormat)
+        Err(InvalidPeerHeartbeat::ZeroFormat)
     );
     let mut too_long = heartbeat(1).encode();
     too_long.push(0);
     assert_eq!(
         PeerHeartbeat::decode(&too_long),
-        Err(InvalidPeerHeartbeat::TooLong(1))
+        Err(InvalidPeerHeartbeat::TrailingBytes(1))
     );
 }
 
@@ -180,9 +184,9 @@
     #[test]
     fn random_bytes_never_decode_to_too_many_cancellations(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
-            && let Some(update) = heartbeat.news
+            && let Some(update) = heartbeat.cancellation_update
         {
-            prop_assert!(update.jobs.len() <= MOST_CANCELLATIONS, "{} cancellations decoded", update.jobs.len());
+            prop_assert!(update.jobs.len() <= MAX_CANCELLATIONS, "{} cancellations decoded", update.jobs.len());
         }
     }
 
@@ -194,9 +198,9 @@
         let mut bytes = heartbeat(4).encode();
         let position = position % bytes.len();
         bytes[position] = replacement;
-        if let Ok(PeerHeartbeat { news: Some(update), .. }) = PeerHeartbeat::decode(&bytes) {
-            prop_assert!(update.from <= update.next, "from {} is after next {}", update.from, update.next);
-            prop_assert!(update.jobs.iter().all(|(id, _)| valid_id(id)), "invalid job id in {:?}", update.jobs);
+        if let Ok(PeerHeartbeat { cancellation_update: Some(update), .. }) = PeerHeartbeat::decode(&bytes) {
+            prop_assert!(update.first_entry <= update.next_entry, "first_entry {} is after next_entry {}", update.first_entry, update.next_entry);
+            prop_assert!(update.jobs.iter().all(|(id, _)| is_valid_job_id(id)), "invalid job id in {:?}", update.jobs);
         }
     }
 }
--- a/tests/lease_expiry.rs
+++ b/tests/lease_expiry.rs
@@ -23,7 +23,7 @@
     let heartbeat = |agent_epoch: u64, seq: u64| AgentHeartbeat {
         machine: "n-1".into(),
         address: "127.0.0.1:9".into(),
-        kind: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch,
@@ -56,7 +56,7 @@
         &settings,
         &cache,
         Micros::ZERO,
-        new_epoch_seen_at + lease.times(1.1) + Micros::millis(400),
+        new_epoch_seen_at + lease.scale(1.1) + Micros::millis(400),
     );
     assert!(
         leader.agents.values().all(Agent::epoch_ended),
--- a/tests/record_cache.rs
+++ b/tests/record_cache.rs
@@ -16,10 +16,10 @@
     let spec = simulation::job(JobKind::Service, 60, 1.0);
     JobRecord {
         spec,
-        at: Micros::ZERO,
+        accepted_at: Micros::ZERO,
         stage,
-        end: Micros::ZERO,
-        first: TaskChunk { entries, done: 0 },
+        ended_at: Micros::ZERO,
+        first_chunk: TaskChunk { entries, done: 0 },
         cleaned: false,
     }
 }
@@ -30,7 +30,7 @@
 
 fn placement_batch(entries: Vec<TaskEntry>) -> PlacementBatch {
     PlacementBatch {
-        places: vec![("req-1".into(), entries)],
+        placements: vec![("req-1".into(), entries)],
     }
 }
 
@@ -72,7 +72,7 @@
     });
     let page = ItemPage {
         items: items.collect(),
-        more: false,
+        has_more: false,
         revision: 9,
     };
     assert!(
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -6,14 +6,14 @@
     TaskPhase, TaskStatus,
 };
 use walnuttrestle::protocol::codec::encode;
-use walnuttrestle::transport::http::put_request;
+use walnuttrestle::transport::http::write_request;
 
 fn task_status(phase: TaskPhase) -> TaskStatus {
     TaskStatus {
         task: "req-17/3".into(),
         attempt: 2,
         phase,
-        why: None,
+        exit_reason: None,
         saved: None,
     }
 }
@@ -22,7 +22,7 @@
     AgentHeartbeat {
         machine: "n-000017".into(),
         address: "10.1.4.17:9000".into(),
-        kind: "big".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 4_000_000_000,
@@ -79,7 +79,7 @@
     fixtures.both_ways("misdirected_to_leader", &elsewhere);
     let mut request = Vec::new();
     let body = encode(&direct_commands);
-    put_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
+    write_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
     fixtures.written("http_request", &request);
     fixtures.finish();
 }
@@ -105,7 +105,7 @@
         ExitReason::Unknown,
     ];
     let causes = causes.map(|why| TaskStatus {
-        why: Some(why),
+        exit_reason: Some(why),
         saved: Some(why == ExitReason::Stopped),
         ..task_status(TaskPhase::Exited)
     });
@@ -143,7 +143,7 @@
         ("sheets", list([running, stopped])),
     ]);
     let stopped = TaskStatus {
-        why: Some(ExitReason::GangMemberGone),
+        exit_reason: Some(ExitReason::GangMemberGone),
         saved: Some(true),
         ..task_status(TaskPhase::Exited)
     };
