--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -70,7 +70,7 @@
             lead: 12,
             from: batch.from,
             next: batch.next,
-            more: batch.more,
+            more: batch.has_more,
             jobs: batch.jobs,
             known: vec![("kernel-0".into(), 40_000), ("kernel-2".into(), 700_000)],
         }),
--- a/crates/admission-control/benches/admission.rs
+++ b/crates/admission-control/benches/admission.rs
@@ -5,16 +5,16 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn admission(criterion: &mut Criterion) {
-    for pairs in [10u32, 100, 10_000] {
+    for lanes in [10u32, 100, 10_000] {
         let mut queue: FairQueue<u32, u32, u32> = FairQueue::new(50_000);
         for number in 0..40_000 {
-            queue.push(number % pairs / 10, 1.0, number % 10, 0, number);
+            queue.push(number % lanes / 10, 1.0, number % 10, 0, number);
         }
         let mut number = 0;
-        criterion.bench_function(&format!("in and out, {pairs} pairs"), |bencher| {
+        criterion.bench_function(&format!("in and out, {lanes} lanes"), |bencher| {
             bencher.iter(|| {
                 number += 1;
-                queue.push(number % pairs / 10, 1.0, number % 10, number as u64, number);
+                queue.push(number % lanes / 10, 1.0, number % 10, number as u64, number);
                 queue.pop()
             })
         });
@@ -25,8 +25,8 @@
         bencher.iter(|| {
             number += 1;
             let id = format!("req-{number:06}");
-            let first = refusals.first(&id, number);
-            refusals.refuse(&id, first, number);
+            let first = refusals.first_attempt(&id, number);
+            refusals.record(&id, first, number);
             refusals.retry_after(&id, 50, 20.0, number)
         })
     });
--- a/crates/admission-control/src/fair.rs
+++ b/crates/admission-control/src/fair.rs
@@ -30,20 +30,20 @@
 }
 
 /// Divides `total` among the demands and returns the shares in the same order.
-pub fn shares(total: f64, demands: &[Demand]) -> Vec<f64> {
+pub fn fair_shares(total: f64, demands: &[Demand]) -> Vec<f64> {
     // The smallest demands by weight are served first. What they leave of their even share goes to the others.
     let mut order: Vec<usize> = (0..demands.len()).collect();
-    let level = |index: &usize| demands[*index].amount_per_weight();
-    order.sort_by(|first, second| level(first).total_cmp(&level(second)));
-    let mut left = total.max(0.0);
-    let mut weight_left: f64 = demands.iter().map(Demand::weight).sum();
+    let amount_per_weight = |index: &usize| demands[*index].amount_per_weight();
+    order.sort_by(|first, second| amount_per_weight(first).total_cmp(&amount_per_weight(second)));
+    let mut remaining = total.max(0.0);
+    let mut remaining_weight: f64 = demands.iter().map(Demand::weight).sum();
     let mut shares = vec![0.0; demands.len()];
     for index in order {
         let demand = &demands[index];
-        let even_share = left * demand.weight() / weight_left;
+        let even_share = remaining * demand.weight() / remaining_weight;
         shares[index] = demand.amount().min(even_share);
-        left = (left - shares[index]).max(0.0);
-        weight_left -= demand.weight();
+        remaining = (remaining - shares[index]).max(0.0);
+        remaining_weight -= demand.weight();
     }
     shares
 }
--- a/crates/admission-control/src/fair/tests.rs
+++ b/crates/admission-control/src/fair/tests.rs
@@ -17,19 +17,22 @@
             })
             .collect();
         let total = rng.random_range(0.0..120.0);
-        let shares = shares(total, &demands);
+        let shares = fair_shares(total, &demands);
         let sum: f64 = shares.iter().sum();
         let demanded: f64 = demands.iter().map(|demand| demand.amount).sum();
         assert!((sum - total.min(demanded)).abs() < 1e-6, "seed {seed}");
         for (demand, share) in demands.iter().zip(&shares) {
             assert!(*share <= demand.amount + 1e-9);
             if *share < demand.amount - 1e-6 {
-                let ours = share / demand.weight;
+                let own_share_per_weight = share / demand.weight;
                 let mut others = demands
                     .iter()
                     .zip(&shares)
                     .map(|(other, share)| share / other.weight);
-                assert!(others.all(|other| other <= ours + 1e-6), "seed {seed}");
+                assert!(
+                    others.all(|other| other <= own_share_per_weight + 1e-6),
+                    "seed {seed}"
+                );
             }
         }
     }
--- a/crates/admission-control/src/lanes.rs
+++ b/crates/admission-control/src/lanes.rs
@@ -14,11 +14,11 @@
 use turns::TurnOrder;
 
 /// Cost of one turn at weight 1.
-const TURN: f64 = (1u64 << 20) as f64;
+const TURN_COST: f64 = (1u64 << 20) as f64;
 /// Smallest weight that is used in a division.
 const MIN_WEIGHT: f64 = 1e-6;
 /// Empty lanes or teams that are kept before they are cleaned up.
-const EMPTY_KEPT: usize = 16;
+const CLEANUP_THRESHOLD: usize = 16;
 
 /// Position of an entry in its lane: the time of its first try, then the order of arrival.
 pub type Ticket = (Micros, u64);
@@ -26,8 +26,8 @@
 /// The entries of one class of a team.
 #[derive(Debug)]
 struct Lane<T> {
-    waiting: BTreeMap<Ticket, T>,
-    turn: u64,
+    entries: BTreeMap<Ticket, T>,
+    next_turn: u64,
 }
 
 /// The lanes of one team.
@@ -35,10 +35,10 @@
 struct Team<C, T> {
     lanes: BTreeMap<C, Lane<T>>,
     /// Lanes that are not empty, in the order of their turns.
-    turns: TurnOrder<C>,
+    turn_order: TurnOrder<C>,
     /// Lanes that are not empty, the shortest first.
-    sizes: BTreeSet<(usize, C)>,
-    turn: u64,
+    lanes_by_len: BTreeSet<(usize, C)>,
+    next_turn: u64,
     weight: f64,
     /// Number of entries in all lanes.
     len: usize,
@@ -48,9 +48,9 @@
     fn new(weight: f64) -> Team<C, T> {
         Team {
             lanes: BTreeMap::new(),
-            turns: TurnOrder::new(),
-            sizes: BTreeSet::new(),
-            turn: 0,
+            turn_order: TurnOrder::new(),
+            lanes_by_len: BTreeSet::new(),
+            next_turn: 0,
             weight,
             len: 0,
         }
@@ -58,35 +58,36 @@
 
     /// Returns the number of entries for the team's weight.
     fn load(&self) -> u64 {
-        (self.len as f64 * TURN / self.weight) as u64
+        (self.len as f64 * TURN_COST / self.weight) as u64
     }
 
     fn insert(&mut self, class: C, ticket: Ticket, entry: T) {
         let lane = self.lanes.entry(class.clone()).or_insert_with(|| Lane {
-            waiting: BTreeMap::new(),
-            turn: 0,
+            entries: BTreeMap::new(),
+            next_turn: 0,
         });
-        self.sizes.remove(&(lane.waiting.len(), class.clone()));
-        if lane.waiting.is_empty() {
-            self.turns.join(&mut lane.turn, class.clone());
+        self.lanes_by_len
+            .remove(&(lane.entries.len(), class.clone()));
+        if lane.entries.is_empty() {
+            self.turn_order.join(&mut lane.next_turn, class.clone());
         }
-        lane.waiting.insert(ticket, entry);
-        self.sizes.insert((lane.waiting.len(), class));
+        lane.entries.insert(ticket, entry);
+        self.lanes_by_len.insert((lane.entries.len(), class));
         self.len += 1;
     }
 
     fn remove(&mut self, class: &C, ticket: Ticket) -> Option<T> {
         let lane = self.lanes.get_mut(class)?;
-        let entry = lane.waiting.remove(&ticket)?;
-        let left = lane.waiting.len();
+        let entry = lane.entries.remove(&ticket)?;
+        let remaining = lane.entries.len();
         self.len -= 1;
-        self.sizes.remove(&(left + 1, class.clone()));
-        if left > 0 {
-            self.sizes.insert((left, class.clone()));
+        self.lanes_by_len.remove(&(remaining + 1, class.clone()));
+        if remaining > 0 {
+            self.lanes_by_len.insert((remaining, class.clone()));
             return Some(entry);
         }
-        self.turns.leave(lane.turn, class);
-        if !self.turns.is_ahead(lane.turn) {
+        self.turn_order.leave(lane.next_turn, class);
+        if !self.turn_order.is_ahead(lane.next_turn) {
             self.lanes.remove(class);
         }
         Some(entry)
@@ -94,12 +95,12 @@
 
     /// Removes empty lanes whose turns have passed, if there are many.
     fn remove_empty_lanes(&mut self) {
-        if self.lanes.len() <= 2 * self.turns.len() + EMPTY_KEPT {
+        if self.lanes.len() <= 2 * self.turn_order.len() + CLEANUP_THRESHOLD {
             return;
         }
-        let turns = &self.turns;
+        let turn_order = &self.turn_order;
         self.lanes
-            .retain(|_, lane| !lane.waiting.is_empty() || turns.is_ahead(lane.turn));
+            .retain(|_, lane| !lane.entries.is_empty() || turn_order.is_ahead(lane.next_turn));
     }
 }
 
@@ -108,9 +109,9 @@
 pub struct FairQueue<K, C, T> {
     teams: BTreeMap<K, Team<C, T>>,
     /// Teams that are not empty, in the order of their turns.
-    turns: TurnOrder<K>,
+    turn_order: TurnOrder<K>,
     /// Teams that are not empty by their loads, the lowest first.
-    loads: BTreeSet<(u64, K)>,
+    teams_by_load: BTreeSet<(u64, K)>,
     /// Number of entries.
     len: usize,
     /// Most entries.
@@ -135,8 +136,8 @@
     pub fn new(capacity: usize) -> FairQueue<K, C, T> {
         FairQueue {
             teams: BTreeMap::new(),
-            turns: TurnOrder::new(),
-            loads: BTreeSet::new(),
+            turn_order: TurnOrder::new(),
+            teams_by_load: BTreeSet::new(),
             len: 0,
             capacity,
             arrivals: 0,
@@ -154,18 +155,18 @@
     }
 
     /// Changes the capacity; entries beyond it stay queued.
-    pub fn limit(&mut self, capacity: usize) {
+    pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
     /// Returns the number of entries in a lane.
-    pub fn waiting(&self, team: &K, class: &C) -> usize {
-        self.lane(team, class).map_or(0, |lane| lane.waiting.len())
+    pub fn lane_len(&self, team: &K, class: &C) -> usize {
+        self.lane(team, class).map_or(0, |lane| lane.entries.len())
     }
 
     /// Returns the number of lanes that are not empty.
-    pub fn busy(&self) -> usize {
-        self.teams.values().map(|team| team.turns.len()).sum()
+    pub fn non_empty_lanes(&self) -> usize {
+        self.teams.values().map(|team| team.turn_order.len()).sum()
     }
 
     fn lane(&self, team: &K, class: &C) -> Option<&Lane<T>> {
@@ -185,12 +186,12 @@
         self.arrivals += 1;
         let ticket = (first, self.arrivals);
         if self.len < self.capacity {
-            self.back(team, weight, class, ticket, entry);
+            self.insert_with_ticket(team, weight, class, ticket, entry);
             return PushOutcome::Queued(ticket);
         }
         match self.evict_for(&team, &class, ticket) {
             Some(evicted) => {
-                self.back(team, weight, class, ticket, entry);
+                self.insert_with_ticket(team, weight, class, ticket, entry);
                 PushOutcome::Evicted(ticket, evicted)
             }
             None => PushOutcome::Rejected(entry),
@@ -202,7 +203,7 @@
     fn evict_for(&mut self, team: &K, class: &C, ticket: Ticket) -> Option<T> {
         let (longest_team, longest_class) = self.longest_lane()?;
         let lane = self.lane(&longest_team, &longest_class)?;
-        let last = *lane.waiting.keys().next_back()?;
+        let last = *lane.entries.keys().next_back()?;
         let is_own_lane = longest_team == *team && longest_class == *class;
         if is_own_lane && last <= ticket {
             return None;
@@ -211,27 +212,27 @@
     }
 
     /// Queues an entry under a ticket that it already has, such as one that was popped and not served.
-    pub fn back(&mut self, team: K, weight: f64, class: C, ticket: Ticket, entry: T) {
+    pub fn insert_with_ticket(&mut self, team: K, weight: f64, class: C, ticket: Ticket, entry: T) {
         let weight = weight.max(MIN_WEIGHT);
         let lanes = self
             .teams
             .entry(team.clone())
             .or_insert_with(|| Team::new(weight));
         if lanes.len == 0 {
-            self.turns.join(&mut lanes.turn, team.clone());
+            self.turn_order.join(&mut lanes.next_turn, team.clone());
         } else {
-            self.loads.remove(&(lanes.load(), team.clone()));
+            self.teams_by_load.remove(&(lanes.load(), team.clone()));
         }
         lanes.weight = weight;
         lanes.insert(class, ticket, entry);
-        self.loads.insert((lanes.load(), team));
+        self.teams_by_load.insert((lanes.load(), team));
         self.len += 1;
     }
 
     /// Returns the longest lane of the team with the highest load.
     fn longest_lane(&self) -> Option<(K, C)> {
-        let (_, team) = self.loads.last()?;
-        let (_, class) = self.teams.get(team)?.sizes.last()?;
+        let (_, team) = self.teams_by_load.last()?;
+        let (_, class) = self.teams.get(team)?.lanes_by_len.last()?;
         Some((team.clone(), class.clone()))
     }
 
@@ -241,13 +242,13 @@
         let load_before = lanes.load();
         let entry = lanes.remove(class, ticket)?;
         self.len -= 1;
-        self.loads.remove(&(load_before, team.clone()));
+        self.teams_by_load.remove(&(load_before, team.clone()));
         if lanes.len > 0 {
-            self.loads.insert((lanes.load(), team.clone()));
+            self.teams_by_load.insert((lanes.load(), team.clone()));
             return Some(entry);
         }
-        self.turns.leave(lanes.turn, team);
-        if !self.turns.is_ahead(lanes.turn) {
+        self.turn_order.leave(lanes.next_turn, team);
+        if !self.turn_order.is_ahead(lanes.next_turn) {
             self.teams.remove(team);
         }
         Some(entry)
@@ -255,14 +256,17 @@
 
     /// Removes the entry whose turn it is, and returns it with its team, class and ticket.
     pub fn pop(&mut self) -> Option<(K, C, Ticket, T)> {
-        let team = self.turns.first()?.clone();
+        let team = self.turn_order.peek()?.clone();
         let lanes = self.teams.get_mut(&team)?;
-        let class = lanes.turns.first()?.clone();
+        let class = lanes.turn_order.peek()?.clone();
         let lane = lanes.lanes.get_mut(&class)?;
-        let ticket = *lane.waiting.keys().next()?;
-        let cost = TURN / lanes.weight;
-        self.turns.serve(&mut lanes.turn, cost as u64, &team);
-        lanes.turns.serve(&mut lane.turn, TURN as u64, &class);
+        let ticket = *lane.entries.keys().next()?;
+        let cost = TURN_COST / lanes.weight;
+        self.turn_order
+            .serve(&mut lanes.next_turn, cost as u64, &team);
+        lanes
+            .turn_order
+            .serve(&mut lane.next_turn, TURN_COST as u64, &class);
         let entry = self.remove(&team, &class, ticket)?;
         self.remove_empty();
         Some((team, class, ticket, entry))
@@ -270,10 +274,10 @@
 
     /// Removes empty teams and lanes whose turns have passed, if there are many.
     fn remove_empty(&mut self) {
-        if self.teams.len() > 2 * self.turns.len() + EMPTY_KEPT {
-            let turns = &self.turns;
+        if self.teams.len() > 2 * self.turn_order.len() + CLEANUP_THRESHOLD {
+            let turn_order = &self.turn_order;
             self.teams
-                .retain(|_, team| team.len > 0 || turns.is_ahead(team.turn));
+                .retain(|_, team| team.len > 0 || turn_order.is_ahead(team.next_turn));
         }
         self.teams.values_mut().for_each(Team::remove_empty_lanes);
     }
--- a/crates/admission-control/src/lanes/tests.rs
+++ b/crates/admission-control/src/lanes/tests.rs
@@ -54,7 +54,7 @@
         "{refused} {}",
         queue.len()
     );
-    assert!(queue.waiting(&"red", &2) <= 1, "it is served in its turn");
+    assert!(queue.lane_len(&"red", &2) <= 1, "it is served in its turn");
 }
 
 #[test]
@@ -99,9 +99,9 @@
                 _ => _ = queue.pop(),
             }
             let lanes = || queue.teams.values().flat_map(|team| team.lanes.values());
-            let counted: usize = lanes().map(|lane| lane.waiting.len()).sum();
-            let busy = lanes().filter(|lane| !lane.waiting.is_empty()).count();
-            assert_eq!(busy, queue.busy(), "seed {seed}");
+            let counted: usize = lanes().map(|lane| lane.entries.len()).sum();
+            let non_empty_lanes = lanes().filter(|lane| !lane.entries.is_empty()).count();
+            assert_eq!(non_empty_lanes, queue.non_empty_lanes(), "seed {seed}");
             assert_eq!(
                 (counted, queue.len() <= 40),
                 (queue.len(), true),
@@ -111,6 +111,6 @@
             assert!(lanes <= 40 * 18 + 16 && queue.teams.len() <= 2 * 40 + 16);
         }
         while queue.pop().is_some() {}
-        assert!(queue.is_empty() && queue.turns.len() == 0 && queue.loads.is_empty());
+        assert!(queue.is_empty() && queue.turn_order.len() == 0 && queue.teams_by_load.is_empty());
     }
 }
--- a/crates/admission-control/src/lanes/turns.rs
+++ b/crates/admission-control/src/lanes/turns.rs
@@ -8,25 +8,25 @@
 /// which is the latest turn that was served, so that it cannot save up turns while it is away.
 #[derive(Debug)]
 pub(super) struct TurnOrder<K> {
-    waiting: BTreeSet<(u64, K)>,
+    by_turn: BTreeSet<(u64, K)>,
     virtual_time: u64,
 }
 
 impl<K: Ord + Clone> TurnOrder<K> {
     pub(super) fn new() -> TurnOrder<K> {
         TurnOrder {
-            waiting: BTreeSet::new(),
+            by_turn: BTreeSet::new(),
             virtual_time: 0,
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.by_turn.len()
     }
 
     /// Returns the key whose turn is next.
-    pub(super) fn first(&self) -> Option<&K> {
-        self.waiting.first().map(|(_, key)| key)
+    pub(super) fn peek(&self) -> Option<&K> {
+        self.by_turn.first().map(|(_, key)| key)
     }
 
     /// Returns whether this turn is later than the virtual time, so that a key that leaves has to keep it.
@@ -35,21 +35,21 @@
     }
 
     /// Adds a key.
-    pub(super) fn join(&mut self, turn: &mut u64, key: K) {
-        *turn = (*turn).max(self.virtual_time);
-        self.waiting.insert((*turn, key));
+    pub(super) fn join(&mut self, next_turn: &mut u64, key: K) {
+        *next_turn = (*next_turn).max(self.virtual_time);
+        self.by_turn.insert((*next_turn, key));
     }
 
     /// Removes a key.
     pub(super) fn leave(&mut self, turn: u64, key: &K) {
-        self.waiting.remove(&(turn, key.clone()));
+        self.by_turn.remove(&(turn, key.clone()));
     }
 
     /// Serves a key whose turn it is, and moves its next turn back.
-    pub(super) fn serve(&mut self, turn: &mut u64, cost: u64, key: &K) {
-        self.leave(*turn, key);
-        self.virtual_time = self.virtual_time.max(*turn);
-        *turn += cost;
-        self.waiting.insert((*turn, key.clone()));
+    pub(super) fn serve(&mut self, next_turn: &mut u64, cost: u64, key: &K) {
+        self.leave(*next_turn, key);
+        self.virtual_time = self.virtual_time.max(*next_turn);
+        *next_turn += cost;
+        self.by_turn.insert((*next_turn, key.clone()));
     }
 }
--- a/crates/admission-control/src/parts.rs
+++ b/crates/admission-control/src/parts.rs
@@ -11,7 +11,7 @@
 //! grantor needs only the newest grant, and so does a holder that restarts.
 
 use crate::Micros;
-use crate::fair::{Demand, shares};
+use crate::fair::{Demand, fair_shares};
 use std::collections::BTreeMap;
 
 /// An amount in thousandths. It is an integer, so that all controllers compute exactly the same amounts.
@@ -19,11 +19,11 @@
 
 /// A holder's share of one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Part {
+pub struct Share {
     /// Amount that the holder may use.
     pub amount: Thousandths,
     /// Time of day at which the share expires.
-    pub until: Micros,
+    pub expires_at: Micros,
     /// Number of the grant.
     pub epoch: u64,
 }
@@ -34,21 +34,21 @@
     /// Number of the grant, which is higher than that of the one before.
     pub epoch: u64,
     /// Shares of this grant, by holder.
-    pub parts: BTreeMap<String, Part>,
+    pub shares: BTreeMap<String, Share>,
     /// Shares of earlier grants that a holder may still use and that allow more, or for longer, than this grant does.
     /// By holder, the largest first.
-    pub owed: BTreeMap<String, Vec<Part>>,
+    pub earlier_shares: BTreeMap<String, Vec<Share>>,
 }
 
 /// Parameters of granting.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct GrantParams {
     /// The total, which the shares in use never exceed.
-    pub whole: Thousandths,
+    pub total: Thousandths,
     /// Time until a grant expires.
-    pub life: Micros,
+    pub lifetime: Micros,
     /// Bound on the difference between the time of day of two clocks, plus the delay of timers.
-    pub apart: Micros,
+    pub clock_margin: Micros,
 }
 
 /// A holder's request for a share.
@@ -61,31 +61,38 @@
     /// Weight of the holder, above 0.
     pub weight: f64,
     /// Number of the newest grant that the holder has acknowledged: it uses no earlier one any more.
-    pub seen: u64,
+    pub acknowledged_epoch: u64,
 }
 
 /// Upper bounds on what holders may be using, by holder.
-struct InUse(BTreeMap<String, Vec<Part>>);
+struct InUse(BTreeMap<String, Vec<Share>>);
 
 impl InUse {
     /// Returns the most that a holder may be using.
-    fn bound(&self, holder: &str) -> Thousandths {
-        largest(self.0.get(holder).into_iter().flatten())
+    fn max_of(&self, holder: &str) -> Thousandths {
+        max_amount(self.0.get(holder).into_iter().flatten())
     }
 
     /// Returns the most that all holders together may be using.
     fn total(&self) -> Thousandths {
-        self.0.values().map(|parts| largest(parts.iter())).sum()
+        self.0
+            .values()
+            .map(|shares| max_amount(shares.iter()))
+            .sum()
     }
 
     /// Returns the shares that a new grant has to carry on: those that allow more than the holder's new share, or
     /// expire later.
-    fn owed_beside(mut self, new_parts: &BTreeMap<String, Part>) -> BTreeMap<String, Vec<Part>> {
-        self.0.retain(|holder, parts| {
-            if let Some(new) = new_parts.get(holder) {
-                parts.retain(|part| part.amount > new.amount || part.until > new.until);
+    fn not_replaced_by(
+        mut self,
+        new_shares: &BTreeMap<String, Share>,
+    ) -> BTreeMap<String, Vec<Share>> {
+        self.0.retain(|holder, shares| {
+            if let Some(new) = new_shares.get(holder) {
+                shares
+                    .retain(|share| share.amount > new.amount || share.expires_at > new.expires_at);
             }
-            !parts.is_empty()
+            !shares.is_empty()
         });
         self.0
     }
@@ -93,17 +100,29 @@
 
 impl Grant {
     /// Returns what a holder may use at this time of day by its own clock.
-    pub fn part(&self, holder: &str, wall: Micros, rules: &Rules) -> Thousandths {
-        let part = self.parts.get(holder);
-        let usable = part.filter(|part| wall + rules.apart < part.until);
-        usable.map_or(0, |part| part.amount)
+    pub fn usable_amount(
+        &self,
+        holder: &str,
+        wall_time: Micros,
+        params: &GrantParams,
+    ) -> Thousandths {
+        let share = self.shares.get(holder);
+        let usable = share.filter(|share| wall_time + params.clock_margin < share.expires_at);
+        usable.map_or(0, |share| share.amount)
     }
 
     /// Returns the most that all holders together may be using at this time of day by the grantor's clock, whichever
     /// grants they have seen. The grantor may use the rest of the total. `seen` returns the number of the newest grant
     /// that a holder has acknowledged.
-    pub fn lent(&self, wall: Micros, rules: &Rules, seen: impl Fn(&str) -> u64) -> Thousandths {
-        let bound = |holder: &String| largest(self.usable_parts(holder, seen(holder), wall, rules));
+    pub fn max_in_use(
+        &self,
+        wall_time: Micros,
+        params: &GrantParams,
+        acknowledged_epoch: impl Fn(&str) -> u64,
+    ) -> Thousandths {
+        let bound = |holder: &String| {
+            max_amount(self.usable_shares(holder, acknowledged_epoch(holder), wall_time, params))
+        };
         self.holders().map(bound).sum()
     }
 
@@ -112,99 +131,113 @@
     /// The total is divided by weighted max-min fairness among the requests of the holders and `own`, the grantor's
     /// demand. The grantor's share is not granted, since it uses whatever is not lent. If some holders may still be
     /// using more than their new shares, the others get only what is free until that has expired.
-    pub fn next(&self, wall: Micros, own: Demand, wants: &[ShareRequest], rules: &Rules) -> Grant {
+    pub fn next(
+        &self,
+        wall_time: Micros,
+        grantor_demand: Demand,
+        requests: &[ShareRequest],
+        params: &GrantParams,
+    ) -> Grant {
         let epoch = self.epoch + 1;
-        let until = wall + rules.life;
-        let in_use = self.in_use(wall, wants, rules);
-        let amounts = granted_amounts(&in_use, own, wants, rules);
-        let parts: BTreeMap<String, Part> = wants
+        let expires_at = wall_time + params.lifetime;
+        let in_use = self.in_use(wall_time, requests, params);
+        let amounts = granted_amounts(&in_use, grantor_demand, requests, params);
+        let shares: BTreeMap<String, Share> = requests
             .iter()
             .zip(amounts)
-            .map(|(want, amount)| {
-                let part = Part {
+            .map(|(request, amount)| {
+                let share = Share {
                     amount,
-                    until,
+                    expires_at,
                     epoch,
                 };
-                (want.holder.clone(), part)
+                (request.holder.clone(), share)
             })
             .collect();
-        let owed = in_use.owed_beside(&parts);
-        Grant { epoch, parts, owed }
+        let earlier_shares = in_use.not_replaced_by(&shares);
+        Grant {
+            epoch,
+            shares,
+            earlier_shares,
+        }
     }
 
     /// Returns the shares that holders may still be using.
-    fn in_use(&self, wall: Micros, wants: &[ShareRequest], rules: &Rules) -> InUse {
+    fn in_use(&self, wall_time: Micros, requests: &[ShareRequest], params: &GrantParams) -> InUse {
         let mut in_use = BTreeMap::new();
         for holder in self.holders() {
-            let want = wants.iter().find(|want| want.holder == *holder);
-            let seen = want.map_or(0, |want| want.seen);
-            let parts = self.usable_parts(holder, seen, wall, rules);
-            let mut parts: Vec<Part> = parts.copied().collect();
-            parts.sort_by(|first, second| second.cmp(first));
-            in_use.insert(holder.clone(), parts);
+            let request = requests.iter().find(|request| request.holder == *holder);
+            let acknowledged_epoch = request.map_or(0, |request| request.acknowledged_epoch);
+            let shares = self.usable_shares(holder, acknowledged_epoch, wall_time, params);
+            let mut shares: Vec<Share> = shares.copied().collect();
+            shares.sort_by(|first, second| second.cmp(first));
+            in_use.insert(holder.clone(), shares);
         }
         InUse(in_use)
     }
 
     /// Returns the holders with a share of this grant or of an earlier one that counts.
     fn holders(&self) -> impl Iterator<Item = &String> {
-        let only_owed = self
-            .owed
+        let only_earlier = self
+            .earlier_shares
             .keys()
-            .filter(|holder| !self.parts.contains_key(*holder));
-        self.parts.keys().chain(only_owed)
+            .filter(|holder| !self.shares.contains_key(*holder));
+        self.shares.keys().chain(only_earlier)
     }
 
     /// Returns the shares, of this grant and earlier ones, that a holder may still be using.
-    fn usable_parts(
+    fn usable_shares(
         &self,
         holder: &str,
-        seen: u64,
-        wall: Micros,
-        rules: &Rules,
-    ) -> impl Iterator<Item = &Part> {
-        let current = self.parts.get(holder).into_iter();
-        let earlier = self.owed.get(holder).into_iter().flatten();
-        let apart = rules.apart;
-        current
-            .chain(earlier)
-            .filter(move |part| wall < part.until + apart && part.epoch >= seen)
+        acknowledged_epoch: u64,
+        wall_time: Micros,
+        params: &GrantParams,
+    ) -> impl Iterator<Item = &Share> {
+        let current = self.shares.get(holder).into_iter();
+        let earlier = self.earlier_shares.get(holder).into_iter().flatten();
+        let clock_margin = params.clock_margin;
+        current.chain(earlier).filter(move |share| {
+            wall_time < share.expires_at + clock_margin && share.epoch >= acknowledged_epoch
+        })
     }
 }
 
 /// Returns the amounts to grant, in the order of the requests.
 fn granted_amounts(
     in_use: &InUse,
-    own: Demand,
-    wants: &[ShareRequest],
-    rules: &Rules,
+    grantor_demand: Demand,
+    requests: &[ShareRequest],
+    params: &GrantParams,
 ) -> Vec<Thousandths> {
-    let fair_amounts = fair_amounts(own, wants, rules);
-    let free = rules.whole.saturating_sub(in_use.total());
+    let fair_amounts = fair_amounts(grantor_demand, requests, params);
+    let free = params.total.saturating_sub(in_use.total());
     // What a holder gets beyond its bound comes out of what is free.
-    let increases: Vec<Thousandths> = wants
+    let increases: Vec<Thousandths> = requests
         .iter()
         .zip(&fair_amounts)
-        .map(|(want, fair)| fair.saturating_sub(in_use.bound(&want.holder)))
+        .map(|(request, fair)| fair.saturating_sub(in_use.max_of(&request.holder)))
         .collect();
     let total_increase: Thousandths = increases.iter().sum();
-    let mut amounts = Vec::with_capacity(wants.len());
-    for ((want, fair), increase) in wants.iter().zip(fair_amounts).zip(increases) {
-        let kept = fair.min(in_use.bound(&want.holder));
+    let mut amounts = Vec::with_capacity(requests.len());
+    for ((request, fair), increase) in requests.iter().zip(fair_amounts).zip(increases) {
+        let kept = fair.min(in_use.max_of(&request.holder));
         amounts.push(kept + scaled_increase(increase, total_increase, free));
     }
     amounts
 }
 
 /// Divides the total among the holders and the grantor; returns the holders' amounts, followed by the grantor's.
-fn fair_amounts(own: Demand, wants: &[ShareRequest], rules: &Rules) -> Vec<Thousandths> {
-    let demands = wants.iter().map(|want| Demand {
-        amount: want.amount as f64,
-        weight: want.weight,
+fn fair_amounts(
+    grantor_demand: Demand,
+    requests: &[ShareRequest],
+    params: &GrantParams,
+) -> Vec<Thousandths> {
+    let demands = requests.iter().map(|request| Demand {
+        amount: request.amount as f64,
+        weight: request.weight,
     });
-    let demands: Vec<Demand> = demands.chain([own]).collect();
-    let shares = shares(rules.whole as f64, &demands);
+    let demands: Vec<Demand> = demands.chain([grantor_demand]).collect();
+    let shares = fair_shares(params.total as f64, &demands);
     shares
         .into_iter()
         .map(|share| share as Thousandths)
@@ -223,8 +256,8 @@
     (u128::from(increase) * u128::from(free) / u128::from(total_increase)) as Thousandths
 }
 
-fn largest<'parts>(parts: impl Iterator<Item = &'parts Part>) -> Thousandths {
-    parts.map(|part| part.amount).max().unwrap_or(0)
+fn max_amount<'shares>(shares: impl Iterator<Item = &'shares Share>) -> Thousandths {
+    shares.map(|share| share.amount).max().unwrap_or(0)
 }
 
 #[cfg(test)]
--- a/crates/admission-control/src/refusal.rs
+++ b/crates/admission-control/src/refusal.rs
@@ -6,9 +6,9 @@
 
 const SECOND: Micros = 1_000_000;
 /// Clients retry a submission for 60 s in total; a later one is a new submission.
-const RETRY_PERIOD: Micros = 70 * SECOND;
+const RETENTION_PERIOD: Micros = 70 * SECOND;
 /// Longest wait between two tries, in seconds. With a longer one a client would have few tries left.
-const MAX_WAIT_S: f64 = 12.0;
+const MAX_RETRY_AFTER_S: f64 = 12.0;
 /// Smallest rate, in entries a second, that is used in a division.
 const MIN_RATE: f64 = 1e-3;
 /// Entries in one bucket of the table.
@@ -19,22 +19,22 @@
 struct Refusal {
     /// Part of the id's hash; 0: the entry is free.
     fingerprint: u32,
-    first_try: Micros,
+    first_attempt: Micros,
 }
 
 impl Refusal {
     const FREE: Refusal = Refusal {
         fingerprint: 0,
-        first_try: 0,
+        first_attempt: 0,
     };
 
     fn is_free(&self, now: Micros) -> bool {
-        self.fingerprint == 0 || now >= self.first_try + RETRY_PERIOD
+        self.fingerprint == 0 || now >= self.first_attempt + RETENTION_PERIOD
     }
 }
 
 /// Where an id belongs in the table.
-struct Place {
+struct HashedId {
     bucket: usize,
     fingerprint: u32,
 }
@@ -57,44 +57,44 @@
         }
     }
 
-    fn place(&self, id: &str) -> Place {
+    fn hash_id(&self, id: &str) -> HashedId {
         let hash = self.hasher.hash_one(id);
-        Place {
+        HashedId {
             bucket: hash as usize & (self.buckets.len() - 1),
             fingerprint: ((hash >> 32) as u32).max(1),
         }
     }
 
     /// Returns when the id was tried first: `now`, unless it was refused before.
-    pub fn first(&self, id: &str, now: Micros) -> Micros {
-        let place = self.place(id);
-        let mut entries = self.buckets[place.bucket].iter();
-        let found = entries.find(|entry| entry.fingerprint == place.fingerprint);
+    pub fn first_attempt(&self, id: &str, now: Micros) -> Micros {
+        let hashed = self.hash_id(id);
+        let mut entries = self.buckets[hashed.bucket].iter();
+        let found = entries.find(|entry| entry.fingerprint == hashed.fingerprint);
         match found {
-            Some(entry) if now < entry.first_try + RETRY_PERIOD => entry.first_try,
+            Some(entry) if now < entry.first_attempt + RETENTION_PERIOD => entry.first_attempt,
             _ => now,
         }
     }
 
     /// Records that the id, first tried at `first`, is refused.
-    pub fn refuse(&mut self, id: &str, first: Micros, now: Micros) {
-        let place = self.place(id);
-        let entries = &mut self.buckets[place.bucket];
+    pub fn record(&mut self, id: &str, first_attempt: Micros, now: Micros) {
+        let hashed = self.hash_id(id);
+        let entries = &mut self.buckets[hashed.bucket];
         let refusal = Refusal {
-            fingerprint: place.fingerprint,
-            first_try: first,
+            fingerprint: hashed.fingerprint,
+            first_attempt,
         };
         let same = entries
             .iter()
-            .position(|entry| entry.fingerprint == place.fingerprint);
+            .position(|entry| entry.fingerprint == hashed.fingerprint);
         if let Some(index) = same.or_else(|| entries.iter().position(|entry| entry.is_free(now))) {
             entries[index] = refusal;
             return;
         }
         // The bucket is full of ids that still count. The one that has waited least gives way.
-        let youngest = entries.iter_mut().max_by_key(|entry| entry.first_try);
+        let youngest = entries.iter_mut().max_by_key(|entry| entry.first_attempt);
         if let Some(youngest) = youngest
-            && youngest.first_try > first
+            && youngest.first_attempt > first_attempt
         {
             *youngest = refusal;
         }
@@ -105,10 +105,10 @@
     ///
     /// The wait varies by half in either direction, by id and by time, so that clients do not return all at once.
     pub fn retry_after(&self, id: &str, ahead: usize, rate: f64, now: Micros) -> u32 {
-        let wait = (ahead as f64 / rate.max(MIN_RATE)).clamp(1.0, MAX_WAIT_S);
+        let wait = (ahead as f64 / rate.max(MIN_RATE)).clamp(1.0, MAX_RETRY_AFTER_S);
         let hash = self.hasher.hash_one((id, now / SECOND));
-        let spread = 0.5 + unit_interval(hash);
-        (wait * spread).round().max(1.0) as u32
+        let jitter = 0.5 + unit_interval(hash);
+        (wait * jitter).round().max(1.0) as u32
     }
 }
 
--- a/crates/admission-control/src/refusal/tests.rs
+++ b/crates/admission-control/src/refusal/tests.rs
@@ -5,12 +5,12 @@
 #[test]
 fn the_first_try_is_remembered_until_the_client_gives_up() {
     let mut refusals = Refusals::new(1_000);
-    let first = refusals.first("req-1", 5 * SECOND);
+    let first = refusals.first_attempt("req-1", 5 * SECOND);
     assert_eq!(first, 5 * SECOND);
-    refusals.refuse("req-1", first, 5 * SECOND);
-    assert_eq!(refusals.first("req-1", 20 * SECOND), 5 * SECOND);
-    assert_eq!(refusals.first("req-2", 20 * SECOND), 20 * SECOND);
-    assert_eq!(refusals.first("req-1", 80 * SECOND), 80 * SECOND);
+    refusals.record("req-1", first, 5 * SECOND);
+    assert_eq!(refusals.first_attempt("req-1", 20 * SECOND), 5 * SECOND);
+    assert_eq!(refusals.first_attempt("req-2", 20 * SECOND), 20 * SECOND);
+    assert_eq!(refusals.first_attempt("req-1", 80 * SECOND), 80 * SECOND);
 }
 
 #[test]
@@ -18,13 +18,14 @@
     let mut refusals = Refusals::new(4_096);
     let before = refusals.buckets.len();
     for number in 0..300 {
-        refusals.refuse(&format!("req-{number}"), SECOND, SECOND);
+        refusals.record(&format!("req-{number}"), SECOND, SECOND);
     }
     for number in 0..1_000_000u64 {
-        refusals.refuse(&format!("req-{}", 1_000 + number), 2 * SECOND, 3 * SECOND);
+        refusals.record(&format!("req-{}", 1_000 + number), 2 * SECOND, 3 * SECOND);
     }
     assert_eq!(refusals.buckets.len(), before);
-    let known = |number: &u32| refusals.first(&format!("req-{number}"), 9 * SECOND) == SECOND;
+    let known =
+        |number: &u32| refusals.first_attempt(&format!("req-{number}"), 9 * SECOND) == SECOND;
     assert!((0..300).filter(known).count() > 290);
 }
 
--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -5,7 +5,7 @@
 //! safety argument needs is also removed, and a violation must then be found.
 
 use admission_control::fair::Demand;
-use admission_control::parts::{Grant, Part, Rules, ShareRequest};
+use admission_control::parts::{Grant, GrantParams, Share, ShareRequest};
 use model_checker::{CheckResult, Model, explore};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// Which mechanism is removed.
 #[derive(Clone, Copy, PartialEq)]
-enum Without {
+enum Omission {
     Nothing,
     /// A grant does not carry what earlier ones still allow.
     EarlierShares,
@@ -33,7 +33,7 @@
     granted: bool,
     newest: Grant,
     /// The newest grant that each holder has seen.
-    seen: [Grant; 3],
+    seen_grants: [Grant; 3],
     /// The epoch of the newest grant that each holder has acknowledged.
     acknowledged: [u64; 3],
     /// Whether the first grantor was replaced by the second.
@@ -49,67 +49,67 @@
     Grant([u64; 3]),
     /// The replaced grantor makes a grant from what it last saw.
     StaleGrant([u64; 3]),
-    See(usize),
+    ReceiveGrant(usize),
     Acknowledge(usize),
     ReplaceGrantor,
 }
 
 struct BudgetShares {
-    without: Without,
+    omission: Omission,
     /// Error of each holder's clock, and of the grantors' clock.
     clock_offsets: [i64; 4],
     /// Number of holders.
     holders: usize,
     /// Whether holders acknowledge grants.
-    acknowledge: bool,
-    rules: Rules,
+    with_acknowledgements: bool,
+    params: GrantParams,
 }
 
 impl BudgetShares {
-    fn wall(&self, clock: usize) -> u64 {
+    fn wall_time(&self, clock: usize) -> u64 {
         (NOW as i64 + self.clock_offsets[clock]) as u64
     }
 
     /// Returns the grant that follows `previous`.
-    fn next_grant(&self, previous: &Grant, acknowledged: &[u64; 3], wants: [u64; 3]) -> Grant {
-        let holders = HOLDERS.iter().zip(wants).zip(acknowledged);
-        let wants = holders
+    fn next_grant(&self, previous: &Grant, acknowledged: &[u64; 3], requests: [u64; 3]) -> Grant {
+        let holders = HOLDERS.iter().zip(requests).zip(acknowledged);
+        let requests = holders
             .take(self.holders)
             .map(|((holder, amount), epoch)| ShareRequest {
                 holder: holder.to_string(),
                 amount,
                 weight: 1.0,
-                seen: match self.without {
-                    Without::Acknowledgement => previous.epoch,
+                acknowledged_epoch: match self.omission {
+                    Omission::Acknowledgement => previous.epoch,
                     _ => *epoch,
                 },
             });
-        let wants: Vec<ShareRequest> = wants.collect();
+        let requests: Vec<ShareRequest> = requests.collect();
         let own = Demand {
             amount: 1.0,
             weight: 1.0,
         };
-        let mut next = previous.next(self.wall(3), own, &wants, &self.rules);
-        if self.without == Without::EarlierShares {
-            next = Grant::default().next(self.wall(3), own, &wants, &self.rules);
+        let mut next = previous.next(self.wall_time(3), own, &requests, &self.params);
+        if self.omission == Omission::EarlierShares {
+            next = Grant::default().next(self.wall_time(3), own, &requests, &self.params);
             next.epoch = previous.epoch + 1;
         }
         next
     }
 }
 
-const WANTS: [[u64; 3]; 2] = [[4, 0, 0], [0, 4, 4]];
+const REQUESTED_AMOUNTS: [[u64; 3]; 2] = [[4, 0, 0], [0, 4, 4]];
 
 /// Lets a tick pass: all times move a tick nearer, and shares that have expired by every clock are dropped.
-fn let_tick_pass(grant: &mut Grant) {
-    let keep_after_tick = |part: &mut Part| {
-        part.until -= 1;
-        part.until + 3 > NOW
+fn advance_by_tick(grant: &mut Grant) {
+    let keep_after_tick = |share: &mut Share| {
+        share.expires_at -= 1;
+        share.expires_at + 3 > NOW
     };
-    grant.parts.retain(|_, part| keep_after_tick(part));
-    grant.owed.retain(|_, parts| {
-        parts.retain_mut(keep_after_tick);
-        !parts.is_empty()
+    grant.shares.retain(|_, share| keep_after_tick(share));
+    grant.earlier_shares.retain(|_, shares| {
+        shares.retain_mut(keep_after_tick);
+        !shares.is_empty()
     });
 }
 
@@ -121,7 +121,7 @@
         vec![State {
             granted: false,
             newest: Grant::default(),
-            seen: Default::default(),
+            seen_grants: Default::default(),
             acknowledged: [0; 3],
             replaced: false,
             stale: Grant::default(),
@@ -132,40 +132,42 @@
         let mut steps = Vec::new();
         let mut later = state.clone();
         later.granted = false;
-        let_tick_pass(&mut later.newest);
-        let_tick_pass(&mut later.stale);
-        later.seen.iter_mut().for_each(let_tick_pass);
+        advance_by_tick(&mut later.newest);
+        advance_by_tick(&mut later.stale);
+        later.seen_grants.iter_mut().for_each(advance_by_tick);
         steps.push((Step::Tick, later));
         let with_grant = |newest: Grant| State {
             newest,
             granted: true,
             ..state.clone()
         };
-        for wants in WANTS.into_iter().filter(|_| !state.granted) {
-            let next = self.next_grant(&state.newest, &state.acknowledged, wants);
-            steps.push((Step::Grant(wants), with_grant(next)));
-            if self.without == Without::Fencing && state.replaced {
-                let next = self.next_grant(&state.stale, &state.acknowledged, wants);
-                steps.push((Step::StaleGrant(wants), with_grant(next)));
+        for requests in REQUESTED_AMOUNTS.into_iter().filter(|_| !state.granted) {
+            let next = self.next_grant(&state.newest, &state.acknowledged, requests);
+            steps.push((Step::Grant(requests), with_grant(next)));
+            if self.omission == Omission::Fencing && state.replaced {
+                let next = self.next_grant(&state.stale, &state.acknowledged, requests);
+                steps.push((Step::StaleGrant(requests), with_grant(next)));
             }
         }
         for holder in 0..self.holders {
-            if state.seen[holder] != state.newest {
+            if state.seen_grants[holder] != state.newest {
                 let mut next = state.clone();
-                next.seen[holder] = state.newest.clone();
-                steps.push((Step::See(holder), next));
+                next.seen_grants[holder] = state.newest.clone();
+                steps.push((Step::ReceiveGrant(holder), next));
             }
-            if self.acknowledge && state.seen[holder].epoch > state.acknowledged[holder] {
+            if self.with_acknowledgements
+                && state.seen_grants[holder].epoch > state.acknowledged[holder]
+            {
                 let mut next = state.clone();
-                next.acknowledged[holder] = state.seen[holder].epoch;
+                next.acknowledged[holder] = state.seen_grants[holder].epoch;
                 steps.push((Step::Acknowledge(holder), next));
             }
         }
         if !state.replaced {
             let mut next = state.clone();
             next.replaced = true;
-            next.stale = match self.without {
-                Without::Fencing => state.newest.clone(),
+            next.stale = match self.omission {
+                Omission::Fencing => state.newest.clone(),
                 _ => Grant::default(),
             };
             steps.push((Step::ReplaceGrantor, next));
@@ -174,16 +176,17 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        let rules = match self.without {
-            Without::ClockBound => Rules {
-                apart: 0,
-                ..self.rules
+        let params = match self.omission {
+            Omission::ClockBound => GrantParams {
+                clock_margin: 0,
+                ..self.params
             },
-            _ => self.rules,
+            _ => self.params,
         };
         let used_by = |holder: usize| {
             let name = HOLDERS[holder];
-            let used = state.seen[holder].part(name, self.wall(holder), &rules);
+            let used =
+                state.seen_grants[holder].usable_amount(name, self.wall_time(holder), &params);
             (name, used)
         };
         let used: BTreeMap<&str, u64> = (0..self.holders).map(used_by).collect();
@@ -193,26 +196,28 @@
                 .iter()
                 .position(|holder| *holder == name)
                 .unwrap_or(0);
-            match self.without {
-                Without::Acknowledgement => state.newest.epoch,
+            match self.omission {
+                Omission::Acknowledgement => state.newest.epoch,
                 _ => state.acknowledged[holder],
             }
         };
-        let lent = state.newest.lent(self.wall(3), &self.rules, acknowledged);
-        let own = self.rules.whole.saturating_sub(lent);
+        let max_in_use = state
+            .newest
+            .max_in_use(self.wall_time(3), &self.params, acknowledged);
+        let own = self.params.total.saturating_sub(max_in_use);
         let sum = own + used.values().sum::<u64>();
-        (sum > self.rules.whole).then(|| format!("in use: {used:?}, and {own} by the grantor"))
+        (sum > self.params.total).then(|| format!("in use: {used:?}, and {own} by the grantor"))
     }
 
     /// Renumbers the epochs: only their order matters.
     fn canonical(&self, mut state: State) -> State {
         fn for_each_epoch(state: &mut State, mut change: impl FnMut(&mut u64)) {
             let grants = [&mut state.newest, &mut state.stale];
-            for grant in grants.into_iter().chain(&mut state.seen) {
+            for grant in grants.into_iter().chain(&mut state.seen_grants) {
                 change(&mut grant.epoch);
-                let parts = grant.parts.values_mut();
-                for part in parts.chain(grant.owed.values_mut().flatten()) {
-                    change(&mut part.epoch);
+                let shares = grant.shares.values_mut();
+                for share in shares.chain(grant.earlier_shares.values_mut().flatten()) {
+                    change(&mut share.epoch);
                 }
             }
             state.acknowledged.iter_mut().for_each(change);
@@ -222,7 +227,7 @@
         epochs.sort_unstable();
         epochs.dedup();
         for_each_epoch(&mut state, |epoch| {
-            let index = epochs.iter().position(|known| known == epoch);
+            let index = epochs.iter().position(|candidate| candidate == epoch);
             *epoch = index.unwrap_or(0) as u64;
         });
         state
@@ -230,23 +235,28 @@
 }
 
 /// Returns a model with exact clocks and all mechanisms.
-fn model(holders: usize, acknowledge: bool, life: u64, apart: u64) -> BudgetShares {
+fn model(
+    holders: usize,
+    with_acknowledgements: bool,
+    lifetime: u64,
+    clock_margin: u64,
+) -> BudgetShares {
     BudgetShares {
-        without: Without::Nothing,
+        omission: Omission::Nothing,
         clock_offsets: [0; 4],
         holders,
-        acknowledge,
-        rules: Rules {
-            whole: 4,
-            life,
-            apart,
+        with_acknowledgements,
+        params: GrantParams {
+            total: 4,
+            lifetime,
+            clock_margin,
         },
     }
 }
 
-fn check(without: Without, clock_offsets: [i64; 4], model: BudgetShares) -> CheckResult<Step> {
+fn check(omission: Omission, clock_offsets: [i64; 4], model: BudgetShares) -> CheckResult<Step> {
     let model = BudgetShares {
-        without,
+        omission,
         clock_offsets,
         ..model
     };
@@ -261,7 +271,7 @@
         ([-1, 1, 0, 1], model(2, true, 2, 1)),
     ];
     for (clock_offsets, model) in models {
-        let result = check(Without::Nothing, clock_offsets, model);
+        let result = check(Omission::Nothing, clock_offsets, model);
         assert!(
             matches!(result, CheckResult::Verified { .. }),
             "{}",
@@ -273,13 +283,17 @@
 
 #[test]
 fn each_mechanism_is_needed() {
-    for (without, clock_offsets, model) in [
-        (Without::EarlierShares, [0, 0, 0, 0], model(3, false, 3, 1)),
-        (Without::ClockBound, [-1, 0, 0, 1], model(3, false, 3, 1)),
-        (Without::Fencing, [0, 0, 0, 0], model(3, false, 3, 1)),
-        (Without::Acknowledgement, [0, 0, 0, 0], model(2, true, 3, 0)),
+    for (omission, clock_offsets, model) in [
+        (Omission::EarlierShares, [0, 0, 0, 0], model(3, false, 3, 1)),
+        (Omission::ClockBound, [-1, 0, 0, 1], model(3, false, 3, 1)),
+        (Omission::Fencing, [0, 0, 0, 0], model(3, false, 3, 1)),
+        (
+            Omission::Acknowledgement,
+            [0, 0, 0, 0],
+            model(2, true, 3, 0),
+        ),
     ] {
-        let result = check(without, clock_offsets, model);
+        let result = check(omission, clock_offsets, model);
         assert!(
             matches!(result, CheckResult::Violation { .. }),
             "{}",
--- a/crates/lease-delegation/src/cancellations.rs
+++ b/crates/lease-delegation/src/cancellations.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct LogCursor {
     /// The run of the peer's process: each run has its own log.
-    pub run: u64,
+    pub incarnation: u64,
     /// Number of the first entry that is not known.
     pub next: u64,
 }
@@ -55,7 +55,7 @@
     /// Number after its last entry.
     pub next: u64,
     /// The log has more entries after it.
-    pub more: bool,
+    pub has_more: bool,
     /// Jobs, with the versions of the records that show them cancelled.
     pub jobs: Vec<(String, u64)>,
 }
@@ -93,8 +93,8 @@
 
     /// The next batch, of at most `max_jobs` jobs, for a peer that knows the log up to `from` and whose cache of the
     /// records is complete up to the revision `complete`; none if the log has dropped an entry that the peer needs.
-    pub fn batch(&self, from: u64, complete: u64, max_jobs: usize) -> Option<LogBatch> {
-        let misses_dropped = self.dropped.max_version > complete && self.dropped.end > from;
+    pub fn batch(&self, from: u64, cached_revision: u64, max_jobs: usize) -> Option<LogBatch> {
+        let misses_dropped = self.dropped.max_version > cached_revision && self.dropped.end > from;
         if misses_dropped || from > self.next {
             return None;
         }
@@ -104,13 +104,13 @@
             ..LogBatch::default()
         };
         let start = self.entries.partition_point(|entry| entry.number < from);
-        let unknown = self.entries[start..]
+        let missing = self.entries[start..]
             .iter()
-            .filter(|entry| entry.version > complete);
-        for entry in unknown {
+            .filter(|entry| entry.version > cached_revision);
+        for entry in missing {
             if batch.jobs.len() == max_jobs {
                 batch.next = entry.number;
-                batch.more = true;
+                batch.has_more = true;
                 break;
             }
             batch.jobs.push((entry.job.clone(), entry.version));
@@ -123,7 +123,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedBatch {
     /// Jobs that were not reported before, with the versions of their records.
-    pub new: Vec<(String, u64)>,
+    pub new_jobs: Vec<(String, u64)>,
     /// The whole log is known, as it was when the batch was taken from it.
     pub log_complete: bool,
 }
@@ -152,27 +152,37 @@
     }
 
     /// Adds a batch of the log of this run of a peer.
-    pub fn apply(&mut self, peer: usize, run: u64, batch: &LogBatch, now: Time) -> AppliedBatch {
-        let mut new = Vec::new();
+    pub fn apply(
+        &mut self,
+        peer: usize,
+        incarnation: u64,
+        batch: &LogBatch,
+        now: Time,
+    ) -> AppliedBatch {
+        let mut new_jobs = Vec::new();
         for (job, version) in &batch.jobs {
             if !self.jobs.contains_key(job) {
                 self.jobs.insert(job.clone(), now);
-                new.push((job.clone(), *version));
+                new_jobs.push((job.clone(), *version));
             }
         }
         let cursor = &mut self.cursors[peer];
-        let known = if cursor.run == run { cursor.next } else { 0 };
+        let position = if cursor.incarnation == incarnation {
+            cursor.next
+        } else {
+            0
+        };
         // If the cursor moved over a gap, the entries in it would never be requested.
-        let gap = batch.from > known;
+        let gap = batch.from > position;
         if !gap {
             *cursor = LogCursor {
-                run,
-                next: known.max(batch.next),
+                incarnation,
+                next: position.max(batch.next),
             };
         }
         AppliedBatch {
-            new,
-            log_complete: !gap && !batch.more,
+            new_jobs,
+            log_complete: !gap && !batch.has_more,
         }
     }
 
--- a/crates/lease-delegation/src/lease_grantee/tests.rs
+++ b/crates/lease-delegation/src/lease_grantee/tests.rs
@@ -7,10 +7,10 @@
 fn a_coverage_of_zero_permits_no_renewal() {
     let leader = KnownLeader {
         term: 7,
-        run: 1,
-        ended: true,
+        incarnation: 1,
+        process_ended: true,
     };
     let grantee = LeaseGrantee::default();
-    assert!(!grantee.permits(&leader, 0, 5, 100));
-    assert!(grantee.permits(&leader, 1, 5, 100));
+    assert!(!grantee.may_renew(&leader, 0, 5, 100));
+    assert!(grantee.may_renew(&leader, 1, 5, 100));
 }
--- a/crates/lease-delegation/src/lease_grantor.rs
+++ b/crates/lease-delegation/src/lease_grantor.rs
@@ -10,16 +10,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseBounds {
     /// How long an agent keeps its tasks after its last answered heartbeat.
-    pub lease: Time,
+    pub lease_duration: Time,
     /// How long after a grant was last given every lease that was renewed under it has expired.
-    pub after_grant: Time,
+    pub expiry_after_grant: Time,
 }
 
 /// The grant given to one peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Grant {
     /// The run of the grantee's process.
-    run: u64,
+    incarnation: u64,
     /// When the grant was last given.
     last_given: Time,
     /// Latest time at which the grantee may have last used it; none: it has not reported a use.
@@ -36,10 +36,10 @@
 
 impl LeaseGrantor {
     /// A grant is sent to this run of a peer's process.
-    pub fn give(&mut self, grantee: &str, run: u64, now: Time) {
-        self.note_run(grantee, run, now);
+    pub fn record_grant(&mut self, grantee: &str, incarnation: u64, now: Time) {
+        self.observe_incarnation(grantee, incarnation, now);
         let grant = self.grants.entry(grantee.to_string()).or_insert(Grant {
-            run,
+            incarnation,
             last_given: now,
             last_used: None,
             reported_as_of: 0,
@@ -49,11 +49,11 @@
 
     /// If a grantee's process has restarted, nothing is known of the use by its earlier run, except that it was
     /// before now.
-    fn note_run(&mut self, grantee: &str, run: u64, now: Time) {
+    fn observe_incarnation(&mut self, grantee: &str, incarnation: u64, now: Time) {
         if let Some(grant) = self.grants.get_mut(grantee)
-            && grant.run != run
+            && grant.incarnation != incarnation
         {
-            grant.run = run;
+            grant.incarnation = incarnation;
             grant.last_used = Some(now);
         }
     }
@@ -63,17 +63,17 @@
     pub fn on_use_report(
         &mut self,
         grantee: &str,
-        run: u64,
-        asked: Time,
+        incarnation: u64,
+        sent: Time,
         now: Time,
-        use_age: Option<Time>,
+        time_since_use: Option<Time>,
     ) {
-        self.note_run(grantee, run, now);
+        self.observe_incarnation(grantee, incarnation, now);
         let Some(grant) = self.grants.get_mut(grantee) else {
             return;
         };
-        grant.reported_as_of = grant.reported_as_of.max(asked);
-        let last_used = use_age.map(|age| now.saturating_sub(age));
+        grant.reported_as_of = grant.reported_as_of.max(sent);
+        let last_used = time_since_use.map(|age| now.saturating_sub(age));
         grant.last_used = grant.last_used.max(last_used);
     }
 
@@ -81,14 +81,14 @@
     /// it has expired, whatever grantees may have answered.
     pub fn recheck_at(&self, lease_end: Time, now: Time, bounds: &LeaseBounds) -> Option<Time> {
         let rechecks = self.grants.values().filter_map(|grant| {
-            let grant_end = grant.last_given + bounds.after_grant;
+            let grant_end = grant.last_given + bounds.expiry_after_grant;
             if grant_end <= now {
                 return None;
             }
             // The grantee may have renewed the lease until its last reported use, and after the last report.
-            let lease_end = grant
-                .last_used
-                .map_or(lease_end, |used| lease_end.max(used + bounds.lease));
+            let lease_end = grant.last_used.map_or(lease_end, |used| {
+                lease_end.max(used + bounds.lease_duration)
+            });
             let recheck = grant_end.min(lease_end.max(now + RECHECK_INTERVAL));
             (grant.reported_as_of < lease_end).then_some(recheck)
         });
--- a/crates/lease-delegation/src/peer_coverage.rs
+++ b/crates/lease-delegation/src/peer_coverage.rs
@@ -24,7 +24,7 @@
 
 /// How much is known of what a peer may have told clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerKnowledge {
+pub enum AnswerCompleteness {
     /// The peer has not read the records since it started, so it does not know what its earlier run told clients.
     RecordsUnread,
     /// It may have told clients something that is not known here.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PeerResponse {
     /// How much is known after the response.
-    pub knowledge: PeerKnowledge,
+    pub completeness: AnswerCompleteness,
     /// The response is a silence pledge.
     pub pledges_silence: bool,
 }
@@ -54,18 +54,18 @@
     }
 
     /// A peer has responded to the heartbeat sent at `asked`.
-    pub fn on_response(&mut self, peer: usize, response: PeerResponse, asked: Time, now: Time) {
+    pub fn on_response(&mut self, peer: usize, response: PeerResponse, sent: Time, now: Time) {
         if !response.pledges_silence {
-            self.limit(peer, now);
+            self.cap_at(peer, now);
         }
         // A peer that has just started knows nothing. But if the pledge of its earlier run was still active when it had
         // already started, that run has told clients nothing since, and neither has the new run.
         let continues_pledge = response.pledges_silence
-            && response.knowledge == PeerKnowledge::RecordsUnread
+            && response.completeness == AnswerCompleteness::RecordsUnread
             && now < self.covered_until[peer];
         // A pledge may be overtaken by the message that releases it.
-        let pledge_valid = response.pledges_silence && asked > self.released_at[peer];
-        let pledge_end = asked + self.pledge_reliance;
+        let pledge_valid = response.pledges_silence && sent > self.released_at[peer];
+        let pledge_end = sent + self.pledge_reliance;
         let previous_chain = self.pledge_chains[peer].take();
         self.pledge_chains[peer] = pledge_valid.then(|| match previous_chain {
             Some(chain) if now < chain.end => PledgeChain {
@@ -78,15 +78,15 @@
                 end: pledge_end,
             },
         });
-        if response.knowledge == PeerKnowledge::Complete || continues_pledge {
-            let until = if pledge_valid { pledge_end } else { asked };
-            self.raise(peer, until);
+        if response.completeness == AnswerCompleteness::Complete || continues_pledge {
+            let until = if pledge_valid { pledge_end } else { sent };
+            self.raise_to(peer, until);
         }
     }
 
     /// A peer has reported by itself that it no longer pledges anything.
     pub fn on_pledge_released(&mut self, peer: usize, now: Time) {
-        self.limit(peer, now);
+        self.cap_at(peer, now);
         self.released_at[peer] = now;
         self.pledge_chains[peer] = None;
     }
@@ -94,21 +94,21 @@
     /// Another peer has reported that at `until` it knew of everything that this one had told clients, and we know what
     /// that peer knew. This is no pledge, so nothing follows for later times.
     pub fn extend(&mut self, peer: usize, until: Time) {
-        self.raise(peer, until);
+        self.raise_to(peer, until);
         if let Some(chain) = &self.pledge_chains[peer]
             && self.covered_until[peer] >= chain.start
         {
             let end = chain.end;
-            self.raise(peer, end);
+            self.raise_to(peer, end);
         }
     }
 
-    fn raise(&mut self, peer: usize, until: Time) {
+    fn raise_to(&mut self, peer: usize, until: Time) {
         let covered_until = &mut self.covered_until[peer];
         *covered_until = (*covered_until).max(until);
     }
 
-    fn limit(&mut self, peer: usize, until: Time) {
+    fn cap_at(&mut self, peer: usize, until: Time) {
         let covered_until = &mut self.covered_until[peer];
         *covered_until = (*covered_until).min(until);
     }
--- a/crates/lease-delegation/src/silence_pledges.rs
+++ b/crates/lease-delegation/src/silence_pledges.rs
@@ -13,7 +13,7 @@
     duration: Time,
     pledges: Vec<Pledge>,
     /// Newest revision that was known when the first of the active pledges was given.
-    known_revision: u64,
+    revision_at_first_pledge: u64,
 }
 
 /// The last pledge given to one peer.
@@ -40,14 +40,14 @@
         SilencePledges {
             duration,
             pledges: vec![Pledge::given(now); peers],
-            known_revision: 0,
+            revision_at_first_pledge: 0,
         }
     }
 
     /// A pledge is sent to a peer; `newest` is the newest revision of which clients may have been told.
-    pub fn give(&mut self, peer: usize, newest: u64, now: Time) {
+    pub fn record_pledge(&mut self, peer: usize, newest_revision: u64, now: Time) {
         if self.none_active(now) {
-            self.known_revision = newest;
+            self.revision_at_first_pledge = newest_revision;
         }
         self.pledges[peer] = Pledge::given(now);
     }
@@ -68,8 +68,9 @@
     }
 
     /// Whether clients may be told of cancellations up to the revision `newest`.
-    pub fn may_tell(&self, newest: u64, now: Time) -> bool {
-        newest <= self.known_revision && self.known_revision > 0 || self.none_active(now)
+    pub fn may_confirm(&self, newest_revision: u64, now: Time) -> bool {
+        newest_revision <= self.revision_at_first_pledge && self.revision_at_first_pledge > 0
+            || self.none_active(now)
     }
 
     /// Time until which peers may rely on a pledge: a leadership that was acquired before counts for them as acquired
--- a/crates/lease-delegation/tests/cancellation_model.rs
+++ b/crates/lease-delegation/tests/cancellation_model.rs
@@ -7,7 +7,7 @@
 
 use lease_delegation::Time;
 use lease_delegation::cancellations::{CancellationLog, LogBatch, ReportedCancellations};
-use lease_delegation::peer_coverage::{PeerCoverage, PeerKnowledge, PeerResponse};
+use lease_delegation::peer_coverage::{AnswerCompleteness, PeerCoverage, PeerResponse};
 use model_checker::{CheckResult, Model, explore};
 
 const LEASE: Time = 2;
@@ -24,13 +24,13 @@
 enum Omission {
     Nothing,
     /// A reported cancellation stops no task.
-    Stop,
+    StopTask,
     /// A batch is taken for the whole log.
-    BatchEnd,
+    HasMore,
     /// Another run's log is taken for the same one.
-    RunCheck,
+    IncarnationCheck,
     /// A reported cancellation is not passed on.
-    PassingOn,
+    Forwarding,
     /// A peer's coverage of others counts although it has not reported all that it knows.
     CompleteReport,
     /// A controller that has not read the records since it started counts as complete.
@@ -41,7 +41,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Response {
-    run: u64,
+    incarnation: u64,
     has_records: bool,
     batch: LogBatch,
     /// How long ago the sender last knew of everything that F had told clients.
@@ -52,14 +52,14 @@
 /// more, and counts for no more, so it is given at once.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Message {
-    asked: Time,
+    sent: Time,
     response: Response,
 }
 
 /// F or T.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Peer {
-    run: u64,
+    incarnation: u64,
     /// How many of the recorded cancellations its cache holds; none: it has not read the records since it started.
     cached: Option<u64>,
     log: CancellationLog,
@@ -74,7 +74,7 @@
     /// Number of recorded cancellations; the first is of job 0, the second of job 1.
     recorded: u64,
     /// Per job: when its client was told that it is cancelled.
-    client_told_at: [Option<Time>; 2],
+    confirmed_at: [Option<Time>; 2],
     f: Peer,
     t: Peer,
     f_crashed: bool,
@@ -110,7 +110,7 @@
     ReadF,
     ReadT,
     Renew,
-    Ask(Link),
+    Request(Link),
     Receive,
     /// The message is received, and arrives once more.
     ReceiveDuplicate,
@@ -138,9 +138,9 @@
 }
 
 impl Peer {
-    fn new(run: u64, cached: Option<u64>) -> Peer {
+    fn new(incarnation: u64, cached: Option<u64>) -> Peer {
         Peer {
-            run,
+            incarnation,
             cached,
             log: CancellationLog::default(),
             reported: ReportedCancellations::new(1),
@@ -169,38 +169,39 @@
     fn receive(&self, next: &mut State, link: Link, message: &Message) {
         let now = next.now;
         let response = &message.response;
-        let run = if self.omits(Omission::RunCheck) {
+        let incarnation = if self.omits(Omission::IncarnationCheck) {
             1
         } else {
-            response.run
+            response.incarnation
         };
         let (reported, coverage, sender) = match link {
             Link::LToF => (&mut next.reported, &mut next.coverage, F),
             Link::LToT => (&mut next.reported, &mut next.coverage, T),
             Link::TToF => (&mut next.t.reported, &mut next.t.coverage, 0),
         };
-        let applied = reported.apply(sender, run, &response.batch, 0);
-        if link == Link::TToF && !self.omits(Omission::PassingOn) {
-            for (job, version) in &applied.new {
+        let applied = reported.apply(sender, incarnation, &response.batch, 0);
+        if link == Link::TToF && !self.omits(Omission::Forwarding) {
+            for (job, version) in &applied.new_jobs {
                 next.t.log.append(job, *version);
             }
         }
-        let log_known = applied.log_complete || self.omits(Omission::BatchEnd);
-        let knowledge = if !response.has_records && !self.omits(Omission::RecordsRead) {
-            PeerKnowledge::RecordsUnread
+        let log_known = applied.log_complete || self.omits(Omission::HasMore);
+        let completeness = if !response.has_records && !self.omits(Omission::RecordsRead) {
+            AnswerCompleteness::RecordsUnread
         } else if log_known {
-            PeerKnowledge::Complete
+            AnswerCompleteness::Complete
         } else {
-            PeerKnowledge::Partial
+            AnswerCompleteness::Partial
         };
         let peer_response = PeerResponse {
-            knowledge,
+            completeness,
             pledges_silence: false,
         };
-        coverage.on_response(sender, peer_response, message.asked, now);
-        let complete = knowledge == PeerKnowledge::Complete || self.omits(Omission::CompleteReport);
+        coverage.on_response(sender, peer_response, message.sent, now);
+        let complete =
+            completeness == AnswerCompleteness::Complete || self.omits(Omission::CompleteReport);
         if link == Link::LToT && complete {
-            let covered_until = message.asked.saturating_sub(response.coverage_age_of_f);
+            let covered_until = message.sent.saturating_sub(response.coverage_age_of_f);
             next.coverage.extend(F, covered_until);
         }
     }
@@ -213,7 +214,7 @@
         let mut next = state.clone();
         next.recorded += 1;
         next.f.read(next.recorded, None);
-        next.client_told_at[state.recorded as usize] = Some(state.now);
+        next.confirmed_at[state.recorded as usize] = Some(state.now);
         Some(next)
     }
 
@@ -259,12 +260,12 @@
         next.renewed_at = state.now;
         for job in 0..2 {
             let stop = state.reported.contains(&job_name(job as u64));
-            next.running[job] &= !stop || self.omits(Omission::Stop);
+            next.running[job] &= !stop || self.omits(Omission::StopTask);
         }
         Some(next)
     }
 
-    fn ask(&self, state: &State, link: Link) -> Option<State> {
+    fn request(&self, state: &State, link: Link) -> Option<State> {
         let from_l = link != Link::TToF;
         if from_l && state.in_flight.is_some() {
             return None;
@@ -276,10 +277,11 @@
             Link::LToT => (&state.t, state.reported.cursor(T), 0),
             Link::TToF => (&state.f, state.t.reported.cursor(0), state.t.cached?),
         };
-        let same_run = cursor.run == sender.run || self.omits(Omission::RunCheck);
-        let from = if same_run { cursor.next } else { 0 };
+        let same_incarnation =
+            cursor.incarnation == sender.incarnation || self.omits(Omission::IncarnationCheck);
+        let from = if same_incarnation { cursor.next } else { 0 };
         let response = Response {
-            run: sender.run,
+            incarnation: sender.incarnation,
             has_records: sender.cached.is_some(),
             batch: sender.log.batch(from, complete, 1).unwrap_or_default(),
             coverage_age_of_f: if link == Link::LToT {
@@ -289,7 +291,7 @@
             },
         };
         let message = Message {
-            asked: state.now,
+            sent: state.now,
             response,
         };
         let mut next = state.clone();
@@ -324,14 +326,14 @@
             Step::ReadF => self.read_f(state),
             Step::ReadT => self.read_t(state),
             Step::Renew => self.renew(state),
-            Step::Ask(link) => self.ask(state, link),
+            Step::Request(link) => self.request(state, link),
             Step::Receive => self.receive_in_flight(state, false),
             Step::ReceiveDuplicate => self.receive_in_flight(state, true),
         }?;
         let now = next.now;
         next.in_flight = next
             .in_flight
-            .filter(|(_, message)| now <= message.asked + TIMEOUT);
+            .filter(|(_, message)| now <= message.sent + TIMEOUT);
         Some(next)
     }
 }
@@ -354,7 +356,7 @@
         vec![State {
             now: START,
             recorded: 0,
-            client_told_at: [None; 2],
+            confirmed_at: [None; 2],
             f: peer.clone(),
             t: peer,
             f_crashed: false,
@@ -379,9 +381,9 @@
             Step::ReadF,
             Step::ReadT,
             Step::Renew,
-            Step::Ask(Link::LToF),
-            Step::Ask(Link::LToT),
-            Step::Ask(Link::TToF),
+            Step::Request(Link::LToF),
+            Step::Request(Link::LToT),
+            Step::Request(Link::TToF),
             Step::Receive,
             Step::ReceiveDuplicate,
         ];
@@ -394,8 +396,9 @@
             return None;
         }
         let overdue = |job: &usize| {
-            let told_at = state.client_told_at[*job];
-            state.running[*job] && told_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE)
+            let confirmed_at = state.confirmed_at[*job];
+            state.running[*job]
+                && confirmed_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE)
         };
         let job = (0..2).find(overdue)?;
         Some(format!(
@@ -428,33 +431,33 @@
         (false, Reachable::Both, false),
     ] {
         let max_states = if exhaustive { 2_000_000 } else { 200_000 };
-        let seen = explore(&model(Omission::Nothing, 5, crashes, reachable), max_states);
-        println!("{reachable:?}, crashes {crashes}: {}", seen.describe());
-        let passed = match seen {
+        let result = explore(&model(Omission::Nothing, 5, crashes, reachable), max_states);
+        println!("{reachable:?}, crashes {crashes}: {}", result.describe());
+        let passed = match result {
             CheckResult::Verified { .. } => true,
             CheckResult::LimitReached { .. } => !exhaustive,
             CheckResult::Violation { .. } => false,
         };
-        assert!(passed, "{}", seen.describe());
+        assert!(passed, "{}", result.describe());
     }
 }
 
 #[test]
 fn every_omission_is_detected() {
     for (omission, crashes, reachable) in [
-        (Omission::Stop, false, Reachable::F),
-        (Omission::BatchEnd, false, Reachable::F),
-        (Omission::RunCheck, true, Reachable::F),
-        (Omission::PassingOn, false, Reachable::T),
+        (Omission::StopTask, false, Reachable::F),
+        (Omission::HasMore, false, Reachable::F),
+        (Omission::IncarnationCheck, true, Reachable::F),
+        (Omission::Forwarding, false, Reachable::T),
         (Omission::CompleteReport, false, Reachable::T),
         (Omission::RecordsRead, true, Reachable::F),
         (Omission::StalenessBound, false, Reachable::F),
     ] {
-        let seen = explore(&model(omission, 6, crashes, reachable), 1_000_000);
+        let result = explore(&model(omission, 6, crashes, reachable), 1_000_000);
         assert!(
-            matches!(seen, CheckResult::Violation { .. }),
+            matches!(result, CheckResult::Violation { .. }),
             "{omission:?}: {}",
-            seen.describe()
+            result.describe()
         );
     }
 }
--- a/crates/lease-delegation/tests/cancellations.rs
+++ b/crates/lease-delegation/tests/cancellations.rs
@@ -23,19 +23,25 @@
         let next = reported.cursor(1).next;
         let batch = log.batch(next, 0, 2).expect("nothing was dropped");
         let applied = reported.apply(1, 7, &batch, 100);
-        new_jobs.extend(applied.new.into_iter().map(|(job, _)| job));
+        new_jobs.extend(applied.new_jobs.into_iter().map(|(job, _)| job));
         assert_eq!(applied.log_complete, new_jobs.len() == 5, "{new_jobs:?}");
         if applied.log_complete {
             break;
         }
     }
     assert_eq!(new_jobs, (0..5).map(job).collect::<Vec<_>>());
-    assert_eq!(reported.cursor(1), LogCursor { run: 7, next: 5 });
+    assert_eq!(
+        reported.cursor(1),
+        LogCursor {
+            incarnation: 7,
+            next: 5
+        }
+    );
     assert_eq!(reported.cursor(0), LogCursor::default());
     // There is nothing more to report, and no job is reported twice.
     let batch = log.batch(5, 0, 2).expect("nothing was dropped");
     let nothing_new = AppliedBatch {
-        new: Vec::new(),
+        new_jobs: Vec::new(),
         log_complete: true,
     };
     assert_eq!(reported.apply(1, 7, &batch, 101), nothing_new);
@@ -48,7 +54,10 @@
     log.append("req-77", 2);
     let batch = log.batch(0, 3, 10).expect("nothing was dropped");
     let versions: Vec<u64> = batch.jobs.iter().map(|(_, version)| *version).collect();
-    assert_eq!((versions, batch.next, batch.more), (vec![4, 5], 6, false));
+    assert_eq!(
+        (versions, batch.next, batch.has_more),
+        (vec![4, 5], 6, false)
+    );
 }
 
 /// Another run of the process has another log. If it were taken for the same one, its beginning would never be requested.
@@ -58,26 +67,32 @@
     let batch = LogBatch {
         from: 3,
         next: 4,
-        more: false,
+        has_more: false,
         jobs: vec![(job(9), 9)],
     };
     let applied = reported.apply(0, 7, &batch, 100);
     // The cancellation is true all the same.
-    assert_eq!((applied.new.len(), applied.log_complete), (1, false));
+    assert_eq!((applied.new_jobs.len(), applied.log_complete), (1, false));
     assert!(reported.contains("req-9"));
     assert_eq!(reported.cursor(0), LogCursor::default());
     let whole = log_with(4).batch(0, 0, 10).expect("nothing was dropped");
     assert!(reported.apply(0, 7, &whole, 100).log_complete);
-    let other_run = LogBatch {
+    let other_incarnation = LogBatch {
         from: 4,
         next: 4,
         ..LogBatch::default()
     };
-    let applied = reported.apply(0, 8, &other_run, 100);
-    assert!(!applied.log_complete, "another run's log");
+    let applied = reported.apply(0, 8, &other_incarnation, 100);
+    assert!(!applied.log_complete, "another incarnation's log");
     // A duplicate batch changes nothing.
     assert!(reported.apply(0, 7, &whole, 101).log_complete);
-    assert_eq!(reported.cursor(0), LogCursor { run: 7, next: 4 });
+    assert_eq!(
+        reported.cursor(0),
+        LogCursor {
+            incarnation: 7,
+            next: 4
+        }
+    );
 }
 
 /// Once the records have been read, they alone count: a report that was not true does not stop tasks forever.
--- a/crates/lease-delegation/tests/delegation_model/main.rs
+++ b/crates/lease-delegation/tests/delegation_model/main.rs
@@ -10,7 +10,7 @@
 use lease_delegation::Time;
 use lease_delegation::lease_grantee::{KnownLeader, LeaseGrantee};
 use lease_delegation::lease_grantor::{LeaseBounds, LeaseGrantor};
-use lease_delegation::peer_coverage::{PeerCoverage, PeerKnowledge, PeerResponse};
+use lease_delegation::peer_coverage::{AnswerCompleteness, PeerCoverage, PeerResponse};
 use lease_delegation::silence_pledges::SilencePledges;
 use model_checker::{CheckResult, Model, explore};
 use state::{ControllerA, ControllerB, Leadership, RequestOfA, RequestOfB, Response, State};
@@ -26,8 +26,8 @@
 const START: Time = 10;
 const FIRST_TERM: u64 = 1;
 const BOUNDS: LeaseBounds = LeaseBounds {
-    lease: LEASE + 1,
-    after_grant: CANCELLATION_DEADLINE + 1,
+    lease_duration: LEASE + 1,
+    expiry_after_grant: CANCELLATION_DEADLINE + 1,
 };
 
 /// The step of the argument that a run of the model leaves out.
@@ -41,7 +41,7 @@
     /// A pledge is not kept.
     Pledge,
     /// A new run does not keep what its earlier run may have pledged.
-    PledgeOfEarlierRun,
+    PledgeOfEarlierIncarnation,
     /// A pledge that was overtaken by its release counts.
     OvertakenPledge,
     /// A new leader counts from its claim, whatever it has pledged.
@@ -58,13 +58,13 @@
     CrashB,
     ReadRecords,
     Claim,
-    TellClient,
+    ConfirmCancellation,
     RenewByB,
     ConsiderExpired,
-    BAsks,
+    BSendsHeartbeat,
     AResponds,
     BReceives,
-    AAsks,
+    ASendsHeartbeat,
     BResponds,
     AReceives,
 }
@@ -98,13 +98,13 @@
         if next.a.crashed {
             return None;
         }
-        let restarted_at = if self.omits(Omission::PledgeOfEarlierRun) {
+        let restarted_at = if self.omits(Omission::PledgeOfEarlierIncarnation) {
             0
         } else {
             next.now
         };
         next.a.crashed = true;
-        next.a.run += 1;
+        next.a.incarnation += 1;
         next.a.has_records = false;
         next.a.leadership = None;
         next.a.grantor = LeaseGrantor::default();
@@ -115,10 +115,10 @@
 
     /// After a crash B cannot read the records again, so it renews nothing any more.
     fn crash_b(&self, mut next: State) -> Option<State> {
-        if next.b.run != 1 || !self.b_crashes {
+        if next.b.incarnation != 1 || !self.b_crashes {
             return None;
         }
-        next.b.run = 2;
+        next.b.incarnation = 2;
         next.b.grantee = LeaseGrantee::default();
         next.request_of_b = None;
         Some(next)
@@ -133,7 +133,7 @@
     }
 
     fn claim(&self, mut next: State) -> Option<State> {
-        if !next.a.served() || next.a.leadership.is_some() {
+        if !next.a.is_served() || next.a.leadership.is_some() {
             return None;
         }
         next.a.leadership = Some(Leadership {
@@ -143,26 +143,26 @@
         Some(next)
     }
 
-    fn tell_client(&self, mut next: State) -> Option<State> {
-        if !next.a.served() || next.a.client_told_at.is_some() {
+    fn confirm_cancellation(&self, mut next: State) -> Option<State> {
+        if !next.a.is_served() || next.a.confirmed_at.is_some() {
             return None;
         }
-        let revision = next.a.newest() + 1;
-        if !next.a.pledges.may_tell(revision, next.now) && !self.omits(Omission::Pledge) {
+        let revision = next.a.newest_revision() + 1;
+        if !next.a.pledges.may_confirm(revision, next.now) && !self.omits(Omission::Pledge) {
             return None;
         }
-        next.a.client_told_at = Some(next.now);
+        next.a.confirmed_at = Some(next.now);
         Some(next)
     }
 
     fn renew_by_b(&self, mut next: State) -> Option<State> {
-        if next.expired || next.b.run != 1 {
+        if next.expired || next.b.incarnation != 1 {
             return None;
         }
         let leader = KnownLeader {
             term: FIRST_TERM,
-            run: 1,
-            ended: next.b.observed_run > 1,
+            incarnation: 1,
+            process_ended: next.b.observed_incarnation > 1,
         };
         let covered_until = if self.omits(Omission::StalenessBound) {
             Time::MAX / 2
@@ -170,10 +170,10 @@
             next.b.coverage.all_covered_until()?
         };
         let grantee = &mut next.b.grantee;
-        if !grantee.permits(&leader, covered_until, next.now, STALENESS_BOUND) {
+        if !grantee.may_renew(&leader, covered_until, next.now, STALENESS_BOUND) {
             return None;
         }
-        grantee.note_use(next.now);
+        grantee.record_use(next.now);
         next.renewed_at = next.now;
         Some(next)
     }
@@ -186,7 +186,7 @@
         }
         let leadership = a.leadership?;
         let expired = if leadership.first_term {
-            let lease_end = a.answered_at + BOUNDS.lease;
+            let lease_end = a.answered_at + BOUNDS.lease_duration;
             let by_grantees = a.grantor.recheck_at(lease_end, now, &BOUNDS).is_none();
             lease_end <= now && (by_grantees || self.omits(Omission::GranteeCheck))
         } else {
@@ -204,15 +204,16 @@
         Some(next)
     }
 
-    fn b_asks(&self, mut next: State) -> Option<State> {
-        if next.request_of_b.is_some() || next.b.run != 1 || next.b_asked_at >= next.now {
+    fn b_sends_heartbeat(&self, mut next: State) -> Option<State> {
+        if next.request_of_b.is_some() || next.b.incarnation != 1 || next.b_last_sent_at >= next.now
+        {
             return None;
         }
         next.request_of_b = Some(RequestOfB {
             sent: next.now,
             response: None,
         });
-        next.b_asked_at = next.now;
+        next.b_last_sent_at = next.now;
         Some(next)
     }
 
@@ -223,22 +224,23 @@
             return None;
         }
         let a = &mut next.a;
-        let newest = a.has_records.then(|| a.newest());
-        let pledges_silence = !a.served();
+        let newest_revision = a.has_records.then(|| a.newest_revision());
+        let pledges_silence = !a.is_served();
         if pledges_silence {
-            a.pledges.give(0, newest.unwrap_or(0), now);
+            a.pledges
+                .record_pledge(0, newest_revision.unwrap_or(0), now);
         }
         let first_term = a.leadership.is_some_and(|leader| leader.first_term);
         let grants = pledges_silence && first_term;
         if grants {
-            a.grantor.give("b", next.b.run, now);
+            a.grantor.record_grant("b", next.b.incarnation, now);
         }
         request.response = Some(Response {
-            run: a.run,
+            incarnation: a.incarnation,
             grants,
             pledges_silence,
-            newest,
-            use_age: None,
+            newest_revision,
+            time_since_use: None,
         });
         Some(next)
     }
@@ -250,31 +252,31 @@
         let b = &mut next.b;
         let peer_response = PeerResponse {
             // B's cache is complete up to the leadership of the first term.
-            knowledge: match response.newest {
-                None => PeerKnowledge::RecordsUnread,
-                Some(1) => PeerKnowledge::Complete,
-                Some(_) => PeerKnowledge::Partial,
+            completeness: match response.newest_revision {
+                None => AnswerCompleteness::RecordsUnread,
+                Some(1) => AnswerCompleteness::Complete,
+                Some(_) => AnswerCompleteness::Partial,
             },
             pledges_silence: response.pledges_silence,
         };
         b.coverage.on_response(0, peer_response, sent, now);
         let term = response.grants.then_some(FIRST_TERM);
-        b.grantee.on_response(term, response.run, sent);
-        b.observed_run = response.run;
+        b.grantee.on_response(term, response.incarnation, sent);
+        b.observed_incarnation = response.incarnation;
         if !response.pledges_silence {
             b.coverage.on_pledge_released(0, now);
         }
         Some(next)
     }
 
-    fn a_asks(&self, mut next: State) -> Option<State> {
-        if next.request_of_a.is_some() || next.a_asked_at >= next.now {
+    fn a_sends_heartbeat(&self, mut next: State) -> Option<State> {
+        if next.request_of_a.is_some() || next.a_last_sent_at >= next.now {
             return None;
         }
-        next.a_asked_at = next.now;
+        next.a_last_sent_at = next.now;
         next.request_of_a = Some(RequestOfA {
             sent: next.now,
-            unserved: !next.a.served(),
+            unserved: !next.a.is_served(),
             response: None,
         });
         Some(next)
@@ -290,7 +292,7 @@
         if !request.unserved && self.omits(Omission::OvertakenPledge) {
             // Like a release, but without effect on messages in flight.
             let released = PeerResponse {
-                knowledge: PeerKnowledge::RecordsUnread,
+                completeness: AnswerCompleteness::RecordsUnread,
                 pledges_silence: false,
             };
             b.coverage.on_response(0, released, 0, now);
@@ -298,11 +300,11 @@
             b.coverage.on_pledge_released(0, now);
         }
         request.response = Some(Response {
-            run: b.run,
+            incarnation: b.incarnation,
             grants: false,
             pledges_silence: true,
-            newest: None,
-            use_age: b.grantee.use_age(now),
+            newest_revision: None,
+            time_since_use: b.grantee.time_since_use(now),
         });
         Some(next)
     }
@@ -315,13 +317,13 @@
         if !request.unserved {
             a.pledges.on_release_acknowledged(0, request.sent, now);
         }
-        let run = if self.omits(Omission::GranteeRestart) {
+        let incarnation = if self.omits(Omission::GranteeRestart) {
             1
         } else {
-            response.run
+            response.incarnation
         };
         let grantor = &mut a.grantor;
-        grantor.on_use_report("b", run, request.sent, now, response.use_age);
+        grantor.on_use_report("b", incarnation, request.sent, now, response.time_since_use);
         Some(next)
     }
 
@@ -334,13 +336,13 @@
             Step::CrashB => self.crash_b(next),
             Step::ReadRecords => self.read_records(next),
             Step::Claim => self.claim(next),
-            Step::TellClient => self.tell_client(next),
+            Step::ConfirmCancellation => self.confirm_cancellation(next),
             Step::RenewByB => self.renew_by_b(next),
             Step::ConsiderExpired => self.consider_expired(next),
-            Step::BAsks => self.b_asks(next),
+            Step::BSendsHeartbeat => self.b_sends_heartbeat(next),
             Step::AResponds => self.a_responds(next),
             Step::BReceives => self.b_receives(next),
-            Step::AAsks => self.a_asks(next),
+            Step::ASendsHeartbeat => self.a_sends_heartbeat(next),
             Step::BResponds => self.b_responds(next),
             Step::AReceives => self.a_receives(next),
         }?;
@@ -362,7 +364,7 @@
     fn initial_states(&self) -> Vec<State> {
         let a = ControllerA {
             store_reachable: false,
-            run: 1,
+            incarnation: 1,
             has_records: true,
             leadership: Some(Leadership {
                 since: 0,
@@ -371,15 +373,15 @@
             grantor: LeaseGrantor::default(),
             pledges: SilencePledges::new(1, PLEDGE_DURATION, 0),
             answered_at: START,
-            client_told_at: None,
+            confirmed_at: None,
             crashed: !self.a_crashes,
             considers_expired: false,
         };
         let b = ControllerB {
-            run: 1,
+            incarnation: 1,
             coverage: PeerCoverage::new(1, PLEDGE_RELIANCE),
             grantee: LeaseGrantee::default(),
-            observed_run: 1,
+            observed_incarnation: 1,
         };
         vec![State {
             now: START,
@@ -388,8 +390,8 @@
             b,
             request_of_b: None,
             request_of_a: None,
-            b_asked_at: 0,
-            a_asked_at: 0,
+            b_last_sent_at: 0,
+            a_last_sent_at: 0,
             renewed_at: START,
             expired: false,
         }]
@@ -406,13 +408,13 @@
             Step::CrashB,
             Step::ReadRecords,
             Step::Claim,
-            Step::TellClient,
+            Step::ConfirmCancellation,
             Step::RenewByB,
             Step::ConsiderExpired,
-            Step::BAsks,
+            Step::BSendsHeartbeat,
             Step::AResponds,
             Step::BReceives,
-            Step::AAsks,
+            Step::ASendsHeartbeat,
             Step::BResponds,
             Step::AReceives,
         ];
@@ -427,8 +429,8 @@
         if state.a.considers_expired {
             return Some("A considers a lease expired that is not".into());
         }
-        let told_at = state.a.client_told_at;
-        let overdue = told_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE);
+        let confirmed_at = state.a.confirmed_at;
+        let overdue = confirmed_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE);
         overdue.then(|| "the task runs after the deadline of its cancellation".into())
     }
 }
@@ -462,14 +464,14 @@
             a_crashes,
             b_crashes,
         );
-        let seen = explore(&model, 1_500_000);
-        println!("{}", seen.describe());
-        let passed = match seen {
+        let result = explore(&model, 1_500_000);
+        println!("{}", result.describe());
+        let passed = match result {
             CheckResult::Verified { .. } => true,
             CheckResult::LimitReached { .. } => a_crashes,
             CheckResult::Violation { .. } => false,
         };
-        assert!(passed, "{}", seen.describe());
+        assert!(passed, "{}", result.describe());
     }
 }
 
@@ -479,17 +481,17 @@
         (Omission::GranteeCheck, 1, false, false),
         (Omission::GranteeRestart, 1, false, true),
         (Omission::Pledge, 1, true, false),
-        (Omission::PledgeOfEarlierRun, 1, true, false),
+        (Omission::PledgeOfEarlierIncarnation, 1, true, false),
         (Omission::OvertakenPledge, 1, true, false),
         (Omission::PledgeBeforeClaim, 1, true, false),
         (Omission::StalenessBound, 2, false, false),
     ] {
         let model = model(omission, 9, store_changes, a_crashes, b_crashes);
-        let seen = explore(&model, 2_000_000);
+        let result = explore(&model, 2_000_000);
         assert!(
-            matches!(seen, CheckResult::Violation { .. }),
+            matches!(result, CheckResult::Violation { .. }),
             "{omission:?}: {}",
-            seen.describe()
+            result.describe()
         );
     }
 }
--- a/crates/lease-delegation/tests/delegation_model/state.rs
+++ b/crates/lease-delegation/tests/delegation_model/state.rs
@@ -9,11 +9,11 @@
 /// A response to a heartbeat.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Response {
-    pub run: u64,
+    pub incarnation: u64,
     pub grants: bool,
     pub pledges_silence: bool,
-    pub newest: Option<u64>,
-    pub use_age: Option<Time>,
+    pub newest_revision: Option<u64>,
+    pub time_since_use: Option<Time>,
 }
 
 /// The exchange in which B asks A.
@@ -43,7 +43,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct ControllerA {
     pub store_reachable: bool,
-    pub run: u64,
+    pub incarnation: u64,
     pub has_records: bool,
     pub leadership: Option<Leadership>,
     pub grantor: LeaseGrantor,
@@ -51,7 +51,7 @@
     /// Its last answer to the agent; since then it cannot reach the agent.
     pub answered_at: Time,
     /// When it told the client of the cancellation.
-    pub client_told_at: Option<Time>,
+    pub confirmed_at: Option<Time>,
     pub crashed: bool,
     /// It has concluded that the agent's lease has expired.
     pub considers_expired: bool,
@@ -60,11 +60,11 @@
 /// The peer of A.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct ControllerB {
-    pub run: u64,
+    pub incarnation: u64,
     pub coverage: PeerCoverage,
     pub grantee: LeaseGrantee,
     /// The run of A that last responded.
-    pub observed_run: u64,
+    pub observed_incarnation: u64,
 }
 
 /// The whole model at one moment.
@@ -78,8 +78,8 @@
     pub request_of_b: Option<RequestOfB>,
     pub request_of_a: Option<RequestOfA>,
     /// When B last asked A, and A last asked B: once a tick is as often as they do.
-    pub b_asked_at: Time,
-    pub a_asked_at: Time,
+    pub b_last_sent_at: Time,
+    pub a_last_sent_at: Time,
     /// When the agent's lease was last renewed.
     pub renewed_at: Time,
     /// The agent's lease has expired.
@@ -88,12 +88,12 @@
 
 impl ControllerA {
     /// The newest revision that A knows: its first leadership was at 1, a cancellation is at 2, a later leadership at 3.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_revision(&self) -> u64 {
         let later_term = self.leadership.is_some_and(|leader| !leader.first_term);
-        1 + u64::from(self.client_told_at.is_some()) + if later_term { 2 } else { 0 }
+        1 + u64::from(self.confirmed_at.is_some()) + if later_term { 2 } else { 0 }
     }
 
-    pub fn served(&self) -> bool {
+    pub fn is_served(&self) -> bool {
         self.store_reachable && self.has_records
     }
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -51,7 +51,7 @@
     /// A state violates a property.
     Violation {
         /// The property, as described by the model.
-        what: String,
+        property: String,
         /// A shortest path to the state.
         path: Vec<S>,
         /// Number of visited states.
@@ -63,18 +63,18 @@
     /// Formats the result for people; the path to a violation has one line per step.
     pub fn describe(&self) -> String {
         match self {
-            CheckResult::Violation { what, path, .. } => {
+            CheckResult::Violation { property, path, .. } => {
                 let steps = path.iter().enumerate();
                 let mut lines: Vec<String> = steps
                     .map(|(index, step)| format!("{}. {step:?}", index + 1))
                     .collect();
-                lines.push(what.clone());
+                lines.push(property.clone());
                 lines.join("\n")
             }
             CheckResult::Verified { states, depth } => {
-                format!("{states} states, {depth} steps, none broken")
+                format!("{states} states, {depth} steps, no violation")
             }
-            CheckResult::LimitReached { states } => format!("{states} states, and more"),
+            CheckResult::LimitReached { states } => format!("{states} states, limit reached"),
         }
     }
 }
@@ -98,7 +98,7 @@
 struct Explorer<'model, M: Model> {
     model: &'model M,
     max_states: usize,
-    known: HashMap<M::State, usize>,
+    visited: HashMap<M::State, usize>,
     visits: Vec<Visit<M::Step>>,
     /// States whose steps were not followed yet, with their indices.
     frontier: VecDeque<(usize, M::State)>,
@@ -112,7 +112,7 @@
         origin: Option<Origin<M::Step>>,
     ) -> Option<CheckResult<M::Step>> {
         let state = self.model.canonical(state);
-        if self.known.contains_key(&state) {
+        if self.visited.contains_key(&state) {
             return None;
         }
         let depth = origin
@@ -120,9 +120,9 @@
             .map_or(0, |origin| self.visits[origin.previous].depth + 1);
         let index = self.visits.len();
         self.visits.push(Visit { origin, depth });
-        if let Some(what) = self.model.violation(&state) {
+        if let Some(property) = self.model.violation(&state) {
             return Some(CheckResult::Violation {
-                what,
+                property,
                 path: self.path_to(index),
                 states: self.visits.len(),
             });
@@ -132,7 +132,7 @@
                 states: self.max_states,
             });
         }
-        self.known.insert(state.clone(), index);
+        self.visited.insert(state.clone(), index);
         self.frontier.push_back((index, state));
         None
     }
@@ -166,7 +166,7 @@
     let mut explorer = Explorer {
         model,
         max_states,
-        known: HashMap::new(),
+        visited: HashMap::new(),
         visits: Vec::new(),
         frontier: VecDeque::new(),
     };
--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -71,8 +71,8 @@
 
     fn grant_bounds(&self) -> lease_grantor::LeaseBounds {
         lease_grantor::LeaseBounds {
-            lease: self.lease.0,
-            after_grant: self.cancel.0,
+            lease_duration: self.lease.0,
+            expiry_after_grant: self.cancel.0,
         }
     }
 }
--- a/src/api/acceptance.rs
+++ b/src/api/acceptance.rs
@@ -104,7 +104,7 @@
         }
         self.limit_acceptance_queue();
         let api = &mut self.client_api;
-        let first_attempt = Micros(api.refusals.first(&id, clock.now.0));
+        let first_attempt = Micros(api.refusals.first_attempt(&id, clock.now.0));
         let weight = team_weight(&self.settings, &spec.team);
         let (team, class) = (spec.team.clone(), spec.class.clone());
         let ticket = match api
@@ -143,7 +143,7 @@
         let api = &mut self.client_api;
         let outside_queue = api.acceptances.len() - api.queue.len();
         api.queue
-            .limit(capacity.saturating_sub(outside_queue).max(1));
+            .set_capacity(capacity.saturating_sub(outside_queue).max(1));
     }
 
     /// Records a refusal and the time of the submission's first attempt; returns the `Retry-After` in seconds.
@@ -156,9 +156,9 @@
     ) -> u32 {
         let api = &mut self.client_api;
         api.refusal_rate.record(clock.now);
-        api.refusals.refuse(id, first_attempt.0, clock.now.0);
-        let queued_before = api.queue.waiting(&spec.team, &spec.class);
-        let rate = self.store.write_rate() / api.queue.busy().max(1) as f64;
+        api.refusals.record(id, first_attempt.0, clock.now.0);
+        let queued_before = api.queue.lane_len(&spec.team, &spec.class);
+        let rate = self.store.write_rate() / api.queue.non_empty_lanes().max(1) as f64;
         api.refusals
             .retry_after(id, queued_before, rate, clock.now.0)
     }
@@ -201,7 +201,7 @@
             let spec = &acceptance.record.spec;
             let weight = team_weight(&self.settings, &spec.team);
             api.queue
-                .back(spec.team.clone(), weight, spec.class.clone(), ticket, id);
+                .insert_with_ticket(spec.team.clone(), weight, spec.class.clone(), ticket, id);
         }
     }
 
@@ -219,7 +219,8 @@
             };
             if acceptance.write_alone && !ids.is_empty() {
                 let weight = team_weight(&self.settings, &team);
-                api.queue.back(team, weight, class, ticket, id);
+                api.queue
+                    .insert_with_ticket(team, weight, class, ticket, id);
                 break;
             }
             acceptance.stage = AcceptanceStage::InFlight(ticket);
--- a/src/api/client_api.rs
+++ b/src/api/client_api.rs
@@ -150,7 +150,7 @@
             && !self
                 .peers
                 .silence_pledges
-                .may_tell(last_cancellation_or_claim, clock.now.0)
+                .may_confirm(last_cancellation_or_claim, clock.now.0)
         {
             self.refuse(conn, 503, "not all controllers have heard that we are back");
             return;
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -20,7 +20,7 @@
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::fair::Demand;
-use admission_control::parts::{Grant, Rules, ShareRequest, Thousandths};
+use admission_control::parts::{Grant, GrantParams, ShareRequest, Thousandths};
 use std::collections::BTreeMap;
 
 /// Share of the store's request and write budgets, as fractions.
@@ -115,11 +115,11 @@
     (share.writes * settings.params.state.least_write_rps() * MILLI) as Thousandths
 }
 
-fn grant_rules(settings: &Settings) -> Rules {
-    Rules {
-        whole: fixed_writes(settings, true) / 2,
-        life: GRANT_DURATION.0,
-        apart: MAX_APPLY_DELAY.0 + (settings.params.clock_off_ms * 1000.0) as u64,
+fn grant_rules(settings: &Settings) -> GrantParams {
+    GrantParams {
+        total: fixed_writes(settings, true) / 2,
+        lifetime: GRANT_DURATION.0,
+        clock_margin: MAX_APPLY_DELAY.0 + (settings.params.clock_off_ms * 1000.0) as u64,
     }
 }
 
@@ -241,7 +241,7 @@
         let settings = &self.settings;
         let rules = grant_rules(settings);
         if self.leader.is_none() {
-            return grant.part(&settings.node, clock.wall.0, &rules) as f64 / MILLI;
+            return grant.usable_amount(&settings.node, clock.wall.0, &rules) as f64 / MILLI;
         }
         // A new leader no longer uses what it was granted as a follower.
         let newest_epoch = |node: &str| {
@@ -251,7 +251,7 @@
                 self.budget.peer_epoch(node)
             }
         };
-        -(grant.lent(clock.wall.0, &rules, newest_epoch) as f64) / MILLI
+        -(grant.max_in_use(clock.wall.0, &rules, newest_epoch) as f64) / MILLI
     }
 
     /// The rate of writes that this controller could use beyond what it has without a grant.
@@ -260,7 +260,7 @@
         let queued =
             (self.client_api.queued_acceptances() + job_writes) as f64 / QUEUE_CLEARING_TIME_S;
         let wanted = (queued + self.client_api.refusals_last_second(clock.now)) * MILLI;
-        let lendable = grant_rules(&self.settings).whole;
+        let lendable = grant_rules(&self.settings).total;
         let own = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
             None => fixed_writes(&self.settings, false),
@@ -308,7 +308,11 @@
         let (current, version) = self.cache.budget_shares.as_ref().unwrap_or(&no_grant);
         let rules = grant_rules(&self.settings);
         let next = current.next(clock.wall.0, own_request, &requests, &rules);
-        log::debug!("budget granted epoch={} parts={:?}", next.epoch, next.parts);
+        log::debug!(
+            "budget granted epoch={} parts={:?}",
+            next.epoch,
+            next.shares
+        );
         Some(Transaction {
             conditions: vec![
                 VersionCondition::new(LEADER_KEY, leader.version),
@@ -334,7 +338,7 @@
                     holder: peer.node.clone(),
                     amount: status.requested_writes,
                     weight,
-                    seen: self.budget.peer_epoch(&peer.node),
+                    acknowledged_epoch: self.budget.peer_epoch(&peer.node),
                 })
             })
             .collect()
--- a/src/leadership/delegated_renewal/heartbeat_routing.rs
+++ b/src/leadership/delegated_renewal/heartbeat_routing.rs
@@ -246,7 +246,7 @@
         let staleness_bound = self.staleness_bound();
         let grant = &self.peers.renewal_grant;
         heartbeat.term == leader.term
-            && grant.permits(&leader, covered_until.0, clock.now.0, staleness_bound.0)
+            && grant.may_renew(&leader, covered_until.0, clock.now.0, staleness_bound.0)
     }
 
     /// Renews a lease without a record.
@@ -257,11 +257,11 @@
         heartbeat: &AgentHeartbeat,
     ) {
         let grant = &mut self.peers.renewal_grant;
-        if grant.use_age(clock.now.0).is_none() {
+        if grant.time_since_use(clock.now.0).is_none() {
             log::info!("unrecorded lease renewal started term={}", heartbeat.term);
         }
         log::debug!("lease renewed machine={} recorded=false", heartbeat.machine);
-        grant.note_use(clock.now.0);
+        grant.record_use(clock.now.0);
         self.respond_with_renewal(connection, heartbeat, heartbeat.term);
     }
 
--- a/src/leadership/peers/cancellation_exchange.rs
+++ b/src/leadership/peers/cancellation_exchange.rs
@@ -31,7 +31,7 @@
             lead: self.leader_record_version(),
             from: batch.from,
             next: batch.next,
-            more: batch.more,
+            more: batch.has_more,
             jobs: batch.jobs,
             known: self.peer_coverage_ages(clock),
         })
@@ -57,14 +57,14 @@
     ) -> bool {
         let reported = &mut self.peers.reported_cancellations;
         let applied = reported.apply(peer, run, &news.batch(), clock.now.0);
-        if !applied.new.is_empty() {
+        if !applied.new_jobs.is_empty() {
             let node = &self.settings.peers[peer].node;
             log::debug!(
                 "cancellations received peer={node} jobs={}",
-                applied.new.len()
+                applied.new_jobs.len()
             );
         }
-        for (job, version) in applied.new {
+        for (job, version) in applied.new_jobs {
             if let Some(leader) = &mut self.leader
                 && let Some(cached_job) = self.cache.jobs.get(&job)
             {
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -35,14 +35,14 @@
         };
         if extension.quiet {
             let pledges = &mut self.peers.silence_pledges;
-            pledges.give(peer, self.cache.last_cancellation_or_claim, clock.now.0);
+            pledges.record_pledge(peer, self.cache.last_cancellation_or_claim, clock.now.0);
         }
         if let (Some(leader), Some(term)) = (&mut self.leader, response.leading)
             && !store_available
         {
             extension.right = Some(term);
             let grants = &mut leader.lease_grants;
-            grants.give(&sender, sender_extension.run, clock.now.0);
+            grants.record_grant(&sender, sender_extension.run, clock.now.0);
         }
         if extension.quiet && !sender_has_records {
             response.record_summary = self.record_summary_for_peer(clock);
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -6,7 +6,7 @@
 use crate::protocol::peer_messages::{CancellationCursor, LeaseDelegationStatus, PeerHeartbeat};
 use crate::protocol::{Clock, Micros, format};
 use crate::transport::Outcome;
-use lease_delegation::peer_coverage::{PeerKnowledge, PeerResponse};
+use lease_delegation::peer_coverage::{AnswerCompleteness, PeerResponse};
 
 const HEARTBEAT_TIMEOUT: Micros = Micros::millis(2000);
 const HEARTBEAT_INTERVAL: Micros = Micros::millis(700);
@@ -77,7 +77,7 @@
         let extension = LeaseDelegationStatus {
             run: self.incarnation,
             right: None,
-            used_ago: self.peers.renewal_grant.use_age(clock.now.0),
+            used_ago: self.peers.renewal_grant.time_since_use(clock.now.0),
             quiet: silence_pledges_enabled(&self.policy) && !store_available,
         };
         PeerHeartbeat {
@@ -167,29 +167,29 @@
         let extension = response.more;
         let news = response.news.take();
         let knowledge = match (response.newest, &news, extension) {
-            (None, ..) => PeerKnowledge::RecordsUnread,
+            (None, ..) => AnswerCompleteness::RecordsUnread,
             (Some(_), Some(news), Some(extension)) => {
                 if self.on_cancellation_news(clock, peer, extension.run, news) {
-                    PeerKnowledge::Complete
+                    AnswerCompleteness::Complete
                 } else {
-                    PeerKnowledge::Partial
+                    AnswerCompleteness::Partial
                 }
             }
             // The peer has an older format, or cannot send its whole log. Only the revision up to which the
             // cache is complete counts: a commit of our own may have a higher revision than a peer's commit
             // that we have not seen.
             (Some(newest), ..) if newest <= self.cancellations_known_to_revision().unwrap_or(0) => {
-                PeerKnowledge::Complete
+                AnswerCompleteness::Complete
             }
-            _ => PeerKnowledge::Partial,
+            _ => AnswerCompleteness::Partial,
         };
         let peer_response = PeerResponse {
-            knowledge,
+            completeness: knowledge,
             pledges_silence: extension.unwrap_or_default().quiet,
         };
         let coverage = &mut self.peers.coverage;
         coverage.on_response(peer, peer_response, sent.0, clock.now.0);
-        if knowledge == PeerKnowledge::Complete
+        if knowledge == AnswerCompleteness::Complete
             && let Some(news) = news
         {
             // What the peer knew of other peers is known here now, too.
--- a/src/leadership/peers/leader_liveness.rs
+++ b/src/leadership/peers/leader_liveness.rs
@@ -26,8 +26,8 @@
         };
         Some(KnownLeader {
             term: leader.term,
-            run: leader.run,
-            ended,
+            incarnation: leader.run,
+            process_ended: ended,
         })
     }
 
@@ -55,7 +55,8 @@
 
     /// Whether the leader's process has ended and another run of it has started.
     pub(crate) fn leader_process_restarted(&self) -> bool {
-        self.known_leader().is_some_and(|leader| leader.ended)
+        self.known_leader()
+            .is_some_and(|leader| leader.process_ended)
     }
 
     /// Whether all controllers that can be asked have stopped hearing the leader. Replacing a leader that is
--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -114,7 +114,7 @@
 impl From<LogCursor> for LogPosition {
     fn from(cursor: LogCursor) -> LogPosition {
         LogPosition {
-            run: cursor.run,
+            run: cursor.incarnation,
             next: cursor.next,
         }
     }
@@ -144,7 +144,7 @@
         LogBatch {
             from: self.from,
             next: self.next,
-            more: self.more,
+            has_more: self.more,
             jobs: self.jobs.clone(),
         }
     }
--- a/src/protocol/records/budget_shares.rs
+++ b/src/protocol/records/budget_shares.rs
@@ -1,7 +1,7 @@
 //! The stored shares of the write budget.
 
 use crate::protocol::Micros;
-use admission_control::parts::{Grant, Part};
+use admission_control::parts::{Grant, Share};
 use serde::{Deserialize, Serialize};
 
 /// A controller's share of the write budget, stored as an array.
@@ -32,21 +32,21 @@
     }
 }
 
-impl From<&Part> for StoredShare {
-    fn from(part: &Part) -> StoredShare {
+impl From<&Share> for StoredShare {
+    fn from(part: &Share) -> StoredShare {
         StoredShare {
             amount: part.amount,
-            until: Micros(part.until),
+            until: Micros(part.expires_at),
             epoch: part.epoch,
         }
     }
 }
 
-impl From<StoredShare> for Part {
-    fn from(share: StoredShare) -> Part {
-        Part {
+impl From<StoredShare> for Share {
+    fn from(share: StoredShare) -> Share {
+        Share {
             amount: share.amount,
-            until: share.until.0,
+            expires_at: share.until.0,
             epoch: share.epoch,
         }
     }
@@ -69,9 +69,9 @@
 impl BudgetSharesRecord {
     /// Converts a grant into its stored form.
     pub fn of(grant: &Grant) -> BudgetSharesRecord {
-        let shares = grant.parts.iter();
+        let shares = grant.shares.iter();
         let shares = shares.map(|(holder, part)| (holder.clone(), part.into()));
-        let earlier = grant.owed.iter().map(|(holder, parts)| {
+        let earlier = grant.earlier_shares.iter().map(|(holder, parts)| {
             let parts = parts.iter().map(StoredShare::from);
             (holder.clone(), parts.collect())
         });
@@ -88,13 +88,13 @@
         let shares = shares.map(|(holder, share)| (holder, share.into()));
         let earlier = self.earlier_shares.into_iter();
         let earlier = earlier.map(|(holder, shares)| {
-            let parts = shares.into_iter().map(Part::from);
+            let parts = shares.into_iter().map(Share::from);
             (holder, parts.collect())
         });
         Grant {
             epoch: self.epoch,
-            parts: shares.collect(),
-            owed: earlier.collect(),
+            shares: shares.collect(),
+            earlier_shares: earlier.collect(),
         }
     }
 }
--- a/tests/wire_compatibility/samples.rs
+++ b/tests/wire_compatibility/samples.rs
@@ -1,7 +1,7 @@
 //! Sample values that several tests use.
 
 use crate::fixtures::{map, strings};
-use admission_control::parts::{Grant, Part};
+use admission_control::parts::{Grant, Share};
 use rmpv::Value;
 use std::collections::BTreeMap;
 use walnuttrestle::protocol::cloud_api::{MachineType, MachineTypes};
@@ -131,19 +131,19 @@
 }
 
 pub(crate) fn grant() -> Grant {
-    let part = |amount, until, epoch| Part {
+    let part = |amount, expires_at, epoch| Share {
         amount,
-        until,
+        expires_at,
         epoch,
     };
     let now = 1_700_000_000_000_000;
     Grant {
         epoch: 12,
-        parts: BTreeMap::from([
+        shares: BTreeMap::from([
             ("kernel-0".to_string(), part(20_000, now, 12)),
             ("kernel-1".to_string(), part(0, now, 12)),
         ]),
-        owed: BTreeMap::from([
+        earlier_shares: BTreeMap::from([
             ("kernel-1".to_string(), vec![]),
             (
                 "kernel-2".to_string(),
