--- a/crates/admission-control/benches/admission.rs
+++ b/crates/admission-control/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Cost of a submission with 10, 100 and 10,000 lanes: pushing it, and popping one in its turn; and cost of a refusal.
+//! Benchmarks of a push and a pop with 10, 100 and 10,000 lanes, and of the refusal of one submission.
 
 use admission_control::lanes::FairQueue;
 use admission_control::refusal::Refusals;
@@ -11,7 +11,7 @@
             queue.push(number % lanes / 10, 1.0, number % 10, 0, number);
         }
         let mut number = 0;
-        criterion.bench_function(&format!("in and out, {lanes} lanes"), |bencher| {
+        criterion.bench_function(&format!("push and pop, {lanes} lanes"), |bencher| {
             bencher.iter(|| {
                 number += 1;
                 queue.push(number % lanes / 10, 1.0, number % 10, number as u64, number);
--- a/crates/admission-control/src/fair.rs
+++ b/crates/admission-control/src/fair.rs
@@ -6,10 +6,10 @@
 /// Smallest weight that is used in a division.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// What one party demands.
+/// Demand of one party.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Demanded amount, in the unit of the total. A negative one counts as 0.
+    /// Demanded amount, in the unit of the total. A negative amount counts as 0.
     pub amount: f64,
     /// Weight of the party, above 0.
     pub weight: f64,
@@ -31,7 +31,7 @@
 
 /// Divides `total` among the demands and returns the shares in the same order.
 pub fn fair_shares(total: f64, demands: &[Demand]) -> Vec<f64> {
-    // The smallest demands by weight are served first. What they leave of their even share goes to the others.
+    // The smallest demands by weight are served first. The unused rest of their even shares goes to the others.
     let mut order: Vec<usize> = (0..demands.len()).collect();
     let amount_per_weight = |index: &usize| demands[*index].amount_per_weight();
     order.sort_by(|first, second| amount_per_weight(first).total_cmp(&amount_per_weight(second)));
--- a/crates/admission-control/src/fair/tests.rs
+++ b/crates/admission-control/src/fair/tests.rs
@@ -4,8 +4,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The definition of max-min fairness: no share exceeds its demand, nothing is left while a demand is not met, and a
-/// share that falls short of its demand is, by weight, at least as large as any other.
+/// Checks the definition of max-min fairness: no share exceeds its demand, the total is used up unless all demands are
+/// met, and a share that falls short of its demand is, by weight, at least as large as any other.
 #[test]
 fn shares_are_max_min() {
     for seed in 0..3_000 {
@@ -20,9 +20,15 @@
         let shares = fair_shares(total, &demands);
         let sum: f64 = shares.iter().sum();
         let demanded: f64 = demands.iter().map(|demand| demand.amount).sum();
-        assert!((sum - total.min(demanded)).abs() < 1e-6, "seed {seed}");
+        assert!(
+            (sum - total.min(demanded)).abs() < 1e-6,
+            "seed {seed}: shares sum to {sum}, expected the smaller of {total} and {demanded}"
+        );
         for (demand, share) in demands.iter().zip(&shares) {
-            assert!(*share <= demand.amount + 1e-9);
+            assert!(
+                *share <= demand.amount + 1e-9,
+                "seed {seed}: share {share} exceeds {demand:?}"
+            );
             if *share < demand.amount - 1e-6 {
                 let own_share_per_weight = share / demand.weight;
                 let mut others = demands
--- a/crates/admission-control/src/lanes.rs
+++ b/crates/admission-control/src/lanes.rs
@@ -1,11 +1,12 @@
-//! A bounded queue with fair scheduling, with one lane per class of a team.
+//! A bounded queue with fair scheduling and one lane per class of each team.
 //!
-//! Teams take turns by weight, and the classes of a team take turns evenly. Within a lane, the entry that was tried
-//! first is served first. When the queue is full, the last entry of the longest lane, of the team with the highest load
-//! for its weight, is evicted; so a lane with few entries is never refused because of one with many.
+//! Teams are served in proportion to their weights, and the classes of a team equally often. Within a lane, the entry
+//! with the earliest first attempt is served first. When the queue is full, the last entry of the longest lane of the
+//! team with the highest load is evicted, so a long lane never causes an entry of a short one to be refused. The load
+//! of a team is its number of entries divided by its weight.
 //!
-//! The cost of each operation is logarithmic in the number of lanes and in the length of a lane. Empty lanes are
-//! removed once they have no turns to make up for.
+//! The cost of each operation is logarithmic in the number of lanes and in the length of a lane. An empty lane is kept
+//! while its next turn is ahead of the virtual time, and removed afterwards.
 
 mod turns;
 
@@ -13,14 +14,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use turns::TurnOrder;
 
-/// Cost of one turn at weight 1.
+/// Virtual time that one served entry costs at weight 1.
 const TURN_COST: f64 = (1u64 << 20) as f64;
 /// Smallest weight that is used in a division.
 const MIN_WEIGHT: f64 = 1e-6;
-/// Empty lanes or teams that are kept before they are cleaned up.
+/// Empty lanes or teams are removed when all of them outnumber twice the non-empty ones by more than this.
 const CLEANUP_THRESHOLD: usize = 16;
 
-/// Position of an entry in its lane: the time of its first try, then the order of arrival.
+/// Position of an entry in its lane: the time of its first attempt, then its arrival number.
 pub type Ticket = (Micros, u64);
 
 /// The entries of one class of a team.
@@ -34,9 +35,9 @@
 #[derive(Debug)]
 struct Team<C, T> {
     lanes: BTreeMap<C, Lane<T>>,
-    /// Lanes that are not empty, in the order of their turns.
+    /// Non-empty lanes, in the order of their turns.
     turn_order: TurnOrder<C>,
-    /// Lanes that are not empty, the shortest first.
+    /// Non-empty lanes, the shortest first.
     lanes_by_len: BTreeSet<(usize, C)>,
     next_turn: u64,
     weight: f64,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Returns the number of entries for the team's weight.
+    /// Returns the number of entries divided by the team's weight, scaled to an integer.
     fn load(&self) -> u64 {
         (self.len as f64 * TURN_COST / self.weight) as u64
     }
@@ -93,7 +94,7 @@
         Some(entry)
     }
 
-    /// Removes empty lanes whose turns have passed, if there are many.
+    /// Removes the empty lanes whose next turn is not ahead of the virtual time, if there are many lanes.
     fn remove_empty_lanes(&mut self) {
         if self.lanes.len() <= 2 * self.turn_order.len() + CLEANUP_THRESHOLD {
             return;
@@ -108,26 +109,26 @@
 #[derive(Debug)]
 pub struct FairQueue<K, C, T> {
     teams: BTreeMap<K, Team<C, T>>,
-    /// Teams that are not empty, in the order of their turns.
+    /// Teams with entries, in the order of their turns.
     turn_order: TurnOrder<K>,
-    /// Teams that are not empty by their loads, the lowest first.
+    /// Teams with entries, the lowest load first.
     teams_by_load: BTreeSet<(u64, K)>,
     /// Number of entries.
     len: usize,
-    /// Most entries.
+    /// Maximum number of entries.
     capacity: usize,
-    /// Number of entries that were ever pushed.
+    /// Number of calls of [`FairQueue::push`]; the source of arrival numbers.
     arrivals: u64,
 }
 
 /// Result of pushing an entry.
 #[derive(Debug, PartialEq)]
 pub enum PushOutcome<T> {
-    /// The entry is queued, and none was evicted.
+    /// The entry is queued under this ticket, and no other one was evicted.
     Queued(Ticket),
-    /// The entry is queued, and the second field was evicted for it.
+    /// The entry is queued under this ticket, and the entry in the second field was evicted for it.
     Evicted(Ticket, T),
-    /// The entry itself would be the last of the longest lane, so it is returned.
+    /// The new entry itself would be the last of the longest lane, so it is returned to the caller.
     Rejected(T),
 }
 
@@ -154,7 +155,7 @@
         self.len == 0
     }
 
-    /// Changes the capacity; entries beyond it stay queued.
+    /// Changes the capacity. Entries that exceed a smaller capacity stay queued.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
@@ -173,18 +174,18 @@
         self.teams.get(team)?.lanes.get(class)
     }
 
-    /// Queues an entry, and evicts one if the queue is full. `weight` is the team's, above 0; `first` is when the
-    /// client first tried to get this entry in.
+    /// Queues an entry, and evicts one if the queue is full. `weight` is the team's weight, above 0; `first_attempt` is
+    /// the time at which the client first submitted this entry.
     pub fn push(
         &mut self,
         team: K,
         weight: f64,
         class: C,
-        first: Micros,
+        first_attempt: Micros,
         entry: T,
     ) -> PushOutcome<T> {
         self.arrivals += 1;
-        let ticket = (first, self.arrivals);
+        let ticket = (first_attempt, self.arrivals);
         if self.len < self.capacity {
             self.insert_with_ticket(team, weight, class, ticket, entry);
             return PushOutcome::Queued(ticket);
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Evicts the last entry of the longest lane. If this is the lane of a new entry with `ticket`, and that would be
-    /// its last entry, nothing is evicted.
+    /// Evicts the last entry of the longest lane to make room for a new entry with `ticket`. Evicts nothing if the new
+    /// entry belongs to that lane and would be its last entry.
     fn evict_for(&mut self, team: &K, class: &C, ticket: Ticket) -> Option<T> {
         let (longest_team, longest_class) = self.longest_lane()?;
         let lane = self.lane(&longest_team, &longest_class)?;
@@ -211,21 +212,23 @@
         self.remove(&longest_team, &longest_class, last)
     }
 
-    /// Queues an entry under a ticket that it already has, such as one that was popped and not served.
+    /// Queues an entry under a given ticket, also beyond the capacity; for example one that was popped but not served.
     pub fn insert_with_ticket(&mut self, team: K, weight: f64, class: C, ticket: Ticket, entry: T) {
         let weight = weight.max(MIN_WEIGHT);
-        let lanes = self
+        let team_lanes = self
             .teams
             .entry(team.clone())
             .or_insert_with(|| Team::new(weight));
-        if lanes.len == 0 {
-            self.turn_order.join(&mut lanes.next_turn, team.clone());
+        if team_lanes.len == 0 {
+            self.turn_order
+                .join(&mut team_lanes.next_turn, team.clone());
         } else {
-            self.teams_by_load.remove(&(lanes.load(), team.clone()));
+            self.teams_by_load
+                .remove(&(team_lanes.load(), team.clone()));
         }
-        lanes.weight = weight;
-        lanes.insert(class, ticket, entry);
-        self.teams_by_load.insert((lanes.load(), team));
+        team_lanes.weight = weight;
+        team_lanes.insert(class, ticket, entry);
+        self.teams_by_load.insert((team_lanes.load(), team));
         self.len += 1;
     }
 
@@ -238,33 +241,33 @@
 
     /// Removes an entry.
     pub fn remove(&mut self, team: &K, class: &C, ticket: Ticket) -> Option<T> {
-        let lanes = self.teams.get_mut(team)?;
-        let load_before = lanes.load();
-        let entry = lanes.remove(class, ticket)?;
+        let team_lanes = self.teams.get_mut(team)?;
+        let load_before = team_lanes.load();
+        let entry = team_lanes.remove(class, ticket)?;
         self.len -= 1;
         self.teams_by_load.remove(&(load_before, team.clone()));
-        if lanes.len > 0 {
-            self.teams_by_load.insert((lanes.load(), team.clone()));
+        if team_lanes.len > 0 {
+            self.teams_by_load.insert((team_lanes.load(), team.clone()));
             return Some(entry);
         }
-        self.turn_order.leave(lanes.next_turn, team);
-        if !self.turn_order.is_ahead(lanes.next_turn) {
+        self.turn_order.leave(team_lanes.next_turn, team);
+        if !self.turn_order.is_ahead(team_lanes.next_turn) {
             self.teams.remove(team);
         }
         Some(entry)
     }
 
-    /// Removes the entry whose turn it is, and returns it with its team, class and ticket.
+    /// Removes the next entry to serve, and returns it with its team, class and ticket.
     pub fn pop(&mut self) -> Option<(K, C, Ticket, T)> {
         let team = self.turn_order.peek()?.clone();
-        let lanes = self.teams.get_mut(&team)?;
-        let class = lanes.turn_order.peek()?.clone();
-        let lane = lanes.lanes.get_mut(&class)?;
+        let team_lanes = self.teams.get_mut(&team)?;
+        let class = team_lanes.turn_order.peek()?.clone();
+        let lane = team_lanes.lanes.get_mut(&class)?;
         let ticket = *lane.entries.keys().next()?;
-        let cost = TURN_COST / lanes.weight;
+        let cost = TURN_COST / team_lanes.weight;
         self.turn_order
-            .serve(&mut lanes.next_turn, cost as u64, &team);
-        lanes
+            .serve(&mut team_lanes.next_turn, cost as u64, &team);
+        team_lanes
             .turn_order
             .serve(&mut lane.next_turn, TURN_COST as u64, &class);
         let entry = self.remove(&team, &class, ticket)?;
@@ -272,7 +275,7 @@
         Some((team, class, ticket, entry))
     }
 
-    /// Removes empty teams and lanes whose turns have passed, if there are many.
+    /// Removes empty teams and lanes whose next turn is not ahead of the virtual time, if there are many.
     fn remove_empty(&mut self) {
         if self.teams.len() > 2 * self.turn_order.len() + CLEANUP_THRESHOLD {
             let turn_order = &self.turn_order;
--- a/crates/admission-control/src/lanes/tests.rs
+++ b/crates/admission-control/src/lanes/tests.rs
@@ -6,7 +6,7 @@
 
 type Queue = FairQueue<&'static str, u32, u64>;
 
-/// Pops entries; returns how many of them each lane had.
+/// Pops entries; returns the number of popped entries per lane.
 fn pop_counts(queue: &mut Queue, entries: usize) -> BTreeMap<(&'static str, u32), usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..entries {
@@ -32,18 +32,23 @@
 
 /// One lane floods a full queue, and another gets an entry now and then.
 #[test]
-fn a_short_lane_is_never_refused_because_of_a_flooded_one() {
+fn entries_of_a_short_lane_are_not_refused_because_of_a_flooded_lane() {
     let mut queue = Queue::new(50);
     let mut refused = 0;
     for n in 0..2_000 {
         match queue.push("red", 1.0, 1, n, n) {
             PushOutcome::Rejected(_) => refused += 1,
-            PushOutcome::Evicted(..) => panic!("the flood must not evict other entries"),
+            PushOutcome::Evicted(..) => {
+                panic!("an entry of the flooded lane evicted another entry")
+            }
             PushOutcome::Queued(_) => {}
         }
         if n % 100 == 0 {
             let outcome = queue.push("red", 1.0, 2, n, n);
-            assert!(!matches!(outcome, PushOutcome::Rejected(_)), "at {n}");
+            assert!(
+                !matches!(outcome, PushOutcome::Rejected(_)),
+                "entry {n} of the short lane was rejected"
+            );
         }
         if n % 20 == 0 {
             queue.pop();
@@ -51,14 +56,18 @@
     }
     assert!(
         refused > 1_500 && queue.len() == 50,
-        "{refused} {}",
+        "{refused} refused, expected more than 1,500; {} queued, expected 50",
         queue.len()
     );
-    assert!(queue.lane_len(&"red", &2) <= 1, "it is served in its turn");
+    assert!(
+        queue.lane_len(&"red", &2) <= 1,
+        "{} entries of the short lane are queued, expected at most 1",
+        queue.lane_len(&"red", &2)
+    );
 }
 
 #[test]
-fn within_a_lane_the_first_tried_is_served_first_and_never_evicted() {
+fn within_a_lane_the_earliest_first_attempt_is_served_first_and_never_evicted() {
     let mut queue = Queue::new(3);
     for first in [30, 20, 10] {
         queue.push("red", 1.0, 1, first, first);
@@ -67,7 +76,7 @@
         queue.push("red", 1.0, 1, 40, 40),
         PushOutcome::Rejected(40)
     ));
-    // An entry that was tried earlier takes the place of the last one.
+    // An entry with an earlier first attempt evicts the last entry.
     assert!(matches!(
         queue.push("red", 1.0, 1, 5, 5),
         PushOutcome::Evicted(_, 30)
@@ -76,7 +85,7 @@
     assert_eq!(order, [5, 10, 20]);
 }
 
-/// After any sequence of operations all counts are exact, and few empty lanes are kept.
+/// After a random sequence of operations all counts are exact and the number of empty lanes is bounded.
 #[test]
 fn counts_stay_exact_and_empty_lanes_are_removed() {
     for seed in 0..200 {
@@ -99,11 +108,11 @@
                 _ => _ = queue.pop(),
             }
             let lanes = || queue.teams.values().flat_map(|team| team.lanes.values());
-            let counted: usize = lanes().map(|lane| lane.entries.len()).sum();
+            let counted_entries: usize = lanes().map(|lane| lane.entries.len()).sum();
             let non_empty_lanes = lanes().filter(|lane| !lane.entries.is_empty()).count();
             assert_eq!(non_empty_lanes, queue.non_empty_lanes(), "seed {seed}");
             assert_eq!(
-                (counted, queue.len() <= 40),
+                (counted_entries, queue.len() <= 40),
                 (queue.len(), true),
                 "seed {seed}"
             );
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,11 +1,11 @@
-//! Admission control: who is served when more is requested than can be taken.
+//! Admission control: which requests are served when there are more than the service can accept.
 //!
-//! The crate is pure: it has no clock, no I/O and no randomness of its own.
+//! The crate has no clock, no I/O and no source of randomness of its own.
 //!
 //! - [`fair`]: weighted max-min fair shares of a scarce amount.
-//! - [`lanes`]: a bounded queue with fair scheduling, in which no team or class starves another.
-//! - [`refusal`]: when refused clients should retry, and which of them tried first.
-//! - [`parts`]: shares of a budget that several holders use at once and that never exceed the total.
+//! - [`lanes`]: a bounded fair queue, in which no team or class starves another.
+//! - [`refusal`]: retry delays for refused clients, and the time of each client's first attempt.
+//! - [`parts`]: shares of a budget for several concurrent holders; the shares in use never exceed the total.
 
 #![deny(missing_docs)]
 
@@ -14,5 +14,5 @@
 pub mod parts;
 pub mod refusal;
 
-/// A point on a clock of the caller, or a duration, in whole microseconds.
+/// A time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/admission-control/src/refusal.rs
+++ b/crates/admission-control/src/refusal.rs
@@ -1,23 +1,24 @@
-//! When refused clients should retry, and which of them tried first.
+//! Retry delays for refused clients, and the time of each client's first attempt.
 
 use crate::Micros;
 use foldhash::fast::FixedState;
 use std::hash::BuildHasher;
 
 const SECOND: Micros = 1_000_000;
-/// Clients retry a submission for 60 s in total; a later one is a new submission.
+/// How long a refused id is remembered. Clients retry a submission for 60 s in total; a later attempt is a new
+/// submission.
 const RETENTION_PERIOD: Micros = 70 * SECOND;
-/// Longest wait between two tries, in seconds. With a longer one a client would have few tries left.
+/// Maximum retry delay in seconds, before jitter. A longer one would leave a client only a few attempts in its 60 s.
 const MAX_RETRY_AFTER_S: f64 = 12.0;
-/// Smallest rate, in entries a second, that is used in a division.
+/// Smallest rate, in entries per second, that is used in a division.
 const MIN_RATE: f64 = 1e-3;
 /// Entries in one bucket of the table.
 const BUCKET_ENTRIES: usize = 4;
 
-/// The first try of a refused id.
+/// The first attempt of a refused id.
 #[derive(Debug, Clone, Copy)]
 struct Refusal {
-    /// Part of the id's hash; 0: the entry is free.
+    /// Part of the id's hash; 0 if the entry is free.
     fingerprint: u32,
     first_attempt: Micros,
 }
@@ -33,14 +34,14 @@
     }
 }
 
-/// Where an id belongs in the table.
+/// The hash of an id: its bucket in the table, and the fingerprint that identifies it there.
 struct HashedId {
     bucket: usize,
     fingerprint: u32,
 }
 
-/// First tries of refused ids, as far as there is room: a table of fixed size, whose cost does not depend on the
-/// number of refused ids.
+/// Times of the first attempts of refused ids, in a hash table of fixed size. The cost of an operation does not depend
+/// on the number of refused ids. When a bucket is full, the ids with the latest first attempts are not remembered.
 #[derive(Debug)]
 pub struct Refusals {
     buckets: Vec<[Refusal; BUCKET_ENTRIES]>,
@@ -48,7 +49,7 @@
 }
 
 impl Refusals {
-    /// Creates a table with room for at least `entries` ids, if their hashes are spread evenly.
+    /// Creates a table with about `entries` entries.
     pub fn new(entries: usize) -> Refusals {
         let buckets = (entries / BUCKET_ENTRIES).next_power_of_two().max(1);
         Refusals {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Returns when the id was tried first: `now`, unless it was refused before.
+    /// Returns the time of the id's first attempt: `now`, unless the table holds an earlier refusal of the id.
     pub fn first_attempt(&self, id: &str, now: Micros) -> Micros {
         let hashed = self.hash_id(id);
         let mut entries = self.buckets[hashed.bucket].iter();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Records that the id, first tried at `first`, is refused.
+    /// Records the refusal of an id whose first attempt was at `first_attempt`.
     pub fn record(&mut self, id: &str, first_attempt: Micros, now: Micros) {
         let hashed = self.hash_id(id);
         let entries = &mut self.buckets[hashed.bucket];
@@ -84,31 +85,33 @@
             fingerprint: hashed.fingerprint,
             first_attempt,
         };
-        let same = entries
+        let same_id = entries
             .iter()
             .position(|entry| entry.fingerprint == hashed.fingerprint);
-        if let Some(index) = same.or_else(|| entries.iter().position(|entry| entry.is_free(now))) {
+        if let Some(index) = same_id.or_else(|| entries.iter().position(|entry| entry.is_free(now)))
+        {
             entries[index] = refusal;
             return;
         }
-        // The bucket is full of ids that still count. The one that has waited least gives way.
-        let youngest = entries.iter_mut().max_by_key(|entry| entry.first_attempt);
-        if let Some(youngest) = youngest
-            && youngest.first_attempt > first_attempt
+        // The bucket is full of ids that have not expired. The one with the latest first attempt is replaced if the new
+        // id has waited longer.
+        let latest = entries.iter_mut().max_by_key(|entry| entry.first_attempt);
+        if let Some(latest) = latest
+            && latest.first_attempt > first_attempt
         {
-            *youngest = refusal;
+            *latest = refusal;
         }
     }
 
-    /// Returns after how many seconds a refused client should retry. `ahead` is the number of entries before it in its
-    /// lane, `rate` how many of them are served a second.
+    /// Returns the number of seconds after which a refused client should retry. `ahead` is the number of entries
+    /// before it in its lane, and `rate` is the number of them that are served per second.
     ///
-    /// The wait varies by half in either direction, by id and by time, so that clients do not return all at once.
+    /// The delay has a jitter of half in either direction, by id and by time, so that clients do not retry all at once.
     pub fn retry_after(&self, id: &str, ahead: usize, rate: f64, now: Micros) -> u32 {
-        let wait = (ahead as f64 / rate.max(MIN_RATE)).clamp(1.0, MAX_RETRY_AFTER_S);
+        let delay = (ahead as f64 / rate.max(MIN_RATE)).clamp(1.0, MAX_RETRY_AFTER_S);
         let hash = self.hasher.hash_one((id, now / SECOND));
         let jitter = 0.5 + unit_interval(hash);
-        (wait * jitter).round().max(1.0) as u32
+        (delay * jitter).round().max(1.0) as u32
     }
 }
 
--- a/crates/admission-control/src/refusal/tests.rs
+++ b/crates/admission-control/src/refusal/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_first_try_is_remembered_until_the_client_gives_up() {
+fn the_first_attempt_is_remembered_until_the_client_gives_up() {
     let mut refusals = Refusals::new(1_000);
     let first = refusals.first_attempt("req-1", 5 * SECOND);
     assert_eq!(first, 5 * SECOND);
@@ -14,19 +14,23 @@
 }
 
 #[test]
-fn the_table_never_grows_and_remembers_the_oldest_tries() {
+fn the_table_never_grows_and_remembers_the_earliest_attempts() {
     let mut refusals = Refusals::new(4_096);
-    let before = refusals.buckets.len();
+    let bucket_count = refusals.buckets.len();
     for number in 0..300 {
         refusals.record(&format!("req-{number}"), SECOND, SECOND);
     }
     for number in 0..1_000_000u64 {
         refusals.record(&format!("req-{}", 1_000 + number), 2 * SECOND, 3 * SECOND);
     }
-    assert_eq!(refusals.buckets.len(), before);
-    let known =
+    assert_eq!(refusals.buckets.len(), bucket_count);
+    let is_remembered =
         |number: &u32| refusals.first_attempt(&format!("req-{number}"), 9 * SECOND) == SECOND;
-    assert!((0..300).filter(known).count() > 290);
+    let remembered = (0..300).filter(is_remembered).count();
+    assert!(
+        remembered > 290,
+        "{remembered} of the 300 earliest attempts are remembered, expected more than 290"
+    );
 }
 
 #[test]
@@ -37,10 +41,19 @@
         let second = refusals.retry_after(&format!("req-{number}"), 100, 10.0, 0);
         retries[second as usize] += 1;
     }
-    // Ten seconds, plus or minus half: no second gets more than a fifth of them.
-    assert!(retries[..5].iter().sum::<usize>() == 0);
-    assert!(retries[16..].iter().sum::<usize>() == 0);
-    assert!(retries.iter().all(|count| *count < 2_000), "{retries:?}");
+    // The delay is 10 s plus or minus half, and no second gets a fifth of the retries or more.
+    assert!(
+        retries[..5].iter().sum::<usize>() == 0,
+        "retries before 5 s: {retries:?}"
+    );
+    assert!(
+        retries[16..].iter().sum::<usize>() == 0,
+        "retries after 15 s: {retries:?}"
+    );
+    assert!(
+        retries.iter().all(|count| *count < 2_000),
+        "2,000 retries or more in one second: {retries:?}"
+    );
     assert_eq!(refusals.retry_after("req-1", 0, 10.0, 0), 1);
     assert!(refusals.retry_after("req-1", 1_000_000, 0.1, 0) <= 18);
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,11 +1,11 @@
 //! An exhaustive model checker for small models.
 //!
-//! It visits every reachable state breadth first, so a violation comes with a shortest path to it. A model consists of
-//! the real, pure state machines, of messages that may be late, lost or repeated, and of clocks that tick. It defines
-//! which steps are possible in a state and which property must hold; the checker knows nothing of what is modelled.
+//! It visits every reachable state in breadth-first order, so the path to a reported violation is a shortest one. A
+//! model defines which steps are possible in a state and which properties must hold. Typically it combines production
+//! state machines, which are free of I/O, with messages that may be delayed, lost or duplicated, and with clocks.
 //!
 //! All states are kept in memory, so models have to be small. States that differ only in the names of
-//! interchangeable parties should be mapped to one of them by [`Model::canonical`].
+//! interchangeable parties should be mapped to one representative by [`Model::canonical`].
 
 #![deny(missing_docs)]
 
@@ -60,7 +60,7 @@
 }
 
 impl<S: Debug> CheckResult<S> {
-    /// Formats the result for people; the path to a violation has one line per step.
+    /// Formats the result as text; the path to a violation has one line per step.
     pub fn describe(&self) -> String {
         match self {
             CheckResult::Violation { property, path, .. } => {
@@ -79,14 +79,14 @@
     }
 }
 
-/// How a state was reached first.
+/// The step by which a state was first reached.
 struct Origin<S> {
-    /// Index of the state before.
+    /// Index of the preceding state.
     previous: usize,
     step: S,
 }
 
-/// A visited state; its index is the order of visits.
+/// A visited state. Its index in [`Explorer::visits`] follows the order of the visits.
 struct Visit<S> {
     /// `None` for an initial state.
     origin: Option<Origin<S>>,
@@ -100,12 +100,12 @@
     max_states: usize,
     visited: HashMap<M::State, usize>,
     visits: Vec<Visit<M::Step>>,
-    /// States whose steps were not followed yet, with their indices.
+    /// States whose steps have not been followed yet, with their indices.
     frontier: VecDeque<(usize, M::State)>,
 }
 
 impl<M: Model> Explorer<'_, M> {
-    /// Visits a state unless it is known; returns a result if the check ends here.
+    /// Visits a state unless it was visited before; returns a result if the check ends here.
     fn visit(
         &mut self,
         state: M::State,
--- a/crates/model-checker/src/tests.rs
+++ b/crates/model-checker/src/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the model checker on a puzzle of two buckets.
+//! Tests of the model checker on the water jug puzzle.
 
 use super::*;
 
-/// Two buckets of three and five litres, which are filled, emptied and poured into each other.
+/// Two buckets, of three and of five litres, that can be filled, emptied, and poured into each other.
 struct Buckets {
-    /// The large bucket must never hold this many litres.
+    /// Number of litres that the large bucket must never hold.
     forbidden: u32,
 }
 
@@ -17,15 +17,15 @@
     }
 
     fn steps(&self, &(small, large): &(u32, u32)) -> Vec<(&'static str, (u32, u32))> {
-        let into_large = small.min(5 - large);
-        let into_small = large.min(3 - small);
+        let to_large = small.min(5 - large);
+        let to_small = large.min(3 - small);
         vec![
             ("fill three", (3, large)),
             ("fill five", (small, 5)),
             ("empty three", (0, large)),
             ("empty five", (small, 0)),
-            ("three into five", (small - into_large, large + into_large)),
-            ("five into three", (small + into_small, large - into_small)),
+            ("three into five", (small - to_large, large + to_large)),
+            ("five into three", (small + to_small, large - to_small)),
         ]
     }
 
@@ -38,7 +38,7 @@
 fn the_path_to_a_violation_is_a_shortest_one() {
     let result = explore(&Buckets { forbidden: 4 }, 1_000);
     let CheckResult::Violation { path, .. } = &result else {
-        panic!("{}", result.describe());
+        panic!("expected a violation: {}", result.describe());
     };
     assert_eq!(path.len(), 6);
     assert!(
