--- a/crates/admission-control/src/parts.rs
+++ b/crates/admission-control/src/parts.rs
@@ -1,20 +1,20 @@
-//! Shares of a budget that several holders use at once and that never exceed the total.
+//! Shares of a budget for several concurrent holders; the shares in use never exceed the total.
 //!
-//! The leader, here called the grantor, records a [`Grant`]. Each grant is written on condition that the one before
-//! is still the newest on record and that the grantor still leads. A holder uses its share of the newest grant that it
-//! has seen until that grant expires. It may see a grant late or never, and may then still use its share of an earlier
-//! one. Each grant therefore also carries, per holder, which shares of earlier grants may still be in use, and only
-//! what nobody can be using is given to others.
+//! The leader, here called the grantor, records a [`Grant`]. The write is a compare-and-swap: it succeeds only if the
+//! previous grant is still the newest on record and the grantor is still the leader. A holder uses its share of the
+//! newest grant that it has read until that grant expires. It may read a grant late or never, and may then still use
+//! its share of an earlier one. Each grant therefore also lists, per holder, the shares of earlier grants that may
+//! still be in use. Only amounts that no holder can be using are granted to others.
 //!
-//! Grants expire by the time of day, on which all clocks agree within a bound: a holder stops that bound early, and a
-//! grantor waits that bound longer. So a delayed message can shorten the use of a share but never extend it. A new
-//! grantor needs only the newest grant, and so does a holder that restarts.
+//! Grants expire at a wall-clock time. The clocks agree within a bound: a holder stops using its share earlier by that
+//! bound, and a grantor considers the share in use for longer by that bound. A delayed message can therefore shorten
+//! the use of a share but never extend it. A new grantor, or a holder that restarts, needs only the newest grant.
 
 use crate::Micros;
 use crate::fair::{Demand, fair_shares};
 use std::collections::BTreeMap;
 
-/// An amount in thousandths. It is an integer, so that all controllers compute exactly the same amounts.
+/// An amount in thousandths; an integer, so that all controllers compute exactly the same amounts.
 pub type Thousandths = u64;
 
 /// A holder's share of one grant.
@@ -22,32 +22,32 @@
 pub struct Share {
     /// Amount that the holder may use.
     pub amount: Thousandths,
-    /// Time of day at which the share expires.
+    /// Wall-clock time at which the share expires.
     pub expires_at: Micros,
-    /// Number of the grant.
+    /// Number of the grant to which the share belongs.
     pub epoch: u64,
 }
 
-/// The shares of all holders, as they are on record.
+/// The recorded shares of all holders.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// Number of the grant, which is higher than that of the one before.
+    /// Number of the grant, higher than that of the previous grant.
     pub epoch: u64,
     /// Shares of this grant, by holder.
     pub shares: BTreeMap<String, Share>,
-    /// Shares of earlier grants that a holder may still use and that allow more, or for longer, than this grant does.
-    /// By holder, the largest first.
+    /// Shares of earlier grants, by holder and the largest first, that the holder may still use and that are larger or
+    /// expire later than its share of this grant.
     pub earlier_shares: BTreeMap<String, Vec<Share>>,
 }
 
-/// Parameters of granting.
+/// Parameters of budget grants.
 #[derive(Debug, Clone, Copy)]
 pub struct GrantParams {
-    /// The total, which the shares in use never exceed.
+    /// The total of the budget, which the shares in use never exceed.
     pub total: Thousandths,
-    /// Time until a grant expires.
+    /// Time from the creation of a grant to its expiry.
     pub lifetime: Micros,
-    /// Bound on the difference between the time of day of two clocks, plus the delay of timers.
+    /// Maximum difference between two wall clocks, plus the maximum delay of timers.
     pub clock_margin: Micros,
 }
 
@@ -60,20 +60,20 @@
     pub amount: Thousandths,
     /// Weight of the holder, above 0.
     pub weight: f64,
-    /// Number of the newest grant that the holder has acknowledged: it uses no earlier one any more.
+    /// Number of the newest grant that the holder has acknowledged. The holder no longer uses earlier grants.
     pub acknowledged_epoch: u64,
 }
 
-/// Upper bounds on what holders may be using, by holder.
+/// The shares that each holder may be using. A holder uses at most one share at a time.
 struct InUse(BTreeMap<String, Vec<Share>>);
 
 impl InUse {
-    /// Returns the most that a holder may be using.
+    /// Returns the maximum amount that a holder may be using.
     fn max_of(&self, holder: &str) -> Thousandths {
         max_amount(self.0.get(holder).into_iter().flatten())
     }
 
-    /// Returns the most that all holders together may be using.
+    /// Returns the maximum amount that all holders together may be using.
     fn total(&self) -> Thousandths {
         self.0
             .values()
@@ -81,8 +81,8 @@
             .sum()
     }
 
-    /// Returns the shares that a new grant has to carry on: those that allow more than the holder's new share, or
-    /// expire later.
+    /// Returns the shares that a new grant has to list as earlier shares: those that are larger than the holder's new
+    /// share or expire later.
     fn not_replaced_by(
         mut self,
         new_shares: &BTreeMap<String, Share>,
@@ -99,7 +99,7 @@
 }
 
 impl Grant {
-    /// Returns what a holder may use at this time of day by its own clock.
+    /// Returns the amount that a holder may use at `wall_time`, which is read from its own clock.
     pub fn usable_amount(
         &self,
         holder: &str,
@@ -111,26 +111,26 @@
         usable.map_or(0, |share| share.amount)
     }
 
-    /// Returns the most that all holders together may be using at this time of day by the grantor's clock, whichever
-    /// grants they have seen. The grantor may use the rest of the total. `seen` returns the number of the newest grant
-    /// that a holder has acknowledged.
+    /// Returns the maximum amount that all holders together may be using, whichever grants they have read. The grantor
+    /// may use the rest of the total. `wall_time` is read from the grantor's clock; `acknowledged_epoch` returns the
+    /// number of the newest grant that a holder has acknowledged.
     pub fn max_in_use(
         &self,
         wall_time: Micros,
         params: &GrantParams,
         acknowledged_epoch: impl Fn(&str) -> u64,
     ) -> Thousandths {
-        let bound = |holder: &String| {
+        let max_in_use = |holder: &String| {
             max_amount(self.usable_shares(holder, acknowledged_epoch(holder), wall_time, params))
         };
-        self.holders().map(bound).sum()
+        self.holders().map(max_in_use).sum()
     }
 
-    /// Returns the next grant, made at this time of day.
+    /// Returns the next grant, created at `wall_time`.
     ///
-    /// The total is divided by weighted max-min fairness among the requests of the holders and `own`, the grantor's
-    /// demand. The grantor's share is not granted, since it uses whatever is not lent. If some holders may still be
-    /// using more than their new shares, the others get only what is free until that has expired.
+    /// The total is divided by weighted max-min fairness among the requests of the holders and `grantor_demand`. The
+    /// grant contains no share of the grantor, which uses the rest of the total. While some holders may still be using
+    /// more than their new shares, the other holders get only what is free.
     pub fn next(
         &self,
         wall_time: Micros,
@@ -176,7 +176,7 @@
         InUse(in_use)
     }
 
-    /// Returns the holders with a share of this grant or of an earlier one that counts.
+    /// Returns the holders with a share of this grant or with a listed earlier share.
     fn holders(&self) -> impl Iterator<Item = &String> {
         let only_earlier = self
             .earlier_shares
@@ -185,7 +185,7 @@
         self.shares.keys().chain(only_earlier)
     }
 
-    /// Returns the shares, of this grant and earlier ones, that a holder may still be using.
+    /// Returns the shares of this grant and of earlier ones that a holder may still be using.
     fn usable_shares(
         &self,
         holder: &str,
@@ -211,7 +211,7 @@
 ) -> Vec<Thousandths> {
     let fair_amounts = fair_amounts(grantor_demand, requests, params);
     let free = params.total.saturating_sub(in_use.total());
-    // What a holder gets beyond its bound comes out of what is free.
+    // An amount beyond what the holder may already be using is taken from the free amount.
     let increases: Vec<Thousandths> = requests
         .iter()
         .zip(&fair_amounts)
@@ -226,7 +226,7 @@
     amounts
 }
 
-/// Divides the total among the holders and the grantor; returns the holders' amounts, followed by the grantor's.
+/// Divides the total among the holders and the grantor; returns the holders' amounts, followed by the grantor's amount.
 fn fair_amounts(
     grantor_demand: Demand,
     requests: &[ShareRequest],
@@ -244,7 +244,7 @@
         .collect()
 }
 
-/// Scales an increase down, if all of them together exceed what is free.
+/// Scales an increase down in proportion if the total increase exceeds the free amount.
 fn scaled_increase(
     increase: Thousandths,
     total_increase: Thousandths,
--- a/crates/admission-control/src/parts/tests.rs
+++ b/crates/admission-control/src/parts/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_unused_share_goes_to_others_once_it_cannot_be_in_use() {
+fn an_unused_share_is_granted_to_others_once_it_cannot_be_in_use() {
     let first = Grant::default().next(
         0,
         NO_DEMAND,
@@ -36,18 +36,18 @@
     assert_eq!(first.usable_amount("a", 1, &PARAMS), 45_000);
     let requests = [request("a", 0), request("b", 80_000), request("c", 80_000)];
     let second = first.next(1_000_000, NO_DEMAND, &requests, &PARAMS);
-    // What "a" may still be using is not given to "c".
+    // The amount that "a" may still be using is not granted to "c".
     assert_eq!(second.usable_amount("b", 1_000_001, &PARAMS), 45_000);
     assert_eq!(second.usable_amount("c", 1_000_001, &PARAMS), 0);
     let third = second.next(10_000_001, NO_DEMAND, &requests, &PARAMS);
     assert_eq!(
         third.usable_amount("c", 10_000_002, &PARAMS),
         0,
-        "clocks may be apart"
+        "the share of \"a\" may be in use for the clock margin after its expiry"
     );
     let fourth = third.next(11_100_000, NO_DEMAND, &requests, &PARAMS);
     assert_eq!(fourth.usable_amount("c", 11_100_001, &PARAMS), 45_000);
-    // A holder that acknowledges a newer grant frees what the earlier one allowed.
+    // When a holder acknowledges a newer grant, its share of the earlier one becomes free.
     let acknowledged = ShareRequest {
         acknowledged_epoch: 2,
         ..request("a", 0)
@@ -55,11 +55,11 @@
     let requests = [acknowledged, request("b", 80_000), request("c", 80_000)];
     let acknowledged = second.next(2_000_000, NO_DEMAND, &requests, &PARAMS);
     assert_eq!(acknowledged.usable_amount("c", 2_000_001, &PARAMS), 45_000);
-    // A holder that sees no further grant stops by itself.
+    // Without a further grant, a holder stops using its share.
     assert_eq!(fourth.usable_amount("c", 21_050_000, &PARAMS), 0);
 }
 
-/// Holders see grants late or never, and lose them; clocks differ. At no moment do the shares in use exceed the total.
+/// Holders read grants late or never, and clocks differ. The sum of the shares in use never exceeds the total.
 #[test]
 fn shares_in_use_never_exceed_the_total() {
     let holders = ["a", "b", "c", "d"];
@@ -90,9 +90,16 @@
                 seen_grants[index].usable_amount(holder, wall_time(now, index), &PARAMS)
             };
             let sum: Thousandths = holders.iter().enumerate().map(used).sum();
-            assert!(sum <= PARAMS.total, "seed {seed}: {sum}");
+            assert!(
+                sum <= PARAMS.total,
+                "seed {seed}: {sum} in use, expected at most {}",
+                PARAMS.total
+            );
             almost_full += usize::from(sum * 10 > PARAMS.total * 8);
         }
     }
-    assert!(almost_full > 1_000, "only {almost_full} times");
+    assert!(
+        almost_full > 1_000,
+        "more than 80 % of the total was in use only {almost_full} times, expected more than 1,000"
+    );
 }
--- a/crates/admission-control/tests/agreement.rs
+++ b/crates/admission-control/tests/agreement.rs
@@ -1,8 +1,8 @@
 //! Exhaustive check of a small model of budget shares.
 //!
-//! Holders see grants late or never, a grantor uses what it has not lent and is replaced by another, and clocks differ.
-//! Times are relative to the present, so a model that runs forever has finitely many states. Each mechanism that the
-//! safety argument needs is also removed, and a violation must then be found.
+//! Holders read grants late or never, the grantor uses the amount that no holder can be using, another grantor replaces
+//! it, and clocks differ. Times are relative to the current time, so an endless execution has finitely many states.
+//! Each mechanism that the safety argument needs is also removed in turn, and a violation must then be found.
 
 use admission_control::fair::Demand;
 use admission_control::parts::{Grant, GrantParams, Share, ShareRequest};
@@ -10,35 +10,35 @@
 use std::collections::BTreeMap;
 
 const HOLDERS: [&str; 3] = ["a", "b", "c"];
-/// The true time, which stays the same because all times are relative to it.
+/// The true time. It is constant because all other times are relative to it.
 const NOW: u64 = 10;
 
-/// Which mechanism is removed.
+/// The mechanism that is removed from the model.
 #[derive(Clone, Copy, PartialEq)]
 enum Omission {
     Nothing,
-    /// A grant does not carry what earlier ones still allow.
+    /// A grant does not list the earlier shares that may still be in use.
     EarlierShares,
     /// Holders assume that their clock is exact.
     ClockBound,
-    /// The write of a replaced grantor is not rejected.
+    /// The write of a replaced grantor succeeds.
     Fencing,
-    /// A grant counts as acknowledged as soon as it is on record.
+    /// A grant counts as acknowledged as soon as it is recorded.
     Acknowledgement,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// A grant was already made in this tick; there is at most one per tick.
+    /// A grant was already recorded in this tick; there is at most one per tick.
     granted: bool,
     newest: Grant,
-    /// The newest grant that each holder has seen.
+    /// The newest grant that each holder has read.
     seen_grants: [Grant; 3],
     /// The epoch of the newest grant that each holder has acknowledged.
     acknowledged: [u64; 3],
     /// Whether the first grantor was replaced by the second.
     replaced: bool,
-    /// The grant that the replaced grantor last saw on record.
+    /// The newest grant that the replaced grantor has read.
     stale: Grant,
 }
 
@@ -47,7 +47,7 @@
 enum Step {
     Tick,
     Grant([u64; 3]),
-    /// The replaced grantor makes a grant from what it last saw.
+    /// The replaced grantor records a grant that follows the newest one that it has read.
     StaleGrant([u64; 3]),
     ReceiveGrant(usize),
     Acknowledge(usize),
@@ -56,7 +56,7 @@
 
 struct BudgetShares {
     omission: Omission,
-    /// Error of each holder's clock, and of the grantors' clock.
+    /// Offset of each holder's clock from the true time, followed by that of the grantors' clock.
     clock_offsets: [i64; 4],
     /// Number of holders.
     holders: usize,
@@ -85,13 +85,14 @@
                 },
             });
         let requests: Vec<ShareRequest> = requests.collect();
-        let own = Demand {
+        let grantor_demand = Demand {
             amount: 1.0,
             weight: 1.0,
         };
-        let mut next = previous.next(self.wall_time(3), own, &requests, &self.params);
+        let mut next = previous.next(self.wall_time(3), grantor_demand, &requests, &self.params);
         if self.omission == Omission::EarlierShares {
-            next = Grant::default().next(self.wall_time(3), own, &requests, &self.params);
+            next =
+                Grant::default().next(self.wall_time(3), grantor_demand, &requests, &self.params);
             next.epoch = previous.epoch + 1;
         }
         next
@@ -100,7 +101,7 @@
 
 const REQUESTED_AMOUNTS: [[u64; 3]; 2] = [[4, 0, 0], [0, 4, 4]];
 
-/// Lets a tick pass: all times move a tick nearer, and shares that have expired by every clock are dropped.
+/// Advances the time by a tick: all expiry times get nearer, and shares that have expired by every clock are dropped.
 fn advance_by_tick(grant: &mut Grant) {
     let keep_after_tick = |share: &mut Share| {
         share.expires_at -= 1;
@@ -190,7 +191,6 @@
             (name, used)
         };
         let used: BTreeMap<&str, u64> = (0..self.holders).map(used_by).collect();
-        // The grantor uses what is not lent.
         let acknowledged = |name: &str| {
             let holder = HOLDERS
                 .iter()
@@ -204,12 +204,14 @@
         let max_in_use = state
             .newest
             .max_in_use(self.wall_time(3), &self.params, acknowledged);
-        let own = self.params.total.saturating_sub(max_in_use);
-        let sum = own + used.values().sum::<u64>();
-        (sum > self.params.total).then(|| format!("in use: {used:?}, and {own} by the grantor"))
+        // The grantor uses the amount that no holder can be using.
+        let used_by_grantor = self.params.total.saturating_sub(max_in_use);
+        let sum = used_by_grantor + used.values().sum::<u64>();
+        (sum > self.params.total)
+            .then(|| format!("in use: {used:?}, and {used_by_grantor} by the grantor"))
     }
 
-    /// Renumbers the epochs: only their order matters.
+    /// Renumbers the epochs, since only their order matters.
     fn canonical(&self, mut state: State) -> State {
         fn for_each_epoch(state: &mut State, mut change: impl FnMut(&mut u64)) {
             let grants = [&mut state.newest, &mut state.stale];
@@ -265,7 +267,7 @@
 
 #[test]
 fn shares_in_use_never_exceed_the_total() {
-    // Clocks differ from the true time by up to a tick in either direction.
+    // Clocks differ from the true time by at most a tick.
     let models = [
         ([-1, 1, 0, 1], model(3, false, 3, 1)),
         ([-1, 1, 0, 1], model(2, true, 2, 1)),
@@ -282,7 +284,7 @@
 }
 
 #[test]
-fn each_mechanism_is_needed() {
+fn removing_a_mechanism_causes_a_violation() {
     for (omission, clock_offsets, model) in [
         (Omission::EarlierShares, [0, 0, 0, 0], model(3, false, 3, 1)),
         (Omission::ClockBound, [-1, 0, 0, 1], model(3, false, 3, 1)),
--- a/crates/lease-delegation/src/cancellations.rs
+++ b/crates/lease-delegation/src/cancellations.rs
@@ -1,18 +1,19 @@
 //! Exchange of cancellations between controllers without the key-value store.
 //!
-//! A controller may keep an agent's lease alive only while it knows of every cancellation that a client was told of. The
-//! records show them; while the store does not serve a controller, its peers report them. Each controller keeps a log
-//! of the cancellations that it knows, in the order in which it learned of them. A reported cancellation stops tasks
-//! and has no other effect: it is not part of the cache of the records, and never lets a task start.
+//! A controller may renew an agent's lease only while it has received every cancellation that was confirmed to a
+//! client. It normally reads cancellations from the records; while the store does not serve it, its peers report them.
+//! Each controller keeps a log of the cancellations that it has received, in the order of their arrival. The only
+//! effect of a reported cancellation is that tasks are stopped: it is not part of the cache of the records, and never
+//! lets a task start.
 
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Minimum number of entries that a log keeps. A peer that knows none of the older ones, and whose cache does not show
-/// them either, cannot be brought up to date.
+/// Minimum number of entries that a log keeps. A peer that needs an older entry, because it has received it neither
+/// from the log nor with its cache of the records, cannot be brought up to date.
 const MIN_KEPT_ENTRIES: usize = 8_192;
 
-/// The cancellations that a controller knows. Every cancellation is logged before a client is told of it.
+/// The cancellations that a controller has received. A cancellation is logged before it is confirmed to a client.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct CancellationLog {
     entries: Vec<LogEntry>,
@@ -29,39 +30,39 @@
     version: u64,
 }
 
-/// The entries that a log no longer holds.
+/// Summary of the entries that a log has dropped.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct DroppedEntries {
     /// Highest version among them.
     max_version: u64,
-    /// Number after the highest number among them.
+    /// One more than the highest entry number among them.
     end: u64,
 }
 
-/// Position in a peer's log up to which a controller knows it.
+/// Position in a peer's log up to which a controller has received it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct LogCursor {
-    /// The run of the peer's process: each run has its own log.
+    /// Incarnation of the peer's process; each incarnation has its own log.
     pub incarnation: u64,
-    /// Number of the first entry that is not known.
+    /// Number of the first entry that has not been received.
     pub next: u64,
 }
 
 /// A range of a log, as sent in one message.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LogBatch {
-    /// Number of its first entry.
+    /// Number of the first entry of the range.
     pub from: u64,
-    /// Number after its last entry.
+    /// Number of the first entry after the range.
     pub next: u64,
-    /// The log has more entries after it.
+    /// Whether the log has entries after the range that the peer needs.
     pub has_more: bool,
-    /// Jobs, with the versions of the records that show them cancelled.
+    /// Cancelled jobs, with the versions of the records that show the cancellations.
     pub jobs: Vec<(String, u64)>,
 }
 
 impl CancellationLog {
-    /// Appends the cancellation of a job, which a record of this version shows.
+    /// Appends the cancellation of a job; `version` is that of the record that shows it.
     pub fn append(&mut self, job: &str, version: u64) {
         self.entries.push(LogEntry {
             number: self.next,
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Drops the entries with the lowest versions. The first entries may have higher versions: a controller that starts
-    /// learns of all cancellations in the order of the keys.
+    /// Drops the entries with the lowest versions. These are not always the first entries: a controller that starts
+    /// reads all cancellations in the order of their keys.
     fn drop_oldest(&mut self) {
         let mut versions: Vec<u64> = self.entries.iter().map(|entry| entry.version).collect();
         versions.sort_unstable();
@@ -91,11 +92,13 @@
         });
     }
 
-    /// The next batch, of at most `max_jobs` jobs, for a peer that knows the log up to `from` and whose cache of the
-    /// records is complete up to the revision `complete`; none if the log has dropped an entry that the peer needs.
+    /// Returns the next batch, of at most `max_jobs` jobs, for a peer that has received the log up to `from` and whose
+    /// cache of the records is complete up to `cached_revision`; `None` if the log has dropped an entry that the peer
+    /// needs or `from` is after its end.
     pub fn batch(&self, from: u64, cached_revision: u64, max_jobs: usize) -> Option<LogBatch> {
-        let misses_dropped = self.dropped.max_version > cached_revision && self.dropped.end > from;
-        if misses_dropped || from > self.next {
+        let needs_dropped_entry =
+            self.dropped.max_version > cached_revision && self.dropped.end > from;
+        if needs_dropped_entry || from > self.next {
             return None;
         }
         let mut batch = LogBatch {
@@ -119,26 +122,26 @@
     }
 }
 
-/// What a batch of a peer's log has added.
+/// Result of applying a batch of a peer's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedBatch {
     /// Jobs that were not reported before, with the versions of their records.
     pub new_jobs: Vec<(String, u64)>,
-    /// The whole log is known, as it was when the batch was taken from it.
+    /// Whether the whole log has been received, as it was when the batch was taken from it.
     pub log_complete: bool,
 }
 
 /// The cancellations that peers have reported.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ReportedCancellations {
-    /// Position in the log of each peer.
+    /// Per peer: the position up to which its log has been received.
     cursors: Vec<LogCursor>,
-    /// When each job was first reported; only jobs that the cache may not show as cancelled yet.
+    /// When each job was first reported as cancelled. Only jobs that the cache may not show as cancelled yet.
     jobs: BTreeMap<String, Time>,
 }
 
 impl ReportedCancellations {
-    /// Nothing has been reported yet.
+    /// Creates the state of a controller to which nothing has been reported yet.
     pub fn new(peers: usize) -> ReportedCancellations {
         ReportedCancellations {
             cursors: vec![LogCursor::default(); peers],
@@ -146,12 +149,12 @@
         }
     }
 
-    /// Position in a peer's log up to which it is known.
+    /// Returns the position up to which a peer's log has been received.
     pub fn cursor(&self, peer: usize) -> LogCursor {
         self.cursors[peer]
     }
 
-    /// Adds a batch of the log of this run of a peer.
+    /// Applies a batch of the log of this incarnation of a peer.
     pub fn apply(
         &mut self,
         peer: usize,
@@ -172,7 +175,7 @@
         } else {
             0
         };
-        // If the cursor moved over a gap, the entries in it would never be requested.
+        // The cursor does not move past a gap, since the entries in the gap would then never be requested.
         let gap = batch.from > position;
         if !gap {
             *cursor = LogCursor {
@@ -186,19 +189,20 @@
         }
     }
 
-    /// The cache shows all records as of `read`: what was reported before is shown by them, or was not true.
+    /// Drops the reports from before `read`, when the cache shows all records as of that time: the cache now shows
+    /// those cancellations, or they were reported wrongly.
     pub fn on_records_read(&mut self, read: Time) {
         if !self.jobs.is_empty() {
             self.jobs.retain(|_, reported_at| *reported_at >= read);
         }
     }
 
-    /// Jobs that were reported to be cancelled.
+    /// Returns the jobs that were reported as cancelled.
     pub fn jobs(&self) -> impl Iterator<Item = &String> {
         self.jobs.keys()
     }
 
-    /// Whether a job was reported to be cancelled.
+    /// Returns whether a job was reported as cancelled.
     pub fn contains(&self, job: &str) -> bool {
         !self.jobs.is_empty() && self.jobs.contains_key(job)
     }
--- a/crates/lease-delegation/src/lease_grantee.rs
+++ b/crates/lease-delegation/src/lease_grantee.rs
@@ -1,4 +1,4 @@
-//! A peer's side of renewal grants: the grant that it holds, and its use.
+//! The grantee's side of renewal grants: the grant that a peer of the leader holds, and its use.
 
 use crate::Time;
 
@@ -7,42 +7,43 @@
 struct ReceivedGrant {
     /// The leader's term.
     term: u64,
-    /// The run of the leader's process.
+    /// Incarnation of the leader's process.
     incarnation: u64,
-    /// When the heartbeat was sent whose response carried the grant.
+    /// When the heartbeat that the grant responds to was sent.
     sent: Time,
 }
 
-/// The renewal grant that a controller holds, and when it last renewed a lease without a record.
+/// The renewal grant that a controller holds, and when it last renewed a lease without recording that it renews leases.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LeaseGrantee {
     grant: Option<ReceivedGrant>,
     last_used: Option<Time>,
 }
 
-/// The leadership that a controller knows of.
+/// The current leader, as a controller has last observed it.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownLeader {
     /// The leader's term.
     pub term: u64,
-    /// The run of the leader's process.
+    /// Incarnation of the leader's process.
     pub incarnation: u64,
-    /// That process has ended: another run of it has responded to a heartbeat sent after this leadership was known.
+    /// Whether that process has ended: a later incarnation has responded to a heartbeat that was sent after this
+    /// leadership was observed.
     pub process_ended: bool,
 }
 
 impl LeaseGrantee {
-    /// A peer has responded to the heartbeat sent at `asked`. `term`: it grants renewal under this term; none: a grant
-    /// that the same run gave earlier is withdrawn.
+    /// Handles a peer's response to the heartbeat sent at `sent`. `term` is the term under which the peer grants
+    /// renewal; `None` withdraws an earlier grant of the same incarnation.
     pub fn on_response(&mut self, term: Option<u64>, incarnation: u64, sent: Time) {
         let Some(term) = term else {
             self.grant = self.grant.filter(|grant| grant.incarnation != incarnation);
             return;
         };
-        let repeated = self
+        let repeated_grant = self
             .grant
             .filter(|grant| grant.term == term && grant.incarnation == incarnation);
-        let sent = repeated.map_or(sent, |grant| grant.sent.max(sent));
+        let sent = repeated_grant.map_or(sent, |grant| grant.sent.max(sent));
         self.grant = Some(ReceivedGrant {
             term,
             incarnation,
@@ -50,14 +51,15 @@
         });
     }
 
-    /// Whether a lease may be renewed now, under this leadership and without a record.
+    /// Returns whether a lease may be renewed now under this leader, without recording the renewal.
     ///
-    /// `covered_until` is the time until which everything is known that clients were told, and every leadership change;
-    /// a renewal may be at most `staleness_bound` later.
+    /// `covered_until` is the time until which this controller has received all answers to clients and all leadership
+    /// changes. A renewal may be at most `staleness_bound` later.
     ///
-    /// While the leader's process may be alive, it must have given a grant: it decides by itself that leases have
-    /// expired, and has to know that this controller may renew them. Once that process has ended, nobody decides so
-    /// under its term, and the next leader waits for all renewals that are possible under older terms.
+    /// While the leader's process may be alive, a grant from it is required: the leader decides on its own when leases
+    /// have expired, and must take renewals by this controller into account. Once that process has ended, no lease is
+    /// considered expired under its term, and the next leader waits for all renewals that are possible under older
+    /// terms.
     pub fn may_renew(
         &self,
         leader: &KnownLeader,
@@ -70,17 +72,17 @@
                 && grant.incarnation == leader.incarnation
                 && now < grant.sent + staleness_bound
         });
-        // Clocks start with the process: zero means that nothing is covered yet, not that the start is covered.
+        // 0 means that nothing is covered yet, not that the start of the process, where its clock is 0, is covered.
         let covered = covered_until > 0 && now < covered_until.saturating_add(staleness_bound);
         (granted || leader.process_ended) && covered
     }
 
-    /// A lease is renewed without a record.
+    /// Notes that a lease was renewed under the grant.
     pub fn record_use(&mut self, now: Time) {
         self.last_used = self.last_used.max(Some(now));
     }
 
-    /// Time since a lease was last renewed without a record; none: never by this run.
+    /// Returns the time since a lease was last renewed under a grant; `None` if this incarnation has not renewed any.
     pub fn time_since_use(&self, now: Time) -> Option<Time> {
         self.last_used.map(|used| now.saturating_sub(used))
     }
--- a/crates/lease-delegation/src/lease_grantor.rs
+++ b/crates/lease-delegation/src/lease_grantor.rs
@@ -1,30 +1,32 @@
-//! The leader's side of renewal grants: which grants it has given, and which leases they may have kept alive.
+//! The leader's side of renewal grants: the grants that it has given, and the leases that may have been renewed under
+//! them.
 
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// How soon a lease is checked again that a grantee may have renewed: grantees report their use about this often.
+/// Interval in microseconds at which a lease that a grantee may have renewed is checked again. Grantees report their
+/// use of grants about this often.
 const RECHECK_INTERVAL: Time = 200_000;
 
-/// Upper bounds of durations, in microseconds, including the allowance for clock drift and late timers.
+/// Upper bounds of durations in microseconds, including a margin for clock drift and late timers.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseBounds {
-    /// How long an agent keeps its tasks after its last answered heartbeat.
+    /// How long an agent keeps its tasks running after its last answered heartbeat.
     pub lease_duration: Time,
-    /// How long after a grant was last given every lease that was renewed under it has expired.
+    /// Time from the last sending of a grant until all leases that were renewed under it have expired.
     pub expiry_after_grant: Time,
 }
 
 /// The grant given to one peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Grant {
-    /// The run of the grantee's process.
+    /// Incarnation of the grantee's process.
     incarnation: u64,
-    /// When the grant was last given.
+    /// When the grant was last sent to the grantee.
     last_given: Time,
-    /// Latest time at which the grantee may have last used it; none: it has not reported a use.
+    /// Upper bound on the time of the grantee's last use of the grant; `None` if it has not reported a use.
     last_used: Option<Time>,
-    /// When the heartbeat was sent whose response last reported the use; later uses are unknown.
+    /// When the heartbeat was sent whose response carried the latest use report. Later uses are not known.
     reported_as_of: Time,
 }
 
@@ -35,7 +37,7 @@
 }
 
 impl LeaseGrantor {
-    /// A grant is sent to this run of a peer's process.
+    /// Records that a grant is sent to this incarnation of a peer.
     pub fn record_grant(&mut self, grantee: &str, incarnation: u64, now: Time) {
         self.observe_incarnation(grantee, incarnation, now);
         let grant = self.grants.entry(grantee.to_string()).or_insert(Grant {
@@ -47,8 +49,8 @@
         grant.last_given = grant.last_given.max(now);
     }
 
-    /// If a grantee's process has restarted, nothing is known of the use by its earlier run, except that it was
-    /// before now.
+    /// Handles a restart of a grantee: its earlier incarnation may have used the grant until now, since its last uses
+    /// were not reported.
     fn observe_incarnation(&mut self, grantee: &str, incarnation: u64, now: Time) {
         if let Some(grant) = self.grants.get_mut(grantee)
             && grant.incarnation != incarnation
@@ -58,8 +60,8 @@
         }
     }
 
-    /// A peer has responded to the heartbeat sent at `asked`: its last use of a grant was `use_age` ago; none: this
-    /// run has used no grant.
+    /// Handles the use report in a peer's response to the heartbeat sent at `sent`. `time_since_use` is the time since
+    /// the peer last used a grant; `None` if this incarnation has not used any.
     pub fn on_use_report(
         &mut self,
         grantee: &str,
@@ -77,15 +79,15 @@
         grant.last_used = grant.last_used.max(last_used);
     }
 
-    /// When to check again whether a lease has expired that, by our own answers alone, expired at `lease_end`; none:
-    /// it has expired, whatever grantees may have answered.
+    /// Returns when to check a lease again that expires at `lease_end` by our own answers to the agent's heartbeats;
+    /// `None` if it has expired, whatever heartbeats grantees may have answered.
     pub fn recheck_at(&self, lease_end: Time, now: Time, bounds: &LeaseBounds) -> Option<Time> {
         let rechecks = self.grants.values().filter_map(|grant| {
             let grant_end = grant.last_given + bounds.expiry_after_grant;
             if grant_end <= now {
                 return None;
             }
-            // The grantee may have renewed the lease until its last reported use, and after the last report.
+            // The grantee may have renewed the lease at its last reported use, or after its last report.
             let lease_end = grant.last_used.map_or(lease_end, |used| {
                 lease_end.max(used + bounds.lease_duration)
             });
--- a/crates/lease-delegation/src/silence_pledges.rs
+++ b/crates/lease-delegation/src/silence_pledges.rs
@@ -1,18 +1,19 @@
 //! Silence pledges given by a controller that the store does not serve.
 //!
-//! From the first pledge on, the controller tells clients of no cancellation that its peers may not know, until they
-//! have acknowledged that the store serves it again, or the pledges have expired. While a pledge is active, its
-//! recipient therefore knows that clients were told nothing else, even if the controller crashes.
+//! From the first pledge on, the controller confirms to clients only cancellations that its peers have received. This
+//! ends when the peers have acknowledged that the store serves it again, or when the pledges have expired. While a
+//! pledge is active, its recipient can therefore rely on having received every confirmed cancellation, even if the
+//! controller crashes.
 
 use crate::Time;
 
 /// The pledges of one controller, by peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SilencePledges {
-    /// How long a pledge is kept.
+    /// How long a pledge is kept if it is not released earlier.
     duration: Time,
     pledges: Vec<Pledge>,
-    /// Newest revision that was known when the first of the active pledges was given.
+    /// Newest revision of the pledging controller when it gave the first of the active pledges; 0 if it had none.
     revision_at_first_pledge: u64,
 }
 
@@ -20,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Pledge {
     given_at: Time,
-    /// When the peer acknowledged that the pledge is over.
+    /// When the peer acknowledged the release of the pledge; `None` if it has not.
     released_at: Option<Time>,
 }
 
@@ -34,8 +35,8 @@
 }
 
 impl SilencePledges {
-    /// The pledges of a process that starts now. It does not know what an earlier run has pledged, so it assumes that
-    /// each peer holds a pledge given now.
+    /// Creates the pledges of a process that starts at `now`. The pledges of an earlier incarnation are not known, so
+    /// each peer is assumed to hold a pledge given at `now`.
     pub fn new(peers: usize, duration: Time, now: Time) -> SilencePledges {
         SilencePledges {
             duration,
@@ -44,7 +45,8 @@
         }
     }
 
-    /// A pledge is sent to a peer; `newest` is the newest revision of which clients may have been told.
+    /// Records that a pledge is sent to a peer. `newest_revision` is the newest revision of which clients may have been
+    /// informed.
     pub fn record_pledge(&mut self, peer: usize, newest_revision: u64, now: Time) {
         if self.none_active(now) {
             self.revision_at_first_pledge = newest_revision;
@@ -52,7 +54,7 @@
         self.pledges[peer] = Pledge::given(now);
     }
 
-    /// A peer has responded to the heartbeat sent at `sent`, which said that nothing is pledged.
+    /// Handles a peer's response to the heartbeat sent at `sent`, which reported that no pledge is active.
     pub fn on_release_acknowledged(&mut self, peer: usize, sent: Time, now: Time) {
         let pledge = &mut self.pledges[peer];
         if pledge.released_at.is_none() && sent >= pledge.given_at {
@@ -60,21 +62,21 @@
         }
     }
 
-    /// Whether no pledge is active.
+    /// Returns whether no pledge is active.
     pub fn none_active(&self, now: Time) -> bool {
         self.pledges
             .iter()
             .all(|pledge| pledge.released_at.is_some() || now >= pledge.given_at + self.duration)
     }
 
-    /// Whether clients may be told of cancellations up to the revision `newest`.
+    /// Returns whether cancellations up to `newest_revision` may be confirmed to clients.
     pub fn may_confirm(&self, newest_revision: u64, now: Time) -> bool {
         newest_revision <= self.revision_at_first_pledge && self.revision_at_first_pledge > 0
             || self.none_active(now)
     }
 
-    /// Time until which peers may rely on a pledge: a leadership that was acquired before counts for them as acquired
-    /// then.
+    /// Returns the time until which peers may rely on a pledge. A leadership that was acquired earlier counts as
+    /// acquired at that time.
     pub fn relied_on_until(&self) -> Time {
         let ends = self.pledges.iter().map(|pledge| {
             pledge
--- a/crates/lease-delegation/tests/cancellation_model.rs
+++ b/crates/lease-delegation/tests/cancellation_model.rs
@@ -1,9 +1,9 @@
 //! Model of the exchange of cancellations, explored exhaustively.
 //!
-//! The store refuses controller L, which serves one agent with tasks of two jobs. Controller F confirms cancellations to
-//! clients; controller T stands beside them. F and T may read the records at any moment, or never again; F crashes and
-//! restarts; reports to L are delayed, lost, duplicated, or carry one job at a time. Each step of the argument is also
-//! left out, and the exploration must then find a violation.
+//! The store does not serve controller L, which renews the lease of one agent with tasks of two jobs. Controller F
+//! confirms cancellations to clients, and controller T forwards them to L. F and T may read the records at any time, or
+//! never again. F crashes and restarts. Reports to L are delayed, lost or duplicated, and carry one job each. Each step
+//! of the safety argument is also left out, and the exploration must then find a violation.
 
 use lease_delegation::Time;
 use lease_delegation::cancellations::{CancellationLog, LogBatch, ReportedCancellations};
@@ -19,19 +19,19 @@
 const F: usize = 0;
 const T: usize = 1;
 
-/// The step of the argument that a run of the model leaves out.
+/// The step of the safety argument that an exploration leaves out.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Omission {
     Nothing,
     /// A reported cancellation stops no task.
     StopTask,
-    /// A batch is taken for the whole log.
+    /// A batch counts as the whole log although the log has more entries.
     HasMore,
-    /// Another run's log is taken for the same one.
+    /// The log of another incarnation counts as the same log.
     IncarnationCheck,
-    /// A reported cancellation is not passed on.
+    /// T does not forward a reported cancellation.
     Forwarding,
-    /// A peer's coverage of others counts although it has not reported all that it knows.
+    /// T's coverage of F counts although T has not yet reported its whole log.
     CompleteReport,
     /// A controller that has not read the records since it started counts as complete.
     RecordsRead,
@@ -44,12 +44,12 @@
     incarnation: u64,
     has_records: bool,
     batch: LogBatch,
-    /// How long ago the sender last knew of everything that F had told clients.
+    /// Age of the sender's coverage of F.
     coverage_age_of_f: Time,
 }
 
-/// A response in flight, to a request sent at `asked`. A response that is given later than it was requested reports
-/// more, and counts for no more, so it is given at once.
+/// A response in flight, to a request sent at `sent`. Requests are answered at once: a later answer would report more,
+/// but its coverage would still count from the time of the request.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Message {
     sent: Time,
@@ -60,11 +60,11 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Peer {
     incarnation: u64,
-    /// How many of the recorded cancellations its cache holds; none: it has not read the records since it started.
+    /// Number of recorded cancellations in its cache; `None` if it has not read the records since it started.
     cached: Option<u64>,
     log: CancellationLog,
     reported: ReportedCancellations,
-    /// Until when T knows of everything that F has told clients, from the records or from F.
+    /// T's coverage of F, from the records or from F's reports.
     coverage: PeerCoverage,
 }
 
@@ -73,7 +73,7 @@
     now: Time,
     /// Number of recorded cancellations; the first is of job 0, the second of job 1.
     recorded: u64,
-    /// Per job: when its client was told that it is cancelled.
+    /// Per job: when its cancellation was confirmed to the client.
     confirmed_at: [Option<Time>; 2],
     f: Peer,
     t: Peer,
@@ -82,8 +82,8 @@
     reported: ReportedCancellations,
     /// Coverage of F and T by L.
     coverage: PeerCoverage,
-    /// The message in flight to L, and its sender. One at a time: reports of one peer do not affect what is known of
-    /// the other. Messages from F to T arrive at once.
+    /// The message in flight to L, and its sender. One message at a time is enough, because reports of one peer do not
+    /// affect the coverage of the other. Messages from F to T arrive at once.
     in_flight: Option<(usize, Message)>,
     /// When the agent's lease was last renewed.
     renewed_at: Time,
@@ -91,14 +91,14 @@
     running: [bool; 2],
 }
 
-/// A connection over which one controller asks another for cancellations.
+/// A connection over which one controller requests cancellations from another.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Link {
-    /// L asks F.
+    /// L sends requests to F.
     LToF,
-    /// L asks T.
+    /// L sends requests to T.
     LToT,
-    /// T asks F.
+    /// T sends requests to F.
     TToF,
 }
 
@@ -112,14 +112,14 @@
     Renew,
     Request(Link),
     Receive,
-    /// The message is received, and arrives once more.
+    /// The message is received, and will arrive once more.
     ReceiveDuplicate,
 }
 
-/// The peers that L can ask.
+/// The peers that L can reach.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Reachable {
-    /// F alone; T has told clients nothing, and L knows that.
+    /// F alone; L covers T during the whole exploration.
     F,
     /// T alone.
     T,
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Reads all records; the newest first, as a listing may. `covers_f_at`: for T, when it reads.
+    /// Reads all records, the newest first, since a listing does not return them in order of time. `covers_f_at` is the
+    /// current time if this is T, whose coverage of F is extended.
     fn read(&mut self, recorded: u64, covers_f_at: Option<Time>) {
         for job in (self.cached.unwrap_or(0)..recorded).rev() {
             self.log.append(&job_name(job), job + 1);
@@ -165,7 +166,7 @@
         self.omission == omission
     }
 
-    /// The asking side of a link receives a response.
+    /// Handles a response at the requesting side of a link.
     fn receive(&self, next: &mut State, link: Link, message: &Message) {
         let now = next.now;
         let response = &message.response;
@@ -185,10 +186,10 @@
                 next.t.log.append(job, *version);
             }
         }
-        let log_known = applied.log_complete || self.omits(Omission::HasMore);
+        let log_complete = applied.log_complete || self.omits(Omission::HasMore);
         let completeness = if !response.has_records && !self.omits(Omission::RecordsRead) {
             AnswerCompleteness::RecordsUnread
-        } else if log_known {
+        } else if log_complete {
             AnswerCompleteness::Complete
         } else {
             AnswerCompleteness::Partial
@@ -369,7 +370,7 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        // Once the agent's lease has expired, or both tasks are stopped, no violation is possible.
+        // No violation is possible once the agent's lease has expired or both tasks are stopped.
         let lease_expired = state.now > state.renewed_at + LEASE;
         if state.now >= self.end || lease_expired || state.running == [false; 2] {
             return Vec::new();
@@ -402,7 +403,7 @@
         };
         let job = (0..2).find(overdue)?;
         Some(format!(
-            "the task of job {job} runs after the deadline of its cancellation"
+            "the task of job {job} runs after its cancellation deadline"
         ))
     }
 }
@@ -421,10 +422,10 @@
     }
 }
 
-/// With both peers reachable there are 970,593 states without duplicates; all of these were explored on 2026-12-02, and
-/// here the first 200,000 are, with duplicates.
+/// With both peers reachable there are 970,593 states without duplicated messages, which were all explored once
+/// (2026-12-02). This test explores the first 200,000 states with duplicated messages.
 #[test]
-fn no_task_outlives_the_deadline_of_its_cancellation() {
+fn no_task_outlives_its_cancellation_deadline() {
     for (crashes, reachable, exhaustive) in [
         (true, Reachable::F, true),
         (true, Reachable::T, true),
--- a/crates/lease-delegation/tests/delegation_model/main.rs
+++ b/crates/lease-delegation/tests/delegation_model/main.rs
@@ -1,9 +1,9 @@
 //! Model of lease renewal without the key-value store, explored exhaustively.
 //!
-//! Leader A reaches the store at times, peer B never does, and one agent may be reachable from either. A tells a client
-//! that the agent's job is cancelled, crashes, restarts, and becomes leader again; B renews the lease under a grant, and
-//! crashes; messages are delayed, lost, or overtake each other. Each step of the argument is also left out, and the
-//! exploration must then find a violation.
+//! Leader A can reach the store some of the time, peer B never, and one agent may be reachable from either. A confirms
+//! the cancellation of the agent's job to a client, crashes, restarts, and becomes leader again. B renews the lease
+//! under a grant, and crashes. Messages are delayed, lost, or reordered. Each step of the safety argument is also left
+//! out, and the exploration must then find a violation.
 
 mod state;
 
@@ -18,7 +18,7 @@
 const LEASE: Time = 2;
 const STALENESS_BOUND: Time = 2;
 const CANCELLATION_DEADLINE: Time = LEASE + STALENESS_BOUND;
-/// A pledge is kept for longer than peers rely on it.
+/// Longer than `PLEDGE_RELIANCE`: a pledge must be kept for as long as peers rely on it.
 const PLEDGE_DURATION: Time = 3;
 const PLEDGE_RELIANCE: Time = 2;
 /// A response that arrives later is ignored.
@@ -30,21 +30,21 @@
     expiry_after_grant: CANCELLATION_DEADLINE + 1,
 };
 
-/// The step of the argument that a run of the model leaves out.
+/// The step of the safety argument that an exploration leaves out.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Omission {
     Nothing,
-    /// The leader considers a lease expired by its own answers alone.
+    /// The leader considers a lease expired without checking whether a grantee may have renewed it.
     GranteeCheck,
-    /// A grantee that has restarted is taken for one that never used its grant.
+    /// The restart of a grantee is not detected, so it counts as never having used its grant.
     GranteeRestart,
     /// A pledge is not kept.
     Pledge,
-    /// A new run does not keep what its earlier run may have pledged.
+    /// A new incarnation does not keep the pledges of its earlier incarnation.
     PledgeOfEarlierIncarnation,
-    /// A pledge that was overtaken by its release counts.
+    /// A pledge that arrives after its release counts.
     OvertakenPledge,
-    /// A new leader counts from its claim, whatever it has pledged.
+    /// A new leader counts waiting times from its claim, although pledges may expire later.
     PledgeBeforeClaim,
     /// Coverage never expires.
     StalenessBound,
@@ -113,7 +113,7 @@
         Some(next)
     }
 
-    /// After a crash B cannot read the records again, so it renews nothing any more.
+    /// After a crash B cannot read the records again, so it renews no lease afterwards.
     fn crash_b(&self, mut next: State) -> Option<State> {
         if next.b.incarnation != 1 || !self.b_crashes {
             return None;
@@ -290,7 +290,7 @@
         }
         let b = &mut next.b;
         if !request.unserved && self.omits(Omission::OvertakenPledge) {
-            // Like a release, but without effect on messages in flight.
+            // Ends the pledge like a release, but a pledge in flight still counts.
             let released = PeerResponse {
                 completeness: AnswerCompleteness::RecordsUnread,
                 pledges_silence: false,
@@ -427,11 +427,11 @@
             return None;
         }
         if state.a.considers_expired {
-            return Some("A considers a lease expired that is not".into());
+            return Some("A considers a lease expired that has not expired".into());
         }
         let confirmed_at = state.a.confirmed_at;
         let overdue = confirmed_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE);
-        overdue.then(|| "the task runs after the deadline of its cancellation".into())
+        overdue.then(|| "the task runs after its cancellation deadline".into())
     }
 }
 
@@ -451,11 +451,11 @@
     }
 }
 
-/// All states without a crash of A; with one there are more than can be explored each time: the first 1,500,000.
-/// 6,000,000 of them, with crashes of both and two changes of the store within eight ticks, were explored once
-/// (2026-12-01).
+/// Without a crash of A, all states are explored. With a crash there are too many for each test run, so only the first
+/// 1,500,000 are explored. 6,000,000 states, with crashes of both controllers and two changes of the store within eight
+/// ticks, were explored once (2026-12-01).
 #[test]
-fn no_agent_outlives_a_cancellation_deadline_or_its_considered_expiry() {
+fn no_task_outlives_its_cancellation_deadline_or_its_lease() {
     for (ticks, store_changes, a_crashes, b_crashes) in [(6, 1, false, true), (8, 1, true, false)] {
         let model = model(
             Omission::Nothing,
--- a/crates/lease-delegation/tests/delegation_model/state.rs
+++ b/crates/lease-delegation/tests/delegation_model/state.rs
@@ -16,18 +16,18 @@
     pub time_since_use: Option<Time>,
 }
 
-/// The exchange in which B asks A.
+/// The heartbeat of B to A that is in flight.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct RequestOfB {
     pub sent: Time,
     pub response: Option<Response>,
 }
 
-/// The exchange in which A asks B.
+/// The heartbeat of A to B that is in flight.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct RequestOfA {
     pub sent: Time,
-    /// The store does not serve A.
+    /// Whether the store does not serve A, as reported in the heartbeat.
     pub unserved: bool,
     pub response: Option<Response>,
 }
@@ -48,12 +48,12 @@
     pub leadership: Option<Leadership>,
     pub grantor: LeaseGrantor,
     pub pledges: SilencePledges,
-    /// Its last answer to the agent; since then it cannot reach the agent.
+    /// When it last answered a heartbeat of the agent. It has been unable to reach the agent since then.
     pub answered_at: Time,
-    /// When it told the client of the cancellation.
+    /// When it confirmed the cancellation to the client.
     pub confirmed_at: Option<Time>,
     pub crashed: bool,
-    /// It has concluded that the agent's lease has expired.
+    /// Whether it has concluded that the agent's lease has expired.
     pub considers_expired: bool,
 }
 
@@ -63,7 +63,7 @@
     pub incarnation: u64,
     pub coverage: PeerCoverage,
     pub grantee: LeaseGrantee,
-    /// The run of A that last responded.
+    /// The incarnation of A that last responded.
     pub observed_incarnation: u64,
 }
 
@@ -77,17 +77,18 @@
     pub b: ControllerB,
     pub request_of_b: Option<RequestOfB>,
     pub request_of_a: Option<RequestOfA>,
-    /// When B last asked A, and A last asked B: once a tick is as often as they do.
+    /// When B last sent a heartbeat to A, and A to B. Each sends at most one per tick.
     pub b_last_sent_at: Time,
     pub a_last_sent_at: Time,
     /// When the agent's lease was last renewed.
     pub renewed_at: Time,
-    /// The agent's lease has expired.
+    /// Whether the agent's lease has expired.
     pub expired: bool,
 }
 
 impl ControllerA {
-    /// The newest revision that A knows: its first leadership was at 1, a cancellation is at 2, a later leadership at 3.
+    /// The newest revision in A's records. The first leadership has revision 1, a cancellation 2, and a later
+    /// leadership 3.
     pub fn newest_revision(&self) -> u64 {
         let later_term = self.leadership.is_some_and(|leader| !leader.first_term);
         1 + u64::from(self.confirmed_at.is_some()) + if later_term { 2 } else { 0 }
