--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: which machines are deleted, and why.
+//! Scale-in: decides which machines are deleted, and why.
 
 use crate::cloud::autoscaler::FleetSnapshot;
 use crate::cloud::inventory::Machine;
@@ -7,44 +7,45 @@
 use crate::state::agent::Agent;
 use std::collections::BTreeSet;
 
-/// A machine that seems unreachable is deleted no sooner than this.
+/// Minimum time for which a machine has to seem unreachable before it is deleted.
 const MIN_UNREACHABLE: Micros = Micros::millis(30_000);
-/// Multiple of the agents' lease for which a machine that seems unreachable is kept: longer than a network partition
-/// that lets only one direction through.
+/// Multiple of the agents' lease for which a machine has to seem unreachable before it is deleted: longer than a
+/// one-way network partition lasts.
 const UNREACHABLE_LEASES: f64 = 2.0;
-/// Boot time of a machine of an unknown type.
-const DEFAULT_BOOT: Micros = Micros::millis(120_000);
-/// How long a silent machine is kept after its lease has expired.
-const SILENT_PATIENCE: Micros = Micros::millis(5_000);
-/// The same, at least, in a zone that seems partitioned.
-const SILENT_ZONE_PATIENCE: Micros = Micros::millis(30_000);
-/// Multiple of the delay of the cloud's list within which a new leader has read what earlier leaders requested.
-const LIST_DELAYS: f64 = 3.0;
+/// Boot time that is assumed for an unknown machine type.
+const DEFAULT_BOOT_TIME: Micros = Micros::millis(120_000);
+/// A machine with an expired lease is deleted after this time without a heartbeat.
+const SILENT_MACHINE_GRACE: Micros = Micros::millis(5_000);
+/// The same in a zone that seems partitioned, unless the machine's boot time is longer.
+const SILENT_ZONE_GRACE: Micros = Micros::millis(30_000);
+/// Multiple of the lag of the cloud's list after which a new leader has seen all machines that earlier leaders
+/// requested.
+const TAKEOVER_LIST_LAGS: f64 = 3.0;
 /// Multiple of the cancellation deadline after which all running machines have sent a new leader a heartbeat.
-const TAKEOVER_CANCELS: f64 = 1.2;
-/// Time in seconds for the calls to the cloud that delete a machine before the cancellation deadline.
-const DELETION_S: f64 = 8.0;
-/// At least this share of the cancellation deadline is left to the tasks to stop by themselves.
+const TAKEOVER_CANCEL_DEADLINES: f64 = 1.2;
+/// Time in seconds that is reserved before the cancellation deadline for the cloud calls that delete a machine.
+const DELETION_TIME_S: f64 = 8.0;
+/// Minimum share of the cancellation deadline that is left to the tasks to stop by themselves.
 const MIN_CANCEL_SHARE: f64 = 0.6;
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeletionReason {
-    /// It sent no heartbeat in good time after it was requested.
+    /// It sent no heartbeat within the boot timeout after it was requested.
     NeverReported,
-    /// It sends heartbeats, and seems to receive nothing.
+    /// It sends heartbeats, but seems to receive nothing.
     Unreachable,
     /// Its agent is silent, and its lease has expired.
     LeaseExpired,
-    /// Tasks of several jobs fail on it.
+    /// Tasks of several jobs failed on it in a row.
     TasksFail,
-    /// It has had no tasks for long.
+    /// It has been idle for longer than the idle timeout.
     Idle,
     /// A cancelled task on it cannot be confirmed gone by the deadline.
     CancelledTaskUnconfirmed,
 }
 
-/// A machine to be deleted.
+/// A machine to delete.
 #[derive(Debug, PartialEq)]
 pub struct MachineDeletion {
     /// Name of the machine.
@@ -53,7 +54,7 @@
     pub reason: DeletionReason,
 }
 
-/// The machines to be deleted. `capacity_missing`: some demand found no capacity, so that idle machines are kept.
+/// Returns the machines to delete. `capacity_missing`: some demand found no capacity, so idle machines are kept.
 pub(super) fn plan_scale_in(
     snapshot: &FleetSnapshot<'_>,
     silent_zones: &BTreeSet<String>,
@@ -63,12 +64,12 @@
         snapshot,
         silent_zones,
         capacity_missing,
-        leader_age: snapshot.clock.now.since(snapshot.leader.since),
+        term_age: snapshot.clock.now.since(snapshot.leader.term_since),
         idle_machines: 0,
     };
     let mut deletions = Vec::new();
-    for (name, machine) in &snapshot.leader.fleet.machines {
-        if machine.leaving || machine.failed {
+    for (name, machine) in &snapshot.leader.inventory.machines {
+        if machine.marked_for_deletion || machine.failed {
             continue;
         }
         if let Some(reason) = planner.deletion_reason(name, machine) {
@@ -86,9 +87,9 @@
     snapshot: &'a FleetSnapshot<'a>,
     silent_zones: &'a BTreeSet<String>,
     capacity_missing: bool,
-    /// How long our term has lasted.
-    leader_age: Micros,
-    /// Idle machines so far.
+    /// Age of our term.
+    term_age: Micros,
+    /// Number of idle machines found so far.
     idle_machines: usize,
 }
 
@@ -103,21 +104,21 @@
         let leader = snapshot.leader;
         let now = snapshot.clock.now;
         let agent = leader.agents.get(name)?;
-        let silent_patience = if self.silent_zones.contains(&agent.zone) {
-            self.boot_time(machine).max(SILENT_ZONE_PATIENCE)
+        let silence_limit = if self.silent_zones.contains(&agent.zone) {
+            self.boot_time(machine).max(SILENT_ZONE_GRACE)
         } else {
-            SILENT_PATIENCE
+            SILENT_MACHINE_GRACE
         };
         if let Some(since) = agent.reachability.suspected_since() {
             return self
-                .unreachable_for_long(since, silent_patience)
+                .unreachable_for_long(since, silence_limit)
                 .then_some(DeletionReason::Unreachable);
         }
-        if agent.epoch_ended() && now.since(agent.last_heard_at) > silent_patience {
+        if agent.epoch_ended() && now.since(agent.last_heartbeat_at) > silence_limit {
             return Some(DeletionReason::LeaseExpired);
         }
         let host = snapshot.hosts.find(name);
-        if !host.is_some_and(|host| snapshot.rooms[host].is_empty()) {
+        if !host.is_some_and(|host| snapshot.hosts_after_pass[host].is_empty()) {
             return None;
         }
         if leader.is_unhealthy(agent, snapshot.policy) {
@@ -134,71 +135,73 @@
             .machine_types()
             .iter()
             .find(|machine_type| machine_type.name == machine.kind)
-            .map_or(DEFAULT_BOOT, |machine_type| {
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| {
                 Micros::secs(machine_type.boot_s)
             })
     }
 
-    /// Whether a machine that never sent a heartbeat should have done so by now.
+    /// Whether a machine that never sent a heartbeat should have sent one by now.
     fn boot_overdue(&self, machine: &Machine) -> bool {
         let params = &self.snapshot.settings.params;
-        let patience = self
+        let boot_timeout = self
             .boot_time(machine)
-            .times(self.snapshot.policy.boot_patience);
-        // A running machine may report to an older leader for a while: a new leader does not know all of them yet.
+            .times(self.snapshot.policy.boot_timeout_factor);
+        // A new leader does not know all machines yet: a running one may still send its heartbeats to an earlier
+        // leader.
         let takeover = if machine.running {
-            Micros::secs(params.agents.cancel_s * TAKEOVER_CANCELS)
+            Micros::secs(params.agents.cancel_s * TAKEOVER_CANCEL_DEADLINES)
         } else {
-            Micros::secs(params.cloud.list_lag_s * LIST_DELAYS)
+            Micros::secs(params.cloud.list_lag_s * TAKEOVER_LIST_LAGS)
         };
         let age = self.snapshot.clock.now.since(machine.requested_at);
-        age > patience && self.leader_age > takeover
+        age > boot_timeout && self.term_age > takeover
     }
 
-    /// Whether a machine has seemed unreachable for so long that it is given up. Network partitions that let only one
-    /// direction through end, too.
-    fn unreachable_for_long(&self, since: Micros, silent_patience: Micros) -> bool {
+    /// Whether a machine has seemed unreachable for so long that it is deleted. The time is long enough for a one-way
+    /// network partition to end.
+    fn unreachable_for_long(&self, since: Micros, silence_limit: Micros) -> bool {
         let lease_s = self.snapshot.settings.params.agents.lease_s;
-        let patience = Micros::secs(lease_s * UNREACHABLE_LEASES).max(MIN_UNREACHABLE);
-        self.snapshot.clock.now.since(since) > silent_patience + patience
-            && self.leader_age > patience
+        let min_unreachable = Micros::secs(lease_s * UNREACHABLE_LEASES).max(MIN_UNREACHABLE);
+        self.snapshot.clock.now.since(since) > silence_limit + min_unreachable
+            && self.term_age > min_unreachable
     }
 
-    /// Whether an idle machine is no longer worth its price.
+    /// Whether an idle machine is no longer worth its cost.
     fn is_surplus(&self, agent: &Agent) -> bool {
         let policy = self.snapshot.policy;
-        // An operator who keeps machines up before there is work considers spare capacity worth its price.
-        let patience = if self.snapshot.cache.initial_machines.unwrap_or(0) > 0 {
-            Micros::secs(policy.idle_return_kept_s)
+        // An operator who keeps machines running before there are any jobs wants spare capacity, so the longer timeout
+        // applies.
+        let idle_timeout = if self.snapshot.cache.initial_machines.unwrap_or(0) > 0 {
+            Micros::secs(policy.idle_timeout_with_initial_machines_s)
         } else {
-            Micros::secs(policy.idle_return_s)
+            Micros::secs(policy.idle_timeout_s)
         };
         let now = self.snapshot.clock.now;
         let idle_for_long = agent
             .idle_since
-            .is_some_and(|since| now.since(since) > patience);
+            .is_some_and(|since| now.since(since) > idle_timeout);
         idle_for_long
-            && self.leader_age > patience
+            && self.term_age > idle_timeout
             && !self.capacity_missing
-            && self.idle_machines as f64 > policy.keep_idle
+            && self.idle_machines as f64 > policy.min_idle_machines
     }
 
-    /// Tasks of cancelled jobs that cannot be confirmed gone in time are ended by deleting their machine. A controller
-    /// that renews the machine's lease across a network partition has told it to stop them, so this waits until just
-    /// enough time is left for a few calls to the cloud.
+    /// Deletes machines on which tasks of cancelled jobs cannot be confirmed gone in time. A controller that renews
+    /// such a machine's lease across a network partition also commands it to stop these tasks, so the deletion waits
+    /// until the remaining time is just enough for a few calls to the cloud.
     fn unconfirmed_cancellations(&self) -> Vec<MachineDeletion> {
         let leader = self.snapshot.leader;
         let cache = self.snapshot.cache;
         let agents = &self.snapshot.settings.params.agents;
-        let delay_s = (agents.cancel_s - DELETION_S).max(agents.cancel_s * MIN_CANCEL_SHARE);
+        let delay_s = (agents.cancel_s - DELETION_TIME_S).max(agents.cancel_s * MIN_CANCEL_SHARE);
         let delay = Micros::secs(delay_s);
         let lease = Micros::secs(agents.lease_s);
         let mut deletions = Vec::new();
-        // Such jobs still have tasks on record, so they are among the ending ones.
-        let ending = cache
+        // Such jobs still have recorded tasks, so `ended_with_tasks` contains them.
+        let ended_jobs = cache
             .ended_with_tasks()
             .filter_map(|id| cache.jobs.get_key_value(id));
-        for (id, job) in ending {
+        for (id, job) in ended_jobs {
             let is_due = self.snapshot.clock.wall >= job.record.end + delay;
             if job.record.stage != JobStage::Cancelled || !is_due {
                 continue;
@@ -206,7 +209,7 @@
             for entry in job.entries() {
                 if let Some(machine) = entry.machine()
                     && leader.may_be_running(id, entry, false)
-                    && self.leader_age > lease
+                    && self.term_age > lease
                 {
                     deletions.push(MachineDeletion {
                         machine: machine.to_string(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -226,7 +226,7 @@
                 StoreResponse::Refused | StoreResponse::Lost
             ) {
                 self.store_probe.last_response_at = clock.now;
-                self.connectivity.on_store_heard(clock.now);
+                self.connectivity.on_store_contact(clock.now);
             }
             self.on_store_response(clock, completed);
             return;
@@ -238,8 +238,8 @@
             Some(PendingCall::ForwardedRequest { conn }) => {
                 self.on_forwarded_response(conn, outcome)
             }
-            Some(PendingCall::RelayedHeartbeat { conn, report }) => {
-                self.on_relay_response(clock, conn, *report, outcome);
+            Some(PendingCall::RelayedHeartbeat { conn, heartbeat }) => {
+                self.on_relay_response(clock, conn, *heartbeat, outcome);
             }
             Some(pending) => self.on_leader_call_response(clock, pending, outcome),
             None => {}
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -1,4 +1,4 @@
-//! Application of job records, chunks and placement batches, and what follows from them for dependent jobs.
+//! Application of job records, chunks and placement batches to the cache, and resolution of job dependencies.
 
 use super::RecordCache;
 use crate::protocol::records::{
@@ -7,7 +7,7 @@
 use crate::protocol::{JobKind, Micros};
 use crate::state::cached_job::{FinishedJob, Job, StoredChunk};
 use crate::state::placed_tasks::JobImage;
-use crate::state::placement_batches::overlay_place;
+use crate::state::placement_batches::overlay_placement;
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy)]
@@ -19,21 +19,21 @@
 }
 
 impl RecordCache {
-    /// Version of the cached record of a job; 0: there is none.
+    /// Version of the cached record of a job; 0 if there is none.
     pub(super) fn job_version(&self, id: &str) -> u64 {
         let live = self.jobs.get(id).map(|j| j.version);
         live.or_else(|| self.finished.get(id).map(|f| f.version))
             .unwrap_or(0)
     }
 
-    /// Puts a job's record, unless the cache has this version or a newer one. A watch may still bring versions from
-    /// before the controller's own last commit: a finished job must not become active again through them.
+    /// Inserts a job's record, unless the cache has this version or a newer one. A watch may still return versions from
+    /// before the controller's own last commit, and these must not make a finished job active again.
     pub fn put_job(&mut self, id: &str, record: JobRecord, version: u64) {
         if self.job_version(id) >= version {
             return;
         }
         if record.stage == JobStage::Cancelled {
-            self.note_cancellation(id, version);
+            self.record_cancellation(id, version);
         }
         self.changed.insert(id.to_string());
         if self.job_version(id) == 0 && record.stage == JobStage::Active {
@@ -41,8 +41,8 @@
         }
         let previous = self.jobs.remove(id);
         let is_new = previous.is_none();
-        let (old_entries, chunks, batched_places) = match previous {
-            Some(job) => (job.record.first.entries, job.chunks, job.batched_places),
+        let (old_entries, chunks, batched_placements) = match previous {
+            Some(job) => (job.record.first.entries, job.chunks, job.batched_placements),
             None => Default::default(),
         };
         let mut job = Job {
@@ -51,17 +51,17 @@
             chunks,
             unmet_dependencies: 0,
             released_at: Micros::ZERO,
-            batched_places,
+            batched_placements,
         };
         if job.record.cleaned {
-            job.batched_places.clear();
+            job.batched_placements.clear();
         } else {
             let first = &mut job.record.first;
             self.placement_batches
-                .overlay(id, 0, first, &mut job.batched_places);
+                .overlay(id, 0, first, &mut job.batched_placements);
         }
-        let image = JobImage::of(&job.record.spec);
-        self.index_places(id, &old_entries, &job.record.first.entries, Some(image));
+        let image = JobImage::from_spec(&job.record.spec);
+        self.index_placements(id, &old_entries, &job.record.first.entries, Some(image));
         if let Some(chunks) = self.chunks_without_job.remove(id) {
             job.chunks.extend(chunks);
         }
@@ -71,17 +71,18 @@
         self.insert_job(id, job);
     }
 
-    fn note_cancellation(&mut self, id: &str, version: u64) {
-        self.last_cancellation_or_claim = self.last_cancellation_or_claim.max(version);
+    fn record_cancellation(&mut self, id: &str, version: u64) {
+        self.last_cancellation_or_leader_change =
+            self.last_cancellation_or_leader_change.max(version);
         if !self.is_cancelled(id) {
             self.cancelled.push((id.to_string(), version));
         }
     }
 
     fn register_dependencies(&mut self, id: &str, needs: &[String]) {
-        for need in needs {
-            if self.outcome_of(need).is_none() {
-                let dependents = self.dependents.entry(need.clone()).or_default();
+        for dependency in needs {
+            if self.outcome_of(dependency).is_none() {
+                let dependents = self.dependents.entry(dependency.clone()).or_default();
                 dependents.push(id.to_string());
             }
         }
@@ -94,13 +95,13 @@
             let chunk = &mut job.chunks.entry(number).or_default().chunk;
             let before = chunk.entries.clone();
             self.placement_batches
-                .overlay(id, number, chunk, &mut job.batched_places);
-            let image = JobImage::of(&job.record.spec);
-            self.index_places(id, &before, &chunk.entries, Some(image));
+                .overlay(id, number, chunk, &mut job.batched_placements);
+            let image = JobImage::from_spec(&job.record.spec);
+            self.index_placements(id, &before, &chunk.entries, Some(image));
         }
     }
 
-    /// Puts a further chunk of a large job, unless the cache has this version or a newer one.
+    /// Inserts a chunk of a large job other than the first, unless the cache has this version or a newer one.
     pub fn put_chunk(&mut self, id: &str, number: u32, chunk: TaskChunk, version: u64) {
         if self.finished.contains_key(id) {
             return;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// `job`: the chunk's job, if its record is known yet.
+    /// Replaces a chunk. `job` is the chunk's job, or `None` while the cache does not have its record.
     fn replace_chunk(
         &mut self,
         id: &str,
@@ -132,32 +133,32 @@
             let new_entries = stored.chunk.entries.clone();
             let chunks = self.chunks_without_job.entry(id.to_string()).or_default();
             let old = chunks.insert(number, stored).unwrap_or_default();
-            self.index_places(id, &old.chunk.entries, &new_entries, None);
+            self.index_placements(id, &old.chunk.entries, &new_entries, None);
             return;
         };
         if !job.record.cleaned {
-            let batched_places = &mut job.batched_places;
+            let batched_placements = &mut job.batched_placements;
             self.placement_batches
-                .overlay(id, number, &mut stored.chunk, batched_places);
+                .overlay(id, number, &mut stored.chunk, batched_placements);
         }
         let new_entries = stored.chunk.entries.clone();
         let old = job.chunks.insert(number, stored).unwrap_or_default();
-        let image = JobImage::of(&job.record.spec);
-        self.index_places(id, &old.chunk.entries, &new_entries, Some(image));
+        let image = JobImage::from_spec(&job.record.spec);
+        self.index_placements(id, &old.chunk.entries, &new_entries, Some(image));
     }
 
-    /// Puts a placement batch and overlays it on the jobs that it names.
+    /// Inserts a placement batch and overlays it on the jobs that it contains.
     pub(super) fn put_batch(&mut self, number: u32, batch: PlacementBatch, version: u64) {
         if !self.placement_batches.put(number, batch.clone(), version) {
             return;
         }
-        for (id, places) in batch.places {
+        for (id, placements) in batch.places {
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
             if !job.record.cleaned {
-                for place in places {
-                    self.overlay_on_job(&id, &mut job, place);
+                for placement in placements {
+                    self.overlay_on_job(&id, &mut job, placement);
                 }
                 self.changed.insert(id.clone());
             }
@@ -165,31 +166,31 @@
         }
     }
 
-    fn overlay_on_job(&mut self, id: &str, job: &mut Job, place: TaskEntry) {
-        let chunk = match place.task() / TASKS_PER_CHUNK {
+    fn overlay_on_job(&mut self, id: &str, job: &mut Job, placement: TaskEntry) {
+        let chunk = match placement.task() / TASKS_PER_CHUNK {
             0 => &mut job.record.first,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
-        let old: Vec<TaskEntry> = chunk.entry(place.task()).cloned().into_iter().collect();
-        if overlay_place(chunk, &place, &mut job.batched_places) {
-            let image = JobImage::of(&job.record.spec);
-            self.index_places(id, &old, &[place], Some(image));
+        let old: Vec<TaskEntry> = chunk.entry(placement.task()).cloned().into_iter().collect();
+        if overlay_placement(chunk, &placement, &mut job.batched_placements) {
+            let image = JobImage::from_spec(&job.record.spec);
+            self.index_placements(id, &old, &[placement], Some(image));
         }
     }
 
-    /// Whether every place of a placement batch has been superseded or merged into the job's own records.
+    /// Whether every placement of a placement batch has been superseded or merged into the job's own records.
     pub fn is_batch_superseded(&self, number: u32) -> bool {
-        let is_needed = |id: &String, place: &TaskEntry| {
+        let is_needed = |id: &String, placement: &TaskEntry| {
             let job = self.jobs.get(id);
-            job.is_some_and(|j| j.batched_places.contains(place))
+            job.is_some_and(|j| j.batched_placements.contains(placement))
         };
-        let places = self.placement_batches.places(number);
-        !places
+        let placements = self.placement_batches.placements(number);
+        !placements
             .iter()
-            .any(|(id, of_job)| of_job.iter().any(|place| is_needed(id, place)))
+            .any(|(id, of_job)| of_job.iter().any(|placement| is_needed(id, placement)))
     }
 
-    fn index_places(
+    fn index_placements(
         &mut self,
         id: &str,
         old: &[TaskEntry],
@@ -200,16 +201,16 @@
             .update(id, old, new, image, &mut self.image_caches);
     }
 
-    /// Inserts a job by its stage. If it has ended, the jobs that depend on it are resolved as well, and so on. An end
-    /// is final, so nothing of this is ever undone.
+    /// Inserts a job by its stage. If it has ended, resolves the dependencies of its direct and indirect dependents. An
+    /// end is final, so this never has to be undone.
     fn insert_job(&mut self, id: &str, mut job: Job) {
         self.resolve_dependencies(&mut job);
         let mut ended: Vec<String> = Vec::new();
         if self.insert_by_stage(id, job) {
             ended.push(id.to_string());
         }
-        while let Some(need) = ended.pop() {
-            let dependents = self.dependents.remove(&need).unwrap_or_default();
+        while let Some(dependency) = ended.pop() {
+            let dependents = self.dependents.remove(&dependency).unwrap_or_default();
             for dependent in dependents {
                 let Some(mut job) = self.jobs.remove(&dependent) else {
                     continue;
@@ -223,15 +224,15 @@
         }
     }
 
-    /// Derives from a job's dependencies how many are unmet, since when the job may run, and whether it is cancelled.
+    /// Derives the number of unmet dependencies, the release time, and whether a cancelled dependency cancels the job.
     fn resolve_dependencies(&self, job: &mut Job) {
         job.released_at = job.record.at;
         job.unmet_dependencies = 0;
         if !job.active() {
             return;
         }
-        for need in &job.record.spec.needs {
-            let Some(outcome) = self.outcome_of(need) else {
+        for dependency in &job.record.spec.needs {
+            let Some(outcome) = self.outcome_of(dependency) else {
                 job.unmet_dependencies += 1;
                 continue;
             };
@@ -239,15 +240,15 @@
                 job.released_at = job.released_at.max(outcome.end);
                 continue;
             }
-            // No job starts before its dependencies are done, and a cancelled one never will be: this job has no
-            // task anywhere and never gets one.
+            // A job starts only after all its dependencies are done. A cancelled dependency is never done, so this job
+            // has no tasks on machines and never will.
             job.record.stage = JobStage::Cancelled;
             job.record.end = outcome.end.max(job.record.at);
             return;
         }
     }
 
-    /// How a job has ended; `None` while it is active or unknown.
+    /// How a job has ended; `None` while it is active or not in the cache.
     fn outcome_of(&self, id: &str) -> Option<JobOutcome> {
         if let Some(job) = self.finished.get(id) {
             return Some(JobOutcome {
@@ -262,15 +263,15 @@
         })
     }
 
-    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while tasks
-    /// of it may still run.
+    /// Inserts a job into `jobs` or `finished`; returns whether it has ended. An ended job stays in `jobs` while some
+    /// of its tasks may still run.
     fn insert_by_stage(&mut self, id: &str, job: Job) -> bool {
         let has_ended = !job.active();
-        let has_places = job.entries().any(|e| e.machine().is_some());
-        if has_ended && !has_places {
+        let has_placements = job.entries().any(|e| e.machine().is_some());
+        if has_ended && !has_placements {
             self.jobs.remove(id);
             self.ended_with_tasks.remove(id);
-            self.finished.insert(id.to_string(), finished(&job));
+            self.finished.insert(id.to_string(), finished_job(&job));
             return true;
         }
         self.finished.remove(id);
@@ -290,16 +291,16 @@
             return;
         };
         self.ended_with_tasks.remove(id);
-        self.index_places(id, &job.record.first.entries, &[], None);
+        self.index_placements(id, &job.record.first.entries, &[], None);
         for stored in job.chunks.values() {
-            self.index_places(id, &stored.chunk.entries, &[], None);
+            self.index_placements(id, &stored.chunk.entries, &[], None);
         }
         self.changed.insert(id.to_string());
     }
 }
 
-/// What is kept of a job once it has ended and has no tasks left.
-fn finished(job: &Job) -> FinishedJob {
+/// The summary that is kept of a job once it has ended and has no tasks left.
+fn finished_job(job: &Job) -> FinishedJob {
     FinishedJob {
         stage: job.record.stage,
         tasks: job.record.spec.tasks,
