--- a/crates/lease-delegation/src/lease_grantee.rs
+++ b/crates/lease-delegation/src/lease_grantee.rs
@@ -13,7 +13,7 @@
     sent: Time,
 }
 
-/// The renewal grant that a controller holds, and when it last renewed a lease without recording that it renews leases.
+/// The renewal grant that a controller holds, and the time of its last unrecorded renewal of a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LeaseGrantee {
     grant: Option<ReceivedGrant>,
@@ -51,7 +51,8 @@
         });
     }
 
-    /// Returns whether a lease may be renewed now under this leader, without recording the renewal.
+    /// Returns whether a lease may be renewed now under this leader without a record that this controller renews leases
+    /// (an unrecorded renewal).
     ///
     /// `covered_until` is the time until which this controller has received all answers to clients and all leadership
     /// changes. A renewal may be at most `staleness_bound` later.
@@ -77,12 +78,12 @@
         (granted || leader.process_ended) && covered
     }
 
-    /// Notes that a lease was renewed under the grant.
+    /// Notes an unrecorded renewal of a lease.
     pub fn record_use(&mut self, now: Time) {
         self.last_used = self.last_used.max(Some(now));
     }
 
-    /// Returns the time since a lease was last renewed under a grant; `None` if this incarnation has not renewed any.
+    /// Returns the time since the last unrecorded renewal of a lease; `None` if this incarnation has made none.
     pub fn time_since_use(&self, now: Time) -> Option<Time> {
         self.last_used.map(|used| now.saturating_sub(used))
     }
--- a/crates/lease-delegation/src/silence_pledges.rs
+++ b/crates/lease-delegation/src/silence_pledges.rs
@@ -2,7 +2,7 @@
 //!
 //! From the first pledge on, the controller confirms to clients only cancellations that its peers have received. This
 //! ends when the peers have acknowledged that the store serves it again, or when the pledges have expired. While a
-//! pledge is active, its recipient can therefore rely on having received every confirmed cancellation, even if the
+//! pledge is active, its recipient can therefore rely on no further cancellation being confirmed, even if the
 //! controller crashes.
 
 use crate::Time;
