--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -154,7 +154,7 @@
                          or the gang is too wide";
             return SubmissionDecision::Refuse(400, error);
         }
-        if !spec.needs.is_empty() && !self.all_controllers_read(PIPELINES) {
+        if !spec.dependencies.is_empty() && !self.all_controllers_read(PIPELINES) {
             // A controller of the first version drops unknown fields when it rewrites a record.
             let error = "jobs can wait for jobs once all controllers run this version";
             return SubmissionDecision::Refuse(503, error);
@@ -173,15 +173,15 @@
     fn record_too_large(&self, spec: &JobSpec) -> bool {
         let limits = &self.settings.params.state;
         let gang_too_wide = spec.kind == JobKind::Gang
-            && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.least_txn_ops();
+            && spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize > limits.effective_txn_ops();
         gang_too_wide
-            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.least_value_bytes()
+            || json_len(spec) + record_bytes_excluding_spec(spec) > limits.effective_value_bytes()
     }
 
     /// Returns whether the cache holds all jobs that a submission depends on, or an error if one of them is a service.
     fn all_needs_cached(&self, spec: &JobSpec) -> Result<bool, &'static str> {
         let mut all_cached = true;
-        for need in &spec.needs {
+        for need in &spec.dependencies {
             let is_service = match self.cache.job(need) {
                 None => {
                     all_cached = false;
--- a/src/state/agent.rs
+++ b/src/state/agent.rs
@@ -30,14 +30,14 @@
             task,
             attempt: reported.attempt,
             phase: reported.phase,
-            exit_reason: reported.why,
+            exit_reason: reported.exit_reason,
         })
     }
 
     /// Whether a task of a heartbeat is the same attempt in the same state.
     fn matches(&self, reported: &TaskStatus) -> bool {
         (self.attempt, self.phase, self.exit_reason)
-            == (reported.attempt, reported.phase, reported.why)
+            == (reported.attempt, reported.phase, reported.exit_reason)
             && parse_task_name(&reported.task) == Some((self.job.as_str(), self.task))
     }
 }
@@ -195,7 +195,7 @@
         Agent {
             address: None,
             reported_address: String::new(),
-            machine_type: heartbeat.kind.clone(),
+            machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             agent_epoch: 0,
@@ -266,8 +266,8 @@
             self.reported_address.clone_from(&heartbeat.address);
             self.address = heartbeat.address.parse().ok();
         }
-        if self.machine_type != heartbeat.kind || self.zone != heartbeat.zone {
-            self.machine_type.clone_from(&heartbeat.kind);
+        if self.machine_type != heartbeat.machine_type || self.zone != heartbeat.zone {
+            self.machine_type.clone_from(&heartbeat.machine_type);
             self.zone.clone_from(&heartbeat.zone);
         }
         self.spot = heartbeat.spot;
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,22 +1,22 @@
-//! HTTP/1.1 messages in byte buffers: parsing (heads by `httparse`) and writing.
+//! Parsing and writing of HTTP/1.1 messages in byte buffers. `httparse` parses the heads.
 
 mod body;
 
 use body::Body;
 use std::io::Write;
 
-/// Largest request body, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
-/// Largest request head, in bytes, that is waited for.
-const MAX_HEAD: usize = 8 * 1024;
-/// Most headers of a message.
+/// Maximum size of a request body.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Size of an incomplete request head above which the request is rejected.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 48;
 
 const STATUS_NO_CONTENT: u16 = 204;
 const STATUS_BAD_REQUEST: u16 = 400;
 const STATUS_CONTENT_TOO_LARGE: u16 = 413;
 const STATUS_HEADERS_TOO_LARGE: u16 = 431;
-/// Stands for "no status" in a request, and in [`Parsed::Invalid`] for a response.
+/// Status of a request, and of [`Parsed::Invalid`] for a response: none.
 const NO_STATUS: u16 = 0;
 
 /// A complete message.
@@ -28,24 +28,24 @@
     pub path: String,
     /// Status code; 0 in a request.
     pub status: u16,
-    /// Body, without its framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
     /// Whether the sender keeps the connection open after this exchange.
     pub keep_alive: bool,
 }
 
-/// Result of parsing the front of a buffer.
+/// Result of parsing the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Parsed {
     /// The message is not complete yet; the buffer is unchanged.
     Partial,
-    /// A complete message, which was removed from the buffer.
+    /// A complete message, which has been removed from the buffer.
     Complete(Message),
     /// The message is invalid: answer a request with this status (0 for a response) and close the connection.
     Invalid(u16),
 }
 
-/// What the headers say about the body and the connection.
+/// Headers that determine the body length and the reuse of the connection.
 struct Framing {
     content_length: Option<usize>,
     is_chunked: bool,
@@ -74,13 +74,13 @@
     }
 }
 
-/// Parses a request at the front of `buffer` and removes it.
+/// Parses a request at the start of `buffer` and removes it.
 pub fn take_request(buffer: &mut Vec<u8>) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
             return Parsed::Invalid(STATUS_HEADERS_TOO_LARGE);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
@@ -90,12 +90,12 @@
         return Parsed::Invalid(STATUS_BAD_REQUEST);
     };
     let content_length = framing.content_length.unwrap_or(0);
-    if content_length > MAX_BODY {
+    if content_length > MAX_BODY_BYTES {
         return Parsed::Invalid(STATUS_CONTENT_TOO_LARGE);
     }
     let received = &buffer[head_length..];
     let body = if framing.is_chunked {
-        Body::chunked(received, MAX_BODY)
+        Body::chunked(received, MAX_BODY_BYTES)
     } else {
         Body::sized(received, content_length)
     };
@@ -117,7 +117,8 @@
     Parsed::Complete(message)
 }
 
-/// Parses a response at the front of `buffer` and removes it; `ended`: the other side has closed the connection.
+/// Parses a response at the start of `buffer` and removes it. `ended` means that the remote side has closed the
+/// connection.
 pub fn take_response(buffer: &mut Vec<u8>, ended: bool) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -139,7 +140,7 @@
     } else if status == STATUS_NO_CONTENT {
         Body::sized(received, 0)
     } else if ended {
-        // A body without a length extends to the end of the connection.
+        // A body without a length ends when the connection is closed.
         keep_alive = false;
         Body::sized(received, received.len())
     } else {
@@ -161,7 +162,7 @@
 }
 
 /// Returns the reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -177,8 +178,8 @@
     }
 }
 
-/// Appends a response to `output`; `retry_after` is in seconds, `close` announces that the connection is closed.
-pub fn put_response(
+/// Appends a response to `output`. `retry_after` is in seconds; `close` announces that the connection will be closed.
+pub fn write_response(
     output: &mut Vec<u8>,
     status: u16,
     body: &[u8],
@@ -189,7 +190,7 @@
     let _ = write!(
         output,
         "HTTP/1.1 {status} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
-        reason(status),
+        reason_phrase(status),
         body.len()
     );
     if let Some(seconds) = retry_after {
@@ -203,7 +204,7 @@
 }
 
 /// Appends a request to `output`.
-pub fn put_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
+pub fn write_request(output: &mut Vec<u8>, method: &str, path: &str, host: &str, body: &[u8]) {
     // Writing into memory does not fail.
     let _ = write!(output, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
