--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -90,7 +90,7 @@
                 .cache
                 .synced
                 .then_some(self.cache.last_cancellation_or_leader_change),
-            store_available: store_available,
+            store_available,
             format: format::NEWEST,
             requested_writes: self.budget.requested_writes(),
             grant_epoch: self
