--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,11 +1,11 @@
 //! An exhaustive model checker for small models.
 //!
-//! It visits every reachable state breadth first, so a violation comes with a shortest path to it. A model consists of
-//! the real, pure state machines, of messages that may be late, lost or repeated, and of clocks that tick. It defines
-//! which steps are possible in a state and which property must hold; the checker knows nothing of what is modelled.
+//! It visits every reachable state in breadth-first order, so the path to a reported violation is a shortest one. A
+//! model defines which steps are possible in a state and which properties must hold. Typically it combines production
+//! state machines, which are free of I/O, with messages that may be delayed, lost or duplicated, and with clocks.
 //!
 //! All states are kept in memory, so models have to be small. States that differ only in the names of
-//! interchangeable parties should be mapped to one of them by [`Model::canonical`].
+//! interchangeable parties should be mapped to one representative by [`Model::canonical`].
 
 #![deny(missing_docs)]
 
@@ -51,7 +51,7 @@
     /// A state violates a property.
     Violation {
         /// The property, as described by the model.
-        what: String,
+        property: String,
         /// A shortest path to the state.
         path: Vec<S>,
         /// Number of visited states.
@@ -60,33 +60,33 @@
 }
 
 impl<S: Debug> CheckResult<S> {
-    /// Formats the result for people; the path to a violation has one line per step.
+    /// Formats the result as text; the path to a violation has one line per step.
     pub fn describe(&self) -> String {
         match self {
-            CheckResult::Violation { what, path, .. } => {
+            CheckResult::Violation { property, path, .. } => {
                 let steps = path.iter().enumerate();
                 let mut lines: Vec<String> = steps
                     .map(|(index, step)| format!("{}. {step:?}", index + 1))
                     .collect();
-                lines.push(what.clone());
+                lines.push(property.clone());
                 lines.join("\n")
             }
             CheckResult::Verified { states, depth } => {
-                format!("{states} states, {depth} steps, none broken")
+                format!("{states} states, {depth} steps, no violation")
             }
-            CheckResult::LimitReached { states } => format!("{states} states, and more"),
+            CheckResult::LimitReached { states } => format!("{states} states, limit reached"),
         }
     }
 }
 
-/// How a state was reached first.
+/// The step by which a state was first reached.
 struct Origin<S> {
-    /// Index of the state before.
+    /// Index of the preceding state.
     previous: usize,
     step: S,
 }
 
-/// A visited state; its index is the order of visits.
+/// A visited state. Its index in [`Explorer::visits`] follows the order of the visits.
 struct Visit<S> {
     /// `None` for an initial state.
     origin: Option<Origin<S>>,
@@ -98,21 +98,21 @@
 struct Explorer<'model, M: Model> {
     model: &'model M,
     max_states: usize,
-    known: HashMap<M::State, usize>,
+    visited: HashMap<M::State, usize>,
     visits: Vec<Visit<M::Step>>,
-    /// States whose steps were not followed yet, with their indices.
+    /// States whose steps have not been followed yet, with their indices.
     frontier: VecDeque<(usize, M::State)>,
 }
 
 impl<M: Model> Explorer<'_, M> {
-    /// Visits a state unless it is known; returns a result if the check ends here.
+    /// Visits a state unless it was visited before; returns a result if the check ends here.
     fn visit(
         &mut self,
         state: M::State,
         origin: Option<Origin<M::Step>>,
     ) -> Option<CheckResult<M::Step>> {
         let state = self.model.canonical(state);
-        if self.known.contains_key(&state) {
+        if self.visited.contains_key(&state) {
             return None;
         }
         let depth = origin
@@ -120,9 +120,9 @@
             .map_or(0, |origin| self.visits[origin.previous].depth + 1);
         let index = self.visits.len();
         self.visits.push(Visit { origin, depth });
-        if let Some(what) = self.model.violation(&state) {
+        if let Some(property) = self.model.violation(&state) {
             return Some(CheckResult::Violation {
-                what,
+                property,
                 path: self.path_to(index),
                 states: self.visits.len(),
             });
@@ -132,7 +132,7 @@
                 states: self.max_states,
             });
         }
-        self.known.insert(state.clone(), index);
+        self.visited.insert(state.clone(), index);
         self.frontier.push_back((index, state));
         None
     }
@@ -166,7 +166,7 @@
     let mut explorer = Explorer {
         model,
         max_states,
-        known: HashMap::new(),
+        visited: HashMap::new(),
         visits: Vec::new(),
         frontier: VecDeque::new(),
     };
--- a/src/leadership/budget_shares.rs
+++ b/src/leadership/budget_shares.rs
@@ -20,7 +20,7 @@
 use crate::protocol::{Micros, Settings};
 use crate::state::store_client::{RequestPriority, StoreRequest, StoreResponse};
 use admission_control::fair::Demand;
-use admission_control::parts::{Grant, Rules, ShareRequest, Thousandths};
+use admission_control::parts::{Grant, GrantParams, ShareRequest, Thousandths};
 use std::collections::BTreeMap;
 
 /// Share of the store's request and write budgets, as fractions.
@@ -122,11 +122,11 @@
         as Thousandths
 }
 
-fn grant_rules(settings: &Settings) -> Rules {
-    Rules {
-        whole: fixed_writes(settings, true) / 2,
-        life: GRANT_DURATION.0,
-        apart: MAX_APPLY_DELAY.0 + (settings.params.clock_off_ms * 1000.0) as u64,
+fn grant_rules(settings: &Settings) -> GrantParams {
+    GrantParams {
+        total: fixed_writes(settings, true) / 2,
+        lifetime: GRANT_DURATION.0,
+        clock_margin: MAX_APPLY_DELAY.0 + (settings.params.clock_off_ms * 1000.0) as u64,
     }
 }
 
@@ -254,7 +254,8 @@
         let settings = &self.settings;
         let rules = grant_rules(settings);
         if self.leader.is_none() {
-            return grant.part(&settings.node, clock.wall.0, &rules) as f64 / THOUSANDTHS_PER_UNIT;
+            return grant.usable_amount(&settings.node, clock.wall.0, &rules) as f64
+                / THOUSANDTHS_PER_UNIT;
         }
         // A new leader no longer uses any share that it was granted as a follower.
         let newest_seen_epoch = |node: &str| {
@@ -264,7 +265,7 @@
                 self.budget.peer_grant_epoch(node)
             }
         };
-        -(grant.lent(clock.wall.0, &rules, newest_seen_epoch) as f64) / THOUSANDTHS_PER_UNIT
+        -(grant.max_in_use(clock.wall.0, &rules, newest_seen_epoch) as f64) / THOUSANDTHS_PER_UNIT
     }
 
     /// Write rate that this controller needs beyond its rate without a grant, in thousandths of a write per
@@ -275,7 +276,7 @@
             (self.client_api.queued_acceptances() + due_job_writes) as f64 / QUEUE_CLEARING_TIME_S;
         let demand =
             (queued + self.client_api.refusals_last_second(clock.now)) * THOUSANDTHS_PER_UNIT;
-        let lendable = grant_rules(&self.settings).whole;
+        let lendable = grant_rules(&self.settings).total;
         let rate_without_grant = match self.leader {
             Some(_) => fixed_writes(&self.settings, true) - lendable,
             None => fixed_writes(&self.settings, false),
@@ -328,7 +329,7 @@
         log::debug!(
             "budget shares granted epoch={} shares={:?}",
             next.epoch,
-            next.parts
+            next.shares
         );
         Some(Transaction {
             conditions: vec![
@@ -355,7 +356,7 @@
                     holder: peer.node.clone(),
                     amount: status.requested_writes,
                     weight,
-                    seen: self.budget.peer_grant_epoch(&peer.node),
+                    acknowledged_epoch: self.budget.peer_grant_epoch(&peer.node),
                 })
             })
             .collect()
--- a/src/leadership/peers/heartbeat_sender.rs
+++ b/src/leadership/peers/heartbeat_sender.rs
@@ -6,7 +6,7 @@
 use crate::protocol::peer_messages::{CancellationCursor, LeaseDelegationStatus, PeerHeartbeat};
 use crate::protocol::{Clock, Micros, format};
 use crate::transport::Outcome;
-use lease_delegation::peer_coverage::{PeerKnowledge, PeerResponse};
+use lease_delegation::peer_coverage::{AnswerCompleteness, PeerResponse};
 
 const HEARTBEAT_TIMEOUT: Micros = Micros::millis(2000);
 const HEARTBEAT_INTERVAL: Micros = Micros::millis(700);
@@ -79,7 +79,7 @@
         let extension = LeaseDelegationStatus {
             incarnation: self.incarnation,
             delegated_term: None,
-            last_use_age_us: self.peers.renewal_grant.use_age(clock.now.0),
+            last_use_age_us: self.peers.renewal_grant.time_since_use(clock.now.0),
             pledges_silence: silence_pledges_enabled(&self.policy) && !store_available,
         };
         PeerHeartbeat {
@@ -169,12 +169,12 @@
         let extension = response.delegation;
         let update = response.cancellation_update.take();
         let knowledge = match (response.newest_revision, &update, extension) {
-            (None, ..) => PeerKnowledge::RecordsUnread,
+            (None, ..) => AnswerCompleteness::RecordsUnread,
             (Some(_), Some(update), Some(extension)) => {
                 if self.on_cancellation_update(clock, peer, extension.incarnation, update) {
-                    PeerKnowledge::Complete
+                    AnswerCompleteness::Complete
                 } else {
-                    PeerKnowledge::Partial
+                    AnswerCompleteness::Partial
                 }
             }
             // The peer has an older format, or its log no longer holds all entries. The comparison uses the revision
@@ -183,17 +183,17 @@
             (Some(newest), ..)
                 if newest <= self.cancellations_complete_to_revision().unwrap_or(0) =>
             {
-                PeerKnowledge::Complete
+                AnswerCompleteness::Complete
             }
-            _ => PeerKnowledge::Partial,
+            _ => AnswerCompleteness::Partial,
         };
         let peer_response = PeerResponse {
-            knowledge,
+            completeness: knowledge,
             pledges_silence: extension.unwrap_or_default().pledges_silence,
         };
         let coverage = &mut self.peers.coverage;
         coverage.on_response(peer, peer_response, sent_at.0, clock.now.0);
-        if knowledge == PeerKnowledge::Complete
+        if knowledge == AnswerCompleteness::Complete
             && let Some(update) = update
         {
             // This controller now also has every cancellation on which the peer's coverage of other peers is based.
