--- a/tests/failure_scenarios/job_dependencies.rs
+++ b/tests/failure_scenarios/job_dependencies.rs
@@ -1,6 +1,6 @@
 //! Jobs with dependencies.
 
-use crate::simulation::{SECOND, Simulation, after, job, simulation_with_leader};
+use crate::simulation::{SECOND, Simulation, job, simulation_with_leader, with_dependencies};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
 /// A pipeline of three steps and a diamond, each job submitted to another controller.
@@ -12,16 +12,16 @@
         sim.run_seconds(2);
         sim.spawn_client(
             "req-2",
-            after(&["req-1"], job(JobKind::Array, 60, 0.1)),
+            with_dependencies(&["req-1"], job(JobKind::Array, 60, 0.1)),
             4 * SECOND,
         );
         sim.spawn_client(
             "req-3",
-            after(&["req-1"], job(JobKind::Gang, 2, 1.0)),
+            with_dependencies(&["req-1"], job(JobKind::Gang, 2, 1.0)),
             4 * SECOND,
         );
         sim.run_seconds(2);
-        let last = after(
+        let last = with_dependencies(
             &["req-2", "req-3", "req-1", "req-2"],
             job(JobKind::Array, 2, 1.0),
         );
@@ -34,7 +34,7 @@
         // A job submitted after its dependencies are done starts at once.
         sim.spawn_client(
             "req-5",
-            after(&["req-4"], job(JobKind::Array, 1, 1.0)),
+            with_dependencies(&["req-4"], job(JobKind::Array, 1, 1.0)),
             2 * SECOND,
         );
         sim.run_seconds(12);
@@ -48,7 +48,11 @@
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(4);
     for (id, need) in [("req-2", "req-77"), ("req-3", "req-3"), ("req-4", "req-1")] {
-        sim.declare_job(id, after(&[need], job(JobKind::Array, 1, 1.0)), SECOND);
+        sim.declare_job(
+            id,
+            with_dependencies(&[need], job(JobKind::Array, 1, 1.0)),
+            SECOND,
+        );
         for i in 0..3 {
             sim.submit(i, id);
         }
@@ -66,7 +70,11 @@
     // More dependencies than a record can hold are refused, whatever their names.
     let many: Vec<String> = (0..900).map(|n| format!("req-{n:06}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    sim.declare_job("req-6", after(&many, job(JobKind::Array, 1, 1.0)), SECOND);
+    sim.declare_job(
+        "req-6",
+        with_dependencies(&many, job(JobKind::Array, 1, 1.0)),
+        SECOND,
+    );
     sim.submit(0, "req-6");
     sim.run_seconds(1);
     assert!(
@@ -79,7 +87,7 @@
     sim.run_seconds(4);
     sim.declare_job(
         "req-5",
-        after(&["req-78"], job(JobKind::Array, 1, 1.0)),
+        with_dependencies(&["req-78"], job(JobKind::Array, 1, 1.0)),
         SECOND,
     );
     let before = sim.now;
@@ -102,13 +110,13 @@
         sim.run_seconds(2);
         sim.spawn_client(
             "req-2",
-            after(&["req-1"], job(JobKind::Array, 2, 1.0)),
+            with_dependencies(&["req-1"], job(JobKind::Array, 2, 1.0)),
             SECOND,
         );
         sim.run_seconds(2);
         sim.spawn_client(
             "req-3",
-            after(&["req-2"], job(JobKind::Gang, 2, 1.0)),
+            with_dependencies(&["req-2"], job(JobKind::Gang, 2, 1.0)),
             SECOND,
         );
         sim.run_seconds(2);
@@ -119,13 +127,13 @@
         sim.cancel_until_answered("req-1");
         sim.spawn_client(
             "req-4",
-            after(&["req-3"], job(JobKind::Array, 1, 1.0)),
+            with_dependencies(&["req-3"], job(JobKind::Array, 1, 1.0)),
             SECOND,
         );
         sim.run_seconds(10);
         sim.spawn_client(
             "req-5",
-            after(&["req-4", "req-1"], job(JobKind::Array, 1, 1.0)),
+            with_dependencies(&["req-4", "req-1"], job(JobKind::Array, 1, 1.0)),
             SECOND,
         );
         sim.run_seconds(40);
@@ -161,7 +169,7 @@
         sim.run_seconds(4);
         sim.spawn_client(
             "req-3",
-            after(&["req-1", "req-2"], job(JobKind::Array, 1, 1.0)),
+            with_dependencies(&["req-1", "req-2"], job(JobKind::Array, 1, 1.0)),
             SECOND,
         );
         sim.run_seconds((seed % 5) / 2);
@@ -186,7 +194,7 @@
         sim.run_seconds(2);
         sim.spawn_client(
             "req-2",
-            after(&["req-1"], job(JobKind::Gang, 2, 1.0)),
+            with_dependencies(&["req-1"], job(JobKind::Gang, 2, 1.0)),
             3 * SECOND,
         );
         sim.run_seconds(5);
@@ -226,7 +234,7 @@
     sim.run_seconds(2);
     sim.spawn_client(
         "req-2",
-        after(&["req-1"], red(job(JobKind::Array, 12, 1.0))),
+        with_dependencies(&["req-1"], red(job(JobKind::Array, 12, 1.0))),
         SECOND,
     );
     sim.spawn_client("req-3", red(job(JobKind::Array, 8, 1.0)), 4 * SECOND);
@@ -250,7 +258,7 @@
     assert_eq!(sim.start_counts.len(), 16, "there is no room left");
     sim.spawn_client(
         "req-3",
-        after(&["req-1"], green(job(JobKind::Array, 4, 1.0))),
+        with_dependencies(&["req-1"], green(job(JobKind::Array, 4, 1.0))),
         SECOND,
     );
     sim.run_seconds(2);
@@ -273,7 +281,7 @@
     sim.run_seconds(12);
     sim.declare_job(
         "req-2",
-        after(&["req-1"], job(JobKind::Array, 1, 1.0)),
+        with_dependencies(&["req-1"], job(JobKind::Array, 1, 1.0)),
         SECOND,
     );
     sim.submit(1, "req-2");
@@ -312,7 +320,7 @@
         sim.run_seconds(2);
         if needed {
             let last = with(Priority::High, job(JobKind::Array, 1, 1.0));
-            sim.spawn_client("req-3", after(&["req-2"], last), 2 * SECOND);
+            sim.spawn_client("req-3", with_dependencies(&["req-2"], last), 2 * SECOND);
         }
         sim.run_seconds(40);
         sim.job_done("req-2")
--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -3,7 +3,9 @@
 use crate::controllers_by_role;
 use crate::partition_from_agents;
 use crate::partition_zones;
-use crate::simulation::{Endpoint, PartitionMode, SECOND, after, job, simulation_with_leader};
+use crate::simulation::{
+    Endpoint, PartitionMode, SECOND, job, simulation_with_leader, with_dependencies,
+};
 use rand::RngExt;
 use walnuttrestle::protocol::JobKind;
 
@@ -267,7 +269,7 @@
         sim.run_seconds(4);
         sim.spawn_client(
             "req-3",
-            after(&["req-2"], job(JobKind::Gang, 2, 1.0)),
+            with_dependencies(&["req-2"], job(JobKind::Gang, 2, 1.0)),
             5 * SECOND,
         );
         sim.run_seconds(4);
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::fake_store::StoreLimits;
 use crate::simulation::first_version;
-use crate::simulation::{SECOND, Simulation, after, job, simulation_with_leader};
+use crate::simulation::{SECOND, Simulation, job, simulation_with_leader, with_dependencies};
 use walnuttrestle::protocol::codec::{decode, encode};
 use walnuttrestle::protocol::peer_messages::PeerHeartbeat;
 use walnuttrestle::protocol::records::JobRecord;
@@ -76,7 +76,7 @@
             sim.run_seconds(6);
             // It works on records of the old controllers and asks for features that they do not know.
             let id = format!("req-9{i}");
-            let spec = after(&["req-1", "req-3"], job(JobKind::Array, 1, 1.0));
+            let spec = with_dependencies(&["req-1", "req-3"], job(JobKind::Array, 1, 1.0));
             sim.declare_job(&id, spec, SECOND);
             sim.submit(i, &id);
             sim.run_seconds(3);
@@ -112,7 +112,7 @@
         assert!(sim.jobs[&format!("req-9{last}")].accepted, "{order:?}");
         sim.spawn_client(
             "req-4",
-            after(&["req-1"], job(JobKind::Array, 3, 1.0)),
+            with_dependencies(&["req-1"], job(JobKind::Array, 3, 1.0)),
             SECOND,
         );
         // Restarts need no new agreement.
@@ -157,7 +157,7 @@
     assert_eq!(PeerHeartbeat::decode(&sent).unwrap().format, 2);
     let heartbeat: first_version::FirstPeerHeartbeat = postcard::from_bytes(&sent).unwrap();
     assert_eq!(heartbeat.node, "kernel-1");
-    assert_eq!(first_version::heartbeat(sent), beat);
+    assert_eq!(first_version::convert_peer_heartbeat(sent), beat);
 }
 
 const OLD_JOB: &str = "85a173de0012a6646f636b6574ac636f6c6f75722d7377656570a463726577ad706c6174666f726d2d63726577a57368617065a57377656570a472616e6ba87374616e64617264a6736865657473cc82a463707573cb4018000000000000a56361726473cb3ff0000000000000a96d656d6f72795f6762cb4038000000000000a5706c617465a6696d672d3037a773697a655f6762cb4011000000000000a77072657373657391aa6d656e6869722d626f78a8746f676574686572c2a773636174746572c2a76c6f616e657273c3aa65787065637465645f73cb404ec00000000000a770726f6f665f73cb0000000000000000a773746173685f73cb0000000000000000a56475655f73cb406e000000000000a26174cf000644e4f42bb000a27374a161a3656e6400a16382a16591960302a86e2d3030303233310129c3a164cc80";
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -53,7 +53,7 @@
         let until = from + 28 * SECOND;
         silent
             .iter()
-            .for_each(|m| sim.faults.silence_heartbeats(m, until));
+            .for_each(|m| sim.faults.drop_heartbeats(m, until));
         // Jobs are submitted all the time.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
@@ -128,7 +128,7 @@
                     )
                 }),
                 1 => sim.agents.get_mut(machine).expect("a machine").hung_until = until,
-                2 => sim.faults.silence_heartbeats(machine, until),
+                2 => sim.faults.drop_heartbeats(machine, until),
                 _ => sim.faults.drop_all_deliveries(machine, until),
             }
         }
@@ -282,7 +282,7 @@
             }
             1 => sim
                 .faults
-                .silence_heartbeats(&machine, sim.now + (LEASE_S + 5) * SECOND),
+                .drop_heartbeats(&machine, sim.now + (LEASE_S + 5) * SECOND),
             2 => {
                 sim.failed_machines.insert(machine.clone());
                 sim.agents.get_mut(&machine).expect("it").alive = false;
@@ -513,7 +513,7 @@
                         sim.agents.get_mut(&machine).expect("it").alive = false;
                     }
                     1 => sim.agents.get_mut(&machine).expect("it").hung_until = until,
-                    _ => sim.faults.silence_heartbeats(&machine, until),
+                    _ => sim.faults.drop_heartbeats(&machine, until),
                 }
             });
         }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -214,7 +214,7 @@
             if let Some(x) = sim.agents.get_mut(&all[0]) {
                 x.alive = false;
             }
-            sim.faults.silence_heartbeats(&all[1], until);
+            sim.faults.drop_heartbeats(&all[1], until);
         });
         sim.spawn_client("req-3", red(3), 5 * SECOND);
         if seed % 2 == 0 {
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -73,7 +73,7 @@
                 }
             }
             fake_store.expire(now);
-            for (conn, body) in fake_store.answerable(now) {
+            for (conn, body) in fake_store.take_ready_watches(now) {
                 responses.push(respond(conn, 200, body));
             }
             handle.send(responses);
--- a/tests/random_fault_pairs.rs
+++ b/tests/random_fault_pairs.rs
@@ -242,7 +242,7 @@
         }
         Fault::SilentAgents => {
             for machine in &target.machines {
-                sim.faults.silence_heartbeats(machine, until);
+                sim.faults.drop_heartbeats(machine, until);
             }
         }
         Fault::DeadMachines => {
--- a/tests/simulation/agent_behavior.rs
+++ b/tests/simulation/agent_behavior.rs
@@ -6,7 +6,7 @@
 
 const HEARTBEAT_INTERVAL: u64 = 2 * SECOND;
 /// A heartbeat follows the execution of a start within this time.
-const HEARTBEAT_AFTER_START: u64 = SECOND / 2;
+const HEARTBEAT_DELAY_AFTER_START: u64 = SECOND / 2;
 
 impl Simulation {
     /// Until when a machine stands still, if it does.
@@ -39,20 +39,22 @@
             return;
         }
         let (job, _) = split_task_name(&key.0);
-        let busy = agent
+        let has_other_attempt = agent
             .tasks
             .iter()
             .any(|((task, _), state)| *task == key.0 && state.phase != TaskPhase::Exited);
-        let started = match self.jobs.get(job) {
-            _ if busy => FakeTask::exited(ExitReason::Busy),
+        let new_task = match self.jobs.get(job) {
+            _ if has_other_attempt => FakeTask::exited(ExitReason::Busy),
             None => FakeTask::exited(ExitReason::Unknown),
             Some(truth) if agent.cached_images.contains(&truth.spec.image) => {
                 FakeTask::fetching(now)
             }
             Some(_) => FakeTask::fetching(now + IMAGE_FETCH_TIME),
         };
-        agent.tasks.insert(key, started);
-        agent.next_heartbeat_at = agent.next_heartbeat_at.min(now + HEARTBEAT_AFTER_START);
+        agent.tasks.insert(key, new_task);
+        agent.next_heartbeat_at = agent
+            .next_heartbeat_at
+            .min(now + HEARTBEAT_DELAY_AFTER_START);
     }
 
     fn execute_stop(&mut self, machine: &str, key: TaskKey, grace_s: f64) {
@@ -115,14 +117,14 @@
         let (job, index) = split_task_name(&key.0);
         let truth = self.jobs[job].clone();
         let job_fails = self.failing_jobs.contains(job);
-        let gang_is_whole = truth.spec.kind != JobKind::Gang || self.gang_can_complete(key, &truth);
+        let can_complete = truth.spec.kind != JobKind::Gang || self.gang_can_complete(key, &truth);
         let agent = self.agents.get_mut(machine).expect("a machine");
         let fails = agent.fails_tasks || job_fails;
         match agent.tasks[key].phase {
             TaskPhase::Fetching if fails => agent.exit_task(key, ExitReason::Error, false),
             TaskPhase::Fetching => self.finish_fetch(machine, key, &truth, index),
             // Other members have exited while this machine hung.
-            TaskPhase::Running if !gang_is_whole => {
+            TaskPhase::Running if !can_complete => {
                 agent.exit_task(key, ExitReason::GangMemberGone, false)
             }
             TaskPhase::Running => {
@@ -163,20 +165,20 @@
             return;
         }
         let body = encode(&agent.heartbeat());
-        let number = agent.seq;
+        let seq = agent.seq;
         let controller = agent.controller;
         agent.in_flight = Some(InFlightHeartbeat {
             agent_epoch: agent.agent_epoch,
-            number,
+            seq,
             sent_at: now,
         });
         agent.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
-        if self.faults.is_silent(machine, now) {
+        if self.faults.drops_heartbeat(machine, now) {
             return;
         }
         let heartbeat = StaleHeartbeat {
             machine: machine.to_string(),
-            number,
+            seq,
             body,
         };
         self.faults.keep_stale_heartbeat(&heartbeat, &mut self.rng);
@@ -205,10 +207,10 @@
             .filter(|(other, _)| is_member(other))
             .count();
         // Members complete together: while the machine of one hangs, none does.
-        let any_hangs = self.agents.values().any(|agent| {
+        let any_hung = self.agents.values().any(|agent| {
             agent.hung_until > self.now && agent.active_tasks().any(|(other, _)| is_member(other))
         });
-        !truth.done.is_empty() || members as u32 == truth.spec.tasks && !any_hangs
+        !truth.done.is_empty() || members as u32 == truth.spec.tasks && !any_hung
     }
 
     /// Starts gangs whose members all wait, and ends the members of gangs that are incomplete.
@@ -216,15 +218,15 @@
         for ((job, _), members) in self.gang_attempts() {
             let truth = self.jobs[&job].clone();
             let complete = members.len() as u32 == truth.spec.tasks;
-            let any_hangs = members
+            let any_hung = members
                 .iter()
                 .any(|member| self.hung_until(&member.machine).is_some());
-            let all_wait = members
+            let all_waiting = members
                 .iter()
                 .all(|member| member.phase == TaskPhase::Waiting);
-            if complete && !any_hangs && all_wait {
+            if complete && !any_hung && all_waiting {
                 self.start_gang(&members, truth.run_time);
-            } else if !complete || any_hangs {
+            } else if !complete || any_hung {
                 self.end_gang_members(&job, &members, !truth.done.is_empty());
             }
         }
--- a/tests/simulation/client_probes.rs
+++ b/tests/simulation/client_probes.rs
@@ -5,7 +5,7 @@
 use rmpv::Value;
 
 /// GPUs and CPUs of the largest machine.
-const LARGEST_MACHINE: f64 = 8.0;
+const LARGEST_MACHINE_CPUS: f64 = 8.0;
 /// Polls of a probe are sent within this time.
 const POLL_SPREAD: std::ops::Range<u64> = 0..60_000;
 /// Other requests of a probe, and the cancellations of a burst, are sent within this time.
@@ -56,7 +56,7 @@
         ("due_s", Some(Value::from(-5.0)), 400),
         ("awaits", list(vec!["me".into()]), 400),
         ("crew", Some("nobody".into()), 422),
-        ("cpus", Some(Value::from(LARGEST_MACHINE + 1.0)), 422),
+        ("cpus", Some(Value::from(LARGEST_MACHINE_CPUS + 1.0)), 422),
         ("presses", list(vec!["none-such".into()]), 422),
         ("yard", Some("z".into()), 422),
     ];
@@ -107,8 +107,8 @@
         for job in completed {
             self.starvation.completed.insert(job.clone());
             let probability = self.faults.cancel_at_completion_probability;
-            let is_unseen = self.jobs[&job].completion_seen_at.is_none();
-            if is_unseen && self.rng.random_bool(probability) {
+            let is_unreported = self.jobs[&job].completion_seen_at.is_none();
+            if is_unreported && self.rng.random_bool(probability) {
                 self.cancel_until_answered(&job);
             }
         }
@@ -225,12 +225,13 @@
         }
         self.send_invalid_request();
         let controller = self.rng.random_range(0..self.controllers.len());
-        let open = self
-            .job_names(|sim, job| sim.jobs[job].accepted && !sim.final_states.contains_key(job));
+        let open = self.jobs_matching(|sim, job| {
+            sim.jobs[job].accepted && !sim.final_states.contains_key(job)
+        });
         if let Some(job) = self.pick(open) {
             self.submit(controller, &job);
         }
-        let completed = self.job_names(|sim, job| sim.jobs[job].completion_seen_at.is_some());
+        let completed = self.jobs_matching(|sim, job| sim.jobs[job].completion_seen_at.is_some());
         if let Some(job) = self.pick(completed) {
             self.cancel(controller, &job);
         }
@@ -240,7 +241,7 @@
         });
     }
 
-    fn job_names(&self, filter: impl Fn(&Simulation, &str) -> bool) -> Vec<String> {
+    fn jobs_matching(&self, filter: impl Fn(&Simulation, &str) -> bool) -> Vec<String> {
         let names = self.jobs.keys();
         names.filter(|job| filter(self, job)).cloned().collect()
     }
--- a/tests/simulation/clients.rs
+++ b/tests/simulation/clients.rs
@@ -70,7 +70,7 @@
         PendingResponse::Client {
             request,
             job: job.into(),
-            asked_at: self.now,
+            sent_at: self.now,
         }
     }
 
@@ -166,7 +166,7 @@
     pub(super) fn client_answered(
         &mut self,
         job: String,
-        asked_at: u64,
+        sent_at: u64,
         request: ClientRequest,
         status: u16,
         body: &[u8],
@@ -187,18 +187,18 @@
         }
         let truth = self.jobs.get_mut(&job).expect("a checked job");
         let is_final = matches!(state.as_str(), "done" | "cancelled");
-        let is_news = !truth.accepted || is_final;
+        let is_new_state = !truth.accepted || is_final;
         truth.accepted = true;
-        self.check_told_state(&job, &state);
-        self.check_final_state(&job, &state, asked_at);
+        self.check_reported_state(&job, &state);
+        self.check_final_state(&job, &state, sent_at);
         let is_first_final = !self.final_states.contains_key(&job);
         if is_final {
-            let told_at = self.now;
+            let reported_at = self.now;
             self.final_states
                 .entry(job.clone())
-                .or_insert(FinalState { state, told_at });
+                .or_insert(FinalState { state, reported_at });
         }
-        if self.faults.client_probes && is_news && is_first_final {
+        if self.faults.client_probes && is_new_state && is_first_final {
             self.probe_job(&job);
         }
     }
--- a/tests/simulation/event_loop.rs
+++ b/tests/simulation/event_loop.rs
@@ -29,13 +29,13 @@
     AgentHeartbeat {
         machine: String,
         controller: usize,
-        number: u64,
+        seq: u64,
         body: Vec<u8>,
     },
     /// The response to an agent's heartbeat arrives at the agent.
     AgentHeartbeatResponse {
         machine: String,
-        number: u64,
+        seq: u64,
         status: u16,
         body: Vec<u8>,
     },
@@ -105,21 +105,21 @@
             Event::AgentHeartbeat {
                 machine,
                 controller,
-                number,
+                seq,
                 body,
             } => {
                 if self.controllers[controller].process.is_none() {
                     return;
                 }
-                let pending = PendingResponse::AgentHeartbeat { machine, number };
+                let pending = PendingResponse::AgentHeartbeat { machine, seq };
                 self.request(controller, pending, "POST", "/hello".into(), body);
             }
             Event::AgentHeartbeatResponse {
                 machine,
-                number,
+                seq,
                 status,
                 body,
-            } => self.heartbeat_answered(&machine, number, status, &body),
+            } => self.heartbeat_answered(&machine, seq, status, &body),
             Event::Tick => self.tick(),
             Event::Action(action) => action(self),
         }
@@ -127,25 +127,25 @@
 
     /// Hands the first outcome of a call to the controller's incarnation that made it.
     fn complete_call(&mut self, key: CallKey, outcome: Outcome) {
-        let was_open = self.open_calls.remove(&key);
-        if was_open && self.controllers[key.controller].incarnation == key.incarnation {
+        let was_pending = self.pending_calls.remove(&key);
+        if was_pending && self.controllers[key.controller].incarnation == key.incarnation {
             let id = key.call_id;
             self.deliver(key.controller, vec![NetworkEvent::Answer { id, outcome }]);
         }
     }
 
     fn answer_watches(&mut self) {
-        for (ticket, body) in self.store.answerable(self.now) {
+        for (ticket, body) in self.store.take_ready_watches(self.now) {
             let Some(key) = self.watch_calls.remove(&ticket) else {
                 continue;
             };
             let body = if self.controllers[key.controller].first_version {
-                first_version::reads("/watch", body)
+                first_version::convert_store_response("/watch", body)
             } else {
                 body
             };
             let delay = self.watch_delays.get(&key.controller).copied();
-            self.answer_late(Endpoint::Store, key, 200, body, delay.unwrap_or(0));
+            self.answer_with_delay(Endpoint::Store, key, 200, body, delay.unwrap_or(0));
         }
     }
 
--- a/tests/simulation/fake_agent.rs
+++ b/tests/simulation/fake_agent.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightHeartbeat {
     pub agent_epoch: u64,
-    pub number: u64,
+    pub seq: u64,
     pub sent_at: u64,
 }
 
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -20,7 +20,7 @@
 pub struct OpenWatch {
     pub ticket: u64,
     /// The controller that watches.
-    pub from: usize,
+    pub controller: usize,
     /// Changes after this revision are wanted.
     pub after: u64,
     pub until: u64,
@@ -37,7 +37,7 @@
 
 /// Changes that are allowed at once: a token bucket.
 #[derive(Default)]
-struct WriteBudget {
+struct TokenBucket {
     updated_at: u64,
     tokens: f64,
 }
@@ -62,7 +62,7 @@
     pub rejected_for_size: usize,
     /// Transactions rejected for their rate.
     pub rejected_for_rate: usize,
-    budget: WriteBudget,
+    write_bucket: TokenBucket,
     keys: BTreeMap<String, StoredValue>,
     log: Vec<WatchEvent>,
     leases: BTreeMap<u64, Lease>,
@@ -181,27 +181,27 @@
     /// The status that a transaction is rejected with by the limits, if it is.
     fn check_limits(&mut self, now: u64, transaction: &Transaction) -> Option<u16> {
         let limits = self.limits?;
-        let is_too_long = |change: &Change| match change {
+        let is_too_large = |change: &Change| match change {
             Change::Put { value, .. } => json_len(value) as f64 > limits.value_kb * 1024.0,
             Change::Delete { .. } => false,
         };
         if transaction.changes.len() > limits.txn_ops
             || transaction.conditions.len() > limits.txn_ops * CONDITIONS_PER_CHANGE
-            || transaction.changes.iter().any(is_too_long)
+            || transaction.changes.iter().any(is_too_large)
         {
             self.rejected_for_size += 1;
             return Some(400);
         }
-        let elapsed_s = (now - self.budget.updated_at) as f64 / 1e6;
-        let refilled = self.budget.tokens + elapsed_s * limits.write_rps;
-        self.budget.tokens = refilled.min(limits.write_rps);
-        self.budget.updated_at = now;
+        let elapsed_s = (now - self.write_bucket.updated_at) as f64 / 1e6;
+        let refilled = self.write_bucket.tokens + elapsed_s * limits.write_rps;
+        self.write_bucket.tokens = refilled.min(limits.write_rps);
+        self.write_bucket.updated_at = now;
         let needed = transaction.changes.len() as f64;
-        if self.budget.tokens < needed {
+        if self.write_bucket.tokens < needed {
             self.rejected_for_rate += 1;
             return Some(429);
         }
-        self.budget.tokens -= needed;
+        self.write_bucket.tokens -= needed;
         None
     }
 
@@ -224,7 +224,7 @@
     }
 
     /// Takes the watches that can be answered now, as tickets and bodies.
-    pub fn answerable(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
+    pub fn take_ready_watches(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
         if self.outage {
             return Vec::new();
         }
@@ -232,7 +232,7 @@
         let mut open = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let response = self.changes_after(watch.after);
-            let refused = self.refused_controllers.contains(&watch.from);
+            let refused = self.refused_controllers.contains(&watch.controller);
             if !refused && (!response.events.is_empty() || watch.until <= now) {
                 answers.push((watch.ticket, encode(&response)));
             } else {
@@ -247,19 +247,19 @@
     pub fn handle(
         &mut self,
         now: u64,
-        from: usize,
+        controller: usize,
         ticket: u64,
         method: &str,
         path: &str,
         body: &[u8],
     ) -> Option<Answer> {
         self.expire(now);
-        if self.outage || self.refused_controllers.contains(&from) {
+        if self.outage || self.refused_controllers.contains(&controller) {
             return Some((503, Vec::new()));
         }
         let route = path.split('?').next().unwrap_or("");
         match (method, route) {
-            ("GET", "/watch") => self.watch(now, from, ticket, path),
+            ("GET", "/watch") => self.watch(now, controller, ticket, path),
             ("GET", "/keys") => Some(self.list(path)),
             ("POST", "/multi") => {
                 let transaction = decode(body).expect("a transaction");
@@ -274,7 +274,7 @@
         }
     }
 
-    fn watch(&mut self, now: u64, from: usize, ticket: u64, path: &str) -> Option<Answer> {
+    fn watch(&mut self, now: u64, controller: usize, ticket: u64, path: &str) -> Option<Answer> {
         let after = query_number(path, "after");
         let block_ms = query_number(path, "block_ms");
         if self.is_compacted(after) {
@@ -285,7 +285,7 @@
         if response.events.is_empty() && block_ms > 0 {
             self.watches.push(OpenWatch {
                 ticket,
-                from,
+                controller,
                 after,
                 until: now + block_ms * 1000,
             });
@@ -329,11 +329,11 @@
             let revision = self.revision;
             return (409, encode(&TransactionResponse { revision, failed }));
         }
-        let has_unknown_lease = |change: &Change| match change {
+        let has_missing_lease = |change: &Change| match change {
             Change::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Change::Delete { .. } => false,
         };
-        if transaction.changes.iter().any(has_unknown_lease) {
+        if transaction.changes.iter().any(has_missing_lease) {
             return (400, Vec::new());
         }
         self.revision += 1;
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -58,7 +58,7 @@
 
 /// A machine that some messages do not reach.
 #[derive(Debug)]
-struct DeafMachine {
+struct DeliveryFault {
     machine: String,
     /// The sender whose messages are lost; `None`: of every controller.
     controller: Option<usize>,
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct StaleHeartbeat {
     pub machine: String,
-    pub number: u64,
+    pub seq: u64,
     pub body: Vec<u8>,
 }
 
@@ -79,7 +79,7 @@
         Event::AgentHeartbeat {
             machine: self.machine,
             controller,
-            number: self.number,
+            seq: self.seq,
             body: self.body,
         }
     }
@@ -88,7 +88,7 @@
 /// Faults that are active now. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct FaultInjection {
-    deaf_machines: Vec<DeafMachine>,
+    delivery_faults: Vec<DeliveryFault>,
     /// Duplicates of heartbeats. They come to any controller.
     pub heartbeat_duplication: Option<Duplication>,
     /// Duplicates of heartbeats come to the controller that got the original.
@@ -107,9 +107,9 @@
     /// Delays answers to writes.
     pub store_write_delay: Option<StoreDelay>,
     /// Links whose messages are lost in one direction: sender, receiver, end.
-    one_way: Vec<(Endpoint, Endpoint, u64)>,
+    one_way_partitions: Vec<(Endpoint, Endpoint, u64)>,
     /// Machines whose heartbeats are lost, while direct commands reach them: name, end.
-    silent_machines: Vec<(String, u64)>,
+    heartbeat_faults: Vec<(String, u64)>,
     /// This share of transactions is carried out at once, and only the answer is lost.
     pub lost_write_answer_probability: f64,
     /// Calls whose answers are to be lost.
@@ -146,7 +146,7 @@
         until: u64,
     ) {
         for kind in kinds {
-            self.deaf_machines.push(DeafMachine {
+            self.delivery_faults.push(DeliveryFault {
                 machine: machine.to_string(),
                 controller,
                 kind: *kind,
@@ -163,23 +163,23 @@
         kind: DroppedDelivery,
         now: u64,
     ) -> bool {
-        self.deaf_machines.iter().any(|deaf| {
-            deaf.machine == machine
-                && deaf.controller.is_none_or(|only| only == controller)
-                && deaf.kind == kind
-                && now < deaf.until
+        self.delivery_faults.iter().any(|fault| {
+            fault.machine == machine
+                && fault.controller.is_none_or(|only| only == controller)
+                && fault.kind == kind
+                && now < fault.until
         })
     }
 
     /// Drops a machine's heartbeats, while direct commands reach it and are answered.
-    pub fn silence_heartbeats(&mut self, machine: &str, until: u64) {
-        self.silent_machines.push((machine.to_string(), until));
+    pub fn drop_heartbeats(&mut self, machine: &str, until: u64) {
+        self.heartbeat_faults.push((machine.to_string(), until));
     }
 
-    pub(super) fn is_silent(&self, machine: &str, now: u64) -> bool {
-        self.silent_machines
+    pub(super) fn drops_heartbeat(&self, machine: &str, now: u64) -> bool {
+        self.heartbeat_faults
             .iter()
-            .any(|(silent, until)| silent == machine && now < *until)
+            .any(|(silent_machine, until)| silent_machine == machine && now < *until)
     }
 
     /// Draws whether only the answer to a transaction is lost.
@@ -197,7 +197,7 @@
         }
     }
 
-    pub(super) fn answer_is_lost(&mut self, key: &CallKey) -> bool {
+    pub(super) fn drops_answer(&mut self, key: &CallKey) -> bool {
         self.unanswered_calls.remove(key)
     }
 
@@ -231,12 +231,12 @@
 
     /// Drops requests and answers from one endpoint to another, but not in the opposite direction.
     pub fn partition_one_way(&mut self, from: Endpoint, to: Endpoint, until: u64) {
-        self.one_way.push((from, to, until));
+        self.one_way_partitions.push((from, to, until));
     }
 
     /// Whether a message is lost because its direction is interrupted.
-    pub(super) fn is_lost(&self, from: &Endpoint, to: &Endpoint, now: u64) -> bool {
-        self.one_way
+    pub(super) fn drops_message(&self, from: &Endpoint, to: &Endpoint, now: u64) -> bool {
+        self.one_way_partitions
             .iter()
             .any(|(sender, receiver, until)| sender == from && receiver == to && now < *until)
     }
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -67,20 +67,20 @@
 
 /// Key prefixes that the first version does not know, each with its replacement in listings: another unknown prefix at
 /// the same place in the order, since the next page starts after the last key.
-const UNKNOWN_PREFIXES: [(&str, &str); 3] = [
+const UNSUPPORTED_PREFIXES: [(&str, &str); 3] = [
     ("wt/f/", "wt/f0/"),
     ("wt/b/", "wt/b0/"),
     ("wt/bundled", "wt/bundled0"),
 ];
 
-fn is_known(key: &str) -> bool {
-    UNKNOWN_PREFIXES
+fn is_supported(key: &str) -> bool {
+    UNSUPPORTED_PREFIXES
         .iter()
         .all(|(prefix, _)| !key.starts_with(prefix))
 }
 
 /// A value as the first version writes it back after it has read it.
-fn rewritten(key: &str, value: Value) -> Value {
+fn drop_unsupported_fields(key: &str, value: Value) -> Value {
     if !key.starts_with("wt/j/") {
         return value;
     }
@@ -89,27 +89,27 @@
 }
 
 /// An answer of the store as the first version understands it.
-pub fn reads(path: &str, body: Vec<u8>) -> Vec<u8> {
+pub fn convert_store_response(path: &str, body: Vec<u8>) -> Vec<u8> {
     if path.starts_with("/watch") {
         let mut response: WatchResponse = decode(&body).expect("a watch's answer");
         response.events.retain(|event| {
             let key = event.put.as_deref().or(event.deleted.as_deref());
-            key.is_none_or(is_known)
+            key.is_none_or(is_supported)
         });
         for event in &mut response.events {
             if let (Some(key), Some(value)) = (&event.put, event.value.take()) {
-                event.value = Some(rewritten(key, value));
+                event.value = Some(drop_unsupported_fields(key, value));
             }
         }
         encode(&response)
     } else if path.starts_with("/keys") {
         let mut page: ItemPage = decode(&body).expect("a listing");
         for item in &mut page.items {
-            if is_known(&item.key) {
-                item.value = rewritten(&item.key, item.value.clone());
+            if is_supported(&item.key) {
+                item.value = drop_unsupported_fields(&item.key, item.value.clone());
             } else {
                 // Keys that it does not know are ignored.
-                for (prefix, replacement) in UNKNOWN_PREFIXES {
+                for (prefix, replacement) in UNSUPPORTED_PREFIXES {
                     if let Some(rest) = item.key.strip_prefix(prefix) {
                         item.key = format!("{replacement}{rest}");
                         break;
@@ -124,14 +124,14 @@
 }
 
 /// A transaction as the first version writes it; `None`: it would not write this.
-pub fn writes(body: Vec<u8>) -> Option<Vec<u8>> {
+pub fn convert_transaction(body: Vec<u8>) -> Option<Vec<u8>> {
     let mut transaction: Transaction = decode(&body)?;
     for change in &mut transaction.changes {
         match change {
-            Change::Put { put, value, .. } if is_known(put) => {
-                *value = rewritten(put, value.clone());
+            Change::Put { put, value, .. } if is_supported(put) => {
+                *value = drop_unsupported_fields(put, value.clone());
             }
-            Change::Delete { key } if is_known(key) => {}
+            Change::Delete { key } if is_supported(key) => {}
             _ => return None,
         }
     }
@@ -139,7 +139,7 @@
 }
 
 /// A peer heartbeat as the first version sends and understands it.
-pub fn heartbeat(body: Vec<u8>) -> Vec<u8> {
+pub fn convert_peer_heartbeat(body: Vec<u8>) -> Vec<u8> {
     match postcard::from_bytes::<FirstPeerHeartbeat>(&body) {
         Ok(heartbeat) => postcard::to_stdvec(&heartbeat).expect("a heartbeat"),
         Err(_) => body,
@@ -147,7 +147,7 @@
 }
 
 /// A request as the first version understands it: it ignores the fields of a submission that it does not know.
-pub fn hears(event: NetworkEvent) -> NetworkEvent {
+pub fn convert_request(event: NetworkEvent) -> NetworkEvent {
     match event {
         NetworkEvent::Request {
             conn,
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -61,8 +61,8 @@
 
     /// Number of tasks that have failed, on any machine.
     pub fn failed_task_count(&self) -> u32 {
-        let on_present: u32 = self.agents.values().map(|agent| agent.failed_tasks).sum();
-        self.failed_tasks_on_deleted_machines + on_present
+        let on_current_machines: u32 = self.agents.values().map(|agent| agent.failed_tasks).sum();
+        self.failed_tasks_on_deleted_machines + on_current_machines
     }
 
     /// Whether a client was told that a job is done.
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -12,7 +12,7 @@
     /// A client was told of the cancellation so long ago that no task may be left.
     fn is_past_cancel_deadline(&self, now: u64) -> bool {
         self.cancellation_seen_at
-            .is_some_and(|told_at| now > told_at + CANCEL_DEADLINE_S * SECOND)
+            .is_some_and(|reported_at| now > reported_at + CANCEL_DEADLINE_S * SECOND)
     }
 }
 
@@ -35,9 +35,9 @@
         let mut found = BTreeSet::new();
         let mut unvisited = vec![job];
         while let Some(truth) = unvisited.pop().and_then(|job| self.jobs.get(job)) {
-            for need in &truth.spec.needs {
-                if found.insert(need.as_str()) {
-                    unvisited.push(need);
+            for dependency in &truth.spec.needs {
+                if found.insert(dependency.as_str()) {
+                    unvisited.push(dependency);
                 }
             }
         }
@@ -73,14 +73,14 @@
                 self.report_violation("ran_twice", details);
             }
         }
-        let is_early = self
+        let has_unfinished_dependency = self
             .dependencies(job)
             .iter()
-            .any(|need| !need.all_tasks_done());
-        if is_early {
+            .any(|dependency| !dependency.all_tasks_done());
+        if has_unfinished_dependency {
             self.report_violation("too_early", task.to_string());
         }
-        self.check_place(machine, task, &truth.spec, &active_tasks);
+        self.check_placement(machine, task, &truth.spec, &active_tasks);
         if truth.is_past_cancel_deadline(self.now) {
             self.report_violation("ran_cancelled", format!("{task} started"));
         }
@@ -101,7 +101,7 @@
     }
 
     /// Checks the constraints of a task's place: spot instances, zones and spread.
-    fn check_place(
+    fn check_placement(
         &mut self,
         machine: &str,
         task: &str,
@@ -148,11 +148,11 @@
                 continue;
             };
             let job = task.rsplit_once('/').map_or("", |(job, _)| job);
-            let told_at = self
+            let reported_at = self
                 .jobs
                 .get(job)
                 .and_then(|truth| truth.cancellation_seen_at);
-            if told_at.is_some_and(|told_at| self.now > told_at + MAX_START_STALENESS) {
+            if reported_at.is_some_and(|reported_at| self.now > reported_at + MAX_START_STALENESS) {
                 let details = format!("{task} by a command sent then");
                 self.report_violation("started_cancelled", details);
             }
@@ -222,19 +222,19 @@
 
     /// A submission was refused: checks that not all of its dependencies are accepted jobs that end.
     fn check_refusal(&mut self, job: &str) {
-        let can_be_needed = |need: &String| {
-            let truth = self.jobs.get(need);
+        let is_valid_dependency = |dependency: &String| {
+            let truth = self.jobs.get(dependency);
             truth.is_some_and(|truth| truth.accepted && truth.spec.kind != JobKind::Service)
         };
         let needs = &self.jobs[job].spec.needs;
-        if !needs.is_empty() && needs.iter().all(can_be_needed) {
+        if !needs.is_empty() && needs.iter().all(is_valid_dependency) {
             let details = format!("{job}: all that it needs is accepted");
             self.report_violation("refused", details);
         }
     }
 
     /// Checks a job's state that a client was told against what has happened.
-    pub(super) fn check_told_state(&mut self, job: &str, state: &str) {
+    pub(super) fn check_reported_state(&mut self, job: &str, state: &str) {
         let now = self.now;
         let truth = self.jobs.get_mut(job).expect("a job");
         match state {
@@ -250,7 +250,7 @@
                     || self
                         .dependencies(job)
                         .iter()
-                        .any(|need| need.cancel_requested);
+                        .any(|dependency| dependency.cancel_requested);
                 if !requested {
                     let details = format!("{job} cancelled without being asked");
                     self.report_violation("went_back", details);
@@ -260,7 +260,7 @@
                 let orphaned = self
                     .dependencies(job)
                     .iter()
-                    .any(|need| need.is_past_cancel_deadline(now));
+                    .any(|dependency| dependency.is_past_cancel_deadline(now));
                 if orphaned {
                     self.report_violation("orphaned", format!("{job} is called {state}"));
                 }
@@ -270,11 +270,11 @@
 
     /// Checks that a final state stands. A request that was sent before a client was told the final state may have been
     /// answered before it, too.
-    pub(super) fn check_final_state(&mut self, job: &str, state: &str, asked_at: u64) {
+    pub(super) fn check_final_state(&mut self, job: &str, state: &str, sent_at: u64) {
         let Some(before) = self.final_states.get(job) else {
             return;
         };
-        if before.state != state && asked_at >= before.told_at {
+        if before.state != state && sent_at >= before.reported_at {
             let details = format!("{job}: {}, then {state}", before.state);
             self.report_violation("went_back", details);
         }
--- a/tests/simulation/load_balancer.rs
+++ b/tests/simulation/load_balancer.rs
@@ -7,10 +7,10 @@
 /// Health checks that are remembered for each backend.
 const PROBE_HISTORY: usize = 6;
 /// A backend that was removed stays out for this long, doubled with each recent removal.
-const REMOVAL_TIME: u64 = 3 * SECOND;
+const BASE_REMOVAL_TIME: u64 = 3 * SECOND;
 const MAX_REMOVAL_TIME: u64 = 60 * SECOND;
 /// Removals count as recent for this long.
-const REMOVAL_MEMORY: u64 = 120 * SECOND;
+const RECENT_REMOVAL_WINDOW: u64 = 120 * SECOND;
 /// Connections to a removed backend are closed after this time.
 const CONNECTION_GRACE: u64 = 5 * SECOND;
 /// A backend gets its full share of new connections this long after it has become healthy.
@@ -24,7 +24,7 @@
 /// Clients wait this long for the answer to a submission.
 const SUBMIT_TIMEOUT: u64 = 5 * SECOND;
 /// A job counts as forgotten if no poll of it is answered for this long once all faults are over.
-const FORGOTTEN_AFTER: u64 = 75 * SECOND;
+const MAX_UNANSWERED_TIME: u64 = 75 * SECOND;
 
 /// The load balancer's view of a controller.
 #[derive(Default)]
@@ -76,8 +76,9 @@
     fn remove(&mut self, now: u64) {
         self.healthy = false;
         self.changed_at = now;
-        self.removed_at.retain(|at| now < at + REMOVAL_MEMORY);
-        let time = REMOVAL_TIME << self.removed_at.len().min(5);
+        self.removed_at
+            .retain(|at| now < at + RECENT_REMOVAL_WINDOW);
+        let time = BASE_REMOVAL_TIME << self.removed_at.len().min(5);
         self.removed_until = now + time.min(MAX_REMOVAL_TIME);
         self.removed_at.push(now);
     }
@@ -87,10 +88,10 @@
 #[derive(Default)]
 struct BalancedClient {
     controller: Option<usize>,
-    asked_at: u64,
+    sent_at: u64,
     answered_at: u64,
     /// When the client was last told the job's state.
-    state_told_at: u64,
+    state_received_at: u64,
     finished: bool,
 }
 
@@ -139,7 +140,7 @@
                 self.reset_connections(controller);
             }
         }
-        self.check_known_jobs();
+        self.check_answered_polls();
         self.after(PROBE_INTERVAL, Simulation::probe_backends);
     }
 
@@ -155,9 +156,9 @@
     /// Opens a connection to the healthy controller with the fewest clients, if one accepts it.
     fn connect(&mut self) -> Option<usize> {
         let now = self.now;
-        let mut order: Vec<usize> = (0..self.controller_count()).collect();
-        order.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
-        for controller in order {
+        let mut candidates: Vec<usize> = (0..self.controller_count()).collect();
+        candidates.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
+        for controller in candidates {
             let backend = &self.load_balancer.backends[controller];
             let share = (now - backend.changed_at) as f64 / RAMP_TIME as f64;
             if !backend.healthy
@@ -205,7 +206,7 @@
         };
         let client = self.load_balancer.clients.get_mut(&job).expect("a client");
         client.controller = controller;
-        client.asked_at = self.now;
+        client.sent_at = self.now;
         let timeout = match (controller, accepted) {
             (Some(controller), true) => {
                 self.poll(controller, &job);
@@ -217,46 +218,50 @@
             }
             (None, _) => POLL_TIMEOUT,
         };
-        let asked = job.clone();
-        self.after(timeout, move |sim| sim.close_unanswered_connection(&asked));
-        let next = if accepted {
+        let polled_job = job.clone();
+        self.after(timeout, move |sim| {
+            sim.close_unanswered_connection(&polled_job)
+        });
+        let poll_delay = if accepted {
             POLL_INTERVAL
         } else {
             timeout + SECOND
         };
-        self.after(next, move |sim| sim.step_balanced_client(job));
+        self.after(poll_delay, move |sim| sim.step_balanced_client(job));
     }
 
     fn close_unanswered_connection(&mut self, job: &str) {
         if let Some(client) = self.load_balancer.clients.get_mut(job)
-            && client.answered_at < client.asked_at
+            && client.answered_at < client.sent_at
         {
             client.controller = None;
         }
     }
 
     /// A client got an answer; `with_state`: it tells the job's state.
-    pub(super) fn balanced_client_answered(&mut self, job: &str, with_state: bool) {
+    pub(super) fn balanced_client_answered(&mut self, job: &str, has_state: bool) {
         let now = self.now;
         if let Some(client) = self.load_balancer.clients.get_mut(job) {
             client.answered_at = now;
-            if with_state {
-                client.state_told_at = now;
+            if has_state {
+                client.state_received_at = now;
             }
         }
     }
 
     /// Once all faults are over, every accepted job's client hears its state in time.
-    fn check_known_jobs(&mut self) {
+    fn check_answered_polls(&mut self) {
         let Some(faults_over_at) = self.load_balancer.faults_over_at else {
             return;
         };
-        let is_forgotten = |job: &str, client: &BalancedClient| {
-            let heard_at = client.state_told_at.max(faults_over_at);
-            !client.finished && self.jobs[job].accepted && self.now > heard_at + FORGOTTEN_AFTER
+        let is_unanswered = |job: &str, client: &BalancedClient| {
+            let last_state_at = client.state_received_at.max(faults_over_at);
+            !client.finished
+                && self.jobs[job].accepted
+                && self.now > last_state_at + MAX_UNANSWERED_TIME
         };
         let mut clients = self.load_balancer.clients.iter();
-        if let Some((job, _)) = clients.find(|(job, client)| is_forgotten(job, client)) {
+        if let Some((job, _)) = clients.find(|(job, client)| is_unanswered(job, client)) {
             let details = format!("{job}: no question answered for 75 s");
             self.report_violation("forgotten", details);
         }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -45,7 +45,7 @@
 
 // Each test target uses some of these.
 #[allow(unused_imports)]
-pub use setup::{after, job, settings, simulation_with_leader};
+pub use setup::{job, settings, simulation_with_leader, with_dependencies};
 
 /// Simulated time is in microseconds.
 pub const SECOND: u64 = 1_000_000;
@@ -142,7 +142,7 @@
     Client {
         request: ClientRequest,
         job: String,
-        asked_at: u64,
+        sent_at: u64,
     },
     HealthCheck,
     /// An invalid request and the status it must be refused with.
@@ -152,7 +152,7 @@
     },
     AgentHeartbeat {
         machine: String,
-        number: u64,
+        seq: u64,
     },
     /// A call from another controller.
     Peer {
@@ -207,7 +207,7 @@
 /// The final state of a job as a client was first told it.
 struct FinalState {
     state: String,
-    told_at: u64,
+    reported_at: u64,
 }
 
 /// The simulated cluster. The same seed and calls give the same run.
@@ -234,7 +234,7 @@
     machine_count: u64,
     /// Machines that controllers have returned to the cloud.
     pub deleted_machines: BTreeSet<String>,
-    open_calls: BTreeSet<CallKey>,
+    pending_calls: BTreeSet<CallKey>,
     partitions: Vec<Partition>,
     /// Endpoints whose answers to controllers are lost, and until when.
     pub lost_answers_from: Vec<(Endpoint, u64)>,
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Time between the end of a partition and the delivery of an answer that it delayed.
-const DELIVERY_AFTER_PARTITION: u64 = 1000;
+const DELIVERY_DELAY_AFTER_PARTITION: u64 = 1000;
 /// A controller is not woken sooner than this.
 const MIN_WAKE_DELAY: u64 = 1000;
 /// An agent drops the response to a heartbeat after this time.
@@ -60,14 +60,14 @@
 
     /// The partition between two endpoints that ends last, as its mode and end.
     fn partition_between(&self, one: &Endpoint, other: &Endpoint) -> Option<(PartitionMode, u64)> {
-        let separates = |partition: &&Partition| {
+        let matches_ends = |partition: &&Partition| {
             let (left, right) = &partition.ends;
             (left == one && right == other) || (left == other && right == one)
         };
         self.partitions
             .iter()
             .filter(|partition| partition.until > self.now)
-            .filter(separates)
+            .filter(matches_ends)
             .map(|partition| (partition.mode, partition.until))
             .max_by_key(|(_, until)| *until)
     }
@@ -76,7 +76,7 @@
     pub(super) fn arrival_across(&self, one: &Endpoint, other: &Endpoint, at: u64) -> Option<u64> {
         match self.partition_between(one, other) {
             Some((PartitionMode::Drop, _)) => None,
-            Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_AFTER_PARTITION),
+            Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_DELAY_AFTER_PARTITION),
             None => Some(at),
         }
     }
@@ -101,7 +101,7 @@
         if slot.first_version {
             events_in_order = events_in_order
                 .into_iter()
-                .map(first_version::hears)
+                .map(first_version::convert_request)
                 .collect();
         }
         let (commands, next_wake) = process.handle(clock, events_in_order);
@@ -152,7 +152,7 @@
         let to = destination(&call);
         let first_version = self.controllers[controller].first_version;
         if first_version && to == Endpoint::Store && call.path == "/multi" {
-            match first_version::writes(call.body) {
+            match first_version::convert_transaction(call.body) {
                 Some(body) => call.body = body,
                 // The first version does not make this call.
                 None => return,
@@ -165,10 +165,10 @@
             incarnation,
             call_id: call.id,
         };
-        self.open_calls.insert(key);
+        self.pending_calls.insert(key);
         self.schedule(self.now + call.timeout.0, Event::CallTimeout(key));
         let mut at = self.now + self.latency();
-        if self.faults.is_lost(&from, &to, self.now) {
+        if self.faults.drops_message(&from, &to, self.now) {
             return;
         }
         match self.partition_between(&from, &to) {
@@ -201,11 +201,11 @@
     }
 
     fn answer(&mut self, from: Endpoint, key: CallKey, status: u16, body: Vec<u8>) {
-        self.answer_late(from, key, status, body, 0);
+        self.answer_with_delay(from, key, status, body, 0);
     }
 
     /// Sends the answer to a call, with this much additional latency.
-    pub(super) fn answer_late(
+    pub(super) fn answer_with_delay(
         &mut self,
         from: Endpoint,
         key: CallKey,
@@ -218,15 +218,15 @@
         if from == Endpoint::Store {
             at += self.store_delay;
         }
-        if self.faults.is_lost(&from, &to, self.now) || self.faults.answer_is_lost(&key) {
+        if self.faults.drops_message(&from, &to, self.now) || self.faults.drops_answer(&key) {
             return;
         }
         let Some(at) = self.arrival_across(&to, &from, at) else {
             return;
         };
         let now = self.now;
-        let loses = |(endpoint, until): &(Endpoint, u64)| *endpoint == from && *until > now;
-        if self.lost_answers_from.iter().any(loses) {
+        let is_affected = |(endpoint, until): &(Endpoint, u64)| *endpoint == from && *until > now;
+        if self.lost_answers_from.iter().any(is_affected) {
             return;
         }
         let outcome = Outcome::Reply { status, body };
@@ -236,14 +236,15 @@
     /// Hands a controller's response to the sender of the request.
     fn respond(&mut self, controller: usize, conn: u64, status: u16, body: Vec<u8>) {
         match self.pending_responses.remove(&(controller, conn)) {
-            Some(PendingResponse::AgentHeartbeat { machine, number }) => {
-                self.respond_to_agent(controller, machine, number, status, body);
+            Some(PendingResponse::AgentHeartbeat { machine, seq }) => {
+                self.respond_to_agent(controller, machine, seq, status, body);
             }
             Some(PendingResponse::Peer {
                 caller,
                 is_heartbeat,
             }) => {
-                let body = self.peer_body(controller, caller.controller, is_heartbeat, body);
+                let body =
+                    self.convert_peer_body(controller, caller.controller, is_heartbeat, body);
                 self.answer(Endpoint::Controller(controller), caller, status, body);
             }
             Some(PendingResponse::HealthCheck) => self.last_health_status = status,
@@ -254,8 +255,8 @@
             Some(PendingResponse::Client {
                 request,
                 job,
-                asked_at,
-            }) => self.client_answered(job, asked_at, request, status, &body),
+                sent_at,
+            }) => self.client_answered(job, sent_at, request, status, &body),
             None => {}
         }
     }
@@ -264,7 +265,7 @@
         &mut self,
         controller: usize,
         machine: String,
-        number: u64,
+        seq: u64,
         status: u16,
         body: Vec<u8>,
     ) {
@@ -282,7 +283,7 @@
         };
         let response = Event::AgentHeartbeatResponse {
             machine,
-            number,
+            seq,
             status,
             body,
         };
@@ -290,11 +291,17 @@
     }
 
     /// A message between controllers as it arrives if one of them runs the first version.
-    fn peer_body(&self, one: usize, other: usize, is_heartbeat: bool, body: Vec<u8>) -> Vec<u8> {
-        let either_is_old =
+    fn convert_peer_body(
+        &self,
+        one: usize,
+        other: usize,
+        is_heartbeat: bool,
+        body: Vec<u8>,
+    ) -> Vec<u8> {
+        let involves_first_version =
             self.controllers[one].first_version || self.controllers[other].first_version;
-        if is_heartbeat && either_is_old {
-            first_version::heartbeat(body)
+        if is_heartbeat && involves_first_version {
+            first_version::convert_peer_heartbeat(body)
         } else {
             body
         }
@@ -329,10 +336,10 @@
             return;
         };
         if self.controllers[key.controller].first_version && status == 200 {
-            body = first_version::reads(&call.path, body);
+            body = first_version::convert_store_response(&call.path, body);
         }
         let delay = self.faults.store_answer_delay(key.controller, &call);
-        self.answer_late(Endpoint::Store, key, status, body, delay);
+        self.answer_with_delay(Endpoint::Store, key, status, body, delay);
     }
 
     fn handle_agent_call(&mut self, key: CallKey, call: Call, machine: &str) {
@@ -364,7 +371,7 @@
         self.serial += 1;
         let conn = self.serial;
         let is_heartbeat = call.path == "/heartbeat";
-        let body = self.peer_body(key.controller, peer, is_heartbeat, call.body);
+        let body = self.convert_peer_body(key.controller, peer, is_heartbeat, call.body);
         let pending = PendingResponse::Peer {
             caller: key,
             is_heartbeat,
@@ -381,17 +388,11 @@
     }
 
     /// The response to an agent's heartbeat has arrived at the agent.
-    pub(super) fn heartbeat_answered(
-        &mut self,
-        machine: &str,
-        number: u64,
-        status: u16,
-        body: &[u8],
-    ) {
+    pub(super) fn heartbeat_answered(&mut self, machine: &str, seq: u64, status: u16, body: &[u8]) {
         if let Some(until) = self.hung_until(machine) {
             let response = Event::AgentHeartbeatResponse {
                 machine: machine.to_string(),
-                number,
+                seq,
                 status,
                 body: body.to_vec(),
             };
@@ -406,7 +407,7 @@
         let Some(in_flight) = agent.in_flight else {
             return;
         };
-        if in_flight.number != number || now > in_flight.sent_at + HEARTBEAT_TIMEOUT {
+        if in_flight.seq != seq || now > in_flight.sent_at + HEARTBEAT_TIMEOUT {
             return;
         }
         agent.in_flight = None;
--- a/tests/simulation/setup.rs
+++ b/tests/simulation/setup.rs
@@ -111,9 +111,9 @@
 }
 
 /// The same job with dependencies.
-pub fn after(needs: &[&str], spec: JobSpec) -> JobSpec {
+pub fn with_dependencies(dependencies: &[&str], spec: JobSpec) -> JobSpec {
     JobSpec {
-        needs: needs.iter().map(|need| need.to_string()).collect(),
+        needs: dependencies.iter().map(|job| job.to_string()).collect(),
         ..spec
     }
 }
@@ -185,7 +185,7 @@
             rentals: BTreeMap::new(),
             machine_count: 0,
             deleted_machines: BTreeSet::new(),
-            open_calls: BTreeSet::new(),
+            pending_calls: BTreeSet::new(),
             partitions: Vec::new(),
             lost_answers_from: Vec::new(),
             write_rps,
--- a/tests/simulation/starvation.rs
+++ b/tests/simulation/starvation.rs
@@ -22,25 +22,25 @@
         Resources([spec.cpus, spec.gpus, spec.memory_gb])
     }
 
-    fn fit(&self, need: &Resources) -> bool {
+    fn can_hold(&self, demand: &Resources) -> bool {
         self.0
             .iter()
-            .zip(need.0)
-            .all(|(free, need)| free + EPSILON >= need)
+            .zip(demand.0)
+            .all(|(free, demand)| free + EPSILON >= demand)
     }
 
-    fn subtract(&mut self, need: &Resources) {
+    fn subtract(&mut self, demand: &Resources) {
         self.0
             .iter_mut()
-            .zip(need.0)
-            .for_each(|(free, need)| *free -= need);
+            .zip(demand.0)
+            .for_each(|(free, demand)| *free -= demand);
     }
 
     /// How many tasks fit, at most `limit`.
-    fn count_fitting(mut self, need: &Resources, limit: u32) -> u32 {
+    fn count_fitting(mut self, demand: &Resources, limit: u32) -> u32 {
         let mut count = 0;
-        while count < limit && self.fit(need) {
-            self.subtract(need);
+        while count < limit && self.can_hold(demand) {
+            self.subtract(demand);
             count += 1;
         }
         count
@@ -61,8 +61,8 @@
     /// Machines that can take tasks, with their free resources.
     available: Vec<(&'a FakeAgent, Resources)>,
     gpus_by_team: BTreeMap<&'a str, f64>,
-    present_tasks: BTreeSet<&'a str>,
-    present_jobs: BTreeSet<&'a str>,
+    assigned_tasks: BTreeSet<&'a str>,
+    assigned_jobs: BTreeSet<&'a str>,
 }
 
 impl Simulation {
@@ -77,7 +77,7 @@
             return;
         }
         self.starvation.checked_at = now;
-        let waiting: BTreeSet<String> = self.jobs_waiting_despite_room().into_iter().collect();
+        let waiting: BTreeSet<String> = self.jobs_waiting_despite_capacity().into_iter().collect();
         let waiting_since = &mut self.starvation.waiting_since;
         waiting_since.retain(|job, _| waiting.contains(job));
         for job in waiting {
@@ -89,12 +89,12 @@
         }
     }
 
-    fn jobs_waiting_despite_room(&self) -> Vec<String> {
+    fn jobs_waiting_despite_capacity(&self) -> Vec<String> {
         let usage = self.usage();
         self.jobs
             .iter()
             .filter(|(job, truth)| self.is_waiting(job, truth, &usage))
-            .filter(|(_, truth)| self.has_room(&truth.spec, &usage))
+            .filter(|(_, truth)| self.has_capacity(&truth.spec, &usage))
             .map(|(job, _)| job.clone())
             .collect()
     }
@@ -103,8 +103,8 @@
         let mut usage = Usage {
             available: Vec::new(),
             gpus_by_team: BTreeMap::new(),
-            present_tasks: BTreeSet::new(),
-            present_jobs: BTreeSet::new(),
+            assigned_tasks: BTreeSet::new(),
+            assigned_jobs: BTreeSet::new(),
         };
         for agent in self.agents.values() {
             let mut free = MACHINE_RESOURCES;
@@ -116,8 +116,8 @@
                 };
                 free.subtract(&Resources::of_task(&truth.spec));
                 *usage.gpus_by_team.entry(&truth.spec.team).or_default() += truth.spec.gpus;
-                usage.present_tasks.insert(task);
-                usage.present_jobs.insert(job);
+                usage.assigned_tasks.insert(task);
+                usage.assigned_jobs.insert(job);
             }
             let is_available = agent.alive
                 && !agent.fails_tasks
@@ -135,34 +135,35 @@
         let has_ended = truth.cancel_requested
             || truth.cancellation_seen_at.is_some()
             || truth.all_tasks_done();
-        let needs_are_done = self
+        let dependencies_are_done = self
             .dependencies(job)
             .iter()
-            .all(|need| need.completion_seen_at.is_some());
-        let gang_is_present = truth.spec.kind == JobKind::Gang && usage.present_jobs.contains(job);
-        let is_present_or_done = |index: u32| {
+            .all(|dependency| dependency.completion_seen_at.is_some());
+        let gang_is_assigned =
+            truth.spec.kind == JobKind::Gang && usage.assigned_jobs.contains(job);
+        let is_assigned_or_done = |index: u32| {
             let task = format!("{job}/{index}");
-            truth.done.contains(&index) || usage.present_tasks.contains(task.as_str())
+            truth.done.contains(&index) || usage.assigned_tasks.contains(task.as_str())
         };
         truth.accepted
             && !has_ended
-            && needs_are_done
-            && !gang_is_present
-            && !(0..truth.spec.tasks).all(is_present_or_done)
+            && dependencies_are_done
+            && !gang_is_assigned
+            && !(0..truth.spec.tasks).all(is_assigned_or_done)
             && !self.failing_jobs.contains(job)
     }
 
     /// Whether there is room for one more task of a job, or for a whole gang.
-    fn has_room(&self, spec: &JobSpec, usage: &Usage) -> bool {
-        let need = Resources::of_task(spec);
+    fn has_capacity(&self, spec: &JobSpec, usage: &Usage) -> bool {
+        let demand = Resources::of_task(spec);
         let count = match spec.kind {
             JobKind::Gang => spec.tasks,
             _ => 1,
         };
         let limit = self.limits.get(&spec.team).copied();
         let used = usage.gpus_by_team.get(spec.team.as_str()).copied();
-        let used_then = used.unwrap_or(0.0) + spec.gpus * f64::from(count);
-        if used_then > limit.unwrap_or(f64::INFINITY) + EPSILON || spec.spread {
+        let used_after_start = used.unwrap_or(0.0) + spec.gpus * f64::from(count);
+        if used_after_start > limit.unwrap_or(f64::INFINITY) + EPSILON || spec.spread {
             return false;
         }
         let may_use = |agent: &FakeAgent, zone: &str| {
@@ -174,7 +175,7 @@
             let machines = usage.available.iter();
             let fitting = machines
                 .filter(|(agent, _)| may_use(agent, zone))
-                .map(|(_, free)| free.count_fitting(&need, count));
+                .map(|(_, free)| free.count_fitting(&demand, count));
             fitting.sum::<u32>() >= count
         })
     }
--- a/tests/simulation/violation_injection.rs
+++ b/tests/simulation/violation_injection.rs
@@ -42,7 +42,7 @@
     pub fn inject_client_answer(
         &mut self,
         job: &str,
-        asked_at: u64,
+        sent_at: u64,
         request: ClientRequest,
         status: u16,
         state: &str,
@@ -53,7 +53,7 @@
             done: None,
             running: None,
         });
-        self.client_answered(job.into(), asked_at, request, status, &body);
+        self.client_answered(job.into(), sent_at, request, status, &body);
     }
 
     /// Empties the list of machine types in a controller's cache.
@@ -72,7 +72,7 @@
             },
             _ => PendingResponse::AgentHeartbeat {
                 machine: "none".into(),
-                number: 0,
+                seq: 0,
             },
         };
         self.request_on(internal, controller, pending, "POST", path.into(), body);
