--- a/tests/simulation/agent_behavior.rs
+++ b/tests/simulation/agent_behavior.rs
@@ -1,15 +1,15 @@
-//! What agents do with commands and as time passes: task phases, gangs, leases and heartbeats.
+//! Behaviour of the simulated agents: execution of commands, task phases, gangs, leases and heartbeats.
 
 use super::*;
 use fake_agent::{InFlightHeartbeat, TaskKey, split_task_name};
 use fault_injection::StaleHeartbeat;
 
 const HEARTBEAT_INTERVAL: u64 = 2 * SECOND;
-/// A heartbeat follows the execution of a start within this time.
+/// An agent sends a heartbeat at most this long after it has executed a start command.
 const HEARTBEAT_DELAY_AFTER_START: u64 = SECOND / 2;
 
 impl Simulation {
-    /// Until when a machine stands still, if it does.
+    /// When a machine stops hanging; `None` if it does not hang.
     pub(super) fn hung_until(&self, machine: &str) -> Option<u64> {
         let agent = self.agents.get(machine)?;
         Some(agent.hung_until).filter(|until| *until > self.now)
@@ -34,7 +34,7 @@
 
     fn execute_start(&mut self, machine: &str, key: TaskKey) {
         let now = self.now;
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         if agent.tasks.contains_key(&key) {
             return;
         }
@@ -60,7 +60,7 @@
     fn execute_stop(&mut self, machine: &str, key: TaskKey, grace_s: f64) {
         let (job, _) = split_task_name(&key.0);
         let save_s = self.jobs.get(job).map_or(0.0, |truth| truth.spec.save_s);
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         let Some(task) = agent.tasks.get_mut(&key) else {
             return;
         };
@@ -76,22 +76,22 @@
     }
 
     fn execute_forget(&mut self, machine: &str, key: TaskKey) {
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         let exited = |task: &FakeTask| task.phase == TaskPhase::Exited;
         if agent.tasks.get(&key).is_some_and(exited) {
             agent.tasks.remove(&key);
         }
     }
 
-    /// What an agent does by itself: its lease expires, phases of tasks end, heartbeats are sent.
+    /// The periodic work of an agent: expires its lease, ends task phases that are due, and sends heartbeats.
     pub(super) fn agent_tick(&mut self, machine: &str) {
         let now = self.now;
         let lease = self.lease_s * SECOND;
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         if !agent.alive {
             return;
         }
-        // The lease expires on a hung machine as well: the machine may continue only within it.
+        // The lease expires on a hung machine as well: after the hang, tasks may continue only under a valid lease.
         agent.expire_lease(now, lease);
         if agent.hung_until > now {
             return;
@@ -112,18 +112,18 @@
         self.send_heartbeat(machine);
     }
 
-    /// Ends the present phase of a task.
+    /// Ends the current phase of a task.
     fn end_phase(&mut self, machine: &str, key: &TaskKey) {
         let (job, index) = split_task_name(&key.0);
         let truth = self.jobs[job].clone();
         let job_fails = self.failing_jobs.contains(job);
         let can_complete = truth.spec.kind != JobKind::Gang || self.gang_can_complete(key, &truth);
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         let fails = agent.fails_tasks || job_fails;
         match agent.tasks[key].phase {
             TaskPhase::Fetching if fails => agent.exit_task(key, ExitReason::Error, false),
             TaskPhase::Fetching => self.finish_fetch(machine, key, &truth, index),
-            // Other members have exited while this machine hung.
+            // Other members of the gang have exited, or the machine of one hangs.
             TaskPhase::Running if !can_complete => {
                 agent.exit_task(key, ExitReason::GangMemberGone, false)
             }
@@ -136,11 +136,15 @@
         }
     }
 
-    /// The image of a task has arrived: the task runs, or waits for its gang, or is done already.
+    /// Called when the image of a task has been fetched: the task starts to run or waits for the other members of its
+    /// gang; a task that has completed in an earlier attempt exits as done.
     fn finish_fetch(&mut self, machine: &str, key: &TaskKey, truth: &JobGroundTruth, index: u32) {
         let now = self.now;
-        let agent = self.agents.get_mut(machine).expect("a machine");
-        let task = agent.tasks.get_mut(key).expect("a task");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
+        let task = agent
+            .tasks
+            .get_mut(key)
+            .expect("task exists on the machine");
         if truth.done.contains(&index) {
             agent.exit_task(key, ExitReason::Done, false);
         } else if truth.spec.kind == JobKind::Gang {
@@ -160,7 +164,7 @@
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now;
         let controller_count = self.controllers.len();
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         if agent.in_flight.is_some() || agent.next_heartbeat_at > now {
             return;
         }
@@ -195,7 +199,8 @@
         }
     }
 
-    /// All members of a gang's attempt are on machines that do not hang, or one of them has completed.
+    /// Whether a gang's attempt can complete: all its members are active on machines that do not hang, or one of them
+    /// has completed already.
     fn gang_can_complete(&self, key: &TaskKey, truth: &JobGroundTruth) -> bool {
         let (job, _) = split_task_name(&key.0);
         let is_member =
@@ -206,14 +211,14 @@
             .flat_map(|agent| agent.active_tasks())
             .filter(|(other, _)| is_member(other))
             .count();
-        // Members complete together: while the machine of one hangs, none does.
+        // Members complete together, so none completes while the machine of one hangs.
         let any_hung = self.agents.values().any(|agent| {
             agent.hung_until > self.now && agent.active_tasks().any(|(other, _)| is_member(other))
         });
         !truth.done.is_empty() || members as u32 == truth.spec.tasks && !any_hung
     }
 
-    /// Starts gangs whose members all wait, and ends the members of gangs that are incomplete.
+    /// Starts gangs whose members are all waiting, and ends the members of incomplete gangs.
     pub(super) fn update_gangs(&mut self) {
         for ((job, _), members) in self.gang_attempts() {
             let truth = self.jobs[&job].clone();
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Active members of gangs by job and attempt.
+    /// Active members of gangs, by job and attempt.
     fn gang_attempts(&self) -> BTreeMap<(String, u64), Vec<GangMember>> {
         let mut attempts: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
         for agent in self.agents.values() {
@@ -254,8 +259,14 @@
 
     fn start_gang(&mut self, members: &[GangMember], run_time: u64) {
         for member in members {
-            let agent = self.agents.get_mut(&member.machine).expect("a machine");
-            let task = agent.tasks.get_mut(&member.key).expect("a task");
+            let agent = self
+                .agents
+                .get_mut(&member.machine)
+                .expect("machine exists");
+            let task = agent
+                .tasks
+                .get_mut(&member.key)
+                .expect("task exists on the machine");
             task.phase = TaskPhase::Running;
             task.phase_ends_at = self.now + run_time;
         }
@@ -263,7 +274,10 @@
 
     fn end_gang_members(&mut self, job: &str, members: &[GangMember], completed: bool) {
         for member in members {
-            let agent = self.agents.get_mut(&member.machine).expect("a machine");
+            let agent = self
+                .agents
+                .get_mut(&member.machine)
+                .expect("machine exists");
             if member.phase != TaskPhase::Running || agent.hung_until > self.now {
                 continue;
             }
--- a/tests/simulation/client_probes.rs
+++ b/tests/simulation/client_probes.rs
@@ -1,16 +1,16 @@
-//! Difficult clients: they poll all controllers at once, send invalid requests, and cancel jobs at the moment of their
-//! completion. Here stale heartbeats are sent to the next leader, too.
+//! Clients that provoke races: they poll all controllers at once, send invalid requests, and cancel jobs at the moment
+//! of their completion. The stale heartbeats for a new leader are sent from here as well.
 
 use super::*;
 use rmpv::Value;
 
-/// GPUs and CPUs of the largest machine.
+/// CPUs of the largest machine.
 const LARGEST_MACHINE_CPUS: f64 = 8.0;
-/// Polls of a probe are sent within this time.
+/// The polls of a probe are spread over this time, in microseconds.
 const POLL_SPREAD: std::ops::Range<u64> = 0..60_000;
-/// Other requests of a probe, and the cancellations of a burst, are sent within this time.
+/// The other requests of a probe, and the cancellations of a burst, are spread over this time, in microseconds.
 const REQUEST_SPREAD: std::ops::Range<u64> = 0..200_000;
-/// Stale heartbeats reach a new leader within this time.
+/// The stale heartbeats for a new leader are spread over this time, in microseconds.
 const STALE_HEARTBEAT_SPREAD: std::ops::Range<u64> = 0..400_000;
 const MAX_HUNG_MACHINES: usize = 8;
 const INVALID_REQUEST_INTERVAL: u64 = SECOND / 2;
@@ -69,7 +69,7 @@
 }
 
 impl Simulation {
-    /// Injects, with each tick, the faults that follow from what has happened; checks for starvation.
+    /// Runs at each tick: injects the faults that depend on the state of the cluster, and checks for starvation.
     pub(super) fn inject_client_and_heartbeat_faults(&mut self) {
         self.send_stale_heartbeats();
         if self.faults.cancel_at_completion_probability > 0.0 {
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Polls a job at all controllers, again and again within milliseconds; repeats its submission, and its
-    /// cancellation if it has ended.
+    /// Polls a job three times at each controller within milliseconds. Repeats its submission, and requests its
+    /// cancellation if a client has received a final state.
     pub fn probe_job(&mut self, job: &str) {
         let has_ended = self.final_states.contains_key(job);
         for controller in 0..self.controllers.len() {
@@ -144,8 +144,8 @@
         self.after(delay, move |sim| request(sim, &job));
     }
 
-    /// Cancels these jobs within a fifth of a second. With a `hang_time`, up to eight machines with tasks of theirs
-    /// stand still for so long.
+    /// Cancels these jobs within 200 ms. If `hang_time` is not 0, up to `MAX_HUNG_MACHINES` machines with tasks of
+    /// these jobs hang for that long.
     pub fn cancel_burst(&mut self, jobs: &[String], hang_time: u64) {
         let until = self.now + hang_time;
         let mut hung_machines = 0;
@@ -159,12 +159,15 @@
         }
     }
 
-    /// Lets one machine with tasks of a job stand still; returns whether there is one.
+    /// Makes one machine with tasks of a job hang; returns whether there is such a machine.
     fn hang_machine_of(&mut self, job: &str, until: u64) -> bool {
         let now = self.now;
         let has_task = |agent: &FakeAgent| {
             let mut tasks = agent.tasks.keys();
-            tasks.any(|(task, _)| task.rsplit_once('/').is_some_and(|(of, _)| of == job))
+            tasks.any(|(task, _)| {
+                task.rsplit_once('/')
+                    .is_some_and(|(task_job, _)| task_job == job)
+            })
         };
         let mut agents = self.agents.values_mut();
         let Some(agent) = agents.find(|agent| has_task(agent) && agent.hung_until <= now) else {
@@ -187,7 +190,7 @@
         encode(&submission)
     }
 
-    /// Sends one request that must be refused, to some controller.
+    /// Sends one invalid submission to a random controller, which must refuse it.
     pub fn send_invalid_request(&mut self) {
         let fields = invalid_fields();
         let field = fields[self.rng.random_range(0..fields.len())].clone();
@@ -207,14 +210,20 @@
         status: u16,
     ) {
         if matches!(status, 200 | 201) {
-            self.report_violation("accepted_invalid", format!("{description}: {status}"));
+            self.report_violation(
+                "accepted_invalid",
+                format!("invalid {description} accepted with status {status}"),
+            );
         } else if status != expected_status && status != 503 {
-            self.report_violation("refused_otherwise", format!("{description}: {status}"));
+            self.report_violation(
+                "refused_otherwise",
+                format!("invalid {description}: expected status {expected_status}, found {status}"),
+            );
         }
     }
 
-    /// Sends, twice a second for this time: an invalid request, a repeated submission, a cancellation of a completed
-    /// job, and a poll of a job that does not exist.
+    /// Sends the following requests twice a second, for `duration` microseconds: an invalid submission, a repeated
+    /// submission, a cancellation of a completed job, and a poll of a job that does not exist.
     pub fn send_invalid_requests(&mut self, duration: u64) {
         self.step_invalid_requests(self.now + duration);
     }
--- a/tests/simulation/clients.rs
+++ b/tests/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their requests, and what they are told.
+//! Clients: their requests, and the handling of the answers.
 
 use super::*;
 
@@ -17,7 +17,7 @@
         }
     }
 
-    /// A client was told that the job is done or cancelled.
+    /// Whether a client has received a final state of the job: done or cancelled.
     pub fn is_finished_for_client(&self) -> bool {
         self.completion_seen_at.is_some() || self.cancellation_seen_at.is_some()
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Declares a job; `submit` sends it.
+    /// Registers a job with the simulation without submitting it; `submit` sends it to a controller.
     pub fn declare_job(&mut self, job: &str, spec: JobSpec, run_time: u64) {
         let truth = JobGroundTruth::new(spec, run_time);
         self.jobs.insert(job.into(), truth);
@@ -82,7 +82,7 @@
 
     /// Submits a declared job once.
     pub fn submit(&mut self, controller: usize, job: &str) {
-        let truth = self.jobs.get_mut(job).expect("a declared job");
+        let truth = self.jobs.get_mut(job).expect("job is declared");
         truth.submitted = true;
         let mut submission = to_value(&truth.spec);
         if let rmpv::Value::Map(fields) = &mut submission {
@@ -93,13 +93,14 @@
         self.request(controller, pending, "POST", path, encode(&submission));
     }
 
-    /// Adds a client that submits a job, retries, and polls until the end, on changing controllers.
+    /// Adds a client that submits a job, retries until it is accepted, and polls it until it ends. Each request goes to
+    /// a random controller.
     pub fn spawn_client(&mut self, job: &str, spec: JobSpec, run_time: u64) {
         let all: Vec<usize> = (0..self.controllers.len()).collect();
         self.spawn_client_at(&all, job, spec, run_time);
     }
 
-    /// Adds such a client that uses some of the controllers only.
+    /// Like `spawn_client`, but the client sends requests only to `controllers`.
     pub fn spawn_client_at(
         &mut self,
         controllers: &[usize],
@@ -126,7 +127,7 @@
         self.after(delay, move |sim| sim.step_client(controllers, job));
     }
 
-    /// The status of a controller's answer to a health check; 0 without one.
+    /// The status of a controller's answer to a health check; 0 if it does not answer.
     pub fn health_status(&mut self, controller: usize) -> u16 {
         self.last_health_status = 0;
         let pending = PendingResponse::HealthCheck;
@@ -134,14 +135,14 @@
         self.last_health_status
     }
 
-    /// Asks for a job's state once.
+    /// Sends one request for a job's state.
     pub fn poll(&mut self, controller: usize, job: &str) {
         let pending = self.pending_client(ClientRequest::Poll, job);
         let path = format!("/submissions/{job}");
         self.request(controller, pending, "GET", path, Vec::new());
     }
 
-    /// Asks for a job's cancellation once.
+    /// Sends one request to cancel a job.
     pub fn cancel(&mut self, controller: usize, job: &str) {
         if let Some(truth) = self.jobs.get_mut(job) {
             truth.cancel_requested = true;
@@ -151,7 +152,7 @@
         self.request(controller, pending, "POST", path, Vec::new());
     }
 
-    /// Asks for a job's cancellation every second until a client was told of its end.
+    /// Requests a job's cancellation every second until a client has received its final state.
     pub fn cancel_until_answered(&mut self, job: &str) {
         if self.jobs[job].is_finished_for_client() {
             return;
@@ -162,7 +163,7 @@
         self.after(SECOND, move |sim| sim.cancel_until_answered(&job));
     }
 
-    /// A client got the answer to a request about a job.
+    /// Called when a client receives the answer to a request about a job; `sent_at` is the request's time.
     pub(super) fn client_answered(
         &mut self,
         job: String,
@@ -185,7 +186,7 @@
         if !self.check_client_answer(&job, request, status) || !succeeded {
             return;
         }
-        let truth = self.jobs.get_mut(&job).expect("a checked job");
+        let truth = self.jobs.get_mut(&job).expect("job is declared");
         let is_final = matches!(state.as_str(), "done" | "cancelled");
         let is_new_state = !truth.accepted || is_final;
         truth.accepted = true;
--- a/tests/simulation/controllers.rs
+++ b/tests/simulation/controllers.rs
@@ -28,18 +28,18 @@
         self.deliver(controller, Vec::new());
     }
 
-    /// Makes a controller run the first version, or the present one, from its next start on.
+    /// Selects the version that a controller runs after its next start: the first released one or the current one.
     pub fn set_first_version(&mut self, controller: usize, first_version: bool) {
         self.controllers[controller].first_version = first_version;
     }
 
-    /// Pauses a controller's process while its clocks run on.
+    /// Pauses a controller's process for `duration` microseconds; its clock continues.
     pub fn pause_controller(&mut self, controller: usize, duration: u64) {
         self.controllers[controller].paused_until = self.now + duration;
         self.after(duration + 1, move |sim| sim.deliver(controller, Vec::new()));
     }
 
-    /// Kills a controller; it starts again after `down_time`.
+    /// Kills a controller and restarts it after `down_time` microseconds.
     pub fn crash_controller(&mut self, controller: usize, down_time: u64) {
         let slot = &mut self.controllers[controller];
         slot.process = None;
@@ -56,14 +56,14 @@
         process.leader.as_ref().map(|leader| leader.term)
     }
 
-    /// The controller that leads with the highest term.
+    /// The controller that leads; the one with the highest term if several do.
     pub fn leader(&self) -> Option<usize> {
         (0..self.controllers.len())
             .filter(|controller| self.term_of_leader(*controller).is_some())
             .max_by_key(|controller| self.term_of_leader(*controller))
     }
 
-    /// The leader's term; 0 without a leader.
+    /// The leader's term; 0 if there is no leader.
     pub fn term(&self) -> u64 {
         self.leader()
             .and_then(|leader| self.term_of_leader(leader))
--- a/tests/simulation/event_loop.rs
+++ b/tests/simulation/event_loop.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// How often agents act and invariants are checked.
+/// Interval at which agents act and invariants are checked, in microseconds.
 const TICK_INTERVAL: u64 = 50_000;
-/// Wall-clock time at simulated time 0.
+/// Wall-clock time at simulated time 0, in microseconds since the Unix epoch.
 const WALL_CLOCK_OFFSET: u64 = 1_700_000_000 * SECOND;
 
-/// Something that happens at a scheduled time.
+/// An event with a scheduled time.
 pub(super) enum Event {
     ControllerWake {
         controller: usize,
@@ -50,7 +50,7 @@
         self.queue.push(Reverse((at.max(self.now), self.serial)));
     }
 
-    /// Runs an action after this many microseconds.
+    /// Runs an action after `delay` microseconds.
     pub fn after(&mut self, delay: u64, action: impl FnOnce(&mut Simulation) + 'static) {
         self.schedule(self.now + delay, Event::Action(Box::new(action)));
     }
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Runs the simulation for this many seconds; panics on the first violation of a rule.
+    /// Runs the simulation for this many seconds; panics on the first violation of an invariant.
     pub fn run_seconds(&mut self, seconds: u64) {
         self.run_micros(seconds * SECOND);
     }
 
-    /// Runs the simulation for this many microseconds; panics on the first violation of a rule.
+    /// Runs the simulation for this many microseconds; panics on the first violation of an invariant.
     pub fn run_micros(&mut self, duration: u64) {
         let end = self.now + duration;
         while let Some(Reverse((at, serial))) = self.queue.peek().copied() {
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Hands the first outcome of a call to the controller's incarnation that made it.
+    /// Delivers the first outcome of a call to the controller, unless it has restarted since the call. Later outcomes
+    /// of the same call are ignored.
     fn complete_call(&mut self, key: CallKey, outcome: Outcome) {
         let was_pending = self.pending_calls.remove(&key);
         if was_pending && self.controllers[key.controller].incarnation == key.incarnation {
--- a/tests/simulation/fake_agent.rs
+++ b/tests/simulation/fake_agent.rs
@@ -1,26 +1,28 @@
-//! An in-memory agent: epochs, leases, terms and tasks as the protocol describes them.
+//! An in-memory agent with epochs, leases, terms and tasks according to the agent protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 use walnuttrestle::protocol::agent_api::*;
 
-/// A task and the number of the attempt.
+/// The name of a task and the number of the attempt.
 pub type TaskKey = (String, u64);
 
 /// The job and the index of a task named `JOB/INDEX`.
 pub fn split_task_name(task: &str) -> (&str, u32) {
-    let (job, index) = task.rsplit_once('/').expect("a task name");
-    (job, index.parse().expect("an index"))
+    let (job, index) = task
+        .rsplit_once('/')
+        .expect("task name has the form JOB/INDEX");
+    (job, index.parse().expect("task index is a number"))
 }
 
 /// An attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct FakeTask {
     pub phase: TaskPhase,
-    /// Why the attempt has exited.
+    /// Why the attempt has exited; `None` while it is active.
     pub exit_reason: Option<ExitReason>,
-    /// The attempt has saved its state before it exited.
+    /// The attempt saved its state before it exited.
     pub saved: bool,
-    /// When the present phase ends by itself; 0 if it does not.
+    /// When the current phase ends by itself; 0 if it lasts until another event ends it.
     pub phase_ends_at: u64,
 }
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// A heartbeat without an answer yet.
+/// A heartbeat that has not been answered yet.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightHeartbeat {
     pub agent_epoch: u64,
@@ -59,21 +61,21 @@
     pub spot: bool,
     /// The number in the machine's name.
     pub index: usize,
-    /// A machine that is not alive has failed: it does nothing any more.
+    /// False once the machine has failed; a failed machine does nothing.
     pub alive: bool,
-    /// The machine stands still until then.
+    /// The machine hangs until this time.
     pub hung_until: u64,
     pub agent_epoch: u64,
-    /// Number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub seq: u64,
-    /// The highest term seen.
+    /// The highest term that the agent has seen.
     pub term: u64,
-    /// Announced time to the loss of a spot instance, in seconds.
+    /// Announced time until the preemption of a spot instance, in seconds.
     pub preemption_notice_s: Option<f64>,
     pub tasks: BTreeMap<TaskKey, FakeTask>,
-    /// The controller that gets the next heartbeat.
+    /// The controller that the next heartbeat is sent to.
     pub controller: usize,
-    /// When the heartbeat that renewed the lease was sent.
+    /// When the heartbeat that last renewed the lease was sent.
     pub lease_renewed_at: u64,
     pub next_heartbeat_at: u64,
     pub in_flight: Option<InFlightHeartbeat>,
@@ -81,9 +83,9 @@
     pub term_changed_at: u64,
     /// Every task fails on this machine.
     pub fails_tasks: bool,
-    /// Number of tasks that have failed here.
+    /// Number of tasks that have failed on this machine.
     pub failed_tasks: u32,
-    /// Images on the machine's disk; they outlive an epoch.
+    /// Images on the machine's disk; they are kept when a new epoch begins.
     pub cached_images: BTreeSet<String>,
 }
 
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The next heartbeat.
+    /// Builds the next heartbeat and increments the sequence number.
     pub fn heartbeat(&mut self) -> AgentHeartbeat {
         self.seq += 1;
         AgentHeartbeat {
@@ -142,7 +144,7 @@
             .collect()
     }
 
-    /// Attempts that have their image and have not exited; none on a machine that is not alive.
+    /// Attempts whose image has been fetched and that have not exited; none on a failed machine.
     pub fn active_tasks(&self) -> impl Iterator<Item = (&TaskKey, &FakeTask)> {
         let alive = self.alive;
         self.tasks.iter().filter(move |(_, task)| {
@@ -150,7 +152,7 @@
         })
     }
 
-    /// Ends an attempt; the next heartbeat is due at once.
+    /// Ends an attempt and makes the next heartbeat due at once.
     pub fn exit_task(&mut self, key: &TaskKey, reason: ExitReason, saved: bool) {
         if let Some(task) = self.tasks.get_mut(key) {
             task.phase = TaskPhase::Exited;
@@ -176,8 +178,8 @@
         }
     }
 
-    /// Renews the lease by the response to a heartbeat. Returns whether the response's commands are to be executed:
-    /// not if its term is outdated or another epoch has begun since the heartbeat.
+    /// Renews the lease on the response to a heartbeat. Returns whether to execute the commands of the response. A
+    /// response with an outdated term, or to a heartbeat of an earlier epoch, is ignored.
     pub fn accept_response(
         &mut self,
         response: &AgentHeartbeatResponse,
--- a/tests/simulation/fake_cloud.rs
+++ b/tests/simulation/fake_cloud.rs
@@ -1,10 +1,10 @@
-//! An in-memory cloud: it offers one machine type, rents machines and takes them back.
+//! An in-memory cloud that offers one machine type, rents machines and deletes them.
 
 use super::*;
 
-/// The cloud has this many machines.
+/// The cloud rents a machine only while fewer than this many exist or boot.
 const CAPACITY: usize = 12;
-/// A rental's identifier may be used again for this long.
+/// A request to rent may be repeated under the same identifier for this long.
 const RENTAL_RETRY_TIME: u64 = 60 * SECOND;
 
 fn machine_type() -> MachineType {
@@ -35,9 +35,10 @@
                 (200, encode(&MachineTypes { types }))
             }
             ("GET", _) => (200, encode(&self.list_machines())),
-            ("POST", "/machines") => self.rent(decode(&call.body).expect("a rental")),
+            ("POST", "/machines") => self.rent(decode(&call.body).expect("body is a rent request")),
             _ => {
-                let names: MachineNames = decode(&call.body).expect("names");
+                let names: MachineNames =
+                    decode(&call.body).expect("body is a list of machine names");
                 self.delete_machines(names);
                 (200, Vec::new())
             }
@@ -62,7 +63,7 @@
                 age_s: 10.0,
             })
             .collect();
-        machines.sort_by(|one, other| one.id.cmp(&other.id));
+        machines.sort_by(|first, second| first.id.cmp(&second.id));
         MachinePage {
             machines,
             more: false,
@@ -73,7 +74,12 @@
         if let Some(rental) = self.rentals.get(&request.request) {
             let machines = rental.machines.clone();
             if self.now > rental.requested_at + RENTAL_RETRY_TIME {
-                self.report_violation("hire reused", request.request);
+                let details = format!(
+                    "{} repeated more than {} s after the rental",
+                    request.request,
+                    RENTAL_RETRY_TIME / SECOND
+                );
+                self.report_violation("rental_id_reused", details);
             }
             return (200, encode(&MachineNames { machines }));
         }
@@ -109,7 +115,7 @@
         }
     }
 
-    /// Lets rented machines come up whose boot time is over.
+    /// Starts the agents of rented machines whose boot time has elapsed.
     pub(super) fn start_booted_machines(&mut self) {
         let now = self.now;
         let (ready, booting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.booting)
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -1,6 +1,6 @@
-//! An in-memory key-value store with transactions, watches, leases and limits, as the protocol describes it.
+//! An in-memory key-value store with transactions, watches, leases and limits according to the store protocol.
 
-// Each test target uses some of the items.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 use rmpv::Value;
@@ -8,9 +8,9 @@
 use walnuttrestle::protocol::codec::*;
 use walnuttrestle::protocol::key_value_api::*;
 
-/// Items on a page of a listing.
+/// Items per page of a listing.
 const PAGE_SIZE: usize = 7;
-/// A transaction may have this many conditions for each change that it may have.
+/// The limit on conditions in a transaction is this multiple of the limit on changes.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
 /// Status and body of an answer.
@@ -21,8 +21,9 @@
     pub ticket: u64,
     /// The controller that watches.
     pub controller: usize,
-    /// Changes after this revision are wanted.
+    /// The watch is answered with the changes after this revision.
     pub after: u64,
+    /// When the watch is answered even if there is no change.
     pub until: u64,
 }
 
@@ -35,7 +36,7 @@
     pub write_rps: f64,
 }
 
-/// Changes that are allowed at once: a token bucket.
+/// Token bucket that limits the rate of changes.
 #[derive(Default)]
 struct TokenBucket {
     updated_at: u64,
@@ -56,7 +57,7 @@
 /// The store. Times are in microseconds.
 #[derive(Default)]
 pub struct FakeStore {
-    /// Limits in force; `None`: every transaction is taken.
+    /// Limits on transactions; `None` if there are none.
     pub limits: Option<StoreLimits>,
     /// Transactions rejected for their size.
     pub rejected_for_size: usize,
@@ -71,11 +72,11 @@
     pub watches: Vec<OpenWatch>,
     /// The store answers no request.
     pub outage: bool,
-    /// Controllers whose requests are refused; their open watches wait as in an outage.
+    /// Controllers whose requests are refused with status 503; their open watches are not answered.
     pub refused_controllers: Vec<usize>,
-    /// Number of changes that watches can look back on; `None`: all.
+    /// Number of changes that the store keeps for watches; `None` if it keeps all.
     pub history_limit: Option<usize>,
-    /// Watches that were refused because their revision is compacted.
+    /// Number of watches refused because their revision was compacted.
     pub compacted_reads: usize,
 }
 
@@ -98,7 +99,7 @@
         self.keys.contains_key(key)
     }
 
-    /// Replaces a value by one that no controller can read.
+    /// Replaces a value by one that controllers cannot decode.
     pub fn corrupt(&mut self, key: &str) {
         self.revision += 1;
         let lease = self.keys.get(key).and_then(|stored| stored.lease);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Ends an outage: all leases have their full duration again.
+    /// Ends an outage and renews all leases for their full duration.
     pub fn end_outage(&mut self, now: u64) {
         self.outage = false;
         for lease in self.leases.values_mut() {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The status that a transaction is rejected with by the limits, if it is.
+    /// Checks a transaction against the limits. Returns the status to reject it with, or `None` if it is within them.
     fn check_limits(&mut self, now: u64, transaction: &Transaction) -> Option<u16> {
         let limits = self.limits?;
         let is_too_large = |change: &Change| match change {
@@ -216,14 +217,14 @@
         }
     }
 
-    /// Whether changes after a revision are no longer all known.
+    /// Whether some of the changes after a revision have been compacted.
     fn is_compacted(&self, revision: u64) -> bool {
         let changes = self.log.iter();
         let missing = changes.filter(|event| event.version > revision).count();
         self.history_limit.is_some_and(|limit| missing > limit)
     }
 
-    /// Takes the watches that can be answered now, as tickets and bodies.
+    /// Removes the watches that can be answered now; returns their tickets and the bodies of the answers.
     pub fn take_ready_watches(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
         if self.outage {
             return Vec::new();
@@ -243,7 +244,7 @@
         answers
     }
 
-    /// Handles a request; `None`: it is a watch that stays open under its ticket.
+    /// Handles a request. Returns `None` for a watch that stays open under `ticket`.
     pub fn handle(
         &mut self,
         now: u64,
@@ -262,11 +263,11 @@
             ("GET", "/watch") => self.watch(now, controller, ticket, path),
             ("GET", "/keys") => Some(self.list(path)),
             ("POST", "/multi") => {
-                let transaction = decode(body).expect("a transaction");
+                let transaction = decode(body).expect("body is a transaction");
                 Some(self.commit(now, transaction))
             }
             ("POST", "/leases") => {
-                let request = decode(body).expect("a lease request");
+                let request = decode(body).expect("body is a lease request");
                 Some(self.grant_lease(now, &request))
             }
             ("POST", renewal) => Some(self.renew_lease(now, renewal)),
@@ -367,7 +368,7 @@
             .strip_prefix("/leases/")
             .and_then(|rest| rest.strip_suffix("/renew"))
             .and_then(|id| id.parse().ok())
-            .expect("a renewal");
+            .expect("path is /leases/ID/renew");
         let Some(renewed) = self.leases.get_mut(&lease) else {
             return (404, Vec::new());
         };
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Fault injection beyond partitions: lost, delayed and duplicated messages, and difficult clients.
+//! Fault injection other than two-way partitions: lost, delayed and duplicated messages, and clients that provoke
+//! races.
 
 use super::event_loop::Event;
 use super::{CallKey, Endpoint};
@@ -9,22 +10,22 @@
 use walnuttrestle::protocol::key_value_api::{Change, Transaction};
 use walnuttrestle::transport::Call;
 
-/// At most this many heartbeats are kept for the next leader.
+/// At most this many heartbeats are kept for delivery to the next leader.
 const MAX_STALE_HEARTBEATS: usize = 300;
-/// A duplicate comes at least this much later than the original.
+/// Minimum delay of a duplicate after the original, in microseconds.
 const MIN_DUPLICATE_DELAY: u64 = 500_000;
-/// Range of the additional latency of delayed writes.
+/// Additional latency of delayed writes, in microseconds.
 const WRITE_DELAY: std::ops::Range<u64> = 2_000_000..12_000_000;
 
-/// Messages that do not reach a machine.
+/// Kinds of messages to a machine that can be dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DroppedDelivery {
     HeartbeatResponses,
-    /// Direct commands.
+    /// Commands that a controller sends outside heartbeat responses.
     Commands,
 }
 
-/// How often messages are duplicated, and how late a duplicate comes at most, in microseconds.
+/// Probability that a message is duplicated, and the maximum delay of the duplicate in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Duplication {
     pub probability: f64,
@@ -32,7 +33,7 @@
 }
 
 impl Duplication {
-    /// The delay of a duplicate; `None` if the message is not duplicated.
+    /// Draws the delay of a duplicate; `None` if the message is not duplicated.
     fn draw(&self, rng: &mut ChaCha8Rng) -> Option<u64> {
         let end = self.max_delay.max(MIN_DUPLICATE_DELAY + 1);
         rng.random_bool(self.probability)
@@ -40,11 +41,11 @@
     }
 }
 
-/// Writes of keys with a prefix get no answer and are carried out later.
+/// Transactions that write a key with this prefix are executed late and get no answer in time.
 #[derive(Debug, Clone, Copy)]
 pub struct DelayedKey {
     pub prefix: &'static str,
-    /// Number of transactions that are still to be delayed.
+    /// Number of further transactions to delay.
     pub remaining: u32,
     pub delay: u64,
 }
@@ -56,17 +57,17 @@
     pub delay: u64,
 }
 
-/// A machine that some messages do not reach.
+/// A fault that drops one kind of messages to a machine.
 #[derive(Debug)]
 struct DeliveryFault {
     machine: String,
-    /// The sender whose messages are lost; `None`: of every controller.
+    /// The controller whose messages are dropped; `None` for all controllers.
     controller: Option<usize>,
     kind: DroppedDelivery,
     until: u64,
 }
 
-/// A duplicate of a heartbeat that was sent earlier.
+/// A copy of a heartbeat, delivered later than the original.
 #[derive(Debug, Clone)]
 pub(super) struct StaleHeartbeat {
     pub machine: String,
@@ -85,50 +86,50 @@
     }
 }
 
-/// Faults that are active now. Times are in microseconds.
+/// The active faults. Times are in microseconds.
 #[derive(Debug, Default)]
 pub struct FaultInjection {
     delivery_faults: Vec<DeliveryFault>,
-    /// Duplicates of heartbeats. They come to any controller.
+    /// Duplicates heartbeats. A duplicate is delivered to a random controller.
     pub heartbeat_duplication: Option<Duplication>,
-    /// Duplicates of heartbeats come to the controller that got the original.
+    /// Duplicates of heartbeats are delivered to the controller that received the original.
     pub duplicate_to_same_controller: bool,
-    /// Duplicates of requests to agents and to the store.
+    /// Duplicates POST requests to agents and to the store.
     pub request_duplication: Option<Duplication>,
-    /// Duplicates of messages between controllers.
+    /// Duplicates requests between controllers.
     pub peer_duplication: Option<Duplication>,
     pub delayed_key: Option<DelayedKey>,
-    /// Additional latency of heartbeats, at most.
+    /// Maximum additional latency of heartbeats.
     pub max_heartbeat_delay: u64,
-    /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
+    /// Probability that a transaction is executed 2 to 12 s late, after newer ones, and gets no answer in time.
     pub delayed_write_probability: f64,
-    /// Delays answers to reads; answers to writes come as ever.
+    /// Delays answers to reads only.
     pub store_read_delay: Option<StoreDelay>,
-    /// Delays answers to writes.
+    /// Delays answers to transactions only.
     pub store_write_delay: Option<StoreDelay>,
-    /// Links whose messages are lost in one direction: sender, receiver, end.
+    /// Links whose messages are dropped in one direction: sender, receiver, end.
     one_way_partitions: Vec<(Endpoint, Endpoint, u64)>,
-    /// Machines whose heartbeats are lost, while direct commands reach them: name, end.
+    /// Machines whose heartbeats are dropped while direct commands reach them: name, end.
     heartbeat_faults: Vec<(String, u64)>,
-    /// This share of transactions is carried out at once, and only the answer is lost.
+    /// Probability that a transaction is executed at once and only its answer is dropped.
     pub lost_write_answer_probability: f64,
-    /// Calls whose answers are to be lost.
+    /// Calls whose answers will be dropped.
     unanswered_calls: BTreeSet<CallKey>,
-    /// Of this share of heartbeats a duplicate comes to every controller once there is another leader.
+    /// Probability that a duplicate of a heartbeat is delivered to every controller once there is a new leader or term.
     pub stale_heartbeat_probability: f64,
     stale_heartbeats: Vec<StaleHeartbeat>,
-    /// The leader and the term for which heartbeats are being kept.
+    /// The leader and the term at the last delivery of stale heartbeats.
     last_leadership: (Option<usize>, u64),
-    /// Additional latency of every message, at most.
+    /// Maximum additional latency of every message.
     pub max_link_delay: u64,
-    /// Clients poll all controllers within milliseconds after each answer about a job.
+    /// Clients poll all controllers within milliseconds after an answer that accepts a job or reports its end.
     pub client_probes: bool,
-    /// This share of jobs is cancelled at the moment of its completion.
+    /// Probability that a job is cancelled at the moment of its completion.
     pub cancel_at_completion_probability: f64,
 }
 
 impl FaultInjection {
-    /// Drops everything that is sent to a machine; its heartbeats still arrive.
+    /// Drops all messages to a machine; its heartbeats still arrive.
     pub fn drop_all_deliveries(&mut self, machine: &str, until: u64) {
         let kinds = [
             DroppedDelivery::HeartbeatResponses,
@@ -137,7 +138,7 @@
         self.drop_deliveries(machine, None, &kinds, until);
     }
 
-    /// Drops some kinds of messages to a machine, from one controller or (`None`) from all.
+    /// Drops messages of these kinds to a machine, from one controller or (`None`) from all.
     pub fn drop_deliveries(
         &mut self,
         machine: &str,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Whether a message from a controller to a machine is lost.
+    /// Whether a message from a controller to a machine is dropped.
     pub fn drops_delivery(
         &self,
         machine: &str,
@@ -171,7 +172,7 @@
         })
     }
 
-    /// Drops a machine's heartbeats, while direct commands reach it and are answered.
+    /// Drops a machine's heartbeats; direct commands reach it and are answered.
     pub fn drop_heartbeats(&mut self, machine: &str, until: u64) {
         self.heartbeat_faults.push((machine.to_string(), until));
     }
@@ -182,7 +183,7 @@
             .any(|(silent_machine, until)| silent_machine == machine && now < *until)
     }
 
-    /// Draws whether only the answer to a transaction is lost.
+    /// Decides at random whether the answer to a transaction will be dropped.
     pub(super) fn maybe_lose_answer(
         &mut self,
         call: &Call,
@@ -201,7 +202,7 @@
         self.unanswered_calls.remove(key)
     }
 
-    /// Draws whether a heartbeat is kept for the next leader.
+    /// Decides at random whether a heartbeat is kept for delivery to the next leader.
     pub(super) fn keep_stale_heartbeat(
         &mut self,
         heartbeat: &StaleHeartbeat,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Takes the heartbeats that were kept, if there is another leader now.
+    /// Takes the kept heartbeats if the leader or the term has changed since the last call that found a leader.
     pub(super) fn stale_heartbeats_for(
         &mut self,
         leader: Option<usize>,
@@ -229,19 +230,19 @@
         std::mem::take(&mut self.stale_heartbeats)
     }
 
-    /// Drops requests and answers from one endpoint to another, but not in the opposite direction.
+    /// Drops requests and answers from one endpoint to another; the opposite direction works.
     pub fn partition_one_way(&mut self, from: Endpoint, to: Endpoint, until: u64) {
         self.one_way_partitions.push((from, to, until));
     }
 
-    /// Whether a message is lost because its direction is interrupted.
+    /// Whether a one-way partition drops a message.
     pub(super) fn drops_message(&self, from: &Endpoint, to: &Endpoint, now: u64) -> bool {
         self.one_way_partitions
             .iter()
             .any(|(sender, receiver, until)| sender == from && receiver == to && now < *until)
     }
 
-    /// Additional latency of the store's answer to a call.
+    /// Additional latency of the store's answer to a call, in microseconds.
     pub(super) fn store_answer_delay(&self, controller: usize, call: &Call) -> u64 {
         let for_reads = self.store_read_delay.filter(|_| call.method == "GET");
         let for_writes = self.store_write_delay.filter(|_| call.path == "/multi");
@@ -251,7 +252,7 @@
             .map_or(0, |delay| delay.delay)
     }
 
-    /// How much later a transaction is carried out, without an answer; `None` if it is not delayed.
+    /// By how much the execution of a transaction is delayed; `None` if it is not delayed.
     pub(super) fn write_delay(
         &mut self,
         call: &Call,
@@ -281,7 +282,7 @@
         Some(delayed.delay)
     }
 
-    /// Ends all faults; messages that are on their way arrive.
+    /// Ends all faults; messages in flight are still delivered.
     pub fn clear(&mut self) {
         *self = FaultInjection::default();
     }
@@ -294,7 +295,7 @@
         draw_delay(self.max_link_delay, rng)
     }
 
-    /// Draws the receiver and the delay of a heartbeat's duplicate.
+    /// Draws the receiver and the delay of a heartbeat's duplicate; `None` if the heartbeat is not duplicated.
     pub(super) fn duplicate_heartbeat(
         &self,
         controller: usize,
@@ -310,7 +311,7 @@
         Some((receiver, delay))
     }
 
-    /// Draws the delay of a duplicate of a controller's request.
+    /// Draws the delay of a duplicate of a controller's request; `None` if the request is not duplicated.
     pub(super) fn duplicate_request(
         &self,
         call: &Call,
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -1,5 +1,5 @@
-//! Frozen records and messages of the first released version, to simulate a controller of that version: all that it
-//! reads and writes is converted through these types and loses the fields that it does not know.
+//! Frozen records and messages of the first released version. A controller of that version is simulated by converting
+//! everything that it reads and writes through these types, which drops the fields that they lack.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -65,8 +65,8 @@
     served: bool,
 }
 
-/// Key prefixes that the first version does not know, each with its replacement in listings: another unknown prefix at
-/// the same place in the order, since the next page starts after the last key.
+/// Key prefixes that the first version does not support, each with its replacement in listings. The replacement is
+/// ignored by the current version and sorts at the same position, because the next page starts after the last key.
 const UNSUPPORTED_PREFIXES: [(&str, &str); 3] = [
     ("wt/f/", "wt/f0/"),
     ("wt/b/", "wt/b0/"),
@@ -79,19 +79,20 @@
         .all(|(prefix, _)| !key.starts_with(prefix))
 }
 
-/// A value as the first version writes it back after it has read it.
+/// Decodes and encodes a value as the first version does, which drops the fields that it does not support.
 fn drop_unsupported_fields(key: &str, value: Value) -> Value {
     if !key.starts_with("wt/j/") {
         return value;
     }
-    let record: FirstJobRecord = from_value(&value).expect("the first version reads it");
+    let record: FirstJobRecord =
+        from_value(&value).expect("job record is readable by the first version");
     to_value(&record)
 }
 
-/// An answer of the store as the first version understands it.
+/// Converts an answer of the store to what the first version reads from it.
 pub fn convert_store_response(path: &str, body: Vec<u8>) -> Vec<u8> {
     if path.starts_with("/watch") {
-        let mut response: WatchResponse = decode(&body).expect("a watch's answer");
+        let mut response: WatchResponse = decode(&body).expect("body is the answer to a watch");
         response.events.retain(|event| {
             let key = event.put.as_deref().or(event.deleted.as_deref());
             key.is_none_or(is_supported)
@@ -103,12 +104,13 @@
         }
         encode(&response)
     } else if path.starts_with("/keys") {
-        let mut page: ItemPage = decode(&body).expect("a listing");
+        let mut page: ItemPage = decode(&body).expect("body is a page of a listing");
         for item in &mut page.items {
             if is_supported(&item.key) {
                 item.value = drop_unsupported_fields(&item.key, item.value.clone());
             } else {
-                // Keys that it does not know are ignored.
+                // The first version ignores these keys. Controllers of the current code, which simulate it here, ignore
+                // the replaced ones.
                 for (prefix, replacement) in UNSUPPORTED_PREFIXES {
                     if let Some(rest) = item.key.strip_prefix(prefix) {
                         item.key = format!("{replacement}{rest}");
@@ -123,7 +125,7 @@
     }
 }
 
-/// A transaction as the first version writes it; `None`: it would not write this.
+/// Converts a transaction to what the first version would write; `None` if it would not send this transaction.
 pub fn convert_transaction(body: Vec<u8>) -> Option<Vec<u8>> {
     let mut transaction: Transaction = decode(&body)?;
     for change in &mut transaction.changes {
@@ -138,15 +140,15 @@
     Some(encode(&transaction))
 }
 
-/// A peer heartbeat as the first version sends and understands it.
+/// Converts a peer heartbeat to the format of the first version.
 pub fn convert_peer_heartbeat(body: Vec<u8>) -> Vec<u8> {
     match postcard::from_bytes::<FirstPeerHeartbeat>(&body) {
-        Ok(heartbeat) => postcard::to_stdvec(&heartbeat).expect("a heartbeat"),
+        Ok(heartbeat) => postcard::to_stdvec(&heartbeat).expect("peer heartbeat can be encoded"),
         Err(_) => body,
     }
 }
 
-/// A request as the first version understands it: it ignores the fields of a submission that it does not know.
+/// Converts a request to what the first version reads from it: the dependencies of a submission are dropped.
 pub fn convert_request(event: NetworkEvent) -> NetworkEvent {
     match event {
         NetworkEvent::Request {
@@ -156,7 +158,7 @@
             path,
             body,
         } if path.ends_with("/submissions") => {
-            let mut value: Value = decode(&body).expect("a submission");
+            let mut value: Value = decode(&body).expect("body is a submission");
             if let Value::Map(fields) = &mut value {
                 fields.retain(|(name, _)| name.as_str() != Some("awaits"));
             }
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -1,4 +1,4 @@
-//! What tests read from a simulation, and the dump of its state for failed tests.
+//! Queries for tests, and the state dump that failed tests print.
 
 use super::*;
 use std::fmt::Write;
@@ -14,14 +14,15 @@
             .collect()
     }
 
-    /// Asserts that clients were told that these jobs are cancelled, and that no task of theirs is active.
+    /// Asserts that the last state of these jobs that clients received is `cancelled`, and that none of their tasks is
+    /// active.
     pub fn assert_cancelled(&self, seed: u64, jobs: &[&str]) {
         for job in jobs {
             let actual = (self.last_status(job), self.running_instances(job));
             assert_eq!(
                 actual,
                 ("cancelled".into(), 0),
-                "seed {seed}: {job}\n{}",
+                "seed {seed}: job {job}: last state received by clients and number of active instances\n{}",
                 self.dump()
             );
         }
@@ -44,7 +45,7 @@
         entry.machine().map(str::to_string)
     }
 
-    /// The last state that a client was told of a job; empty if none was.
+    /// The last state of a job that a client received; empty if there is none.
     pub fn last_status(&self, job: &str) -> String {
         self.client_answers
             .iter()
@@ -65,7 +66,7 @@
         self.failed_tasks_on_deleted_machines + on_current_machines
     }
 
-    /// Whether a client was told that a job is done.
+    /// Whether a client has received the state `done` of a job.
     pub fn job_done(&self, job: &str) -> bool {
         self.jobs[job].completion_seen_at.is_some()
     }
@@ -85,10 +86,11 @@
         self.controllers.len()
     }
 
-    /// The state of all controllers and agents, for failed tests.
+    /// Formats the state of all controllers and agents, for failed tests.
     pub fn dump(&self) -> String {
         let mut out = String::new();
-        self.write_dump(&mut out).expect("a string takes all text");
+        self.write_dump(&mut out)
+            .expect("writing to a string cannot fail");
         out
     }
 
@@ -128,7 +130,7 @@
     let cache = &process.cache;
     writeln!(
         out,
-        "controller {index}: synced {} revision {} leadership {:?} live {:?} wake {next_wake_at}",
+        "controller {index}: synced {} revision {} leader record {:?} leader lease version {:?} next wake {next_wake_at}",
         cache.synced, cache.revision, cache.leader, cache.leader_lease_version
     )?;
     let Some(leader) = &process.leader else {
@@ -136,7 +138,7 @@
     };
     writeln!(
         out,
-        "  leads: term {} read confirmed {} dirty {} edits {:?} batches {:?} stopping {:?}",
+        "  leading: term {} last confirmed read {} dirty {} record writer {:?} machines to check {:?} stopping {:?}",
         leader.term,
         leader.last_confirmed_read,
         leader.dirty,
@@ -147,7 +149,7 @@
     for (machine, agent) in &leader.agents {
         writeln!(
             out,
-            "  {machine}: epoch {} term {} heard {} over {:?} starts {:?} tasks {:?}",
+            "  {machine}: epoch {} term {} last contact {} ended epoch {:?} starts {:?} tasks {:?}",
             agent.agent_epoch,
             agent.term,
             agent.last_heard_at,
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,15 +1,17 @@
-//! The invariant checker: the protocol's rules, checked against what happens on machines and what clients are told.
+//! The invariant checker: checks the protocol's rules against the tasks on machines and the answers that clients
+//! receive.
 
 use super::*;
 use fake_agent::split_task_name;
 
-/// A controller sends starts only this soon after it has read the records, with a tick more.
+/// A controller sends start commands only within 4 s of its last confirmed read of the records; one tick is added.
 const MAX_START_STALENESS: u64 = 4 * SECOND + 50_000;
-/// Tolerance of sums of resources.
+/// Rounding tolerance of sums of resources.
 const EPSILON: f64 = 1e-6;
 
 impl JobGroundTruth {
-    /// A client was told of the cancellation so long ago that no task may be left.
+    /// Whether the deadline is past by which all tasks of a cancelled job have to be stopped. It counts from the time
+    /// when a client was first answered that the job is cancelled.
     fn is_past_cancel_deadline(&self, now: u64) -> bool {
         self.cancellation_seen_at
             .is_some_and(|reported_at| now > reported_at + CANCEL_DEADLINE_S * SECOND)
@@ -24,7 +26,7 @@
 }
 
 impl Simulation {
-    /// Reports the violation of a rule; the first one ends the run.
+    /// Reports the violation of an invariant; the first one ends the run.
     pub(super) fn report_violation(&mut self, rule: &str, details: String) {
         let text = format!("{rule} at {:.3}: {details}", self.now as f64 / 1e6);
         self.violation.get_or_insert(text);
@@ -58,18 +60,21 @@
         self.agents.values().flat_map(tasks_of).collect()
     }
 
-    /// A task has got its image on a machine: checks that it may start there.
+    /// Called when the image of a task has been fetched to a machine: checks that the task may start there.
     pub(super) fn check_start(&mut self, machine: &str, task: &str) {
         self.record_start(machine, task);
         let (job, _) = split_task_name(task);
         let Some(truth) = self.jobs.get(job).cloned() else {
-            self.report_violation("invented", format!("{task} started"));
+            self.report_violation(
+                "invented",
+                format!("{task} started, but no such job was submitted"),
+            );
             return;
         };
         let active_tasks = self.active_tasks();
         for other in &active_tasks {
             if other.task == task && other.machine != machine {
-                let details = format!("{task} on {} and {machine}", other.machine);
+                let details = format!("{task} is active on {} and on {machine}", other.machine);
                 self.report_violation("ran_twice", details);
             }
         }
@@ -78,11 +83,14 @@
             .iter()
             .any(|dependency| !dependency.all_tasks_done());
         if has_unfinished_dependency {
-            self.report_violation("too_early", task.to_string());
+            let details = format!("{task} started before its dependencies were done");
+            self.report_violation("too_early", details);
         }
         self.check_placement(machine, task, &truth.spec, &active_tasks);
         if truth.is_past_cancel_deadline(self.now) {
-            self.report_violation("ran_cancelled", format!("{task} started"));
+            let details =
+                format!("{task} started after the cancellation deadline of {CANCEL_DEADLINE_S} s");
+            self.report_violation("ran_cancelled", details);
         }
     }
 
@@ -100,7 +108,7 @@
         *self.start_counts.entry(task.to_string()).or_default() += 1;
     }
 
-    /// Checks the constraints of a task's place: spot instances, zones and spread.
+    /// Checks a task's placement constraints: spot instances, zones and spread.
     fn check_placement(
         &mut self,
         machine: &str,
@@ -122,22 +130,32 @@
             .map(|other| &other.zone)
             .collect();
         if spot && !spec.spot {
-            self.report_violation("wrong_place", format!("{task} on a spot machine"));
+            self.report_violation("wrong_place", format!("{task} on a spot instance"));
         }
         if spec.zone.as_ref().is_some_and(|wanted| *wanted != zone) {
-            self.report_violation("wrong_place", format!("{task} in zone {zone}"));
+            self.report_violation(
+                "wrong_place",
+                format!("{task} in zone {zone}, expected {:?}", spec.zone),
+            );
         }
         if spec.one_zone && zones.iter().any(|other| **other != zone) {
-            self.report_violation("wrong_place", format!("{task} apart from its mates"));
+            self.report_violation(
+                "wrong_place",
+                format!("{task} in zone {zone}, other tasks of the job in another one"),
+            );
         }
         let in_zone = zones.iter().filter(|other| ***other == zone).count();
         if spec.spread && in_zone as u32 > spec.tasks.div_ceil(2) {
-            self.report_violation("wrong_place", format!("{task}: too many in {zone}"));
+            self.report_violation(
+                "wrong_place",
+                format!("{task}: {in_zone} of {} tasks in zone {zone}", spec.tasks),
+            );
         }
     }
 
-    /// A controller sends commands to an agent: checks that it starts no task of a job whose cancellation a client was
-    /// told of longer ago than a read of the records allows starts.
+    /// Checks the commands that a controller sends to an agent. A controller may start tasks for a limited time after
+    /// its last confirmed read of the records; once this time has passed since a client was answered that a job is
+    /// cancelled, no task of the job may be started.
     pub(super) fn check_commands(&mut self, to: &Endpoint, call: &Call) {
         let Endpoint::Agent(_) = to else { return };
         let Some(commands) = decode::<AgentCommands>(&call.body) else {
@@ -153,13 +171,13 @@
                 .get(job)
                 .and_then(|truth| truth.cancellation_seen_at);
             if reported_at.is_some_and(|reported_at| self.now > reported_at + MAX_START_STALENESS) {
-                let details = format!("{task} by a command sent then");
+                let details = format!("start of {task} sent after its cancellation was confirmed");
                 self.report_violation("started_cancelled", details);
             }
         }
     }
 
-    /// Checks limits of teams and deadlines of cancellations for all active tasks.
+    /// Checks the quotas of teams and the deadlines of cancellations for all active tasks.
     pub(super) fn check_running_tasks(&mut self) {
         let mut used_gpus: BTreeMap<&str, f64> = BTreeMap::new();
         let mut late_task = None;
@@ -182,16 +200,18 @@
         let over_limit = used_gpus
             .iter()
             .find(|(team, used)| is_over_limit(team, **used))
-            .map(|(team, used)| format!("{team} uses {used}"));
+            .map(|(team, used)| format!("team {team} uses {used} GPUs of {}", self.limits[*team]));
         if let Some(details) = over_limit {
             self.report_violation("quota", details);
         }
         if let Some(task) = late_task {
-            self.report_violation("ran_cancelled", task);
+            let details =
+                format!("{task} active after the cancellation deadline of {CANCEL_DEADLINE_S} s");
+            self.report_violation("ran_cancelled", details);
         }
     }
 
-    /// Checks the status of an answer to a client. Returns whether the job's state is to be checked as well.
+    /// Checks the status of an answer to a client. Returns whether the state in the answer has to be checked as well.
     pub(super) fn check_client_answer(
         &mut self,
         job: &str,
@@ -200,7 +220,10 @@
     ) -> bool {
         let submitted = self.jobs.get(job).is_some_and(|truth| truth.submitted);
         if !submitted && status == 200 {
-            self.report_violation("invented", job.to_string());
+            self.report_violation(
+                "invented",
+                format!("{job}: answered 200, but never submitted"),
+            );
             return false;
         }
         let Some(truth) = self.jobs.get(job) else {
@@ -220,7 +243,7 @@
         true
     }
 
-    /// A submission was refused: checks that not all of its dependencies are accepted jobs that end.
+    /// Checks a refused submission: at least one of its dependencies is not accepted or is a service, which never ends.
     fn check_refusal(&mut self, job: &str) {
         let is_valid_dependency = |dependency: &String| {
             let truth = self.jobs.get(dependency);
@@ -228,20 +251,21 @@
         };
         let needs = &self.jobs[job].spec.needs;
         if !needs.is_empty() && needs.iter().all(is_valid_dependency) {
-            let details = format!("{job}: all that it needs is accepted");
+            let details = format!("{job}: refused although all its dependencies are accepted");
             self.report_violation("refused", details);
         }
     }
 
-    /// Checks a job's state that a client was told against what has happened.
+    /// Checks the state of a job that a client received against the ground truth.
     pub(super) fn check_reported_state(&mut self, job: &str, state: &str) {
         let now = self.now;
-        let truth = self.jobs.get_mut(job).expect("a job");
+        let truth = self.jobs.get_mut(job).expect("job is declared");
         match state {
             "done" => {
                 truth.completion_seen_at.get_or_insert(now);
                 if !truth.all_tasks_done() {
-                    self.report_violation("not_done", job.to_string());
+                    let details = format!("{job}: state is done, but not all tasks are done");
+                    self.report_violation("not_done", details);
                 }
             }
             "cancelled" => {
@@ -252,7 +276,7 @@
                         .iter()
                         .any(|dependency| dependency.cancel_requested);
                 if !requested {
-                    let details = format!("{job} cancelled without being asked");
+                    let details = format!("{job} cancelled without a request");
                     self.report_violation("went_back", details);
                 }
             }
@@ -262,20 +286,23 @@
                     .iter()
                     .any(|dependency| dependency.is_past_cancel_deadline(now));
                 if orphaned {
-                    self.report_violation("orphaned", format!("{job} is called {state}"));
+                    self.report_violation(
+                        "orphaned",
+                        format!("{job}: state is {state}, but a dependency is cancelled"),
+                    );
                 }
             }
         }
     }
 
-    /// Checks that a final state stands. A request that was sent before a client was told the final state may have been
-    /// answered before it, too.
+    /// Checks that a final state does not change. Requests sent before a client received the final state are not
+    /// checked: they may have been answered with the earlier state.
     pub(super) fn check_final_state(&mut self, job: &str, state: &str, sent_at: u64) {
-        let Some(before) = self.final_states.get(job) else {
+        let Some(first) = self.final_states.get(job) else {
             return;
         };
-        if before.state != state && sent_at >= before.reported_at {
-            let details = format!("{job}: {}, then {state}", before.state);
+        if first.state != state && sent_at >= first.reported_at {
+            let details = format!("{job}: {}, then {state}", first.state);
             self.report_violation("went_back", details);
         }
     }
--- a/tests/simulation/load_balancer.rs
+++ b/tests/simulation/load_balancer.rs
@@ -1,19 +1,19 @@
-//! The load balancer between clients and controllers, and clients that use it, as the protocol describes both.
+//! The load balancer between clients and controllers, and clients that use it, according to the client protocol.
 
 use super::*;
 use std::collections::VecDeque;
 
 const PROBE_INTERVAL: u64 = SECOND;
-/// Health checks that are remembered for each backend.
+/// Number of health check results kept for each backend.
 const PROBE_HISTORY: usize = 6;
-/// A backend that was removed stays out for this long, doubled with each recent removal.
+/// A backend that fails its health checks is removed for at least this time, doubled for each recent removal.
 const BASE_REMOVAL_TIME: u64 = 3 * SECOND;
 const MAX_REMOVAL_TIME: u64 = 60 * SECOND;
-/// Removals count as recent for this long.
+/// A removal counts as recent for this time.
 const RECENT_REMOVAL_WINDOW: u64 = 120 * SECOND;
 /// Connections to a removed backend are closed after this time.
 const CONNECTION_GRACE: u64 = 5 * SECOND;
-/// A backend gets its full share of new connections this long after it has become healthy.
+/// A backend that becomes healthy gets a share of new connections that grows to the full share over this time.
 const RAMP_TIME: u64 = 10 * SECOND;
 /// A backend is skipped for `SKIP_TIME` after this many failed connections in a row.
 const MAX_FAILED_CONNECTIONS: u32 = 3;
@@ -23,22 +23,23 @@
 const POLL_TIMEOUT: u64 = 2 * SECOND;
 /// Clients wait this long for the answer to a submission.
 const SUBMIT_TIMEOUT: u64 = 5 * SECOND;
-/// A job counts as forgotten if no poll of it is answered for this long once all faults are over.
+/// Once all faults are over, it is a violation if no poll of an accepted job is answered for this long.
 const MAX_UNANSWERED_TIME: u64 = 75 * SECOND;
 
-/// The load balancer's view of a controller.
+/// The load balancer's state for a controller.
 #[derive(Default)]
 struct Backend {
     healthy: bool,
     was_ever_healthy: bool,
     /// Results of the last health checks, the newest last.
     probes: VecDeque<bool>,
+    /// When the backend was removed, within `RECENT_REMOVAL_WINDOW`.
     removed_at: Vec<u64>,
-    /// Not healthy again before this time.
+    /// The backend cannot become healthy before this time.
     removed_until: u64,
     /// When `healthy` last changed.
     changed_at: u64,
-    /// Connections that failed in a row.
+    /// Number of connections that failed in a row.
     failed_connections: u32,
     skipped_until: u64,
 }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// How many of the newest health checks had this result.
+    /// How many of the last `checks` health checks had this result.
     fn count_newest(&self, checks: usize, passed: bool) -> usize {
         let newest = self.probes.iter().rev().take(checks);
         newest.filter(|result| **result == passed).count()
@@ -78,8 +79,8 @@
         self.changed_at = now;
         self.removed_at
             .retain(|at| now < at + RECENT_REMOVAL_WINDOW);
-        let time = BASE_REMOVAL_TIME << self.removed_at.len().min(5);
-        self.removed_until = now + time.min(MAX_REMOVAL_TIME);
+        let removal_time = BASE_REMOVAL_TIME << self.removed_at.len().min(5);
+        self.removed_until = now + removal_time.min(MAX_REMOVAL_TIME);
         self.removed_at.push(now);
     }
 }
@@ -87,10 +88,13 @@
 /// A client with one job and one connection.
 #[derive(Default)]
 struct BalancedClient {
+    /// The controller that the client is connected to.
     controller: Option<usize>,
+    /// When the client last sent a request.
     sent_at: u64,
+    /// When the client last received an answer.
     answered_at: u64,
-    /// When the client was last told the job's state.
+    /// When the client last received the job's state.
     state_received_at: u64,
     finished: bool,
 }
@@ -100,7 +104,7 @@
     backends: Vec<Backend>,
     /// Clients by job.
     clients: BTreeMap<String, BalancedClient>,
-    /// Since when all faults are over.
+    /// When all faults were declared over; `None` before that.
     faults_over_at: Option<u64>,
 }
 
@@ -121,7 +125,8 @@
         self.probe_backends();
     }
 
-    /// Declares that all faults are over: from now on every job has to stay known and to get its room.
+    /// Declares that all faults are over: from now on the polls of every job have to be answered, and no job may
+    /// starve.
     pub fn declare_faults_over(&mut self) {
         self.load_balancer.faults_over_at = Some(self.now);
     }
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Opens a connection to the healthy controller with the fewest clients, if one accepts it.
+    /// Opens a connection to the healthy controller with the fewest clients that accepts it.
     fn connect(&mut self) -> Option<usize> {
         let now = self.now;
         let mut candidates: Vec<usize> = (0..self.controller_count()).collect();
@@ -195,7 +200,11 @@
         let truth = &self.jobs[&job];
         let accepted = truth.accepted;
         let finished = truth.is_finished_for_client() || truth.cancel_requested;
-        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        let client = self
+            .load_balancer
+            .clients
+            .get_mut(&job)
+            .expect("client is registered");
         client.finished = finished;
         if finished {
             return;
@@ -204,7 +213,11 @@
             Some(controller) => Some(controller),
             None => self.connect(),
         };
-        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        let client = self
+            .load_balancer
+            .clients
+            .get_mut(&job)
+            .expect("client is registered");
         client.controller = controller;
         client.sent_at = self.now;
         let timeout = match (controller, accepted) {
@@ -238,7 +251,7 @@
         }
     }
 
-    /// A client got an answer; `with_state`: it tells the job's state.
+    /// Called when a client receives an answer; `has_state` is true if it contains the job's state.
     pub(super) fn balanced_client_answered(&mut self, job: &str, has_state: bool) {
         let now = self.now;
         if let Some(client) = self.load_balancer.clients.get_mut(job) {
@@ -249,7 +262,7 @@
         }
     }
 
-    /// Once all faults are over, every accepted job's client hears its state in time.
+    /// Checks that the client of every accepted job receives its state in time once all faults are over.
     fn check_answered_polls(&mut self) {
         let Some(faults_over_at) = self.load_balancer.faults_over_at else {
             return;
@@ -262,7 +275,10 @@
         };
         let mut clients = self.load_balancer.clients.iter();
         if let Some((job, _)) = clients.find(|(job, client)| is_unanswered(job, client)) {
-            let details = format!("{job}: no question answered for 75 s");
+            let details = format!(
+                "{job}: no poll answered for {} s",
+                MAX_UNANSWERED_TIME / SECOND
+            );
             self.report_violation("forgotten", details);
         }
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A seeded in-memory simulation: controllers, key-value store, cloud, agents, clients and the network between
-//! them, on one simulated clock. Its invariant checker knows the protocol's rules and nothing of the scheduler.
+//! A deterministic in-memory simulation of controllers, key-value store, cloud, agents, clients and the network between
+//! them, on one simulated clock and with one seed. Its invariant checker depends on the protocol's rules only, not on
+//! the scheduler's implementation.
 
-// Each test target uses some of the items.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 mod agent_behavior;
@@ -43,17 +44,17 @@
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Settings};
 use walnuttrestle::transport::{Call, NetworkCommand, NetworkEvent, Outcome};
 
-// Each test target uses some of these.
+// Each test target uses only some of these.
 #[allow(unused_imports)]
 pub use setup::{job, settings, simulation_with_leader, with_dependencies};
 
 /// Simulated time is in microseconds.
 pub const SECOND: u64 = 1_000_000;
-/// A cancelled job has no task on any machine this long after its cancellation was confirmed, in seconds.
+/// Deadline for stopping all tasks of a cancelled job after the cancellation was confirmed to a client, in seconds.
 pub const CANCEL_DEADLINE_S: u64 = 30;
 /// Default duration of an agent's lease, in seconds.
 pub const LEASE_S: u64 = 10;
-/// Members of a gang notice the loss of another within this time, in seconds.
+/// Time within which members of a gang detect the loss of another member, in seconds.
 const GANG_PEER_TIMEOUT_S: u64 = 5;
 const IMAGE_FETCH_TIME: u64 = 2 * SECOND;
 const MACHINE_BOOT_TIME: u64 = 5 * SECOND;
@@ -69,17 +70,17 @@
     Agent(String),
 }
 
-/// A controller's process and what the simulation keeps about it.
+/// A controller's process with the simulation's state for it.
 #[derive(Default)]
 struct ControllerSlot {
     /// `None` while the controller is down.
     process: Option<Controller>,
-    /// Counts the starts; events of earlier incarnations are ignored.
+    /// Number of starts; events of earlier incarnations are ignored.
     incarnation: u64,
     next_wake_at: u64,
     /// The controller behaves like the first released version.
     first_version: bool,
-    /// The process is paused until then; events that arrive meanwhile are queued.
+    /// The process is paused until this time; events that arrive before it are queued.
     paused_until: u64,
     queued_events: Vec<NetworkEvent>,
 }
@@ -109,7 +110,7 @@
     until: u64,
 }
 
-/// Ground truth about a job: what its client asked for, was told, and what happened on machines.
+/// Ground truth about a job: the requests of its client, the answers that it received, and the tasks that completed.
 #[derive(Debug, Clone)]
 pub struct JobGroundTruth {
     pub spec: JobSpec,
@@ -119,13 +120,15 @@
     pub run_time_step: u64,
     /// Indices of the tasks that have completed.
     pub done: BTreeSet<u32>,
-    /// A client was told that the job exists.
+    /// A client has received an answer that the job is accepted.
     pub accepted: bool,
+    /// A client has requested the cancellation.
     pub cancel_requested: bool,
-    /// When a client was first told that the job is cancelled.
+    /// When a client first received the state `cancelled`.
     pub cancellation_seen_at: Option<u64>,
-    /// When a client was first told that the job is done.
+    /// When a client first received the state `done`.
     pub completion_seen_at: Option<u64>,
+    /// A client has sent the submission at least once.
     pub submitted: bool,
 }
 
@@ -137,7 +140,7 @@
     Cancel,
 }
 
-/// A request whose response is still awaited.
+/// A request to a controller that has not been answered yet.
 enum PendingResponse {
     Client {
         request: ClientRequest,
@@ -145,7 +148,7 @@
         sent_at: u64,
     },
     HealthCheck,
-    /// An invalid request and the status it must be refused with.
+    /// An invalid request; it must be refused with `expected_status`.
     Invalid {
         description: &'static str,
         expected_status: u16,
@@ -161,7 +164,7 @@
     },
 }
 
-/// A task had its image on a machine and was ready to run.
+/// The start of a task on a machine: its image had been fetched and it was ready to run.
 #[derive(Debug, Clone)]
 pub struct TaskStart {
     pub at: u64,
@@ -169,7 +172,7 @@
     pub machine: String,
 }
 
-/// Numbers of calls made by controllers.
+/// Counters of the calls that controllers make.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct CallCounts {
     pub store_requests: usize,
@@ -200,11 +203,11 @@
     pub job: String,
     /// HTTP status.
     pub status: u16,
-    /// State of the job; empty if the answer names none.
+    /// State of the job; empty if the answer contains none.
     pub state: String,
 }
 
-/// The final state of a job as a client was first told it.
+/// The first final state of a job that a client received.
 struct FinalState {
     state: String,
     reported_at: u64,
@@ -217,7 +220,7 @@
     /// Times and serial numbers of scheduled events, the earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    /// Numbers events, connections and watches.
+    /// Last number given to an event, a connection or a watch.
     serial: u64,
     controllers: Vec<ControllerSlot>,
     pub store: FakeStore,
@@ -230,33 +233,34 @@
     pub failed_machines: BTreeSet<String>,
     /// Rentals by request identifier.
     rentals: BTreeMap<String, Rental>,
-    /// Number of machines that there have ever been; the next name follows from it.
+    /// Number of machines created so far, which determines the next name.
     machine_count: u64,
-    /// Machines that controllers have returned to the cloud.
+    /// Machines that controllers have deleted in the cloud.
     pub deleted_machines: BTreeSet<String>,
+    /// Calls by controllers that have neither been answered nor timed out.
     pending_calls: BTreeSet<CallKey>,
     partitions: Vec<Partition>,
-    /// Endpoints whose answers to controllers are lost, and until when.
+    /// Endpoints whose answers to controllers are dropped, each with the end of the fault.
     pub lost_answers_from: Vec<(Endpoint, u64)>,
-    /// The store's limit in the controllers' settings, in changes per second.
+    /// The store's rate limit in the controllers' settings, in changes per second.
     write_rps: f64,
-    /// Store limits that the settings announce for later.
+    /// Future limits of the store that the settings announce.
     announced_limits: Option<StoreLimits>,
     /// Calls by controllers since this was last reset.
     pub call_counts: CallCounts,
-    /// The controllers' policy asks them to pledge.
+    /// Controllers run with the policy setting `pledges`.
     pub pledges: bool,
     /// The cloud has no machine to rent.
     pub no_capacity: bool,
     /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<String>,
-    /// Additional latency of direct commands.
+    /// Additional latency of direct commands, in microseconds.
     pub command_delay: Option<u64>,
-    /// Additional latency of the store's answers.
+    /// Additional latency of the store's answers, in microseconds.
     pub store_delay: u64,
-    /// Additional latency of the store's answers to watches, by controller.
+    /// Additional latency of the store's answers to watches, by controller, in microseconds.
     pub watch_delays: BTreeMap<usize, u64>,
-    /// Open connections by controller and connection number.
+    /// Requests without an answer, by controller and connection number.
     pending_responses: BTreeMap<(usize, u64), PendingResponse>,
     pub jobs: BTreeMap<String, JobGroundTruth>,
     pub client_answers: Vec<ClientAnswer>,
@@ -267,18 +271,18 @@
     /// GPU limits by team.
     pub limits: BTreeMap<String, f64>,
     final_states: BTreeMap<String, FinalState>,
-    /// The first violation of a rule.
+    /// The first violation of an invariant.
     pub violation: Option<String>,
     load_balancer: load_balancer::LoadBalancer,
-    /// Tasks that have failed on machines that no longer exist.
+    /// Number of tasks that failed on machines that have been deleted.
     failed_tasks_on_deleted_machines: u32,
-    /// Duration of a lease in seconds.
+    /// Duration of an agent's lease in seconds.
     pub lease_s: u64,
     /// Status of the last health check.
     last_health_status: u16,
     /// Faults other than partitions.
     pub faults: FaultInjection,
-    /// How long a rented machine takes to come up.
+    /// Time from the rental of a machine to its start, in microseconds.
     pub machine_boot_time: u64,
     pub starvation: starvation::StarvationChecker,
     /// Digest of what the controllers send.
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// Time between the end of a partition and the delivery of an answer that it delayed.
+/// Time between the end of a partition and the delivery of an answer that it delayed, in microseconds.
 const DELIVERY_DELAY_AFTER_PARTITION: u64 = 1000;
-/// A controller is not woken sooner than this.
+/// Minimum time until the next wake-up of a controller, in microseconds.
 const MIN_WAKE_DELAY: u64 = 1000;
-/// An agent drops the response to a heartbeat after this time.
+/// An agent ignores the response to a heartbeat that arrives later than this after sending.
 const HEARTBEAT_TIMEOUT: u64 = 4 * SECOND;
-/// An agent that was not served tries the next controller after this time.
+/// An agent whose heartbeat was not accepted tries the next controller after this time.
 const HEARTBEAT_RETRY_DELAY: u64 = SECOND;
-/// Number of machines that share the third byte of their addresses.
+/// Number of machines whose addresses have the same third byte.
 const MACHINES_PER_SUBNET: usize = 200;
 
 const STORE_ADDRESS: &str = "10.2.0.1:2379";
@@ -49,20 +49,30 @@
 }
 
 impl Simulation {
-    /// Interrupts the link between two endpoints in both directions.
-    pub fn partition(&mut self, one: Endpoint, other: Endpoint, mode: PartitionMode, time: u64) {
+    /// Interrupts the link between two endpoints in both directions for `duration` microseconds.
+    pub fn partition(
+        &mut self,
+        first: Endpoint,
+        second: Endpoint,
+        mode: PartitionMode,
+        duration: u64,
+    ) {
         self.partitions.push(Partition {
-            ends: (one, other),
+            ends: (first, second),
             mode,
-            until: self.now + time,
+            until: self.now + duration,
         });
     }
 
-    /// The partition between two endpoints that ends last, as its mode and end.
-    fn partition_between(&self, one: &Endpoint, other: &Endpoint) -> Option<(PartitionMode, u64)> {
+    /// Mode and end of the partition between two endpoints; of the one that ends last if there are several.
+    fn partition_between(
+        &self,
+        first: &Endpoint,
+        second: &Endpoint,
+    ) -> Option<(PartitionMode, u64)> {
         let matches_ends = |partition: &&Partition| {
             let (left, right) = &partition.ends;
-            (left == one && right == other) || (left == other && right == one)
+            (left == first && right == second) || (left == second && right == first)
         };
         self.partitions
             .iter()
@@ -72,9 +82,14 @@
             .max_by_key(|(_, until)| *until)
     }
 
-    /// When a message arrives that takes until `at` on a link that works; `None` if a partition drops it.
-    pub(super) fn arrival_across(&self, one: &Endpoint, other: &Endpoint, at: u64) -> Option<u64> {
-        match self.partition_between(one, other) {
+    /// When a message arrives that would arrive at `at` without a partition; `None` if a partition drops it.
+    pub(super) fn arrival_across(
+        &self,
+        first: &Endpoint,
+        second: &Endpoint,
+        at: u64,
+    ) -> Option<u64> {
+        match self.partition_between(first, second) {
             Some((PartitionMode::Drop, _)) => None,
             Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_DELAY_AFTER_PARTITION),
             None => Some(at),
@@ -85,7 +100,7 @@
         self.rng.random_range(500..4000) + self.faults.link_delay(&mut self.rng)
     }
 
-    /// Hands events to a controller and carries out its commands.
+    /// Delivers events to a controller and executes the commands that it returns.
     pub(super) fn deliver(&mut self, controller: usize, events: Vec<NetworkEvent>) {
         let clock = self.clock();
         let slot = &mut self.controllers[controller];
@@ -154,7 +169,7 @@
         if first_version && to == Endpoint::Store && call.path == "/multi" {
             match first_version::convert_transaction(call.body) {
                 Some(body) => call.body = body,
-                // The first version does not make this call.
+                // The first version does not send this transaction.
                 None => return,
             }
         }
@@ -187,7 +202,7 @@
             }
         }
         if let Some(delay) = self.faults.write_delay(&call, &to, &mut self.rng) {
-            // The call has timed out by then.
+            // The call has timed out before it is executed.
             self.schedule(at + delay, Event::CallArrival { key, call });
             return;
         }
@@ -204,7 +219,7 @@
         self.answer_with_delay(from, key, status, body, 0);
     }
 
-    /// Sends the answer to a call, with this much additional latency.
+    /// Sends the answer to a call, with `delay` microseconds of additional latency.
     pub(super) fn answer_with_delay(
         &mut self,
         from: Endpoint,
@@ -233,7 +248,7 @@
         self.schedule(at, Event::CallAnswer { key, outcome });
     }
 
-    /// Hands a controller's response to the sender of the request.
+    /// Delivers a controller's response to the sender of the request.
     fn respond(&mut self, controller: usize, conn: u64, status: u16, body: Vec<u8>) {
         match self.pending_responses.remove(&(controller, conn)) {
             Some(PendingResponse::AgentHeartbeat { machine, seq }) => {
@@ -290,16 +305,17 @@
         self.schedule(at, response);
     }
 
-    /// A message between controllers as it arrives if one of them runs the first version.
+    /// Converts a peer heartbeat, or its response, to the format of the first version if one of the controllers runs
+    /// it.
     fn convert_peer_body(
         &self,
-        one: usize,
-        other: usize,
+        first: usize,
+        second: usize,
         is_heartbeat: bool,
         body: Vec<u8>,
     ) -> Vec<u8> {
         let involves_first_version =
-            self.controllers[one].first_version || self.controllers[other].first_version;
+            self.controllers[first].first_version || self.controllers[second].first_version;
         if is_heartbeat && involves_first_version {
             first_version::convert_peer_heartbeat(body)
         } else {
@@ -353,7 +369,7 @@
             return;
         };
         agent.expire_lease(now, lease);
-        let commands: AgentCommands = decode(&call.body).expect("commands");
+        let commands: AgentCommands = decode(&call.body).expect("body is a list of commands");
         let outdated = commands.term < agent.term || commands.agent_epoch != agent.agent_epoch;
         let status = if outdated { 409 } else { 200 };
         if !outdated {
@@ -387,7 +403,7 @@
         self.deliver(peer, vec![request]);
     }
 
-    /// The response to an agent's heartbeat has arrived at the agent.
+    /// Called when the response to an agent's heartbeat arrives at the agent.
     pub(super) fn heartbeat_answered(&mut self, machine: &str, seq: u64, status: u16, body: &[u8]) {
         if let Some(until) = self.hung_until(machine) {
             let response = Event::AgentHeartbeatResponse {
@@ -414,7 +430,7 @@
         match status {
             200 => {
                 let lease = self.lease_s * SECOND;
-                // A response without a term is dropped.
+                // A response that cannot be decoded, such as one without a term, is ignored.
                 if let Some(response) = decode::<AgentHeartbeatResponse>(body)
                     && agent.accept_response(&response, in_flight, now, lease)
                 {
@@ -439,11 +455,11 @@
         }
     }
 
-    /// Gives up a heartbeat that was not answered in time.
+    /// Times out a heartbeat that has not been answered.
     pub(super) fn expire_heartbeat(&mut self, machine: &str) {
         let now = self.now;
         let controller_count = self.controllers.len();
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         if let Some(in_flight) = agent.in_flight
             && now > in_flight.sent_at + HEARTBEAT_TIMEOUT
         {
--- a/tests/simulation/setup.rs
+++ b/tests/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! Constructors of simulations, and the settings and jobs that they use.
+//! Constructors of simulations, settings and jobs.
 
 use super::*;
 
@@ -68,7 +68,7 @@
         zone_of_controller(controller),
         host = controller + 1
     );
-    Settings::parse("test.toml", &text).expect("settings")
+    Settings::parse("test.toml", &text).expect("settings are valid")
 }
 
 /// A simulation of three controllers, one of which leads.
@@ -80,7 +80,7 @@
         .try_init();
     let mut sim = Simulation::new(seed, 3, machines);
     sim.run_seconds(8);
-    assert!(sim.leader().is_some(), "nobody leads");
+    assert!(sim.leader().is_some(), "seed {seed}: no leader after 8 s");
     sim
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// The same job with dependencies.
+/// The same job with dependencies on other jobs.
 pub fn with_dependencies(dependencies: &[&str], spec: JobSpec) -> JobSpec {
     JobSpec {
         needs: dependencies.iter().map(|job| job.to_string()).collect(),
@@ -119,12 +119,12 @@
 }
 
 impl Simulation {
-    /// A simulation in which nothing has happened yet.
+    /// A simulation at its start, before any event has been handled.
     pub fn new(seed: u64, controllers: usize, machines: usize) -> Simulation {
         Simulation::with_write_rate(seed, controllers, machines, 60.0)
     }
 
-    /// A simulation whose store takes this many changes a second.
+    /// A simulation whose settings limit the store to this many changes per second.
     pub fn with_write_rate(
         seed: u64,
         controllers: usize,
@@ -134,7 +134,7 @@
         Simulation::with_store_limits(seed, controllers, machines, write_rps, None)
     }
 
-    /// A simulation whose settings announce other limits of the store.
+    /// A simulation whose settings announce future limits of the store.
     pub fn with_store_limits(
         seed: u64,
         controllers: usize,
@@ -155,7 +155,7 @@
         sim
     }
 
-    /// A simulation whose three controllers run the first version from the beginning.
+    /// A simulation whose three controllers run the first released version from the beginning.
     pub fn with_first_version(
         seed: u64,
         machines: usize,
@@ -217,13 +217,13 @@
         }
     }
 
-    /// Restarts all controllers with another duration of leases.
+    /// Restarts all controllers with a different duration of the agents' leases.
     pub fn restart_with_lease(&mut self, seconds: u64) {
         self.lease_s = seconds;
         self.restart_all();
     }
 
-    /// Restarts all controllers with a policy that asks them to pledge.
+    /// Restarts all controllers with the policy setting `pledges`.
     pub fn restart_with_pledges(&mut self) {
         self.pledges = true;
         self.restart_all();
@@ -236,7 +236,7 @@
         self.run_seconds(18);
     }
 
-    /// Adds a machine that is up; returns its name.
+    /// Adds a running machine; returns its name.
     pub fn add_machine(&mut self, zone: &str, spot: bool) -> String {
         let name = self.next_machine_name();
         let mut agent = FakeAgent::new(&name, zone, self.machine_count as usize, self.now);
--- a/tests/simulation/starvation.rs
+++ b/tests/simulation/starvation.rs
@@ -1,15 +1,15 @@
-//! The starvation checker: once all faults are over, no job waits for 90 s while a machine that fits has room and its
-//! team is under its limit.
+//! The starvation checker: once all faults are over, no job may wait longer than 90 s while its team has quota left and
+//! machines that satisfy its constraints have enough free resources.
 
 use super::*;
 use fake_agent::split_task_name;
 
 const CHECK_INTERVAL: u64 = SECOND;
 const MAX_WAIT: u64 = 90 * SECOND;
-/// Resources of a machine.
+/// Resources of every machine.
 const MACHINE_RESOURCES: Resources = Resources([8.0, 8.0, 64.0]);
 const ZONES: [&str; 2] = ["a", "b"];
-/// Tolerance of sums of resources.
+/// Rounding tolerance of sums of resources.
 const EPSILON: f64 = 1e-6;
 
 /// CPUs, GPUs and memory in GB.
@@ -17,7 +17,7 @@
 struct Resources([f64; 3]);
 
 impl Resources {
-    /// What one task needs.
+    /// The resources that one task requests.
     fn of_task(spec: &JobSpec) -> Resources {
         Resources([spec.cpus, spec.gpus, spec.memory_gb])
     }
@@ -36,7 +36,7 @@
             .for_each(|(free, demand)| *free -= demand);
     }
 
-    /// How many tasks fit, at most `limit`.
+    /// How many tasks with this demand fit, at most `limit`.
     fn count_fitting(mut self, demand: &Resources, limit: u32) -> u32 {
         let mut count = 0;
         while count < limit && self.can_hold(demand) {
@@ -49,24 +49,26 @@
 
 #[derive(Default)]
 pub struct StarvationChecker {
-    /// Since when jobs have waited although there is room.
+    /// Since when each job has been waiting although there is capacity for it.
     waiting_since: BTreeMap<String, u64>,
     checked_at: u64,
-    /// Jobs whose completion was noticed by `cancel_completed_jobs`.
+    /// Jobs whose completion `cancel_completed_jobs` has handled.
     pub(super) completed: BTreeSet<String>,
 }
 
-/// What runs and what is free on all machines.
+/// Assigned tasks and free resources of all machines.
 struct Usage<'a> {
-    /// Machines that can take tasks, with their free resources.
+    /// Machines that can run further tasks, with their free resources.
     available: Vec<(&'a FakeAgent, Resources)>,
     gpus_by_team: BTreeMap<&'a str, f64>,
+    /// Tasks with an attempt that has not exited, on any machine.
     assigned_tasks: BTreeSet<&'a str>,
+    /// Jobs of these tasks.
     assigned_jobs: BTreeSet<&'a str>,
 }
 
 impl Simulation {
-    /// Checks all waiting jobs, once a second after all faults are over.
+    /// Checks all waiting jobs, at most once per `CHECK_INTERVAL` after all faults are over.
     pub(super) fn check_starvation(&mut self) {
         if !self.faults_are_over() {
             self.starvation.waiting_since.clear();
@@ -83,7 +85,9 @@
         for job in waiting {
             let since = *waiting_since.entry(job.clone()).or_insert(now);
             if now > since + MAX_WAIT {
-                self.report_violation("left_waiting", job);
+                let waited_s = (now - since) / SECOND;
+                let details = format!("{job} waits for {waited_s} s although there is capacity");
+                self.report_violation("left_waiting", details);
                 return;
             }
         }
@@ -130,7 +134,7 @@
         usage
     }
 
-    /// Whether a job has tasks that could run now but are on no machine.
+    /// Whether a job has tasks that are ready to run but not assigned to any machine.
     fn is_waiting(&self, job: &str, truth: &JobGroundTruth, usage: &Usage) -> bool {
         let has_ended = truth.cancel_requested
             || truth.cancellation_seen_at.is_some()
@@ -153,7 +157,8 @@
             && !self.failing_jobs.contains(job)
     }
 
-    /// Whether there is room for one more task of a job, or for a whole gang.
+    /// Whether one more task of a job, or a whole gang, fits within the quota and the free resources. Jobs with spread
+    /// tasks are not checked.
     fn has_capacity(&self, spec: &JobSpec, usage: &Usage) -> bool {
         let demand = Resources::of_task(spec);
         let count = match spec.kind {
--- a/tests/simulation/trace.rs
+++ b/tests/simulation/trace.rs
@@ -1,23 +1,25 @@
-//! A digest of everything that the controllers of one simulation send, to show that a change of the code keeps the
-//! behaviour. `.ci/trace` runs the tests with it, and `.ci/trace-diff` compares two outputs.
+//! A digest of everything that the controllers of one simulation send. Equal digests show that a refactoring does not
+//! change behaviour. `.ci/trace` runs the tests with it, and `.ci/trace-diff` compares two outputs.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
 use walnuttrestle::transport::NetworkCommand;
 
-/// Names the file to which each simulation appends its digest when it ends; without it nothing is written.
+/// Environment variable with the path of the file to which each simulation appends its digest when it ends. If it is
+/// not set, nothing is written.
 const FILE_VARIABLE: &str = "TRACE_FILE";
 
-/// Digest of the commands that all controllers of one simulation hand to the network.
+/// Digest of the commands that all controllers of one simulation issue to the network.
 #[derive(Default)]
 pub struct Trace {
-    /// `DefaultHasher::new` has fixed keys.
+    /// `DefaultHasher::new` uses fixed keys, so equal input gives equal digests in every run.
     digest: DefaultHasher,
     commands: u64,
 }
 
 impl Trace {
-    /// Adds one command: simulated time, sender, addressee and encoded bytes. No type name or log text goes in.
+    /// Adds one command: simulated time, sender, receiver and encoded bytes. Type names and log text are excluded, so
+    /// that renames and reworded messages do not change the digest.
     pub fn add(&mut self, now: u64, controller: usize, command: &NetworkCommand) {
         self.commands += 1;
         (now, controller).hash(&mut self.digest);
--- a/tests/simulation/violation_injection.rs
+++ b/tests/simulation/violation_injection.rs
@@ -1,9 +1,9 @@
-//! A faulty scheduler for tests of the invariant checker: it does what no controller or agent may do.
+//! Injected violations for tests of the invariant checker: actions that the protocol forbids to controllers and agents.
 
 use super::*;
 
 impl Simulation {
-    /// Lets a controller send a start.
+    /// Sends a start command from a controller to a machine.
     pub fn inject_start(&mut self, controller: usize, machine: &str, task: &str, attempt: u64) {
         let commands = AgentCommands {
             term: self.term(),
@@ -26,7 +26,7 @@
         self.send(controller, incarnation, call);
     }
 
-    /// Lets a task run on a machine although no controller has started it.
+    /// Makes a task run on a machine although no controller has started it.
     pub fn inject_running_task(&mut self, machine: &str, key: fake_agent::TaskKey) {
         let task = FakeTask {
             phase: TaskPhase::Running,
@@ -34,11 +34,11 @@
             saved: false,
             phase_ends_at: u64::MAX,
         };
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         agent.tasks.insert(key, task);
     }
 
-    /// Lets a client get an answer that no controller has sent.
+    /// Delivers an answer to a client that no controller has sent; `sent_at` is the time of the request.
     pub fn inject_client_answer(
         &mut self,
         job: &str,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends a message with any body to a controller.
+    /// Sends a POST request with an arbitrary body to a controller.
     pub fn send_bytes(&mut self, controller: usize, internal: bool, path: &str, body: Vec<u8>) {
         let pending = match path {
             "/submissions" => PendingResponse::Invalid {
@@ -78,13 +78,13 @@
         self.request_on(internal, controller, pending, "POST", path.into(), body);
     }
 
-    /// The next heartbeat of a machine's agent.
+    /// Builds the next heartbeat of a machine's agent and increments its sequence number.
     pub fn heartbeat_of(&mut self, machine: &str) -> AgentHeartbeat {
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         agent.heartbeat()
     }
 
-    /// Lets a submission of a job that can never run be answered with this status.
+    /// Passes the checker an answer with this status to an invalid submission, whose expected status is 400.
     pub fn inject_invalid_request_answer(&mut self, status: u16) {
         self.check_invalid_request_answer("injected", 400, status);
     }
