--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -70,7 +70,7 @@
     revision: u64,
     last_lease: u64,
     pub watches: Vec<OpenWatch>,
-    /// The store answers no request.
+    /// Requests are refused with status 503, watches are not answered, and leases do not expire.
     pub outage: bool,
     /// Controllers whose requests are refused with status 503; their open watches are not answered.
     pub refused_controllers: Vec<usize>,
--- a/tests/simulation/fault_injection.rs
+++ b/tests/simulation/fault_injection.rs
@@ -198,6 +198,7 @@
         }
     }
 
+    /// Whether the answer to a call is dropped; removes the call from the list.
     pub(super) fn drops_answer(&mut self, key: &CallKey) -> bool {
         self.unanswered_calls.remove(key)
     }
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -109,8 +109,8 @@
             if is_supported(&item.key) {
                 item.value = drop_unsupported_fields(&item.key, item.value.clone());
             } else {
-                // The first version ignores these keys. Controllers of the current code, which simulate it here, ignore
-                // the replaced ones.
+                // The first version ignores these keys. The controller that simulates it runs the current code, which
+                // ignores the replacements.
                 for (prefix, replacement) in UNSUPPORTED_PREFIXES {
                     if let Some(rest) = item.key.strip_prefix(prefix) {
                         item.key = format!("{replacement}{rest}");
