--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -1,4 +1,4 @@
-//! The leader's inventory: machines that are, or may be, rented, pending rent requests, and queued calls to the cloud.
+//! The leader's inventory: machines that are or may be rented, pending rent requests, and queued calls to the cloud.
 
 use crate::cloud::autoscaler::{DeletionReason, InstanceOffer};
 use crate::messages::CloudRequest;
@@ -10,21 +10,21 @@
 use crate::state::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Interval between readings of the cloud's list.
+/// Interval between reads of the cloud's list of machines.
 const LIST_INTERVAL: Micros = Micros::millis(4000);
-/// Interval between readings of machine types and prices.
+/// Interval between reads of machine types and prices.
 const TYPES_INTERVAL: Micros = Micros::millis(60_000);
-/// A failed call is repeated after this.
+/// Delay before a failed read is repeated.
 const CALL_RETRY: Micros = Micros::millis(1500);
-/// After the cloud had no capacity for an offer, the offer is not requested again before this.
-const REFUSED_FOR: Micros = Micros::millis(15_000);
-/// Machines named in one deletion at most.
+/// Delay before an offer for which the cloud had no capacity is requested again.
+const REFUSED_OFFER_RETRY: Micros = Micros::millis(15_000);
+/// Maximum number of machines in one deletion call.
 const MAX_DELETED_PER_CALL: usize = 100;
-/// Number of machines that are gone whose names are kept, for lists that come late.
-const MAX_GONE_KEPT: usize = 4000;
+/// Maximum number of names of gone machines that are kept, so that delayed lists do not add these machines again.
+const MAX_GONE_NAMES: usize = 4000;
 /// Share of the cloud's rate limit that we use.
 const RATE_SHARE: f64 = 0.7;
-/// Permits that one call takes.
+/// Tokens that one call takes.
 const CALL_COST: f64 = 1.0;
 
 /// A machine that is, or may be, rented.
@@ -34,17 +34,17 @@
     pub(super) kind: String,
     /// Zone.
     pub(super) zone: String,
-    /// Spot instance.
+    /// Whether it is a spot instance.
     pub(super) spot: bool,
     /// When it was requested, or first seen if we did not request it.
     pub(super) requested_at: Micros,
-    /// The cloud lists it as running.
+    /// Whether the cloud lists it as running.
     pub(super) running: bool,
-    /// Its agent has sent us a heartbeat.
+    /// Whether its agent has sent us a heartbeat.
     pub(super) reported: bool,
-    /// It is to be deleted, and takes no new tasks.
-    pub(super) leaving: bool,
-    /// The cloud lists it as failed.
+    /// Whether it is to be deleted. If so, it gets no new tasks.
+    pub(super) marked_for_deletion: bool,
+    /// Whether the cloud lists it as failed.
     pub(super) failed: bool,
 }
 
@@ -57,54 +57,54 @@
             requested_at,
             running: false,
             reported: false,
-            leaving: false,
+            marked_for_deletion: false,
             failed: false,
         }
     }
 }
 
-/// A rent request that is not answered yet.
+/// A rent request without a final response.
 pub(super) struct PendingRent {
     pub request: RentRequest,
-    /// A call is queued or in flight; otherwise the last one failed.
+    /// Whether a call is queued or in flight; if not, the last call failed.
     pub in_flight: bool,
 }
 
-/// The machines as the leader knows them, and its calls to the cloud.
+/// The leader's view of the machines, and its calls to the cloud.
 pub struct Inventory {
     pub(super) machines: BTreeMap<String, Machine>,
-    /// Machines that are deleted or failed, with all tasks on them.
+    /// Machines that were deleted or failed, so that no task runs on them any longer.
     gone: BTreeSet<String>,
-    /// The same in the order in which they went.
+    /// Names in `gone`, oldest first.
     gone_order: VecDeque<String>,
     /// When the list is read next.
     next_list_at: Micros,
     /// Name of the machine after which the next page of the list begins; empty: the first page.
     list_cursor: String,
-    /// A call for a page of the list is queued or in flight.
+    /// Whether a call for a page of the list is queued or in flight.
     list_pending: bool,
-    /// The whole list has been read once.
+    /// Whether the whole list has been read at least once.
     pub(super) listed_once: bool,
     /// When machine types are read next.
     next_types_at: Micros,
-    /// A call for the machine types is queued or in flight.
+    /// Whether a call for the machine types is queued or in flight.
     types_pending: bool,
     /// Offers for which the cloud had no capacity, and until when they are not requested again.
-    pub(super) refused: BTreeMap<InstanceOffer, Micros>,
-    /// Rent requests without a final answer, by name of the request.
+    pub(super) refused_offers: BTreeMap<InstanceOffer, Micros>,
+    /// Rent requests without a final response, by request name.
     pub(super) rent_requests: BTreeMap<String, PendingRent>,
     /// Number of rent requests under our term.
     pub(super) rent_counter: u64,
-    /// Limits the rate of our calls.
+    /// Rate limit of our calls, set with the first call.
     rate_limit: Option<TokenBucket>,
     /// Calls that wait for the rate limit.
     queued_calls: VecDeque<CloudRequest>,
-    /// Machines to be deleted for which no call is queued yet.
+    /// Machines to delete for which no call is queued yet.
     to_delete: BTreeSet<String>,
 }
 
 impl Inventory {
-    /// An empty inventory that reads list and machine types at once.
+    /// An empty inventory that reads the list and the machine types immediately.
     pub fn new(clock: Clock) -> Inventory {
         Inventory {
             machines: BTreeMap::new(),
@@ -116,7 +116,7 @@
             listed_once: false,
             next_types_at: clock.now,
             types_pending: false,
-            refused: BTreeMap::new(),
+            refused_offers: BTreeMap::new(),
             rent_requests: BTreeMap::new(),
             rent_counter: 0,
             rate_limit: None,
@@ -125,29 +125,29 @@
         }
     }
 
-    /// Whether a machine is proven gone, with all tasks on it.
+    /// Whether a machine was deleted or failed, so that no task runs on it any longer.
     pub fn is_gone(&self, machine: &str) -> bool {
         self.gone.contains(machine)
     }
 
-    /// Whether a machine is to be deleted, so that it takes no new tasks.
-    pub fn leaving(&self, machine: &str) -> bool {
+    /// Whether a machine is to be deleted, so that it gets no new tasks.
+    pub fn is_marked_for_deletion(&self, machine: &str) -> bool {
         self.machines
             .get(machine)
-            .is_some_and(|machine| machine.leaving)
+            .is_some_and(|machine| machine.marked_for_deletion)
     }
 
-    /// Zone of a machine, if it is known.
+    /// Zone of a machine, if the machine is in the inventory.
     pub fn zone_of(&self, machine: &str) -> Option<String> {
         self.machines
             .get(machine)
             .map(|machine| machine.zone.clone())
     }
 
-    /// Records that the agent of a machine has sent a heartbeat; adopts a machine that we did not know.
-    pub fn record_heartbeat(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+    /// Records that the agent of a machine has sent a heartbeat. Adopts a machine that is not in the inventory.
+    pub fn record_heartbeat(&mut self, name: &str, heartbeat: &AgentHeartbeat, now: Micros) {
         let Some(machine) = self.machines.get_mut(name) else {
-            self.adopt(name, report, now);
+            self.adopt(name, heartbeat, now);
             return;
         };
         if !machine.reported {
@@ -157,16 +157,16 @@
         }
     }
 
-    fn adopt(&mut self, name: &str, report: &AgentHeartbeat, now: Micros) {
+    fn adopt(&mut self, name: &str, heartbeat: &AgentHeartbeat, now: Micros) {
         log::info!(
             "machine adopted machine={name} type={} zone={}",
-            report.kind,
-            report.zone
+            heartbeat.kind,
+            heartbeat.zone
         );
         let offer = InstanceOffer {
-            kind: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+            kind: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
         };
         let machine = Machine {
             reported: true,
@@ -180,34 +180,34 @@
             return;
         }
         self.gone_order.push_back(name.to_string());
-        if self.gone_order.len() > MAX_GONE_KEPT
+        if self.gone_order.len() > MAX_GONE_NAMES
             && let Some(oldest) = self.gone_order.pop_front()
         {
             self.gone.remove(&oldest);
         }
     }
 
-    /// Marks a machine as to be deleted.
-    pub(super) fn delete(&mut self, name: &str, reason: DeletionReason) {
+    /// Marks a machine for deletion.
+    pub(super) fn mark_for_deletion(&mut self, name: &str, reason: DeletionReason) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if !machine.leaving {
+        if !machine.marked_for_deletion {
             log::info!("machine to be deleted machine={name} reason={reason:?}");
-            machine.leaving = true;
+            machine.marked_for_deletion = true;
             self.to_delete.insert(name.to_string());
         }
     }
 
-    /// Queues the calls that are due by time, and deletions.
+    /// Queues the periodic calls that are due, and deletions.
     pub(super) fn queue_due_calls(&mut self, now: Micros) {
         if self.next_list_at <= now && !self.list_pending {
             self.list_pending = true;
-            self.queued_calls.push_back(CloudRequest::List);
+            self.queued_calls.push_back(CloudRequest::ListMachines);
         }
         if self.next_types_at <= now && !self.types_pending {
             self.types_pending = true;
-            self.queued_calls.push_front(CloudRequest::Types);
+            self.queued_calls.push_front(CloudRequest::ListMachineTypes);
         }
         while !self.to_delete.is_empty() {
             let names: Vec<String> = self
@@ -219,11 +219,12 @@
             for name in &names {
                 self.to_delete.remove(name);
             }
-            self.queued_calls.push_front(CloudRequest::Delete(names));
+            self.queued_calls
+                .push_front(CloudRequest::DeleteMachines(names));
         }
     }
 
-    /// Takes the queued calls that the rate limit allows now. `calls_per_s`: the cloud's limit.
+    /// Takes the queued calls that the rate limit allows now. `calls_per_s`: the cloud's rate limit.
     pub(super) fn take_calls(&mut self, calls_per_s: f64, now: Micros) -> Vec<CloudRequest> {
         let rate = calls_per_s * RATE_SHARE;
         let rate_limit = self
@@ -259,8 +260,8 @@
         &self.list_cursor
     }
 
-    /// A call for the machine types has ended.
-    pub(super) fn types_read(&mut self, succeeded: bool, now: Micros) {
+    /// Handles the end of a call for the machine types.
+    pub(super) fn on_types_read(&mut self, succeeded: bool, now: Micros) {
         self.types_pending = false;
         let interval = if succeeded {
             TYPES_INTERVAL
@@ -270,8 +271,9 @@
         self.next_types_at = now + interval;
     }
 
-    /// A page of the list has been read: the next one, or the list from its beginning, is read next.
-    pub(super) fn list_page_read(&mut self, page: &MachinePage, now: Micros) {
+    /// Handles a page of the list. The next read is the following page or, after the last page, the list from its
+    /// beginning.
+    pub(super) fn on_list_page(&mut self, page: &MachinePage, now: Micros) {
         self.list_pending = false;
         if page.more {
             let last = page.machines.last();
@@ -284,19 +286,19 @@
         }
     }
 
-    /// A page of the list could not be read: the list is read from its beginning.
-    pub(super) fn list_failed(&mut self, now: Micros) {
+    /// Handles a failed read of a page: the list is read again from its beginning.
+    pub(super) fn on_list_failed(&mut self, now: Micros) {
         self.list_pending = false;
         self.list_cursor.clear();
         self.next_list_at = now + CALL_RETRY;
     }
 
-    /// Applies a machine of the cloud's list; tells whether it is newly known to have failed.
+    /// Applies a machine of the cloud's list; returns whether the list newly shows it as failed.
     pub(super) fn apply_listed(&mut self, listed: ListedMachine, now: Micros) -> bool {
         let failed = listed.state == MachineState::Failed;
         if self.gone.contains(&listed.id) {
             if failed && !self.machines.contains_key(&listed.id) {
-                let deletion = CloudRequest::Delete(vec![listed.id]);
+                let deletion = CloudRequest::DeleteMachines(vec![listed.id]);
                 self.queued_calls.push_back(deletion);
             }
             return false;
@@ -321,30 +323,30 @@
     }
 
     /// Queues a rent request.
-    pub(super) fn rent(&mut self, request: RentRequest) {
+    pub(super) fn queue_rent_request(&mut self, request: RentRequest) {
         let pending = PendingRent {
             request: request.clone(),
             in_flight: true,
         };
         self.rent_requests.insert(request.request.clone(), pending);
         self.queued_calls
-            .push_back(CloudRequest::RentInstances(request));
+            .push_back(CloudRequest::RentMachines(request));
     }
 
-    /// Queues the rent requests again whose calls failed. The cloud carries out a request of one name only once.
+    /// Queues failed rent requests again. The cloud executes each request name only once.
     pub(super) fn retry_rent_requests(&mut self) {
         for pending in self.rent_requests.values_mut() {
             if !pending.in_flight {
                 pending.in_flight = true;
                 let request = pending.request.clone();
                 self.queued_calls
-                    .push_back(CloudRequest::RentInstances(request));
+                    .push_back(CloudRequest::RentMachines(request));
             }
         }
     }
 
-    /// The cloud has carried out a rent request, perhaps in part.
-    pub(super) fn rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
+    /// Handles a rent request that the cloud executed, possibly in part.
+    pub(super) fn on_rented(&mut self, request: &RentRequest, rented: MachineNames, now: Micros) {
         self.rent_requests.remove(&request.request);
         let offer = offer_of(request);
         log::info!(
@@ -356,7 +358,8 @@
             request.spot
         );
         if (rented.machines.len() as u32) < request.count {
-            self.refused.insert(offer.clone(), now + REFUSED_FOR);
+            self.refused_offers
+                .insert(offer.clone(), now + REFUSED_OFFER_RETRY);
         }
         for name in rented.machines {
             self.machines
@@ -365,10 +368,11 @@
         }
     }
 
-    /// The cloud has refused a rent request.
-    pub(super) fn rent_refused(&mut self, request: &RentRequest, now: Micros) {
+    /// Handles a rent request that the cloud refused.
+    pub(super) fn on_rent_refused(&mut self, request: &RentRequest, now: Micros) {
         self.rent_requests.remove(&request.request);
-        self.refused.insert(offer_of(request), now + REFUSED_FOR);
+        self.refused_offers
+            .insert(offer_of(request), now + REFUSED_OFFER_RETRY);
         log::info!(
             "no capacity to rent type={} zone={} spot={}",
             request.kind,
@@ -377,22 +381,22 @@
         );
     }
 
-    /// A rent request got no usable answer, so that it is unknown whether it was carried out.
-    pub(super) fn rent_failed(&mut self, request: &RentRequest) {
+    /// Handles a rent request without a usable response. It is unknown whether the cloud executed it.
+    pub(super) fn on_rent_failed(&mut self, request: &RentRequest) {
         if let Some(pending) = self.rent_requests.get_mut(&request.request) {
             pending.in_flight = false;
         }
     }
 
-    /// The cloud has deleted a machine.
-    pub(super) fn deleted(&mut self, name: &str) {
+    /// Handles the deletion of a machine by the cloud.
+    pub(super) fn on_deleted(&mut self, name: &str) {
         log::info!("machine deleted machine={name}");
         self.machines.remove(name);
         self.mark_gone(name);
     }
 
-    /// The deletion of a machine got no usable answer, and is repeated.
-    pub(super) fn deletion_failed(&mut self, name: String) {
+    /// Handles a deletion without a usable response: it is repeated.
+    pub(super) fn on_deletion_failed(&mut self, name: String) {
         if self.machines.contains_key(&name) {
             self.to_delete.insert(name);
         }
--- a/src/controller/leadership_steps.rs
+++ b/src/controller/leadership_steps.rs
@@ -87,8 +87,8 @@
             );
             // As after a failover, followers may keep renewing leases under the old term for a while. The checks that
             // wait for these leases to expire start again.
-            leader.since = clock.now;
-            leader.unmet_leases_expired = false;
+            leader.term_since = clock.now;
+            leader.unseen_agent_leases_expired = false;
             leader.next_full_check_at = clock.now;
         }
         leader.term = granted.term;
--- a/src/scheduling/host_table.rs
+++ b/src/scheduling/host_table.rs
@@ -1,6 +1,6 @@
 //! The machines that a pass may use, and the images that are cached on them.
 
-use crate::agents::leader_state::FRESH_REPORTS;
+use crate::agents::leader_state::FRESH_HEARTBEAT_INTERVALS;
 use crate::protocol::Micros;
 use crate::protocol::cloud_api::MachineType;
 use crate::scheduling::pass::PassInputs;
@@ -52,7 +52,7 @@
             else {
                 continue;
             };
-            if agent.epoch_ended() || leader.fleet.is_gone(name) {
+            if agent.epoch_ended() || leader.inventory.is_gone(name) {
                 continue;
             }
             let host = empty_host(inputs, name, agent, machine_type, names, images);
@@ -96,7 +96,7 @@
     let leader = inputs.leader;
     let now = inputs.clock.now;
     let report_interval_s = inputs.settings.params.agents.report_s;
-    let max_answer_age = Micros::secs(report_interval_s * FRESH_REPORTS);
+    let max_answer_age = Micros::secs(report_interval_s * FRESH_HEARTBEAT_INTERVALS);
     // Only responses to its heartbeats renew the lease of an agent. An agent that answers direct commands
     // but cannot reach a controller is about to lose all of its tasks.
     agent.term == leader.term
@@ -104,8 +104,8 @@
             .last_answered_at
             .is_some_and(|at| now < at + max_answer_age)
         && agent.preemption_at.is_none()
-        && agent.reachability.receives()
-        && !leader.fleet.leaving(name)
+        && agent.reachability.is_reachable()
+        && !leader.inventory.is_marked_for_deletion(name)
         && !leader.is_unhealthy(agent, inputs.policy)
         && !leader.failed_recently(agent, now)
 }
@@ -143,7 +143,7 @@
         if self.0.len() > MAX_CACHED_MACHINES {
             self.0.clear();
         }
-        let image_names = cache.image_caches.of(machine, cache_gb);
+        let image_names = cache.image_caches.images_of(machine, cache_gb);
         let images: Arc<Vec<u32>> = Arc::new(image_names.map(|name| names.id(name)).collect());
         let cached = CachedImages {
             version,
--- a/tests/passes.rs
+++ b/tests/passes.rs
@@ -182,7 +182,7 @@
             ..clock
         };
         let mut leader = LeaderState::new(rng.random_range(1..3), 1, elected_at);
-        leader.unmet_leases_expired = rng.random_bool(0.5);
+        leader.unseen_agent_leases_expired = rng.random_bool(0.5);
         let mut cache = RecordCache::default();
         cache.put(MACHINE_TYPES_KEY, to_value(&machine_types()), 1);
         let mut cluster = RandomCluster {
@@ -311,7 +311,7 @@
         agent.update(&heartbeat, now);
         agent.last_answered_at = Some(now);
         self.leader
-            .fleet
+            .inventory
             .record_heartbeat(&machine, &heartbeat, now);
     }
 
@@ -415,26 +415,26 @@
                 .leader
                 .record_writer
                 .pending_write(&id)
-                .map(|write: &PendingWrite| write.places.clone());
+                .map(|write: &PendingWrite| write.placements.clone());
             if let Some(placements) = placements.filter(|placements| !placements.is_empty())
                 && self.rng.random_bool(0.3)
             {
                 self.leader
                     .record_writer
-                    .mark_places_in_flight(&id, Vec::new(), placements);
+                    .mark_placements_in_flight(&id, Vec::new(), placements);
             }
         }
     }
 
     fn apply_start(&mut self, start: TaskStart) {
         let now = self.clock.now;
-        self.leader.started += 1;
+        self.leader.start_count += 1;
         let order = self
             .leader
             .start_order
             .entry(start.job.clone())
             .or_default();
-        order.insert(start.task, self.leader.started);
+        order.insert(start.task, self.leader.start_count);
         let entry = TaskEntry::new(
             start.task,
             5,
@@ -447,7 +447,7 @@
             self.leader
                 .record_writer
                 .pending_write_mut(&start.job, now)
-                .places
+                .placements
                 .push(entry);
         } else if self.rng.random_bool(0.5) {
             let Some(job) = self.cache.jobs.get(&start.job) else {
--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -152,7 +152,7 @@
             "  {machine}: epoch {} term {} last contact {} ended epoch {:?} starts {:?} tasks {:?}",
             agent.agent_epoch,
             agent.term,
-            agent.last_heard_at,
+            agent.last_heartbeat_at,
             agent.ended_epoch,
             agent.starts,
             agent.tasks
