--- a/tests/simulation/inspection.rs
+++ b/tests/simulation/inspection.rs
@@ -149,7 +149,7 @@
     for (machine, agent) in &leader.agents {
         writeln!(
             out,
-            "  {machine}: epoch {} term {} last contact {} ended epoch {:?} starts {:?} tasks {:?}",
+            "  {machine}: epoch {} term {} last heartbeat {} ended epoch {:?} starts {:?} tasks {:?}",
             agent.agent_epoch,
             agent.term,
             agent.last_heartbeat_at,
