--- a/src/agents/leader_state.rs
+++ b/src/agents/leader_state.rs
@@ -75,7 +75,7 @@
     pub renewed_by_followers: BTreeSet<String>,
     /// The newest renewal record seen of each follower.
     pub(super) last_seen_renewals: BTreeMap<String, LastSeenRenewal>,
-    /// Since when peers have served most agents instead of us; `Micros::FAR` while leadership is being transferred.
+    /// Since when peers have served most agents instead of us; `Micros::FAR_FUTURE` while leadership is being transferred.
     pub unable_to_serve_since: Option<Micros>,
     /// Machines with reserved capacity: the job that it is reserved for, and until when.
     pub reserved: BTreeMap<String, (String, Micros)>,
--- a/src/state/record_cache/job_records.rs
+++ b/src/state/record_cache/job_records.rs
@@ -37,12 +37,16 @@
         }
         self.changed.insert(id.to_string());
         if self.job_version(id) == 0 && record.stage == JobStage::Active {
-            self.register_dependencies(id, &record.spec.needs);
+            self.register_dependencies(id, &record.spec.dependencies);
         }
         let previous = self.jobs.remove(id);
         let is_new = previous.is_none();
         let (old_entries, chunks, batched_placements) = match previous {
-            Some(job) => (job.record.first.entries, job.chunks, job.batched_placements),
+            Some(job) => (
+                job.record.first_chunk.entries,
+                job.chunks,
+                job.batched_placements,
+            ),
             None => Default::default(),
         };
         let mut job = Job {
@@ -56,12 +60,17 @@
         if job.record.cleaned {
             job.batched_placements.clear();
         } else {
-            let first = &mut job.record.first;
+            let first = &mut job.record.first_chunk;
             self.placement_batches
                 .overlay(id, 0, first, &mut job.batched_placements);
         }
         let image = JobImage::from_spec(&job.record.spec);
-        self.index_placements(id, &old_entries, &job.record.first.entries, Some(image));
+        self.index_placements(
+            id,
+            &old_entries,
+            &job.record.first_chunk.entries,
+            Some(image),
+        );
         if let Some(chunks) = self.chunks_without_job.remove(id) {
             job.chunks.extend(chunks);
         }
@@ -152,7 +161,7 @@
         if !self.placement_batches.put(number, batch.clone(), version) {
             return;
         }
-        for (id, placements) in batch.places {
+        for (id, placements) in batch.placements {
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
@@ -168,7 +177,7 @@
 
     fn overlay_on_job(&mut self, id: &str, job: &mut Job, placement: TaskEntry) {
         let chunk = match placement.task() / TASKS_PER_CHUNK {
-            0 => &mut job.record.first,
+            0 => &mut job.record.first_chunk,
             number => &mut job.chunks.entry(number).or_default().chunk,
         };
         let old: Vec<TaskEntry> = chunk.entry(placement.task()).cloned().into_iter().collect();
@@ -226,12 +235,12 @@
 
     /// Derives the number of unmet dependencies, the release time, and whether a cancelled dependency cancels the job.
     fn resolve_dependencies(&self, job: &mut Job) {
-        job.released_at = job.record.at;
+        job.released_at = job.record.accepted_at;
         job.unmet_dependencies = 0;
         if !job.active() {
             return;
         }
-        for dependency in &job.record.spec.needs {
+        for dependency in &job.record.spec.dependencies {
             let Some(outcome) = self.outcome_of(dependency) else {
                 job.unmet_dependencies += 1;
                 continue;
@@ -243,7 +252,7 @@
             // A job starts only after all its dependencies are done. A cancelled dependency is never done, so this job
             // has no tasks on machines and never will.
             job.record.stage = JobStage::Cancelled;
-            job.record.end = outcome.end.max(job.record.at);
+            job.record.ended_at = outcome.end.max(job.record.accepted_at);
             return;
         }
     }
@@ -259,7 +268,7 @@
         let job = self.jobs.get(id).filter(|j| !j.active())?;
         Some(JobOutcome {
             stage: job.record.stage,
-            end: job.record.end,
+            end: job.record.ended_at,
         })
     }
 
@@ -291,7 +300,7 @@
             return;
         };
         self.ended_with_tasks.remove(id);
-        self.index_placements(id, &job.record.first.entries, &[], None);
+        self.index_placements(id, &job.record.first_chunk.entries, &[], None);
         for stored in job.chunks.values() {
             self.index_placements(id, &stored.chunk.entries, &[], None);
         }
@@ -305,7 +314,7 @@
         stage: job.record.stage,
         tasks: job.record.spec.tasks,
         version: job.version,
-        end: job.record.end,
+        end: job.record.ended_at,
         service: job.record.spec.kind == JobKind::Service,
     }
 }
--- a/src/transport/net/listeners.rs
+++ b/src/transport/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Serving requests: listening sockets, accepted connections, requests and responses.
+//! Inbound requests: listening sockets, accepted connections, requests and responses.
 
 use super::NetworkThread;
 use super::connection::{Connection, Role, ServerRole};
@@ -10,10 +10,10 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// A connection without a request for this long is closed. Clients poll every 5 s and agents send heartbeats every
-/// few seconds, so this closes abandoned connections only.
-const SERVER_IDLE: Micros = Micros::millis(40_000);
-/// Time within which all of a request must arrive once its first part has.
+/// An inbound connection without a request for this long is closed. Clients poll every 5 s and agents send heartbeats
+/// every few seconds, so only abandoned connections are closed.
+const SERVER_IDLE_TIMEOUT: Micros = Micros::millis(40_000);
+/// Time within which a request must be complete after its first bytes were received.
 const REQUEST_TIMEOUT: Micros = Micros::millis(10_000);
 
 /// The bound listening sockets.
@@ -46,7 +46,7 @@
 }
 
 impl NetworkThread {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, internal: bool) {
         loop {
             match self.listeners.accept(internal) {
@@ -55,9 +55,9 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
                     log::warn!("accept failed error=\"{error}\"");
-                    // No socket is free. If none can be freed either, the event loop reports the listener again with
-                    // the next connection.
-                    if !self.close_one_idle() {
+                    // No socket is free. If none can be freed, the event loop reports the listener again at the next
+                    // connection attempt.
+                    if !self.close_first_idle() {
                         return;
                     }
                 }
@@ -67,11 +67,11 @@
 
     fn add_server(&mut self, stream: TcpStream, remote: SocketAddr, internal: bool) {
         let is_full = self.connections.server_count() >= self.max_servers;
-        if is_full && !self.close_one_idle() {
+        if is_full && !self.close_first_idle() {
             log::warn!("connection refused reason=no_free_socket");
             return;
         }
-        // With Nagle's algorithm a small response could be delayed by 40 ms. Without the option we still work.
+        // Nagle's algorithm could delay a small response by 40 ms. A failure to disable it is harmless.
         let _ = stream.set_nodelay(true);
         let role = Role::Server(ServerRole {
             internal,
@@ -80,16 +80,16 @@
             close_after_response: false,
         });
         self.next_server_id += 1;
-        let deadline = self.now() + SERVER_IDLE;
+        let deadline = self.now() + SERVER_IDLE_TIMEOUT;
         self.connections.add(stream, remote, role, deadline);
     }
 
     /// Closes the idle connection with the earliest deadline; returns whether there was one.
-    fn close_one_idle(&mut self) -> bool {
+    fn close_first_idle(&mut self) -> bool {
         self.close_first(Connection::is_idle)
     }
 
-    /// Sends the response to a request, unless its connection is gone.
+    /// Sends the response to a request, unless its connection has been closed.
     pub(super) fn respond(
         &mut self,
         server_id: u64,
@@ -100,21 +100,21 @@
         let Some(token) = self.connections.server(server_id) else {
             return;
         };
-        let deadline = self.now() + SERVER_IDLE;
+        let deadline = self.now() + SERVER_IDLE_TIMEOUT;
         if let Some(connection) = self.connections.get_mut(token)
             && let Role::Server(server) = &mut connection.role
         {
             let close = server.close_after_response;
-            http::put_response(&mut connection.output, status, body, retry_after, close);
+            http::write_response(&mut connection.output, status, body, retry_after, close);
             server.busy = false;
         }
         self.connections.set_deadline(token, deadline);
         self.flush(token);
-        // The next request may already have arrived.
+        // The next request may already be in the input buffer.
         self.parse_input(token, false);
     }
 
-    /// Passes on the request that has arrived on a connection, if all of it has; `ended`: no more will arrive.
+    /// Passes a received request to the controller if it is complete. `ended` means that no more bytes will arrive.
     pub(super) fn parse_request(&mut self, token: Token, ended: bool) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(token) else {
@@ -142,7 +142,7 @@
                 }
                 Parsed::Invalid(status) => {
                     server.close_after_response = true;
-                    http::put_response(&mut connection.output, status, b"", None, true);
+                    http::write_response(&mut connection.output, status, b"", None, true);
                     self.flush(token);
                     return;
                 }
@@ -153,14 +153,14 @@
         }
     }
 
-    /// Extends the deadline of a connection whose response we still owe; returns whether this is one.
+    /// Extends the deadline of an inbound connection with a request in progress; returns whether it has one.
     pub(super) fn extend_if_busy(&mut self, token: Token) -> bool {
         let connection = self.connections.get_mut(token);
         let is_busy = connection.is_some_and(
             |connection| matches!(&connection.role, Role::Server(server) if server.busy),
         );
         if is_busy {
-            let deadline = self.now() + SERVER_IDLE;
+            let deadline = self.now() + SERVER_IDLE_TIMEOUT;
             self.connections.set_deadline(token, deadline);
         }
         is_busy
--- a/tests/simulation/event_loop.rs
+++ b/tests/simulation/event_loop.rs
@@ -131,7 +131,10 @@
         let was_pending = self.pending_calls.remove(&key);
         if was_pending && self.controllers[key.controller].incarnation == key.incarnation {
             let id = key.call_id;
-            self.deliver(key.controller, vec![NetworkEvent::Answer { id, outcome }]);
+            self.deliver(
+                key.controller,
+                vec![NetworkEvent::CallFinished { id, outcome }],
+            );
         }
     }
 
--- a/tests/simulation/fake_cloud.rs
+++ b/tests/simulation/fake_cloud.rs
@@ -52,7 +52,7 @@
             .map(|agent| ListedMachine {
                 id: agent.name.clone(),
                 address: None,
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: agent.zone.clone(),
                 spot: agent.spot,
                 state: if self.failed_machines.contains(&agent.name) {
@@ -66,17 +66,17 @@
         machines.sort_by(|first, second| first.id.cmp(&second.id));
         MachinePage {
             machines,
-            more: false,
+            has_more: false,
         }
     }
 
     fn rent(&mut self, request: RentRequest) -> (u16, Vec<u8>) {
-        if let Some(rental) = self.rentals.get(&request.request) {
+        if let Some(rental) = self.rentals.get(&request.request_id) {
             let machines = rental.machines.clone();
             if self.now > rental.requested_at + RENTAL_RETRY_TIME {
                 let details = format!(
                     "{} repeated more than {} s after the rental",
-                    request.request,
+                    request.request_id,
                     RENTAL_RETRY_TIME / SECOND
                 );
                 self.report_violation("rental_id_reused", details);
@@ -102,7 +102,7 @@
             machines: machines.clone(),
             requested_at: self.now,
         };
-        self.rentals.insert(request.request, rental);
+        self.rentals.insert(request.request_id, rental);
         (200, encode(&MachineNames { machines }))
     }
 
--- a/tests/simulation/first_version.rs
+++ b/tests/simulation/first_version.rs
@@ -130,8 +130,8 @@
     let mut transaction: Transaction = decode(&body)?;
     for change in &mut transaction.changes {
         match change {
-            Change::Put { put, value, .. } if is_supported(put) => {
-                *value = drop_unsupported_fields(put, value.clone());
+            Change::Put { key, value, .. } if is_supported(key) => {
+                *value = drop_unsupported_fields(key, value.clone());
             }
             Change::Delete { key } if is_supported(key) => {}
             _ => return None,
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -37,7 +37,7 @@
         let mut found = BTreeSet::new();
         let mut unvisited = vec![job];
         while let Some(truth) = unvisited.pop().and_then(|job| self.jobs.get(job)) {
-            for dependency in &truth.spec.needs {
+            for dependency in &truth.spec.dependencies {
                 if found.insert(dependency.as_str()) {
                     unvisited.push(dependency);
                 }
@@ -249,8 +249,8 @@
             let truth = self.jobs.get(dependency);
             truth.is_some_and(|truth| truth.accepted && truth.spec.kind != JobKind::Service)
         };
-        let needs = &self.jobs[job].spec.needs;
-        if !needs.is_empty() && needs.iter().all(is_valid_dependency) {
+        let dependencies = &self.jobs[job].spec.dependencies;
+        if !dependencies.is_empty() && dependencies.iter().all(is_valid_dependency) {
             let details = format!("{job}: refused although all its dependencies are accepted");
             self.report_violation("refused", details);
         }
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -244,7 +244,7 @@
         if self.lost_answers_from.iter().any(is_affected) {
             return;
         }
-        let outcome = Outcome::Reply { status, body };
+        let outcome = Outcome::Response { status, body };
         self.schedule(at, Event::CallAnswer { key, outcome });
     }
 
--- a/tests/wire_compatibility/client_api.rs
+++ b/tests/wire_compatibility/client_api.rs
@@ -4,10 +4,10 @@
 use crate::samples::{full_spec, plain_spec, plain_spec_fields};
 use rmpv::Value;
 use walnuttrestle::protocol::JobSpec;
-use walnuttrestle::protocol::client_api::{JobState, Problem};
+use walnuttrestle::protocol::client_api::{ErrorBody, JobState};
 use walnuttrestle::protocol::codec::encode;
 use walnuttrestle::protocol::job::parse;
-use walnuttrestle::transport::http::put_response;
+use walnuttrestle::transport::http::write_response;
 
 /// Returns a submission with these fields and more.
 fn submission(mut fields: Vec<(Value, Value)>, more: Value) -> Value {
@@ -45,13 +45,13 @@
         running: Some(0),
     };
     fixtures.both_ways("state_counted", &counted);
-    let problem = Problem {
+    let problem = ErrorBody {
         error: "field sheets is missing or invalid".into(),
     };
     fixtures.both_ways("problem", &problem);
     fixtures.written("healthy", &encode(&()));
     let mut response = Vec::new();
-    put_response(&mut response, 503, &encode(&problem), Some(1), true);
+    write_response(&mut response, 503, &encode(&problem), Some(1), true);
     fixtures.written("http_response", &response);
     fixtures.finish();
 }
