--- a/src/protocol/peer_messages.rs
+++ b/src/protocol/peer_messages.rs
@@ -115,7 +115,7 @@
 impl From<LogCursor> for LogPosition {
     fn from(cursor: LogCursor) -> LogPosition {
         LogPosition {
-            incarnation: cursor.run,
+            incarnation: cursor.incarnation,
             next_entry: cursor.next,
         }
     }
@@ -145,7 +145,7 @@
         LogBatch {
             from: self.first_entry,
             next: self.next_entry,
-            more: self.has_more,
+            has_more: self.has_more,
             jobs: self.jobs.clone(),
         }
     }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -225,7 +225,7 @@
             if let Some(agent) = sim.agents.get_mut(&machines[0]) {
                 agent.alive = false;
             }
-            sim.faults.silence_heartbeats(&machines[1], until);
+            sim.faults.drop_heartbeats(&machines[1], until);
         });
         sim.spawn_client("req-3", red_team_job(3), 5 * SECOND);
         if seed % 2 == 0 {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,5 +1,7 @@
-//! Recovery from mass losses: many tasks are lost at once, and `assert_recovered_in_order` asserts that no job recovers ahead of another
-//! because its machines came back sooner. The simulation checks the rules of PROTOCOL after every step.
+//! Recovery after many tasks are lost at once.
+//!
+//! `assert_recovered_in_order` asserts that no job recovers ahead of an earlier one because its machines were available
+//! again sooner. The simulation checks the rules of PROTOCOL after every step.
 
 mod simulation;
 
@@ -13,14 +15,15 @@
 const ARRAYS: usize = 8;
 const GANGS: usize = 4;
 
-/// Write limit of the store, in changes a second: one change for each job would take seconds.
+/// Write limit of the store, in changes per second. It is so low that a write of its own for each lost job would take
+/// seconds.
 const WRITE_RPS: f64 = 12.0;
 
 fn id(n: usize) -> String {
     format!("req-{n:04}")
 }
 
-/// `LOG_LEVEL=debug cargo test --test recovery -- --nocapture NAME` shows what the controllers log.
+/// `LOG_LEVEL=debug cargo test --test recovery -- --nocapture NAME` prints the logs of the controllers.
 fn simulation_with_write_rate(seed: u64, machines: usize, write_rps: f64) -> Simulation {
     let _ = env_logger::Builder::from_env(env_logger::Env::default().filter("LOG_LEVEL"))
         .is_test(true)
@@ -30,8 +33,8 @@
     sim
 }
 
-/// A simulation in which services, arrays and gangs fill most of the machines. They are accepted in turns, so that no
-/// kind is older than another.
+/// A simulation in which services, arrays and gangs fill most of the machines. Jobs of these kinds are submitted
+/// alternately, so that the jobs of one kind are not all older than those of another.
 fn busy_simulation(seed: u64, machines: usize) -> Simulation {
     let mut sim = simulation_with_write_rate(seed, machines, WRITE_RPS);
     submit_filling_jobs(&mut sim);
@@ -49,7 +52,10 @@
         sim.run_seconds(1);
     }
     sim.run_seconds(6);
-    assert!(sim.leader().is_some(), "nobody leads");
+    assert!(
+        sim.leader().is_some(),
+        "no leader after all jobs were submitted"
+    );
 }
 
 fn kind_of(sim: &Simulation, task: &str) -> JobKind {
@@ -60,24 +66,25 @@
     task.split('/').next().unwrap()
 }
 
-/// Tasks that had started before `since` and started again after it, by the machine they were on, each with the time of
-/// its second start.
+/// Tasks that started before `since` and again at or after it: by the machine of the earlier start, the time of the
+/// later start of each task.
 fn task_returns(sim: &Simulation, since: u64) -> BTreeMap<String, BTreeMap<String, u64>> {
-    let mut on: BTreeMap<&str, &str> = BTreeMap::new();
-    let mut lost: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
+    let mut machine_of: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut returns: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
     for start in &sim.task_starts {
         if start.at < since {
-            on.insert(&start.task, &start.machine);
-        } else if let Some(machine) = on.remove(start.task.as_str()) {
-            let of = lost.entry(machine.to_string()).or_default();
-            of.insert(start.task.clone(), start.at);
+            machine_of.insert(&start.task, &start.machine);
+        } else if let Some(machine) = machine_of.remove(start.task.as_str()) {
+            let tasks = returns.entry(machine.to_string()).or_default();
+            tasks.insert(start.task.clone(), start.at);
         }
     }
-    lost
+    returns
 }
 
-/// Asserts the order of recovery: of two jobs of one kind that lost tasks on one machine, the one accepted first is not
-/// back later than the other by more than a pass, a write and a fetch; and replicas do not wait for others.
+/// Asserts the order in which tasks that were lost on the same machine start again. Of two jobs of one kind, the tasks
+/// of the job that was accepted first start at most `slack` after those of the other. Replicas of services start at
+/// most `slack` after tasks of other kinds. The slack covers a scheduling pass, a write and the fetch of an image.
 fn assert_recovered_in_order(sim: &Simulation, since: u64) {
     let slack = 4 * SECOND;
     let mut compared = 0;
@@ -85,39 +92,43 @@
         for (a, at_a) in &tasks {
             for (b, at_b) in &tasks {
                 let (kind_a, kind_b) = (kind_of(sim, a), kind_of(sim, b));
-                let first = job_of(a) < job_of(b) && kind_a == kind_b;
-                let replica = kind_a == JobKind::Service && kind_b != JobKind::Service;
-                if !(first || replica) {
+                let accepted_first = job_of(a) < job_of(b) && kind_a == kind_b;
+                let replica_first = kind_a == JobKind::Service && kind_b != JobKind::Service;
+                if !(accepted_first || replica_first) {
                     continue;
                 }
                 compared += 1;
                 assert!(
                     *at_a <= at_b + slack,
-                    "{machine}: {a} ({kind_a:?}) is back at {at_a}, {b} ({kind_b:?}) at {at_b}"
+                    "{machine}: {a} ({kind_a:?}) restarted at {at_a} us, more than {slack} us after {b} \
+                     ({kind_b:?}) at {at_b} us"
                 );
             }
         }
     }
-    assert!(compared > 10, "hardly anything was lost: {compared}");
+    assert!(
+        compared > 10,
+        "only {compared} pairs of lost tasks were compared, expected more than 10"
+    );
 }
 
 /// Asserts that all replicas run and that all other jobs are done.
 fn assert_all_jobs_recovered(sim: &Simulation) {
-    for (id, truth) in &sim.jobs {
-        match truth.spec.kind {
+    for (id, ground_truth) in &sim.jobs {
+        match ground_truth.spec.kind {
             JobKind::Service => {
-                for task in 0..truth.spec.tasks {
+                for task in 0..ground_truth.spec.tasks {
                     assert_eq!(
                         sim.machines_running(&format!("{id}/{task}")).len(),
                         1,
-                        "{id}/{task}\n{}",
+                        "number of running instances of {id}/{task}\n{}",
                         sim.dump()
                     );
                 }
             }
             _ => assert!(
                 sim.job_done(id),
-                "{id} is {}\n{}",
+                "{id} is {}, expected done\n{}",
                 sim.last_status(id),
                 sim.dump()
             ),
@@ -125,61 +136,62 @@
     }
 }
 
-/// Machines with their zones.
+/// Names and zones of all machines.
 fn machines(sim: &Simulation) -> Vec<(String, String)> {
-    let of = |x: &simulation::fake_agent::FakeAgent| (x.name.clone(), x.zone.clone());
-    sim.agents.values().map(of).collect()
+    let name_and_zone =
+        |agent: &simulation::fake_agent::FakeAgent| (agent.name.clone(), agent.zone.clone());
+    sim.agents.values().map(name_and_zone).collect()
 }
 
-/// Partitions a zone from everything outside it, its controllers included.
-fn partition_zone(sim: &mut Simulation, zone: &str, dt: u64) {
-    let of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
+/// Partitions the machines and controllers of a zone from everything outside it.
+fn partition_zone(sim: &mut Simulation, zone: &str, duration: u64) {
+    let zone_of = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     let machines = machines(sim);
     for i in 0..3 {
-        if of(i) == zone {
+        if zone_of(i) == zone {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Store,
                 PartitionMode::Delay,
-                dt,
+                duration,
             );
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Cloud,
                 PartitionMode::Delay,
-                dt,
+                duration,
             );
         }
         for j in i + 1..3 {
-            if (of(i) == zone) != (of(j) == zone) {
+            if (zone_of(i) == zone) != (zone_of(j) == zone) {
                 sim.partition(
                     Endpoint::Controller(i),
                     Endpoint::Controller(j),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
-        for (m, z) in &machines {
-            if (of(i) == zone) != (z == zone) {
+        for (machine, machine_zone) in &machines {
+            if (zone_of(i) == zone) != (machine_zone == zone) {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
     }
 }
 
-fn kill_machines(sim: &mut Simulation, which: impl Fn(usize) -> bool) {
-    for (i, x) in sim.agents.values_mut().enumerate() {
-        x.alive &= !which(i);
+fn kill_machines(sim: &mut Simulation, is_lost: impl Fn(usize) -> bool) {
+    for (i, agent) in sim.agents.values_mut().enumerate() {
+        agent.alive &= !is_lost(i);
     }
 }
 
-/// Whether the leader's cache has ever held a placement batch: the tests must not pass without one.
+/// Whether a placement batch has ever been written. Tests assert this so that they do not pass without any batch.
 fn has_placement_batch(sim: &Simulation) -> bool {
     sim.store.contains_key("wt/bundled")
 }
@@ -192,20 +204,24 @@
     sim.run_seconds(150);
     assert_recovered_in_order(&sim, since + LEASE_S * SECOND);
     assert_all_jobs_recovered(&sim);
-    assert!(has_placement_batch(&sim), "places went one by one");
+    assert!(
+        has_placement_batch(&sim),
+        "no placement batch was written during the recovery"
+    );
 }
 
-/// Applies `trouble` to a busy simulation and asserts that what was lost `after` its beginning recovers in order.
+/// Injects faults into a busy simulation and asserts that tasks that start again at least `loss_delay` after the first
+/// fault recover in order.
 fn assert_recovery_in_order(
     seeds: Range<u64>,
     machines: usize,
-    after: u64,
-    trouble: impl Fn(&mut Simulation, u64),
+    loss_delay: u64,
+    inject_faults: impl Fn(&mut Simulation, u64),
 ) {
     for seed in seeds {
         let mut sim = busy_simulation(seed, machines);
-        let since = sim.now + after;
-        trouble(&mut sim, seed);
+        let since = sim.now + loss_delay;
+        inject_faults(&mut sim, seed);
         assert_recovered_in_order(&sim, since);
         assert_all_jobs_recovered(&sim);
     }
@@ -232,15 +248,15 @@
 #[test]
 fn returning_zone_during_replacement_recovers_in_order() {
     assert_recovery_in_order(30..34, 10, LEASE_S * SECOND, |sim, seed| {
-        // Leases of 10 s expire and replacements take 5 s to boot: the partition ends in between.
-        let dt = (LEASE_S + 4 + seed % 4) * SECOND;
-        for (m, _) in machines(sim).iter().filter(|(_, z)| z == "b") {
+        // Leases expire after 10 s and replacement machines take 5 s to boot. The partition ends in between.
+        let duration = (LEASE_S + 4 + seed % 4) * SECOND;
+        for (machine, _) in machines(sim).iter().filter(|(_, zone)| zone == "b") {
             for i in 0..3 {
                 sim.partition(
                     Endpoint::Controller(i),
-                    Endpoint::Agent(m.clone()),
+                    Endpoint::Agent(machine.clone()),
                     PartitionMode::Delay,
-                    dt,
+                    duration,
                 );
             }
         }
@@ -269,11 +285,14 @@
     });
 }
 
-/// Runs until the first placement batch is written, and no longer.
+/// Runs until the first placement batch is written, in steps of this number of microseconds.
 fn run_until_batched(sim: &mut Simulation, step: u64) {
     let since = sim.now;
     while !has_placement_batch(sim) {
-        assert!(sim.now < since + 60 * SECOND, "nothing came back");
+        assert!(
+            sim.now < since + 60 * SECOND,
+            "no placement batch was written within 60 s"
+        );
         sim.run_micros(step);
     }
 }
@@ -296,17 +315,20 @@
     let mut sim = busy_simulation(70, 12);
     kill_machines(&mut sim, |i| i % 4 < 2);
     sim.run_seconds(200);
-    assert!(has_placement_batch(&sim));
+    assert!(has_placement_batch(&sim), "no placement batch was written");
     assert_eq!(
         sim.store.count_keys_under("wt/b/"),
         0,
-        "placement batches are left"
+        "placement batches that are not merged into job records"
     );
-    // A controller that lists the records only now sees the same.
+    // Controllers that read the records after the merge see the same placements.
     let leader = sim.leader().unwrap();
     (0..3).for_each(|i| sim.crash_controller(i, 2 * SECOND));
     sim.run_seconds(30);
-    assert!(sim.leader().is_some(), "kernel-{leader} led before");
+    assert!(
+        sim.leader().is_some(),
+        "no leader after the restart of all controllers; kernel-{leader} was the leader"
+    );
     assert_all_jobs_recovered(&sim);
 }
 
@@ -318,10 +340,10 @@
         kill_machines(&mut sim, |i| i % 4 < 2);
         for n in 0..SERVICES + ARRAYS + GANGS {
             if sim.rng.random_bool(0.5) {
-                let dt = sim
+                let delay = sim
                     .rng
                     .random_range((LEASE_S + 1) * SECOND..(LEASE_S + 5) * SECOND);
-                sim.after(dt, move |sim| sim.cancel_until_answered(&id(n)));
+                sim.after(delay, move |sim| sim.cancel_until_answered(&id(n)));
             }
         }
         if seed % 2 == 0 {
@@ -331,14 +353,21 @@
             });
         }
         sim.run_seconds(200);
-        assert!(sim.now > since);
-        for (id, truth) in &sim.jobs {
-            if truth.cancel_requested {
-                let told = sim.last_status(id);
-                assert!(told == "cancelled" || told == "done", "{id} is {told}");
+        assert!(
+            sim.now > since,
+            "the simulated time did not advance beyond {since}"
+        );
+        for (id, ground_truth) in &sim.jobs {
+            if ground_truth.cancel_requested {
+                let status = sim.last_status(id);
                 assert!(
-                    (0..truth.spec.tasks)
-                        .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty())
+                    status == "cancelled" || status == "done",
+                    "seed {seed}: {id} is {status}, expected cancelled or done"
+                );
+                assert!(
+                    (0..ground_truth.spec.tasks)
+                        .all(|n| sim.machines_running(&format!("{id}/{n}")).is_empty()),
+                    "seed {seed}: tasks of {id} still run although it is {status}"
                 );
             }
         }
@@ -348,8 +377,8 @@
 #[test]
 fn takeover_prefers_machines_with_cached_images() {
     let mut sim = simulation_with_write_rate(90, 12, 60.0);
-    let mut led: BTreeSet<usize> = sim.leader().into_iter().collect();
-    // Six images, one for each machine of the zone; there are twice as many machines.
+    let mut past_leaders: BTreeSet<usize> = sim.leader().into_iter().collect();
+    // Six images for the six machines of one of the two zones, so that each machine caches one image.
     for n in 0..6 {
         let mut spec = job(JobKind::Array, 8, 1.0);
         spec.image = format!("img-{n}");
@@ -359,16 +388,20 @@
     }
     for _ in 0..30 {
         sim.run_seconds(1);
-        led.extend(sim.leader());
+        past_leaders.extend(sim.leader());
     }
-    assert!((0..6).all(|n| sim.job_done(&id(n))) && led.len() < 3);
-    let had: BTreeMap<String, BTreeSet<String>> = sim
+    assert!(
+        (0..6).all(|n| sim.job_done(&id(n))) && past_leaders.len() < 3,
+        "jobs are not done, or no controller is left that has not led: {past_leaders:?}"
+    );
+    let cached_images: BTreeMap<String, BTreeSet<String>> = sim
         .agents
         .iter()
-        .map(|(m, x)| (m.clone(), x.cached_images.clone()))
+        .map(|(machine, agent)| (machine.clone(), agent.cached_images.clone()))
         .collect();
-    // The next leader has followed the records and has not heard from any machine.
-    led.iter()
+    // The next leader has watched the records but has received no heartbeat from any agent.
+    past_leaders
+        .iter()
         .for_each(|i| sim.crash_controller(*i, 60 * SECOND));
     sim.run_seconds(24);
     for n in 0..6 {
@@ -380,10 +413,10 @@
         }
         sim.run_seconds(2);
         let task = format!("{}/0", id(10 + n));
-        let on = sim.recorded_machine(&task).expect("placed");
+        let machine = sim.recorded_machine(&task).expect("placed");
         assert!(
-            had[&on].contains(&format!("img-{n}")),
-            "{task} fetches on {on}"
+            cached_images[&machine].contains(&format!("img-{n}")),
+            "{task} was placed on {machine}, which has not cached img-{n}"
         );
     }
 }
@@ -392,7 +425,7 @@
 fn new_leader_with_a_stale_cache_starts_nothing_twice() {
     for seed in 100..106 {
         let mut sim = simulation_with_write_rate(seed, 12, WRITE_RPS);
-        // No client polls: a poll would make the caches catch up.
+        // No client polls, because a poll would make the caches of the controllers catch up with the store.
         for n in 0..24 {
             sim.declare_job(&id(n), job(JobKind::Service, 2, 1.0), 0);
             while !sim.jobs[&id(n)].accepted {
@@ -413,7 +446,8 @@
         sim.run_seconds(4);
         assert!(
             sim.leader().is_some_and(|n| n != leader),
-            "nobody took over"
+            "seed {seed}: leader is {:?}, expected one other than controller {leader}",
+            sim.leader()
         );
         sim.run_seconds(3);
         sim.watch_delays.clear();
@@ -434,7 +468,7 @@
         sim.run_seconds(60);
         assert!(
             !has_placement_batch(&sim),
-            "seed {seed}: kernel-2 would take bundled tasks for lost"
+            "seed {seed}: a placement batch was written, but kernel-2 cannot read it and would treat its tasks as lost"
         );
         sim.run_seconds(100);
         assert_all_jobs_recovered(&sim);
@@ -447,14 +481,14 @@
     kill_machines(&mut sim, |i| i % 4 < 2);
     run_until_batched(&mut sim, 20_000);
     let leader = sim.leader().unwrap();
-    let back = (0..3).find(|i| *i != leader).unwrap();
-    sim.set_first_version(back, true);
-    sim.crash_controller(back, SECOND);
+    let rolled_back = (0..3).find(|i| *i != leader).unwrap();
+    sim.set_first_version(rolled_back, true);
+    sim.crash_controller(rolled_back, SECOND);
     sim.run_seconds(20);
     assert_eq!(
         sim.store.count_keys_under("wt/b/"),
         0,
-        "kernel-{back} does not see them"
+        "placement batches are left, which kernel-{rolled_back} cannot read"
     );
     sim.run_seconds(140);
     assert_all_jobs_recovered(&sim);
@@ -467,14 +501,17 @@
         let since = sim.now;
         kill_machines(&mut sim, |i| i % 4 < 2);
         for step in 0..40u64 {
-            let dt = (LEASE_S - 2) * SECOND + step * SECOND / 2;
-            sim.after(dt, |sim| {
+            let delay = (LEASE_S - 2) * SECOND + step * SECOND / 2;
+            sim.after(delay, |sim| {
                 let until = sim.now + SECOND / 4;
                 sim.lost_answers_from.push((Endpoint::Store, until));
             });
         }
         sim.run_seconds(180);
-        assert!(sim.now > since && has_placement_batch(&sim));
+        assert!(
+            sim.now > since && has_placement_batch(&sim),
+            "seed {seed}: no placement batch was written, or the time did not advance beyond {since}"
+        );
         assert_all_jobs_recovered(&sim);
     }
 }
@@ -484,31 +521,32 @@
     for seed in 200..230 {
         let mut sim = busy_simulation(seed, 10);
         for _ in 0..6 {
-            let at = sim.rng.random_range(0..70 * SECOND);
-            let dt = sim.rng.random_range(3..40) * SECOND;
-            let what = sim.rng.random_range(0..8);
+            let delay = sim.rng.random_range(0..70 * SECOND);
+            let duration = sim.rng.random_range(3..40) * SECOND;
+            let fault = sim.rng.random_range(0..8);
             let i = sim.rng.random_range(0..3usize);
-            sim.after(at, move |sim| match what {
-                0 => partition_zone(sim, if i == 1 { "b" } else { "a" }, dt),
+            sim.after(delay, move |sim| match fault {
+                0 => partition_zone(sim, if i == 1 { "b" } else { "a" }, duration),
                 1 => (0..3).for_each(|i| sim.crash_controller(i, 4 * SECOND)),
                 2 => sim.crash_controller(i, 5 * SECOND),
                 3 => kill_machines(sim, |k| k % 5 == i),
                 4 => {
-                    let until = sim.now + dt;
-                    let some = sim.agents.values_mut().enumerate();
-                    some.filter(|(k, _)| k % 3 == i)
-                        .for_each(|(_, x)| x.hung_until = until);
+                    let until = sim.now + duration;
+                    let agents = sim.agents.values_mut().enumerate();
+                    agents
+                        .filter(|(k, _)| k % 3 == i)
+                        .for_each(|(_, agent)| agent.hung_until = until);
                 }
                 5 => {
                     sim.store.outage = true;
-                    sim.after(dt, |sim| {
+                    sim.after(duration, |sim| {
                         let now = sim.now;
                         sim.store.end_outage(now);
                     });
                 }
                 6 => sim
                     .lost_answers_from
-                    .push((Endpoint::Store, sim.now + dt / 4)),
+                    .push((Endpoint::Store, sim.now + duration / 4)),
                 _ => {
                     for n in (0..SERVICES + ARRAYS + GANGS).filter(|n| n % 3 == i) {
                         sim.cancel_until_answered(&id(n));
@@ -522,6 +560,9 @@
             sim.store.end_outage(now);
         }
         sim.run_seconds(120);
-        assert!(sim.leader().is_some(), "seed {seed}: nobody leads");
+        assert!(
+            sim.leader().is_some(),
+            "seed {seed}: no leader after all faults have ended"
+        );
     }
 }
--- a/tests/simulation/event_loop.rs
+++ b/tests/simulation/event_loop.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// How often agents act and invariants are checked.
+/// Interval at which agents act and invariants are checked, in microseconds.
 const TICK_INTERVAL: u64 = 50_000;
-/// Wall-clock time at simulated time 0.
+/// Wall-clock time at simulated time 0, in microseconds since the Unix epoch.
 const WALL_CLOCK_OFFSET: u64 = 1_700_000_000 * SECOND;
 
-/// Something that happens at a scheduled time.
+/// An event with a scheduled time.
 pub(super) enum Event {
     ControllerWake {
         controller: usize,
@@ -29,13 +29,13 @@
     AgentHeartbeat {
         machine: String,
         controller: usize,
-        number: u64,
+        seq: u64,
         body: Vec<u8>,
     },
     /// The response to an agent's heartbeat arrives at the agent.
     AgentHeartbeatResponse {
         machine: String,
-        number: u64,
+        seq: u64,
         status: u16,
         body: Vec<u8>,
     },
@@ -50,7 +50,7 @@
         self.queue.push(Reverse((at.max(self.now), self.serial)));
     }
 
-    /// Runs an action after this many microseconds.
+    /// Runs an action after `delay` microseconds.
     pub fn after(&mut self, delay: u64, action: impl FnOnce(&mut Simulation) + 'static) {
         self.schedule(self.now + delay, Event::Action(Box::new(action)));
     }
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Runs the simulation for this many seconds; panics on the first violation of a rule.
+    /// Runs the simulation for this many seconds; panics on the first violation of an invariant.
     pub fn run_seconds(&mut self, seconds: u64) {
         self.run_micros(seconds * SECOND);
     }
 
-    /// Runs the simulation for this many microseconds; panics on the first violation of a rule.
+    /// Runs the simulation for this many microseconds; panics on the first violation of an invariant.
     pub fn run_micros(&mut self, duration: u64) {
         let end = self.now + duration;
         while let Some(Reverse((at, serial))) = self.queue.peek().copied() {
@@ -105,30 +105,31 @@
             Event::AgentHeartbeat {
                 machine,
                 controller,
-                number,
+                seq,
                 body,
             } => {
                 if self.controllers[controller].process.is_none() {
                     return;
                 }
-                let pending = PendingResponse::AgentHeartbeat { machine, number };
+                let pending = PendingResponse::AgentHeartbeat { machine, seq };
                 self.request(controller, pending, "POST", "/hello".into(), body);
             }
             Event::AgentHeartbeatResponse {
                 machine,
-                number,
+                seq,
                 status,
                 body,
-            } => self.heartbeat_answered(&machine, number, status, &body),
+            } => self.heartbeat_answered(&machine, seq, status, &body),
             Event::Tick => self.tick(),
             Event::Action(action) => action(self),
         }
     }
 
-    /// Hands the first outcome of a call to the controller's incarnation that made it.
+    /// Delivers the first outcome of a call to the controller, unless it has restarted since the call. Later outcomes
+    /// of the same call are ignored.
     fn complete_call(&mut self, key: CallKey, outcome: Outcome) {
-        let was_open = self.open_calls.remove(&key);
-        if was_open && self.controllers[key.controller].incarnation == key.incarnation {
+        let was_pending = self.pending_calls.remove(&key);
+        if was_pending && self.controllers[key.controller].incarnation == key.incarnation {
             let id = key.call_id;
             self.deliver(
                 key.controller,
@@ -138,17 +139,17 @@
     }
 
     fn answer_watches(&mut self) {
-        for (ticket, body) in self.store.answerable(self.now) {
+        for (ticket, body) in self.store.take_ready_watches(self.now) {
             let Some(key) = self.watch_calls.remove(&ticket) else {
                 continue;
             };
             let body = if self.controllers[key.controller].first_version {
-                first_version::reads("/watch", body)
+                first_version::convert_store_response("/watch", body)
             } else {
                 body
             };
             let delay = self.watch_delays.get(&key.controller).copied();
-            self.answer_late(Endpoint::Store, key, 200, body, delay.unwrap_or(0));
+            self.answer_with_delay(Endpoint::Store, key, 200, body, delay.unwrap_or(0));
         }
     }
 
--- a/tests/simulation/load_balancer.rs
+++ b/tests/simulation/load_balancer.rs
@@ -1,19 +1,19 @@
-//! The load balancer between clients and controllers, and clients that use it, as the protocol describes both.
+//! The load balancer between clients and controllers, and clients that use it, according to the client protocol.
 
 use super::*;
 use std::collections::VecDeque;
 
 const PROBE_INTERVAL: u64 = SECOND;
-/// Health checks that are remembered for each backend.
+/// Number of health check results kept for each backend.
 const PROBE_HISTORY: usize = 6;
-/// A backend that was removed stays out for this long, doubled with each recent removal.
-const REMOVAL_TIME: u64 = 3 * SECOND;
+/// A backend that fails its health checks is removed for at least this time, doubled for each recent removal.
+const BASE_REMOVAL_TIME: u64 = 3 * SECOND;
 const MAX_REMOVAL_TIME: u64 = 60 * SECOND;
-/// Removals count as recent for this long.
-const REMOVAL_MEMORY: u64 = 120 * SECOND;
+/// A removal counts as recent for this time.
+const RECENT_REMOVAL_WINDOW: u64 = 120 * SECOND;
 /// Connections to a removed backend are closed after this time.
 const CONNECTION_GRACE: u64 = 5 * SECOND;
-/// A backend gets its full share of new connections this long after it has become healthy.
+/// A backend that becomes healthy gets a share of new connections that grows to the full share over this time.
 const RAMP_TIME: u64 = 10 * SECOND;
 /// A backend is skipped for `SKIP_TIME` after this many failed connections in a row.
 const MAX_FAILED_CONNECTIONS: u32 = 3;
@@ -23,22 +23,23 @@
 const POLL_TIMEOUT: u64 = 2 * SECOND;
 /// Clients wait this long for the answer to a submission.
 const SUBMIT_TIMEOUT: u64 = 5 * SECOND;
-/// A job counts as forgotten if no poll of it is answered for this long once all faults are over.
-const FORGOTTEN_AFTER: u64 = 75 * SECOND;
+/// Once all faults are over, it is a violation if no poll of an accepted job is answered for this long.
+const MAX_UNANSWERED_TIME: u64 = 75 * SECOND;
 
-/// The load balancer's view of a controller.
+/// The load balancer's state for a controller.
 #[derive(Default)]
 struct Backend {
     healthy: bool,
     was_ever_healthy: bool,
     /// Results of the last health checks, the newest last.
     probes: VecDeque<bool>,
+    /// When the backend was removed, within `RECENT_REMOVAL_WINDOW`.
     removed_at: Vec<u64>,
-    /// Not healthy again before this time.
+    /// The backend cannot become healthy before this time.
     removed_until: u64,
     /// When `healthy` last changed.
     changed_at: u64,
-    /// Connections that failed in a row.
+    /// Number of connections that failed in a row.
     failed_connections: u32,
     skipped_until: u64,
 }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// How many of the newest health checks had this result.
+    /// How many of the last `checks` health checks had this result.
     fn count_newest(&self, checks: usize, passed: bool) -> usize {
         let newest = self.probes.iter().rev().take(checks);
         newest.filter(|result| **result == passed).count()
@@ -76,9 +77,10 @@
     fn remove(&mut self, now: u64) {
         self.healthy = false;
         self.changed_at = now;
-        self.removed_at.retain(|at| now < at + REMOVAL_MEMORY);
-        let time = REMOVAL_TIME << self.removed_at.len().min(5);
-        self.removed_until = now + time.min(MAX_REMOVAL_TIME);
+        self.removed_at
+            .retain(|at| now < at + RECENT_REMOVAL_WINDOW);
+        let removal_time = BASE_REMOVAL_TIME << self.removed_at.len().min(5);
+        self.removed_until = now + removal_time.min(MAX_REMOVAL_TIME);
         self.removed_at.push(now);
     }
 }
@@ -86,11 +88,14 @@
 /// A client with one job and one connection.
 #[derive(Default)]
 struct BalancedClient {
+    /// The controller that the client is connected to.
     controller: Option<usize>,
-    asked_at: u64,
+    /// When the client last sent a request.
+    sent_at: u64,
+    /// When the client last received an answer.
     answered_at: u64,
-    /// When the client was last told the job's state.
-    state_told_at: u64,
+    /// When the client last received the job's state.
+    state_received_at: u64,
     finished: bool,
 }
 
@@ -99,7 +104,7 @@
     backends: Vec<Backend>,
     /// Clients by job.
     clients: BTreeMap<String, BalancedClient>,
-    /// Since when all faults are over.
+    /// When all faults were declared over; `None` before that.
     faults_over_at: Option<u64>,
 }
 
@@ -120,7 +125,8 @@
         self.probe_backends();
     }
 
-    /// Declares that all faults are over: from now on every job has to stay known and to get its room.
+    /// Declares that all faults are over: from now on the polls of every job have to be answered, and no job may
+    /// starve.
     pub fn declare_faults_over(&mut self) {
         self.load_balancer.faults_over_at = Some(self.now);
     }
@@ -139,7 +145,7 @@
                 self.reset_connections(controller);
             }
         }
-        self.check_known_jobs();
+        self.check_answered_polls();
         self.after(PROBE_INTERVAL, Simulation::probe_backends);
     }
 
@@ -152,12 +158,12 @@
         }
     }
 
-    /// Opens a connection to the healthy controller with the fewest clients, if one accepts it.
+    /// Opens a connection to the healthy controller with the fewest clients that accepts it.
     fn connect(&mut self) -> Option<usize> {
         let now = self.now;
-        let mut order: Vec<usize> = (0..self.controller_count()).collect();
-        order.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
-        for controller in order {
+        let mut candidates: Vec<usize> = (0..self.controller_count()).collect();
+        candidates.sort_by_key(|controller| self.load_balancer.connection_count(*controller));
+        for controller in candidates {
             let backend = &self.load_balancer.backends[controller];
             let share = (now - backend.changed_at) as f64 / RAMP_TIME as f64;
             if !backend.healthy
@@ -194,7 +200,11 @@
         let truth = &self.jobs[&job];
         let accepted = truth.accepted;
         let finished = truth.is_finished_for_client() || truth.cancel_requested;
-        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        let client = self
+            .load_balancer
+            .clients
+            .get_mut(&job)
+            .expect("client is registered");
         client.finished = finished;
         if finished {
             return;
@@ -203,9 +213,13 @@
             Some(controller) => Some(controller),
             None => self.connect(),
         };
-        let client = self.load_balancer.clients.get_mut(&job).expect("a client");
+        let client = self
+            .load_balancer
+            .clients
+            .get_mut(&job)
+            .expect("client is registered");
         client.controller = controller;
-        client.asked_at = self.now;
+        client.sent_at = self.now;
         let timeout = match (controller, accepted) {
             (Some(controller), true) => {
                 self.poll(controller, &job);
@@ -217,47 +231,54 @@
             }
             (None, _) => POLL_TIMEOUT,
         };
-        let asked = job.clone();
-        self.after(timeout, move |sim| sim.close_unanswered_connection(&asked));
-        let next = if accepted {
+        let polled_job = job.clone();
+        self.after(timeout, move |sim| {
+            sim.close_unanswered_connection(&polled_job)
+        });
+        let poll_delay = if accepted {
             POLL_INTERVAL
         } else {
             timeout + SECOND
         };
-        self.after(next, move |sim| sim.step_balanced_client(job));
+        self.after(poll_delay, move |sim| sim.step_balanced_client(job));
     }
 
     fn close_unanswered_connection(&mut self, job: &str) {
         if let Some(client) = self.load_balancer.clients.get_mut(job)
-            && client.answered_at < client.asked_at
+            && client.answered_at < client.sent_at
         {
             client.controller = None;
         }
     }
 
-    /// A client got an answer; `with_state`: it tells the job's state.
-    pub(super) fn balanced_client_answered(&mut self, job: &str, with_state: bool) {
+    /// Called when a client receives an answer; `has_state` is true if it contains the job's state.
+    pub(super) fn balanced_client_answered(&mut self, job: &str, has_state: bool) {
         let now = self.now;
         if let Some(client) = self.load_balancer.clients.get_mut(job) {
             client.answered_at = now;
-            if with_state {
-                client.state_told_at = now;
+            if has_state {
+                client.state_received_at = now;
             }
         }
     }
 
-    /// Once all faults are over, every accepted job's client hears its state in time.
-    fn check_known_jobs(&mut self) {
+    /// Checks that the client of every accepted job receives its state in time once all faults are over.
+    fn check_answered_polls(&mut self) {
         let Some(faults_over_at) = self.load_balancer.faults_over_at else {
             return;
         };
-        let is_forgotten = |job: &str, client: &BalancedClient| {
-            let heard_at = client.state_told_at.max(faults_over_at);
-            !client.finished && self.jobs[job].accepted && self.now > heard_at + FORGOTTEN_AFTER
+        let is_unanswered = |job: &str, client: &BalancedClient| {
+            let last_state_at = client.state_received_at.max(faults_over_at);
+            !client.finished
+                && self.jobs[job].accepted
+                && self.now > last_state_at + MAX_UNANSWERED_TIME
         };
         let mut clients = self.load_balancer.clients.iter();
-        if let Some((job, _)) = clients.find(|(job, client)| is_forgotten(job, client)) {
-            let details = format!("{job}: no question answered for 75 s");
+        if let Some((job, _)) = clients.find(|(job, client)| is_unanswered(job, client)) {
+            let details = format!(
+                "{job}: no poll answered for {} s",
+                MAX_UNANSWERED_TIME / SECOND
+            );
             self.report_violation("forgotten", details);
         }
     }
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// Time between the end of a partition and the delivery of an answer that it delayed.
-const DELIVERY_AFTER_PARTITION: u64 = 1000;
-/// A controller is not woken sooner than this.
+/// Time between the end of a partition and the delivery of an answer that it delayed, in microseconds.
+const DELIVERY_DELAY_AFTER_PARTITION: u64 = 1000;
+/// Minimum time until the next wake-up of a controller, in microseconds.
 const MIN_WAKE_DELAY: u64 = 1000;
-/// An agent drops the response to a heartbeat after this time.
+/// An agent ignores the response to a heartbeat that arrives later than this after sending.
 const HEARTBEAT_TIMEOUT: u64 = 4 * SECOND;
-/// An agent that was not served tries the next controller after this time.
+/// An agent whose heartbeat was not accepted tries the next controller after this time.
 const HEARTBEAT_RETRY_DELAY: u64 = SECOND;
-/// Number of machines that share the third byte of their addresses.
+/// Number of machines whose addresses have the same third byte.
 const MACHINES_PER_SUBNET: usize = 200;
 
 const STORE_ADDRESS: &str = "10.2.0.1:2379";
@@ -49,34 +49,49 @@
 }
 
 impl Simulation {
-    /// Interrupts the link between two endpoints in both directions.
-    pub fn partition(&mut self, one: Endpoint, other: Endpoint, mode: PartitionMode, time: u64) {
+    /// Interrupts the link between two endpoints in both directions for `duration` microseconds.
+    pub fn partition(
+        &mut self,
+        first: Endpoint,
+        second: Endpoint,
+        mode: PartitionMode,
+        duration: u64,
+    ) {
         self.partitions.push(Partition {
-            ends: (one, other),
+            ends: (first, second),
             mode,
-            until: self.now + time,
+            until: self.now + duration,
         });
     }
 
-    /// The partition between two endpoints that ends last, as its mode and end.
-    fn partition_between(&self, one: &Endpoint, other: &Endpoint) -> Option<(PartitionMode, u64)> {
-        let separates = |partition: &&Partition| {
+    /// Mode and end of the partition between two endpoints; of the one that ends last if there are several.
+    fn partition_between(
+        &self,
+        first: &Endpoint,
+        second: &Endpoint,
+    ) -> Option<(PartitionMode, u64)> {
+        let matches_ends = |partition: &&Partition| {
             let (left, right) = &partition.ends;
-            (left == one && right == other) || (left == other && right == one)
+            (left == first && right == second) || (left == second && right == first)
         };
         self.partitions
             .iter()
             .filter(|partition| partition.until > self.now)
-            .filter(separates)
+            .filter(matches_ends)
             .map(|partition| (partition.mode, partition.until))
             .max_by_key(|(_, until)| *until)
     }
 
-    /// When a message arrives that takes until `at` on a link that works; `None` if a partition drops it.
-    pub(super) fn arrival_across(&self, one: &Endpoint, other: &Endpoint, at: u64) -> Option<u64> {
-        match self.partition_between(one, other) {
+    /// When a message arrives that would arrive at `at` without a partition; `None` if a partition drops it.
+    pub(super) fn arrival_across(
+        &self,
+        first: &Endpoint,
+        second: &Endpoint,
+        at: u64,
+    ) -> Option<u64> {
+        match self.partition_between(first, second) {
             Some((PartitionMode::Drop, _)) => None,
-            Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_AFTER_PARTITION),
+            Some((PartitionMode::Delay, until)) => Some(until + DELIVERY_DELAY_AFTER_PARTITION),
             None => Some(at),
         }
     }
@@ -85,7 +100,7 @@
         self.rng.random_range(500..4000) + self.faults.link_delay(&mut self.rng)
     }
 
-    /// Hands events to a controller and carries out its commands.
+    /// Delivers events to a controller and executes the commands that it returns.
     pub(super) fn deliver(&mut self, controller: usize, events: Vec<NetworkEvent>) {
         let clock = self.clock();
         let slot = &mut self.controllers[controller];
@@ -101,7 +116,7 @@
         if slot.first_version {
             events_in_order = events_in_order
                 .into_iter()
-                .map(first_version::hears)
+                .map(first_version::convert_request)
                 .collect();
         }
         let (commands, next_wake) = process.handle(clock, events_in_order);
@@ -152,9 +167,9 @@
         let to = destination(&call);
         let first_version = self.controllers[controller].first_version;
         if first_version && to == Endpoint::Store && call.path == "/multi" {
-            match first_version::writes(call.body) {
+            match first_version::convert_transaction(call.body) {
                 Some(body) => call.body = body,
-                // The first version does not make this call.
+                // The first version does not send this transaction.
                 None => return,
             }
         }
@@ -165,10 +180,10 @@
             incarnation,
             call_id: call.id,
         };
-        self.open_calls.insert(key);
+        self.pending_calls.insert(key);
         self.schedule(self.now + call.timeout.0, Event::CallTimeout(key));
         let mut at = self.now + self.latency();
-        if self.faults.is_lost(&from, &to, self.now) {
+        if self.faults.drops_message(&from, &to, self.now) {
             return;
         }
         match self.partition_between(&from, &to) {
@@ -187,7 +202,7 @@
             }
         }
         if let Some(delay) = self.faults.write_delay(&call, &to, &mut self.rng) {
-            // The call has timed out by then.
+            // The call has timed out before it is executed.
             self.schedule(at + delay, Event::CallArrival { key, call });
             return;
         }
@@ -201,11 +216,11 @@
     }
 
     fn answer(&mut self, from: Endpoint, key: CallKey, status: u16, body: Vec<u8>) {
-        self.answer_late(from, key, status, body, 0);
+        self.answer_with_delay(from, key, status, body, 0);
     }
 
-    /// Sends the answer to a call, with this much additional latency.
-    pub(super) fn answer_late(
+    /// Sends the answer to a call, with `delay` microseconds of additional latency.
+    pub(super) fn answer_with_delay(
         &mut self,
         from: Endpoint,
         key: CallKey,
@@ -218,32 +233,33 @@
         if from == Endpoint::Store {
             at += self.store_delay;
         }
-        if self.faults.is_lost(&from, &to, self.now) || self.faults.answer_is_lost(&key) {
+        if self.faults.drops_message(&from, &to, self.now) || self.faults.drops_answer(&key) {
             return;
         }
         let Some(at) = self.arrival_across(&to, &from, at) else {
             return;
         };
         let now = self.now;
-        let loses = |(endpoint, until): &(Endpoint, u64)| *endpoint == from && *until > now;
-        if self.lost_answers_from.iter().any(loses) {
+        let is_affected = |(endpoint, until): &(Endpoint, u64)| *endpoint == from && *until > now;
+        if self.lost_answers_from.iter().any(is_affected) {
             return;
         }
         let outcome = Outcome::Response { status, body };
         self.schedule(at, Event::CallAnswer { key, outcome });
     }
 
-    /// Hands a controller's response to the sender of the request.
+    /// Delivers a controller's response to the sender of the request.
     fn respond(&mut self, controller: usize, conn: u64, status: u16, body: Vec<u8>) {
         match self.pending_responses.remove(&(controller, conn)) {
-            Some(PendingResponse::AgentHeartbeat { machine, number }) => {
-                self.respond_to_agent(controller, machine, number, status, body);
+            Some(PendingResponse::AgentHeartbeat { machine, seq }) => {
+                self.respond_to_agent(controller, machine, seq, status, body);
             }
             Some(PendingResponse::Peer {
                 caller,
                 is_heartbeat,
             }) => {
-                let body = self.peer_body(controller, caller.controller, is_heartbeat, body);
+                let body =
+                    self.convert_peer_body(controller, caller.controller, is_heartbeat, body);
                 self.answer(Endpoint::Controller(controller), caller, status, body);
             }
             Some(PendingResponse::HealthCheck) => self.last_health_status = status,
@@ -254,8 +270,8 @@
             Some(PendingResponse::Client {
                 request,
                 job,
-                asked_at,
-            }) => self.client_answered(job, asked_at, request, status, &body),
+                sent_at,
+            }) => self.client_answered(job, sent_at, request, status, &body),
             None => {}
         }
     }
@@ -264,7 +280,7 @@
         &mut self,
         controller: usize,
         machine: String,
-        number: u64,
+        seq: u64,
         status: u16,
         body: Vec<u8>,
     ) {
@@ -282,19 +298,26 @@
         };
         let response = Event::AgentHeartbeatResponse {
             machine,
-            number,
+            seq,
             status,
             body,
         };
         self.schedule(at, response);
     }
 
-    /// A message between controllers as it arrives if one of them runs the first version.
-    fn peer_body(&self, one: usize, other: usize, is_heartbeat: bool, body: Vec<u8>) -> Vec<u8> {
-        let either_is_old =
-            self.controllers[one].first_version || self.controllers[other].first_version;
-        if is_heartbeat && either_is_old {
-            first_version::heartbeat(body)
+    /// Converts a peer heartbeat, or its response, to the format of the first version if one of the controllers runs
+    /// it.
+    fn convert_peer_body(
+        &self,
+        first: usize,
+        second: usize,
+        is_heartbeat: bool,
+        body: Vec<u8>,
+    ) -> Vec<u8> {
+        let involves_first_version =
+            self.controllers[first].first_version || self.controllers[second].first_version;
+        if is_heartbeat && involves_first_version {
+            first_version::convert_peer_heartbeat(body)
         } else {
             body
         }
@@ -329,10 +352,10 @@
             return;
         };
         if self.controllers[key.controller].first_version && status == 200 {
-            body = first_version::reads(&call.path, body);
+            body = first_version::convert_store_response(&call.path, body);
         }
         let delay = self.faults.store_answer_delay(key.controller, &call);
-        self.answer_late(Endpoint::Store, key, status, body, delay);
+        self.answer_with_delay(Endpoint::Store, key, status, body, delay);
     }
 
     fn handle_agent_call(&mut self, key: CallKey, call: Call, machine: &str) {
@@ -346,7 +369,7 @@
             return;
         };
         agent.expire_lease(now, lease);
-        let commands: AgentCommands = decode(&call.body).expect("commands");
+        let commands: AgentCommands = decode(&call.body).expect("body is a list of commands");
         let outdated = commands.term < agent.term || commands.agent_epoch != agent.agent_epoch;
         let status = if outdated { 409 } else { 200 };
         if !outdated {
@@ -364,7 +387,7 @@
         self.serial += 1;
         let conn = self.serial;
         let is_heartbeat = call.path == "/heartbeat";
-        let body = self.peer_body(key.controller, peer, is_heartbeat, call.body);
+        let body = self.convert_peer_body(key.controller, peer, is_heartbeat, call.body);
         let pending = PendingResponse::Peer {
             caller: key,
             is_heartbeat,
@@ -380,18 +403,12 @@
         self.deliver(peer, vec![request]);
     }
 
-    /// The response to an agent's heartbeat has arrived at the agent.
-    pub(super) fn heartbeat_answered(
-        &mut self,
-        machine: &str,
-        number: u64,
-        status: u16,
-        body: &[u8],
-    ) {
+    /// Called when the response to an agent's heartbeat arrives at the agent.
+    pub(super) fn heartbeat_answered(&mut self, machine: &str, seq: u64, status: u16, body: &[u8]) {
         if let Some(until) = self.hung_until(machine) {
             let response = Event::AgentHeartbeatResponse {
                 machine: machine.to_string(),
-                number,
+                seq,
                 status,
                 body: body.to_vec(),
             };
@@ -406,14 +423,14 @@
         let Some(in_flight) = agent.in_flight else {
             return;
         };
-        if in_flight.number != number || now > in_flight.sent_at + HEARTBEAT_TIMEOUT {
+        if in_flight.seq != seq || now > in_flight.sent_at + HEARTBEAT_TIMEOUT {
             return;
         }
         agent.in_flight = None;
         match status {
             200 => {
                 let lease = self.lease_s * SECOND;
-                // A response without a term is dropped.
+                // A response that cannot be decoded, such as one without a term, is ignored.
                 if let Some(response) = decode::<AgentHeartbeatResponse>(body)
                     && agent.accept_response(&response, in_flight, now, lease)
                 {
@@ -438,11 +455,11 @@
         }
     }
 
-    /// Gives up a heartbeat that was not answered in time.
+    /// Times out a heartbeat that has not been answered.
     pub(super) fn expire_heartbeat(&mut self, machine: &str) {
         let now = self.now;
         let controller_count = self.controllers.len();
-        let agent = self.agents.get_mut(machine).expect("a machine");
+        let agent = self.agents.get_mut(machine).expect("machine exists");
         if let Some(in_flight) = agent.in_flight
             && now > in_flight.sent_at + HEARTBEAT_TIMEOUT
         {
