--- a/tests/failure_scenarios/client_answers.rs
+++ b/tests/failure_scenarios/client_answers.rs
@@ -1,4 +1,4 @@
-//! What clients are told.
+//! Answers to clients: cancellations, unknown and finished jobs, requests to a controller without the store.
 
 use crate::simulation::{SECOND, job, simulation_with_leader};
 use rand::RngExt;
@@ -15,12 +15,12 @@
         sim.poll(i, "req-1");
     }
     sim.run_seconds(2);
-    let n = sim
+    let cancelled_answers = sim
         .client_answers
         .iter()
         .filter(|answer| answer.state == "cancelled")
         .count();
-    assert!(n >= 4, "{:?}", sim.client_answers);
+    assert!(cancelled_answers >= 4, "{:?}", sim.client_answers);
     sim.run_seconds(30);
     assert!(sim.machines_running("req-1/0").is_empty());
 }
@@ -30,19 +30,23 @@
     for seed in 20..28 {
         let mut sim = simulation_with_leader(seed, 2);
         sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 4 * SECOND);
-        let dt = sim.rng.random_range(5_500_000..8_500_000);
-        sim.after(dt, |sim| sim.cancel_until_answered("req-1"));
+        let cancel_delay = sim.rng.random_range(5_500_000..8_500_000);
+        sim.after(cancel_delay, |sim| sim.cancel_until_answered("req-1"));
         sim.run_seconds(40);
         for i in 0..sim.controller_count() {
             sim.poll(i, "req-1");
         }
         sim.run_seconds(2);
-        assert!(["done", "cancelled"].contains(&sim.last_status("req-1").as_str()));
+        let status = sim.last_status("req-1");
+        assert!(
+            ["done", "cancelled"].contains(&status.as_str()),
+            "seed {seed}: {status}"
+        );
     }
 }
 
 #[test]
-fn no_job_is_invented_or_forgotten() {
+fn unknown_jobs_are_not_found_and_finished_jobs_stay_known() {
     let mut sim = simulation_with_leader(16, 1);
     sim.poll(0, "req-99");
     sim.poll(1, "nonsense");
@@ -68,22 +72,22 @@
     let follower = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.store.refused_controllers.push(follower);
     sim.run_seconds(3);
-    let from = sim.client_answers.len();
+    let first_answer = sim.client_answers.len();
     sim.declare_job("req-2", job(JobKind::Array, 1, 1.0), 2 * SECOND);
     sim.submit(follower, "req-2");
     sim.poll(follower, "req-1");
     sim.poll(follower, "req-99");
     sim.cancel(follower, "req-1");
     sim.run_seconds(1);
-    let mut said: Vec<(u16, &str)> = sim.client_answers[from..]
+    let mut answers: Vec<(u16, &str)> = sim.client_answers[first_answer..]
         .iter()
         .map(|answer| (answer.status, answer.state.as_str()))
         .collect();
-    said.sort_unstable();
+    answers.sort_unstable();
     assert_eq!(
-        said.iter().map(|s| s.0).collect::<Vec<_>>(),
+        answers.iter().map(|answer| answer.0).collect::<Vec<_>>(),
         [200, 200, 201, 404],
-        "{said:?}"
+        "{answers:?}"
     );
     sim.run_seconds(40);
     assert!(sim.machines_running("req-1/0").is_empty());
--- a/tests/failure_scenarios/main.rs
+++ b/tests/failure_scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Short failure scenarios in the simulation, which checks the rules of PROTOCOL after every step.
+//! Short failure scenarios in the simulation, which checks the invariants of PROTOCOL after every step.
 
 #[path = "../simulation/mod.rs"]
 mod simulation;
@@ -13,8 +13,9 @@
 
 use simulation::{Endpoint, PartitionMode, Simulation};
 
-/// Partitions the zones from each other; the store stays reachable.
-pub fn partition_zones(sim: &mut Simulation, dt: u64) {
+/// Partitions the zones from each other: controllers from controllers and agents of the other zone. The store stays
+/// reachable.
+pub fn partition_zones(sim: &mut Simulation, duration: u64) {
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
     for i in 0..3 {
         for j in (0..3).filter(|j| zone(*j) != zone(i)) {
@@ -22,39 +23,45 @@
                 Endpoint::Controller(i),
                 Endpoint::Controller(j),
                 PartitionMode::Drop,
-                dt,
+                duration,
             );
         }
-        let far: Vec<String> = sim
+        let remote_machines: Vec<String> = sim
             .agents
             .values()
-            .filter(|x| x.zone != zone(i))
-            .map(|x| x.name.clone())
+            .filter(|agent| agent.zone != zone(i))
+            .map(|agent| agent.name.clone())
             .collect();
-        for machine in far {
+        for machine in remote_machines {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Agent(machine),
                 PartitionMode::Drop,
-                dt,
+                duration,
             );
         }
     }
 }
 
-/// The leader and the two followers.
+/// The indexes of the leader and of the two followers.
 pub fn controllers_by_role(sim: &Simulation) -> (usize, usize, usize) {
-    let leader = sim.leader().expect("a leader");
+    let leader = sim.leader().expect("no leader");
     (leader, (leader + 1) % 3, (leader + 2) % 3)
 }
 
-pub fn partition_from_agents(sim: &mut Simulation, node: usize, names: &[String], dt: u64) {
-    for machine in names {
+/// Partitions a controller from the agents of these machines; messages are lost.
+pub fn partition_from_agents(
+    sim: &mut Simulation,
+    controller: usize,
+    machines: &[String],
+    duration: u64,
+) {
+    for machine in machines {
         sim.partition(
-            Endpoint::Controller(node),
+            Endpoint::Controller(controller),
             Endpoint::Agent(machine.clone()),
             PartitionMode::Drop,
-            dt,
+            duration,
         );
     }
 }
