--- a/tests/failure_scenarios/network_partitions.rs
+++ b/tests/failure_scenarios/network_partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions, crashes, hangs and takeovers.
+//! Network partitions, crashed and hung processes, leader changes.
 
 use crate::controllers_by_role;
 use crate::partition_from_agents;
@@ -10,7 +10,7 @@
 #[test]
 fn late_start_with_a_lost_answer_runs_once() {
     let mut sim = simulation_with_leader(3, 3);
-    // Commands take longer than the leader waits for them.
+    // Commands are delayed for longer than the leader's timeout, which therefore sees no answer.
     sim.command_delay = Some(4 * SECOND);
     sim.spawn_client("req-1", job(JobKind::Array, 3, 1.0), 20 * SECOND);
     sim.run_seconds(12);
@@ -59,7 +59,8 @@
     assert_eq!(
         sim.start_counts.values().max(),
         Some(&1),
-        "replicas stayed up"
+        "replicas were restarted: {:?}",
+        sim.start_counts
     );
 }
 
@@ -69,12 +70,12 @@
     sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
     sim.run_seconds(12);
     let leader = sim.leader().unwrap();
-    // The leader and the machines of its zone are partitioned from all others, and continue inside.
-    let inside: Vec<String> = sim
+    // The leader and the machines of its zone are partitioned from everything else; the links between them stay up.
+    let leader_zone_machines: Vec<String> = sim
         .agents
         .values()
-        .filter(|x| x.zone == if leader.is_multiple_of(2) { "a" } else { "b" })
-        .map(|x| x.name.clone())
+        .filter(|agent| agent.zone == if leader.is_multiple_of(2) { "a" } else { "b" })
+        .map(|agent| agent.name.clone())
         .collect();
     for i in (0..3).filter(|i| *i != leader) {
         sim.partition(
@@ -83,7 +84,7 @@
             PartitionMode::Delay,
             70 * SECOND,
         );
-        for machine in &inside {
+        for machine in &leader_zone_machines {
             sim.partition(
                 Endpoint::Controller(i),
                 Endpoint::Agent(machine.clone()),
@@ -117,7 +118,8 @@
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(2);
-        // Whichever controller leads without faults, the far zone's agents have one failed attempt only.
+        // Agents try the controllers in order. With controller 0 or 1 as leader, the agents of the other zone fail once
+        // before they reach a controller of their own zone; with controller 2 they would fail twice.
         for i in (0..2).filter(|i| i + seed as usize % 2 < 2) {
             sim.crash_controller(i, 3 * SECOND);
         }
@@ -129,7 +131,11 @@
         sim.run_seconds(16);
         sim.cancel_until_answered("req-2");
         sim.run_seconds(60);
-        let restarted: Vec<_> = sim.start_counts.iter().filter(|(_, n)| **n > 1).collect();
+        let restarted: Vec<_> = sim
+            .start_counts
+            .iter()
+            .filter(|(_, starts)| **starts > 1)
+            .collect();
         assert!(
             restarted.is_empty(),
             "seed {seed}: {restarted:?}\n{}",
@@ -144,10 +150,10 @@
     for seed in 600..620 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
-        // Their heartbeats are not in step.
+        // Staggers the heartbeats of the controllers.
         for i in 0..3 {
-            let back = sim.rng.random_range(SECOND..3 * SECOND);
-            sim.crash_controller(i, back);
+            let down_time = sim.rng.random_range(SECOND..3 * SECOND);
+            sim.crash_controller(i, down_time);
         }
         sim.run_seconds(25);
         let (leader, term) = (sim.leader().unwrap(), sim.term());
@@ -160,7 +166,7 @@
             );
         }
         sim.run_seconds(40);
-        // Which of the others a controller hears first is random.
+        // The order in which a controller gets the heartbeats of its peers again is random; the leader has to stay.
         assert_eq!(
             (sim.leader(), sim.term()),
             (Some(leader), term),
@@ -188,7 +194,8 @@
     sim.run_seconds(35);
     assert!(
         sim.job_done("req-2"),
-        "started through the other controllers"
+        "req-2 was not started through the other controllers: {}",
+        sim.dump()
     );
     assert!(
         sim.start_counts.values().all(|n| *n == 1),
@@ -204,10 +211,10 @@
     sim.run_seconds(12);
     partition_zones(&mut sim, 30 * SECOND);
     sim.run_seconds(12);
-    for x in sim.agents.values_mut().filter(|x| x.zone == "b") {
-        x.alive = false;
+    for agent in sim.agents.values_mut().filter(|agent| agent.zone == "b") {
+        agent.alive = false;
     }
-    // The controller that renewed the leases crashes, too.
+    // Controller 1, which renewed the leases of zone b, crashes, too.
     sim.crash_controller(1, 4 * SECOND);
     sim.run_seconds(120);
     for task in 0..4 {
@@ -226,15 +233,16 @@
     sim.spawn_client("req-1", job(JobKind::Service, 1, 1.0), 0);
     sim.run_seconds(8);
     let machine = sim.machines_running("req-1/0").into_iter().next().unwrap();
-    let until = sim.now + 9 * SECOND;
-    sim.agents.get_mut(&machine).unwrap().hung_until = until;
+    let hung_until = sim.now + 9 * SECOND;
+    sim.agents.get_mut(&machine).unwrap().hung_until = hung_until;
     let leader = sim.leader().unwrap();
     sim.crash_controller(leader, 5 * SECOND);
     sim.run_seconds(60);
     assert_eq!(
         sim.machines_running("req-1/0").len(),
         1,
-        "the replica is back"
+        "the replica does not run: {}",
+        sim.dump()
     );
 }
 
@@ -256,8 +264,8 @@
     );
 }
 
-/// The leader loses its network, its successor crashes soon after, and the third controller is left alone: running tasks
-/// continue, waiting ones start, and nothing runs twice.
+/// The leader is partitioned from everything, its successor crashes soon after, and only the third controller is left:
+/// running tasks continue, waiting ones start, and no task runs twice.
 #[test]
 fn partitioned_leader_and_crashed_successor_are_replaced() {
     for seed in 220..228 {
@@ -272,29 +280,33 @@
         );
         sim.run_seconds(4);
         let leader = sim.leader().unwrap();
-        let mut all: Vec<Endpoint> = sim.agents.keys().cloned().map(Endpoint::Agent).collect();
-        all.extend((0..3).filter(|i| *i != leader).map(Endpoint::Controller));
-        all.extend([Endpoint::Store, Endpoint::Cloud]);
-        for other in all {
+        let mut other_endpoints: Vec<Endpoint> =
+            sim.agents.keys().cloned().map(Endpoint::Agent).collect();
+        other_endpoints.extend((0..3).filter(|i| *i != leader).map(Endpoint::Controller));
+        other_endpoints.extend([Endpoint::Store, Endpoint::Cloud]);
+        for endpoint in other_endpoints {
             sim.partition(
                 Endpoint::Controller(leader),
-                other,
+                endpoint,
                 PartitionMode::Delay,
                 40 * SECOND,
             );
         }
         sim.run_seconds(8);
-        let next = sim.leader().unwrap();
-        assert_ne!(next, leader, "seed {seed}");
-        sim.crash_controller(next, 8 * SECOND);
+        let successor = sim.leader().unwrap();
+        assert_ne!(successor, leader, "seed {seed}");
+        sim.crash_controller(successor, 8 * SECOND);
         sim.run_seconds(20);
-        assert!(sim.leader().is_some_and(|x| x != leader), "seed {seed}");
+        assert!(
+            sim.leader().is_some_and(|new_leader| new_leader != leader),
+            "seed {seed}"
+        );
         sim.run_seconds(60);
         assert!(
             sim.job_done("req-2") && sim.job_done("req-3"),
             "seed {seed}"
         );
-        // Two failed attempts outlast a lease, so replicas may have been lost; they are all back.
+        // Two failed heartbeats take longer than a lease, so replicas may have stopped; all have to run again.
         assert!(
             (0..3).all(|t| sim.machines_running(&format!("req-1/{t}")).len() == 1),
             "seed {seed}"
@@ -302,7 +314,8 @@
     }
 }
 
-/// No leader lives long enough to show its term to any agent; each renews leases all the same.
+/// All controllers crash every 0.8 s, so that no leader lives long enough to send its term to any agent, though each renews
+/// leases. Cancelled tasks have to stop all the same.
 #[test]
 fn cancelled_tasks_end_in_time_under_short_leaderships() {
     for seed in 700..712 {
@@ -312,7 +325,7 @@
         assert_eq!(sim.start_counts.len(), 24, "seed {seed}");
         for i in 0..55 {
             sim.after(i * 800_000, |sim| {
-                (0..3).for_each(|n| sim.crash_controller(n, 50_000))
+                (0..3).for_each(|controller| sim.crash_controller(controller, 50_000))
             });
         }
         sim.cancel_until_answered("req-1");
@@ -321,6 +334,8 @@
     }
 }
 
+/// A leader that reaches the store, but neither its peers nor any agent, has to transfer leadership to a controller that
+/// agents reach; leadership must not alternate afterwards.
 #[test]
 fn ineffective_leader_hands_over_leadership() {
     for seed in 900..910 {
@@ -329,8 +344,8 @@
         sim.run_seconds(20);
         let (leader, follower, third) = controllers_by_role(&sim);
         let term = sim.term();
-        let names: Vec<String> = sim.agents.keys().cloned().collect();
-        partition_from_agents(&mut sim, leader, &names, 60 * SECOND);
+        let machines: Vec<String> = sim.agents.keys().cloned().collect();
+        partition_from_agents(&mut sim, leader, &machines, 60 * SECOND);
         for (i, j) in [(leader, follower), (leader, third), (follower, third)] {
             sim.partition(
                 Endpoint::Controller(i),
@@ -346,11 +361,16 @@
         );
         sim.spawn_client("req-2", job(JobKind::Array, 3, 1.0), 3 * SECOND);
         sim.run_seconds(25);
-        assert!(sim.job_done("req-2"), "seed {seed}: the others serve");
+        assert!(
+            sim.job_done("req-2"),
+            "seed {seed}: req-2 was not run under the new leader\n{}",
+            sim.dump()
+        );
         sim.run_seconds(50);
         assert!(
             sim.term() <= term + 2,
-            "seed {seed}: leadership does not alternate"
+            "seed {seed}: leadership alternates, term {} after {term}",
+            sim.term()
         );
         assert!(
             (0..6).all(|t| sim.start_counts[&format!("req-1/{t}")] == 1),
@@ -359,14 +379,15 @@
     }
 }
 
-/// A new incarnation does not continue the old one's leadership: another leader is elected at once, and only once.
+/// The leader crashes and restarts within 50 ms. Its new incarnation does not continue the old one's leadership: a leader
+/// is elected at once, and only once.
 #[test]
 fn restarted_leader_is_replaced_at_once_and_only_once() {
     for seed in 920..940 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.run_seconds(20);
-        let (leader, term) = (sim.leader().expect("a leader"), sim.term());
+        let (leader, term) = (sim.leader().expect("no leader"), sim.term());
         sim.crash_controller(leader, 50_000);
         sim.run_seconds(2);
         assert!(sim.leader().is_some(), "seed {seed}");
--- a/tests/failure_scenarios/placement.rs
+++ b/tests/failure_scenarios/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: gangs, quotas, guarantees, machine faults, spot notices.
+//! Placement: gangs, quotas, guarantees, machine faults, preemption notices of spot machines.
 
 use crate::simulation::{
     CallCounts, Endpoint, LEASE_S, PartitionMode, SECOND, Simulation, job, simulation_with_leader,
@@ -14,7 +14,7 @@
     sim.run_seconds(60);
     assert!(sim.job_done("req-1") && sim.job_done("req-2"));
     assert_eq!(sim.last_status("req-3"), "running");
-    assert_eq!(sim.start_counts["req-2/0"], 1, "a gang starts once");
+    assert_eq!(sim.start_counts["req-2/0"], 1, "the gang was restarted");
 }
 
 #[test]
@@ -28,7 +28,8 @@
 
 #[test]
 fn gang_waiting_for_its_record_is_not_restarted() {
-    // A write takes two seconds: passes come and go before the second attempt is on record.
+    // With this write budget a write takes two seconds, so that scheduling passes run before the second attempt of a gang is
+    // recorded. They must not restart the gang.
     let mut sim = Simulation::with_write_rate(33, 3, 2, 1.0);
     sim.run_seconds(20);
     let gangs: Vec<String> = (1..=4).map(|n| format!("req-{n}")).collect();
@@ -85,22 +86,27 @@
 fn gang_preempts_backfilled_tasks_after_they_save() {
     let mut sim = simulation_with_leader(14, 2);
     sim.cloud_unavailable = true;
-    // One machine is full for a while, so the gang must wait, and small jobs pass it.
+    // One machine is full for a while, so the gang has to wait, and small jobs are backfilled.
     sim.spawn_client("req-1", job(JobKind::Array, 8, 1.0), 25 * SECOND);
     sim.run_seconds(4);
-    let mut wide = job(JobKind::Gang, 2, 8.0);
-    wide.one_zone = false;
-    sim.spawn_client("req-2", wide, 5 * SECOND);
+    let mut gang = job(JobKind::Gang, 2, 8.0);
+    gang.one_zone = false;
+    sim.spawn_client("req-2", gang, 5 * SECOND);
     sim.run_seconds(2);
-    let mut small = job(JobKind::Array, 4, 1.0);
-    small.checkpoint_s = 5.0;
-    small.save_s = 2.0;
-    sim.spawn_client("req-3", small, 60 * SECOND);
+    let mut backfilled = job(JobKind::Array, 4, 1.0);
+    backfilled.checkpoint_s = 5.0;
+    backfilled.save_s = 2.0;
+    sim.spawn_client("req-3", backfilled, 60 * SECOND);
     sim.run_seconds(60);
-    assert!(sim.start_counts.contains_key("req-3/0"), "was backfilled");
+    assert!(
+        sim.start_counts.contains_key("req-3/0"),
+        "req-3 was not backfilled: {:?}",
+        sim.start_counts
+    );
     assert!(
         sim.start_counts.contains_key("req-2/0") || sim.job_done("req-2"),
-        "the gang got room"
+        "the gang was not placed: {:?}",
+        sim.start_counts
     );
     sim.run_seconds(200);
     assert!(sim.job_done("req-1") && sim.job_done("req-2") && sim.job_done("req-3"));
@@ -118,7 +124,8 @@
     assert!(sim.deleted_machines.contains("n-000001"));
 }
 
-/// Tasks that ran there before still complete, one after the other; that proves nothing.
+/// A machine begins to fail the tasks that it starts, while tasks that it started earlier still complete. These completions
+/// must not reset its count of failures.
 #[test]
 fn completions_of_old_tasks_do_not_clear_a_failing_machine() {
     let mut sim = simulation_with_leader(16, 2);
@@ -147,7 +154,7 @@
 }
 
 #[test]
-fn store_cost_of_300_machines_follows_their_events() {
+fn store_load_of_300_machines_is_driven_by_events() {
     let mut sim = Simulation::new(38, 3, 300);
     sim.run_seconds(12);
     sim.call_counts = CallCounts::default();
@@ -172,17 +179,17 @@
     );
     let tasks = 40 * 15 + 40 * 3 + 10 * 16;
     assert_eq!(sim.start_counts.values().sum::<u32>(), tasks);
-    // Accepted, placed, done: at most one change each. Without merging the completions it is 274.
+    // Acceptance, placement and completion take at most one change each. Without merging the completions it is 274.
     assert!(sim.call_counts.store_changes < 260, "{:?}", sim.call_counts);
-    // A start needs a call; one call carries all commands that are due on a machine.
+    // Each start needs a call, but one call carries all commands that are due on a machine.
     assert!(
         sim.call_counts.agent_commands < tasks as usize + 300,
         "{:?}",
         sim.call_counts
     );
 
-    // Without events, 150 heartbeats a second cause no call to the store or to agents. What remains are the clients'
-    // polls, which share barriers, and the renewals of leadership.
+    // Without events, 150 heartbeats a second cause no call to the store or to agents. The remaining calls are reads for
+    // clients' polls, which share barriers, and the renewals of leadership.
     sim.run_seconds(10);
     sim.call_counts = CallCounts::default();
     sim.run_seconds(20);
@@ -194,15 +201,16 @@
     );
     assert!(
         (0..3).all(|i| sim.cached_jobs(i) == 40),
-        "jobs that are over are not carried along"
+        "finished jobs are still cached: {:?}",
+        (0..3).map(|i| sim.cached_jobs(i)).collect::<Vec<_>>()
     );
 
-    // A takeover reads the records once, and tells each agent the new term at most once.
+    // A takeover reads the records once, and sends the new term to each agent at most once.
     let leader = sim.leader().unwrap();
     sim.call_counts = CallCounts::default();
     sim.crash_controller(leader, 4 * SECOND);
     sim.run_seconds(15);
-    assert!(sim.leader().is_some_and(|x| x != leader));
+    assert!(sim.leader().is_some_and(|new_leader| new_leader != leader));
     assert!(
         sim.call_counts.agent_commands <= 300,
         "{:?}",
@@ -216,52 +224,60 @@
     assert_eq!(
         sim.start_counts.values().sum::<u32>(),
         tasks,
-        "nothing starts twice"
+        "tasks were started again after the takeover"
     );
 }
 
 #[test]
 fn team_reclaims_its_guarantee_from_teams_above_theirs() {
     let mut sim = simulation_with_leader(37, 2);
-    // Team green has 8 GPUs guaranteed, blue none; nothing more can be rented.
+    // Team green has a guarantee of 8 GPUs, blue none; no more machines can be rented.
     sim.no_capacity = true;
     sim.spawn_client("req-1", job(JobKind::Array, 16, 1.0), 300 * SECOND);
     sim.run_seconds(10);
-    assert_eq!(sim.start_counts.len(), 16, "blue borrows all there is");
-    let green = |kind, tasks, gpus| {
-        let mut j = job(kind, tasks, gpus);
-        j.team = "green".into();
-        j
+    assert_eq!(
+        sim.start_counts.len(),
+        16,
+        "blue does not use all 16 GPUs: {:?}",
+        sim.start_counts
+    );
+    let green_job = |kind, tasks, gpus| {
+        let mut spec = job(kind, tasks, gpus);
+        spec.team = "green".into();
+        spec
     };
-    sim.spawn_client("req-2", green(JobKind::Gang, 1, 6.0), 300 * SECOND);
-    sim.spawn_client("req-3", green(JobKind::Array, 2, 1.0), 300 * SECOND);
+    sim.spawn_client("req-2", green_job(JobKind::Gang, 1, 6.0), 300 * SECOND);
+    sim.spawn_client("req-3", green_job(JobKind::Array, 2, 1.0), 300 * SECOND);
     // Another controller may win the election.
     sim.run_seconds(1);
-    sim.spawn_client("req-4", green(JobKind::Array, 2, 1.0), 300 * SECOND);
+    sim.spawn_client("req-4", green_job(JobKind::Array, 2, 1.0), 300 * SECOND);
     sim.run_seconds(40);
-    let running = |sim: &Simulation, id: &str, n| {
-        (0..n)
-            .filter(|t| sim.machines_running(&format!("{id}/{t}")).len() == 1)
+    let running_tasks = |sim: &Simulation, id: &str, tasks: u32| {
+        (0..tasks)
+            .filter(|task| sim.machines_running(&format!("{id}/{task}")).len() == 1)
             .count()
     };
     assert_eq!(
-        (running(&sim, "req-2", 1), running(&sim, "req-3", 2)),
+        (
+            running_tasks(&sim, "req-2", 1),
+            running_tasks(&sim, "req-3", 2)
+        ),
         (1, 2)
     );
     assert_eq!(
-        running(&sim, "req-4", 2),
+        running_tasks(&sim, "req-4", 2),
         0,
-        "beyond the guarantee it waits like others"
+        "req-4 exceeds the guarantee of green and must not preempt"
     );
 }
 
 #[test]
 fn gang_is_not_retried_on_the_machine_that_failed_it() {
     let mut sim = simulation_with_leader(34, 3);
-    let busy = ["n-000002", "n-000003"];
+    let busy_machines = ["n-000002", "n-000003"];
     sim.agents.get_mut("n-000001").unwrap().fails_tasks = true;
-    // The faulty machine is the empty one, which looks best to a gang of whole machines.
-    for (i, _) in busy.iter().enumerate() {
+    // The faulty machine is the empty one, which placement prefers for a gang of whole machines.
+    for (i, _) in busy_machines.iter().enumerate() {
         sim.spawn_client(&format!("req-{i}"), job(JobKind::Service, 1, 1.0), 0);
     }
     sim.run_seconds(4);
@@ -287,10 +303,13 @@
     }
     sim.run_seconds(60);
     assert!((2..8).all(|i| sim.job_done(&format!("req-{i}"))));
-    let tries: u32 = (0..12)
+    let starts: u32 = (0..12)
         .filter_map(|t| sim.start_counts.get(&format!("req-1/{t}")))
         .sum();
-    assert!(tries < 120, "{tries} starts in 90 s");
+    assert!(
+        starts < 120,
+        "{starts} starts in 90 s, expected fewer than 120"
+    );
 }
 
 #[test]
@@ -299,13 +318,13 @@
     sim.spawn_client("req-1", job(JobKind::Service, 1, 8.0), 0);
     sim.spawn_client("req-2", job(JobKind::Service, 1, 8.0), 0);
     sim.run_seconds(80);
-    let first = sim.leader().unwrap();
-    // Leadership alternates once and returns, within the same incarnation.
-    sim.store.refused_controllers = vec![first];
+    let first_leader = sim.leader().unwrap();
+    // Another controller leads for a while, then the first one again, within the same incarnation.
+    sim.store.refused_controllers = vec![first_leader];
     sim.run_seconds(15);
-    sim.store.refused_controllers = (0..3).filter(|i| *i != first).collect();
+    sim.store.refused_controllers = (0..3).filter(|i| *i != first_leader).collect();
     sim.run_seconds(60);
-    assert_eq!(sim.leader(), Some(first));
+    assert_eq!(sim.leader(), Some(first_leader));
     sim.store.refused_controllers.clear();
     sim.spawn_client("req-3", job(JobKind::Service, 1, 8.0), 0);
     sim.run_seconds(40);
@@ -315,7 +334,7 @@
 #[test]
 fn machine_with_a_spot_notice_gets_no_new_task() {
     let mut sim = Simulation::new(18, 3, 1);
-    let machine = sim.add_machine("b", true);
+    let spot_machine = sim.add_machine("b", true);
     sim.run_seconds(8);
     let mut spec = job(JobKind::Array, 10, 1.0);
     spec.spot = true;
@@ -323,9 +342,12 @@
     spec.save_s = 2.0;
     sim.spawn_client("req-1", spec, 20 * SECOND);
     sim.run_seconds(6);
-    sim.agents.get_mut(&machine).unwrap().preemption_notice_s = Some(10.0);
+    sim.agents
+        .get_mut(&spot_machine)
+        .unwrap()
+        .preemption_notice_s = Some(10.0);
     sim.after(10 * SECOND, move |sim| {
-        sim.agents.get_mut(&machine).unwrap().alive = false
+        sim.agents.get_mut(&spot_machine).unwrap().alive = false
     });
     sim.run_seconds(120);
     assert!(sim.job_done("req-1"));
--- a/tests/failure_scenarios/random_faults.rs
+++ b/tests/failure_scenarios/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, many at once; each seed repeats its own run.
+//! Random faults, several at a time; the run of a seed is reproducible.
 
 use crate::partition_zones;
 use crate::simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
@@ -27,7 +27,7 @@
     }
 }
 
-/// A random job for whole machines or parts of them, of a team with or without a quota.
+/// A random job for whole machines or parts of them, of a team with a quota (red) or without one (blue).
 fn draw_job_of_either_team(sim: &mut Simulation, index: usize) -> RandomJob {
     let submitted_at = sim.rng.random_range(0..60 * SECOND);
     let (kind, tasks) = match index % 4 {
@@ -40,11 +40,11 @@
         tasks,
         [1.0, 2.0, 8.0][sim.rng.random_range(0..3usize)],
     );
-    // A service would use up its team's quota for good.
-    let red = kind != JobKind::Service && sim.rng.random_bool(0.4);
-    spec.team = if red { "red" } else { "blue" }.into();
+    // A service never completes, so it would hold its share of the team's quota for the whole run.
+    let is_red_team = kind != JobKind::Service && sim.rng.random_bool(0.4);
+    spec.team = if is_red_team { "red" } else { "blue" }.into();
     spec.spread = kind != JobKind::Gang && sim.rng.random_bool(0.3);
-    if red && kind != JobKind::Array && spec.gpus * f64::from(tasks) > 12.0 {
+    if is_red_team && kind != JobKind::Array && spec.gpus * f64::from(tasks) > 12.0 {
         spec.gpus = 2.0;
         spec.cpus = 2.0;
     }
@@ -131,14 +131,15 @@
         sim.run_seconds(400);
         for (id, truth) in &sim.jobs {
             if truth.spec.kind != JobKind::Service {
-                let over =
+                let finished =
                     truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-                assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
+                assert!(finished, "seed {seed}: {id} never ended\n{}", sim.dump());
             } else if truth.cancellation_seen_at.is_none() {
-                let up = running_replicas(&sim, id);
+                let running = running_replicas(&sim, id);
                 assert!(
-                    up as u32 == truth.spec.tasks,
-                    "seed {seed}: {id}: {up} up\n{}",
+                    running as u32 == truth.spec.tasks,
+                    "seed {seed}: {id}: {running} of {} replicas run\n{}",
+                    truth.spec.tasks,
                     sim.dump()
                 );
             }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Number of a service's replicas that run, on any machine.
+/// Number of replicas of a service that run on any machine.
 fn running_replicas(sim: &Simulation, id: &str) -> usize {
     sim.agents
         .values()
@@ -157,7 +158,7 @@
         .count()
 }
 
-/// A random job that leaves room on the machines.
+/// A random job whose tasks need half a machine at most.
 fn draw_small_job(sim: &mut Simulation, index: usize) -> RandomJob {
     let submitted_at = sim.rng.random_range(0..40 * SECOND);
     let kind = [
@@ -248,18 +249,18 @@
         sim.run_seconds(300);
         for (id, truth) in &sim.jobs {
             if truth.spec.kind == JobKind::Service && truth.cancellation_seen_at.is_none() {
-                let up = (0..truth.spec.tasks)
+                let running = (0..truth.spec.tasks)
                     .filter(|n| sim.machines_running(&format!("{id}/{n}")).len() == 1);
                 assert_eq!(
-                    up.count() as u32,
+                    running.count() as u32,
                     truth.spec.tasks,
                     "seed {seed}: {id}\n{}",
                     sim.dump()
                 );
             } else {
-                let over =
+                let finished =
                     truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-                assert!(over, "seed {seed}: {id} never ended\n{}", sim.dump());
+                assert!(finished, "seed {seed}: {id} never ended\n{}", sim.dump());
             }
         }
     }
