--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -1,4 +1,5 @@
-//! Store outages: leases are renewed by peers' confirmations, under a delegated right, and by pledge.
+//! Store outages. Leases are renewed without the store while all peers respond, under a renewal grant of the leader, or in
+//! reliance on silence pledges (see crates/lease-delegation).
 
 use crate::controllers_by_role;
 use crate::partition_from_agents;
@@ -66,7 +67,7 @@
     sim.spawn_client("req-1", job(JobKind::Service, 3, 1.0), 0);
     sim.run_seconds(10);
     sim.store.outage = true;
-    // No controller can confirm what it last told its clients.
+    // After the crash, what this controller last told its clients cannot be confirmed; its peers have to end renewals.
     let other = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
     sim.crash_controller(other, 4 * SECOND);
     sim.run_seconds(45);
@@ -99,8 +100,9 @@
     );
 }
 
-/// The leader crashes in a store outage; the remaining controllers keep the agents alive.
-fn leader_lost_in_an_outage(seed: u64, back: u64, pledges: bool) -> Simulation {
+/// A simulation of a store outage in which the leader crashes after 6 s and returns after `down_time`. The job `req-3` is
+/// cancelled during the outage.
+fn leader_lost_in_an_outage(seed: u64, down_time: u64, pledges: bool) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     if pledges {
         sim.restart_with_pledges();
@@ -113,8 +115,8 @@
     sim.after(early, |sim| sim.cancel_until_answered("req-3"));
     sim.store.outage = true;
     sim.run_seconds(6);
-    let leader = sim.leader().expect("a leader");
-    sim.crash_controller(leader, back);
+    let leader = sim.leader().expect("no leader");
+    sim.crash_controller(leader, down_time);
     sim
 }
 
@@ -128,7 +130,7 @@
             (4 * SECOND, false),
         ] {
             let mut sim = leader_lost_in_an_outage(seed, back, pledges);
-            // With pledges longer than a lease, and than cancel_s.
+            // With pledges, tasks survive outages longer than a lease and than the cancellation deadline (cancel_s).
             sim.run_seconds(if pledges { 40 } else { 20 });
             let now = sim.now;
             sim.store.end_outage(now);
@@ -147,7 +149,8 @@
     }
 }
 
-/// The leader does not return during the outage: then the right expires, as no controller knows that it is dead.
+/// The leader does not return during the outage. The renewal grant expires, as no peer has proof that the process of the
+/// leader has ended.
 #[test]
 fn renewal_right_expires_while_the_leader_is_unknown() {
     let mut sim = leader_lost_in_an_outage(745, 200 * SECOND, false);
@@ -157,16 +160,25 @@
             .filter(|t| !sim.machines_running(&format!("req-1/{t}")).is_empty())
             .count()
     };
-    assert_eq!(up(&sim), 5, "kept for a lease and more");
+    assert_eq!(
+        up(&sim),
+        5,
+        "not all replicas survived for more than a lease"
+    );
     sim.run_seconds(30);
-    assert_eq!(up(&sim), 0, "and not for ever");
+    assert_eq!(
+        up(&sim),
+        0,
+        "replicas still run after the grant has expired"
+    );
     let now = sim.now;
     sim.store.end_outage(now);
     sim.run_seconds(60);
     assert_eq!(up(&sim), 5);
 }
 
-/// Others renew under the right what the leader has lost sight of. It must not consider those leases expired.
+/// Followers renew leases under the leader's grant on machines that the leader cannot reach. The leader must not consider
+/// these leases expired.
 #[test]
 fn leader_waits_for_leases_renewed_under_its_right() {
     for seed in 760..772 {
@@ -192,7 +204,7 @@
         }
         partition_from_agents(&mut sim, leader, &far, 60 * SECOND);
         sim.run_seconds(13);
-        // The store is back for the leader alone, which cannot delete machines.
+        // Only the leader can use the store again; without the cloud it cannot delete machines.
         sim.cloud_unavailable = true;
         sim.store.refused_controllers = vec![follower, third];
         let now = sim.now;
@@ -201,7 +213,7 @@
         assert_eq!(
             sim.machines_running("req-1/0").len(),
             1,
-            "seed {seed}: kept by right\n{}",
+            "seed {seed}: the replica did not keep its lease under the grant\n{}",
             sim.dump()
         );
         sim.run_seconds(60);
@@ -212,8 +224,8 @@
     }
 }
 
-/// One controller has pledged to tell nothing new and is then alone with the store, where clients cancel and machines become
-/// free; the others rely on its pledge.
+/// A controller has given a silence pledge and is then the only one that the store serves. Clients cancel through it and
+/// machines become free, while its peers still rely on the pledge: it must not confirm the cancellation too early.
 #[test]
 fn pledge_is_kept_by_the_controller_alone_with_the_store() {
     for seed in 780..792 {
@@ -225,7 +237,7 @@
         let (leader, follower, third) = controllers_by_role(&sim);
         sim.store.outage = true;
         sim.run_seconds(12);
-        // Some machines report to the one that will be alone, the others stay.
+        // Two machines report to the controller that will be alone, the other machines to its peers.
         let names: Vec<String> = sim.agents.keys().cloned().collect();
         for i in [leader, third] {
             sim.partition(
@@ -250,7 +262,7 @@
         assert_eq!(
             sim.last_status("req-2"),
             "cancelled",
-            "seed {seed}: after all"
+            "seed {seed}: the cancellation was not confirmed"
         );
         sim.store.refused_controllers.clear();
         sim.run_seconds(90);
@@ -262,7 +274,8 @@
     }
 }
 
-/// One controller after the other restarts in an outage; at every moment some controller knows the records.
+/// Controllers restart one after the other in a store outage, so that at every moment some controller holds the records
+/// and the restarted one can recover them from it.
 #[test]
 fn controllers_restarted_in_an_outage_recover_state_from_peers() {
     for seed in 950..970 {
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -1,4 +1,4 @@
-//! Two versions at once, and store limits that change.
+//! Rolling upgrades from the first version, and store limits that change.
 
 use crate::simulation::fake_store::StoreLimits;
 use crate::simulation::first_version;
@@ -8,7 +8,8 @@
 use walnuttrestle::protocol::records::JobRecord;
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// Large arrays, a full queue and a takeover while the store lowers its limits.
+/// The store lowers its limits, without notice, to values that it has announced as possible, while large arrays wait and
+/// the leader changes. No transaction may exceed the lower limits.
 #[test]
 fn lowered_store_limits_without_notice_are_handled() {
     let low = StoreLimits {
@@ -45,9 +46,9 @@
     }
 }
 
-/// The new version is rolled out controller by controller, in every order, while jobs run; one of the controllers that are
-/// still old crashes before its turn and returns with the old version; one is rolled back for a while. Clients submit
-/// pipelines to the new controllers from the start.
+/// The controllers are upgraded one by one, in every order, while jobs run. One that still has the first version crashes
+/// before its turn and returns with it; in half of the runs one is rolled back for a while. Clients submit jobs with
+/// dependencies to upgraded controllers from the start; these are accepted only once all controllers are upgraded.
 #[test]
 fn rolling_upgrade_from_the_first_version_keeps_jobs() {
     let orders = [
@@ -74,7 +75,8 @@
             sim.crash_controller(i, 3 * SECOND);
             sim.set_first_version(i, false);
             sim.run_seconds(6);
-            // It works on records of the old controllers and asks for features that they do not know.
+            // The upgraded controller reads records of the first version and gets a job with dependencies, which the first
+            // version cannot read.
             let id = format!("req-9{i}");
             let spec = after(&["req-1", "req-3"], job(JobKind::Array, 1, 1.0));
             sim.declare_job(&id, spec, SECOND);
@@ -90,7 +92,8 @@
         sim.crash_controller(order[2], 2 * SECOND);
         sim.run_seconds(6);
         if n % 2 == 0 {
-            // Back to the old version, and then to the new one again, though its record says so.
+            // A rollback to the first version although the controller has recorded that it reads newer formats, and later a
+            // second upgrade.
             sim.crash_controller(order[0], 2 * SECOND);
             sim.set_first_version(order[0], true);
             sim.run_seconds(5);
@@ -106,7 +109,7 @@
             upgrade(&mut sim, order[1]);
             upgrade(&mut sim, order[2]);
         }
-        // The store lowers its limits as soon as the new version is everywhere.
+        // The store lowers its limits as soon as all controllers run the new version.
         sim.store.limits = Some(low);
         let last = if n % 2 == 0 { order[0] } else { order[2] };
         assert!(sim.jobs[&format!("req-9{last}")].accepted, "{order:?}");
@@ -115,7 +118,7 @@
             after(&["req-1"], job(JobKind::Array, 3, 1.0)),
             SECOND,
         );
-        // Restarts need no new agreement.
+        // A restart needs no new format negotiation.
         sim.run_seconds(4);
         sim.crash_controller(order[1], 2 * SECOND);
         sim.run_seconds(40);
@@ -133,7 +136,7 @@
     }
 }
 
-/// Bytes written by the first version.
+/// Decodes bytes that the first version has written, and lets it decode ours.
 #[test]
 fn first_version_records_keep_their_meaning() {
     let bytes = |hex: &str| -> Vec<u8> {
@@ -146,7 +149,7 @@
     let rec: JobRecord = decode(&job).unwrap();
     assert!(rec.spec.needs.is_empty() && rec.spec.tasks == 130);
     assert_eq!(rec.first.entry(3).unwrap().machine(), Some("n-000231"));
-    // A record that we write without dependencies is the same to the byte, and the first version reads it.
+    // The same record encodes to the same bytes again, and the first version reads a record without dependencies.
     assert_eq!(encode(&rec), job);
     assert!(decode::<first_version::FirstJobRecord>(&job).is_some());
     let beat = bytes("086b65726e656c2d31012901ac02014d01");
@@ -162,8 +165,8 @@
 
 const OLD_JOB: &str = "85a173de0012a6646f636b6574ac636f6c6f75722d7377656570a463726577ad706c6174666f726d2d63726577a57368617065a57377656570a472616e6ba87374616e64617264a6736865657473cc82a463707573cb4018000000000000a56361726473cb3ff0000000000000a96d656d6f72795f6762cb4038000000000000a5706c617465a6696d672d3037a773697a655f6762cb4011000000000000a77072657373657391aa6d656e6869722d626f78a8746f676574686572c2a773636174746572c2a76c6f616e657273c3aa65787065637465645f73cb404ec00000000000a770726f6f665f73cb0000000000000000a773746173685f73cb0000000000000000a56475655f73cb406e000000000000a26174cf000644e4f42bb000a27374a161a3656e6400a16382a16591960302a86e2d3030303233310129c3a164cc80";
 
-/// A gang over several records is placed by one transaction, or its members would start without the others; a gang that no
-/// transaction can place is refused.
+/// A gang whose tasks span several records is placed by one transaction, as otherwise some members could start without the
+/// others. A gang that does not fit into one transaction is refused.
 #[test]
 fn wide_gang_is_placed_as_a_whole_under_lower_limits() {
     let low = StoreLimits {
@@ -192,7 +195,8 @@
     assert_eq!(sim.store.rejected_for_size, 0);
 }
 
-/// Limits that were not announced: smaller transactions are tried, and no job is harmed.
+/// The store applies limits that it has not announced. Rejected transactions are retried as smaller ones, and all jobs
+/// complete.
 #[test]
 fn rejected_transaction_does_not_reject_the_job() {
     let mut sim = simulation_with_leader(190, 10);
@@ -214,5 +218,5 @@
     }
     sim.run_seconds(120);
     assert!(sim.store.rejected_for_size > 0);
-    assert!(sim.jobs.keys().all(|id| sim.job_done(id)));
+    assert!(sim.jobs.keys().all(|id| sim.job_done(id)), "{}", sim.dump());
 }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,5 @@
-//! Two faults at once, as operators have met them (docs/fault-combinations.md), beyond tests/cancellation_during_store_outage.rs.
+//! Combinations of two faults that operators have seen (docs/fault-combinations.md), except for those in
+//! tests/cancellation_during_store_outage.rs.
 
 mod simulation;
 
@@ -7,7 +8,7 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec, Priority};
 
-/// Submits a job whose tasks end one after the other.
+/// Submits a job whose tasks end one after the other, the first after `run_time` and the others `run_time_step` apart.
 fn submit_with_staggered_ends(
     sim: &mut Simulation,
     id: &str,
@@ -22,9 +23,9 @@
     }
 }
 
-/// The store keeps few changes; a controller that it has refused for a while has to list all records again, page by page,
-/// while clients poll it. Fails (forgotten) if such a listing is restarted while its pages are in flight: the last pages of
-/// the first listing make the second skip keys that it has not seen.
+/// The store keeps a short history of changes. A controller that it has refused for a while therefore has to list all records
+/// again, page by page, while clients poll it. Fails (forgotten) if such a listing is restarted while its pages are in
+/// flight: late pages of the first listing make the second one skip keys that it has not read.
 #[test]
 fn controller_behind_a_compacted_log_relists_and_forgets_no_job() {
     let mut anew = 0;
@@ -38,8 +39,8 @@
             );
         }
         sim.run_seconds(10);
-        let leader = sim.leader().expect("a leader");
-        // The leader itself for less than its lease, or another for longer.
+        let leader = sim.leader().expect("no leader");
+        // The store refuses the leader for less than its lease, or a follower for longer.
         let (i, dt) = match seed % 2 {
             0 => (leader, 3),
             _ => ((leader + 1) % 3, 12),
@@ -67,11 +68,11 @@
             });
         }
         sim.run_micros(2_500_000);
-        // While clients ask, each time in vain.
+        // The polls must not restart the listing, which would then never finish.
         assert_eq!(
             sim.cached_jobs(i),
             28,
-            "seed {seed}: not read yet\n{}",
+            "seed {seed}: controller {i} has not cached all jobs while clients poll\n{}",
             sim.dump()
         );
         sim.run_seconds(6);
@@ -83,17 +84,21 @@
             assert_eq!(
                 sim.cached_jobs(n),
                 28,
-                "seed {seed}: {n} holds\n{}",
+                "seed {seed}: controller {n} has not cached all jobs\n{}",
                 sim.dump()
             );
         }
     }
-    assert!(anew >= 6, "{anew}");
+    assert!(
+        anew >= 6,
+        "only {anew} of 12 runs listed the records again, expected 6"
+    );
 }
 
-/// The leader is partitioned from the store and its peers, while agents and clients still reach it; jobs are cancelled, and
-/// others run within their team's quota, through the new leader. The old leader may not tell its clients older states than
-/// were told elsewhere, and no task runs beside those that the new leader starts.
+/// The leader is partitioned from the store and its peers, while agents and clients still reach it. Through the new leader a
+/// job is cancelled, and others run within their team's quota. The old leader must not answer its clients with states older
+/// than those that other controllers have reported, and none of its tasks may run in addition to those that the new leader
+/// starts.
 #[test]
 fn old_leader_still_reached_by_agents_and_clients_breaks_no_invariant() {
     for seed in 0..24 {
@@ -115,7 +120,7 @@
             8 * SECOND,
         );
         sim.run_seconds(10);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no leader");
         let others = [(leader + 1) % 3, (leader + 2) % 3];
         let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
         let dt = sim.rng.random_range(12..55) * SECOND;
@@ -136,7 +141,7 @@
                 for n in 1..6 {
                     sim.poll(leader, &format!("req-{n}"));
                 }
-                // It gets repeated submissions and cancellations as well.
+                // The old leader gets repeated submissions and cancellations as well.
                 sim.submit(leader, "req-2");
                 if second > 30 {
                     sim.cancel(leader, "req-2");
@@ -158,8 +163,8 @@
     }
 }
 
-/// Two or three tasks of a job end far apart, while the leader changes, once or repeatedly; answers of the store are lost now
-/// and then. Fails if a job is called done too early or never.
+/// Two or three tasks of a job end far apart, while the leader changes once or several times and some answers of the store
+/// are lost. Fails if a job is reported done too early or never.
 #[test]
 fn tasks_ending_far_apart_survive_leader_changes() {
     for seed in 0..32 {
@@ -204,8 +209,8 @@
     }
 }
 
-/// The store answers after seconds, then refuses only the leader, then everyone for longer than the cancellation deadline,
-/// while clients cancel and poll at every controller.
+/// The store slows down to seconds per answer, then refuses only the leader, then all controllers for longer than the
+/// cancellation deadline. Meanwhile clients cancel and poll jobs at every controller.
 #[test]
 fn store_that_slows_then_refuses_one_then_all_breaks_no_invariant() {
     for seed in 0..24 {
@@ -264,8 +269,8 @@
     }
 }
 
-/// The leader crashes while machines with long tasks are unreachable or do not hear the new leader's responses. Their tasks
-/// are presumed to run until proven gone; jobs cancelled meanwhile end in time.
+/// The leader crashes while machines with long tasks are unreachable or do not get the new leader's responses. Their tasks
+/// have to count as running until there is proof that they have ended; jobs cancelled meanwhile have to end in time.
 #[test]
 fn leader_crash_with_unreachable_machines_loses_no_long_task() {
     for seed in 0..32 {
@@ -275,7 +280,7 @@
         sim.spawn_client("req-3", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.spawn_client("req-4", job(JobKind::Gang, 2, 2.0), 60 * SECOND);
         sim.run_seconds(10);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no leader");
         let others = [(leader + 1) % 3, (leader + 2) % 3];
         let dt = sim.rng.random_range(6..50) * SECOND;
         let until = sim.now + dt;
@@ -321,8 +326,8 @@
     }
 }
 
-/// Leadership alternates, all controllers crash, one returns, also within a second; their earlier requests are carried out
-/// late or twice.
+/// Leadership alternates between controllers; then all crash and return at different times, some within a second. Requests
+/// that they sent earlier are executed late or twice.
 #[test]
 fn alternating_leaders_then_a_full_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -342,7 +347,7 @@
         for step in 0..3 {
             let at = step * 6 * SECOND + sim.rng.random_range(0..3 * SECOND);
             let back = sim.rng.random_range(20_000..900_000);
-            // The leader, its successor, and the first again.
+            // The leader crashes and its successor is paused, so that leadership can return to the first one.
             sim.after(at, move |sim| {
                 let leader = sim.leader().unwrap_or(1);
                 sim.crash_controller(leader, back);
@@ -376,8 +381,8 @@
     }
 }
 
-/// Commands, or their answers, are delayed for seconds, and the machine executes them then: starts after stops, stops of
-/// older attempts, starts of forgotten attempts.
+/// Commands or their answers are delayed for seconds and then executed: a start after the stop of the same attempt, a stop of
+/// an older attempt, a start of an attempt that the machine was told to forget.
 #[test]
 fn delayed_commands_and_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -412,7 +417,7 @@
             }
         }
         for n in 0..4 {
-            // It preempts some of them, which start again later.
+            // The gang preempts some tasks of req-2 and req-3, which start again later.
             let high = JobSpec {
                 priority: Priority::High,
                 ..job(JobKind::Gang, 1, 8.0)
@@ -432,8 +437,8 @@
     }
 }
 
-/// Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller and of others,
-/// across leader changes.
+/// Transactions get no answer and are executed 2 to 12 s later, after newer transactions of the same controller and of
+/// others, also after leader changes.
 #[test]
 fn reordered_transactions_break_no_invariant() {
     for seed in 0..48 {
@@ -463,7 +468,7 @@
             });
         }
         if seed % 4 == 0 {
-            // A follower renews leases on record, with delayed writes.
+            // A follower renews leases for the leader and records this by delayed writes.
             let leader = sim.leader().unwrap_or(0);
             let follower = (leader + 1) % 3;
             sim.partition(
@@ -505,7 +510,7 @@
     }
 }
 
-/// A follower that renews machines for a leader which cannot reach them restarts within a second, or crashes for good. Fails
+/// A follower renews the leases of machines that the leader cannot reach, and restarts within a second or stays down. Fails
 /// (ran_twice) if the first record of its new incarnation names only the machines that reported to that incarnation.
 #[test]
 fn restart_of_a_renewing_follower_breaks_no_invariant() {
@@ -514,7 +519,7 @@
         sim.spawn_client("req-1", job(JobKind::Service, 5, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 5, 1.0), 60 * SECOND);
         sim.run_seconds(10);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no leader");
         let follower = (leader + 1) % 3;
         sim.partition(
             Endpoint::Controller(leader),
@@ -556,8 +561,8 @@
     }
 }
 
-/// Reordered transactions with a small write budget, so that placements of many jobs are batched into one record: batches
-/// are deleted once merged, and their numbers are used again.
+/// Transactions are reordered while a small write budget makes the leader batch placements of many jobs into one record.
+/// Batches are deleted once merged, and their numbers are reused.
 #[test]
 fn reordered_placement_batches_break_no_invariant() {
     let mut bundled = 0;
@@ -580,7 +585,7 @@
                     let leader = sim.leader().unwrap_or(0);
                     sim.crash_controller(leader, 400_000);
                 }),
-                // Machines with half of the tasks are lost: all of these are placed again at once.
+                // Two machines, which run half of the tasks, fail: all of these tasks are placed again at once.
                 1 => sim.after(at, |sim| {
                     for machine in sim.machine_names().into_iter().take(2) {
                         sim.failed_machines.insert(machine.clone());
@@ -610,11 +615,14 @@
             sim.dump()
         );
     }
-    assert!(bundled > 100, "{bundled}");
+    assert!(
+        bundled > 100,
+        "{bundled} batch records seen, expected more than 100"
+    );
 }
 
 /// Old heartbeats, also of earlier epochs and attempts, arrive after newer ones: at the leader, at a renewing follower that
-/// never saw the original, at a controller that has just started.
+/// never got the original, at a controller that has just started.
 #[test]
 fn reordered_heartbeats_break_no_invariant() {
     for seed in 0..32 {
@@ -636,7 +644,7 @@
             );
         }
         sim.run_seconds(10);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no leader");
         let follower = (leader + 1) % 3;
         match seed % 3 {
             0 => sim.crash_controller(leader, 50_000),
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -32,9 +32,9 @@
     }
 }
 
-/// Heartbeats of machines are lost while direct commands reach them and are answered. Those answers renew no lease, so no
-/// task is started there; cancelled tasks are stopped by command; the others run on elsewhere, once. Fails if such an
-/// answer counts as a sign that the machine may get new work.
+/// Heartbeats of machines are lost while direct commands reach them and are answered. These answers renew no lease, so no
+/// task may be started there; cancelled tasks are stopped by command, and the other tasks run elsewhere, once. Fails if such
+/// an answer makes the machine eligible for new tasks.
 #[test]
 fn silent_machines_get_stops_and_no_starts() {
     let mut stopped = 0;
@@ -54,7 +54,7 @@
         silent
             .iter()
             .for_each(|m| sim.faults.silence_heartbeats(m, until));
-        // Jobs are submitted all the time.
+        // A job is submitted every second.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
             sim.after(n * SECOND, move |sim| {
@@ -68,7 +68,8 @@
         sim.run_seconds(5);
         stopped += usize::from(sim.running_instances("req-2") == 0);
         sim.run_seconds(22);
-        // A heartbeat counts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
+        // A heartbeat makes a machine eligible for 2.5 intervals of 2 s; a start and fetching its image take
+        // little more than two seconds.
         let late =
             |b: &&simulation::TaskStart| silent.contains(&b.machine) && b.at > from + 9 * SECOND;
         let late: Vec<_> = sim.task_starts.iter().filter(late).collect();
@@ -87,12 +88,13 @@
     }
     assert!(
         stopped >= 12,
-        "stopped by command, before a lease is over: {stopped}"
+        "cancelled tasks were stopped within 5 s, before a lease expires, in {stopped} of 24 runs, expected at least 12"
     );
 }
 
-/// A team is at its quota; some of its jobs are cancelled whose machines are partitioned, hang or are deaf, and the leader
-/// changes, once or repeatedly. Tasks that are not confirmed gone count against the quota for every leader.
+/// A team has used up its quota. Some of its jobs are cancelled while their machines are partitioned, hang, lose their
+/// heartbeats or receive nothing, and the leader changes once or several times. Tasks count against the quota for every leader until they
+/// are confirmed to have ended.
 #[test]
 fn quota_holds_while_cancelled_tasks_are_unconfirmed() {
     for seed in 0..48 {
@@ -127,7 +129,12 @@
                         dt,
                     )
                 }),
-                1 => sim.agents.get_mut(machine).expect("a machine").hung_until = until,
+                1 => {
+                    sim.agents
+                        .get_mut(machine)
+                        .expect("machine not found")
+                        .hung_until = until
+                }
                 2 => sim.faults.silence_heartbeats(machine, until),
                 _ => sim.faults.drop_all_deliveries(machine, until),
             }
@@ -149,8 +156,8 @@
     }
 }
 
-/// Jobs are cancelled during a leader change: confirmed by the old leader, the new one or a follower, while tasks are placed,
-/// recorded and started, and both leaders clean up finished jobs.
+/// Jobs are cancelled during a leader change. The old leader, the new one or a follower confirms the cancellation while tasks
+/// are placed, recorded and started, and while both leaders delete finished jobs.
 #[test]
 fn cancellations_during_a_leader_change_are_enforced() {
     for seed in 0..48 {
@@ -219,9 +226,9 @@
     }
 }
 
-/// New machines are up within two seconds and get work at once, while transactions are delayed and the leader crashes:
-/// rentals that are not on record, first heartbeats to a follower, starts in flight to machines that the new leader does
-/// not know.
+/// New machines boot within two seconds and get tasks at once, while transactions are delayed and the leader crashes. This
+/// leads to rentals that are not recorded, first heartbeats to a follower, and starts in flight to machines that the new
+/// leader has no record of.
 #[test]
 fn instantly_booted_machines_during_slow_writes_and_a_leader_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -258,8 +265,8 @@
     }
 }
 
-/// Duplicates of heartbeats reach every controller just as a new leader begins: its first heartbeat of an agent may be of an
-/// earlier epoch or attempt.
+/// Duplicates of heartbeats reach every controller just as a new leader takes over: the first heartbeat that it gets from an
+/// agent may be of an earlier epoch or attempt.
 #[test]
 fn stale_heartbeats_to_a_new_leader_break_no_invariant() {
     for seed in 0..48 {
@@ -277,15 +284,20 @@
         let machine = sim.machine_names().remove(seed as usize % 5);
         match seed % 4 {
             0 => {
-                sim.agents.get_mut(&machine).expect("it").hung_until =
-                    sim.now + (LEASE_S + 3) * SECOND
+                sim.agents
+                    .get_mut(&machine)
+                    .expect("machine not found")
+                    .hung_until = sim.now + (LEASE_S + 3) * SECOND
             }
             1 => sim
                 .faults
                 .silence_heartbeats(&machine, sim.now + (LEASE_S + 5) * SECOND),
             2 => {
                 sim.failed_machines.insert(machine.clone());
-                sim.agents.get_mut(&machine).expect("it").alive = false;
+                sim.agents
+                    .get_mut(&machine)
+                    .expect("machine not found")
+                    .alive = false;
             }
             _ => (0..3).for_each(|i| {
                 sim.partition(
@@ -320,8 +332,9 @@
     }
 }
 
-/// One-task jobs, four a second for two minutes, a quarter of them cancelled, with a small write budget; leaders change ten
-/// times in that time, also during an outage. No job starves, and the write budget suffices.
+/// Clients submit four one-task jobs a second for two minutes and cancel a quarter of them. Two of the four runs have a small
+/// write budget; in two, the leader crashes ten times and the store has an outage. No job may starve, and the number of
+/// changes per job is bounded.
 #[test]
 fn four_jobs_a_second_survive_leader_changes() {
     for seed in 0..4 {
@@ -365,14 +378,17 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        // Accepted, placed, done, cleaned: four changes for a job without faults.
+        // Acceptance, placement, completion and deletion: four changes for a job without faults.
         println!("seed {seed}: {changes} changes for 480 jobs");
-        assert!(changes < 480 * 5, "seed {seed}: {changes}");
+        assert!(
+            changes < 480 * 5,
+            "seed {seed}: {changes} changes for 480 jobs, expected fewer than five each"
+        );
     }
 }
 
-/// A zone with agents and a controller is partitioned for longer than a lease, or all controllers are down for longer; jobs
-/// are cancelled meanwhile.
+/// For longer than a lease, a zone with agents and a controller is partitioned, or all controllers are down or paused. A job
+/// is cancelled meanwhile.
 #[test]
 fn absence_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
@@ -425,8 +441,8 @@
     }
 }
 
-/// More work than room, of several priorities, over slow links, and the leader changes: tasks and gangs are preempted again
-/// and again. No job waits forever.
+/// Jobs of several priorities need more than the capacity, links are slow, and the leader changes: tasks and gangs are
+/// preempted repeatedly. No job may starve.
 #[test]
 fn overload_over_slow_links_breaks_no_invariant() {
     for seed in 0..24 {
@@ -481,7 +497,7 @@
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there, while the leader changes.
+/// Jobs bound to one zone, including arrays, lose machines in it while the leader changes. They have to recover.
 #[test]
 fn zone_bound_jobs_recover_from_machine_loss() {
     for seed in 0..32 {
@@ -510,9 +526,17 @@
                 match (seed + step) % 3 {
                     0 => {
                         sim.failed_machines.insert(machine.clone());
-                        sim.agents.get_mut(&machine).expect("it").alive = false;
+                        sim.agents
+                            .get_mut(&machine)
+                            .expect("machine not found")
+                            .alive = false;
+                    }
+                    1 => {
+                        sim.agents
+                            .get_mut(&machine)
+                            .expect("machine not found")
+                            .hung_until = until
                     }
-                    1 => sim.agents.get_mut(&machine).expect("it").hung_until = until,
                     _ => sim.faults.silence_heartbeats(&machine, until),
                 }
             });
@@ -534,8 +558,8 @@
     }
 }
 
-/// A start or its answer is delayed while its job is cancelled, within a fifth of a second with others, and the machines
-/// hang, for less and for more than a lease. Once they continue, late messages are fenced or their tasks stopped.
+/// Starts or their answers are delayed while their jobs are cancelled, all within 0.2 s, and the machines hang for less or for
+/// more than a lease. Once the machines continue, late messages have to be fenced off or their tasks stopped.
 #[test]
 fn delayed_starts_of_cancelled_jobs_on_hung_machines_are_harmless() {
     for seed in 0..48 {
@@ -575,8 +599,9 @@
     }
 }
 
-/// A job has failed on the only machine with room, which works again: the job is kept off it for less than 90 s, and a machine
-/// that has failed several jobs while others run on it is not cordoned forever. Fails (left_waiting) with 180 s.
+/// Jobs fail on the only machines with free capacity, which then work again. A job must not avoid such a machine for 90 s or
+/// more, and a machine that has failed several jobs while others run on it must not stay cordoned. Fails (left_waiting) if
+/// the time is 180 s.
 #[test]
 fn only_machine_with_room_is_retried_in_time() {
     for seed in 0..12 {
@@ -588,7 +613,10 @@
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 2);
         for machine in sim.machine_names() {
-            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = true;
+            sim.agents
+                .get_mut(&machine)
+                .expect("machine not found")
+                .fails_tasks = true;
         }
         for n in 0..1 + seed % 4 {
             sim.spawn_balanced_client(
@@ -599,7 +627,10 @@
         }
         sim.run_seconds(8);
         for machine in sim.machine_names() {
-            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = false;
+            sim.agents
+                .get_mut(&machine)
+                .expect("machine not found")
+                .fails_tasks = false;
         }
         sim.declare_faults_over();
         sim.run_seconds(150);
@@ -609,8 +640,8 @@
     }
 }
 
-/// Duplicates of heartbeats arrive late everywhere, while machines are lost and the leader changes; an old duplicate proves
-/// neither life nor absence.
+/// Duplicates of heartbeats arrive late at all controllers, while a machine hangs for longer than a lease and the leader
+/// changes. An old duplicate proves neither that a task still runs nor that it has ended.
 #[test]
 fn duplicates_everywhere_keep_the_quota() {
     for seed in 0..24 {
@@ -626,8 +657,11 @@
         let machine = sim
             .machines_running("req-1/0")
             .pop_first()
-            .expect("a machine");
-        sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + (LEASE_S + 6) * SECOND;
+            .expect("req-1/0 runs on no machine");
+        sim.agents
+            .get_mut(&machine)
+            .expect("machine not found")
+            .hung_until = sim.now + (LEASE_S + 6) * SECOND;
         sim.after(3 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.after(17 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.run_seconds(60);
