--- a/tests/failure_scenarios/store_outages.rs
+++ b/tests/failure_scenarios/store_outages.rs
@@ -68,41 +68,45 @@
     sim.run_seconds(10);
     sim.store.outage = true;
     // After the crash, what this controller last told its clients cannot be confirmed; its peers have to end renewals.
-    let other = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
-    sim.crash_controller(other, 4 * SECOND);
+    let follower = (0..3).find(|i| Some(*i) != sim.leader()).unwrap();
+    sim.crash_controller(follower, 4 * SECOND);
     sim.run_seconds(45);
-    assert!((0..3).all(|t| sim.machines_running(&format!("req-1/{t}")).is_empty()));
+    assert!((0..3).all(|task| sim.machines_running(&format!("req-1/{task}")).is_empty()));
     let now = sim.now;
     sim.store.end_outage(now);
     sim.run_seconds(60);
-    assert!((0..3).all(|t| sim.machines_running(&format!("req-1/{t}")).len() == 1));
+    assert!((0..3).all(|task| sim.machines_running(&format!("req-1/{task}")).len() == 1));
 }
 
 #[test]
-fn silent_store_refuses_polls_at_once_and_final_states_are_still_served() {
+fn polls_fail_fast_in_a_store_outage_and_final_states_are_still_served() {
     let mut sim = simulation_with_leader(17, 2);
     sim.spawn_client("req-1", job(JobKind::Array, 1, 1.0), 2 * SECOND);
     sim.declare_job("req-2", job(JobKind::Service, 1, 1.0), 0);
     sim.submit(0, "req-2");
     sim.run_seconds(20);
     sim.store.outage = true;
-    let from = sim.client_answers.len();
+    let first_answer = sim.client_answers.len();
     sim.poll(1, "req-1");
     sim.poll(1, "req-2");
     sim.run_seconds(1);
-    let said: Vec<(u16, &str)> = sim.client_answers[from..]
+    let answers: Vec<(u16, &str)> = sim.client_answers[first_answer..]
         .iter()
         .map(|answer| (answer.status, answer.state.as_str()))
         .collect();
     assert!(
-        said.contains(&(200, "done")) && said.contains(&(503, "")),
-        "{said:?}"
+        answers.contains(&(200, "done")) && answers.contains(&(503, "")),
+        "{answers:?}"
     );
 }
 
 /// A simulation of a store outage in which the leader crashes after 6 s and returns after `down_time`. The job `req-3` is
 /// cancelled during the outage.
-fn leader_lost_in_an_outage(seed: u64, down_time: u64, pledges: bool) -> Simulation {
+fn simulation_with_leader_crash_in_an_outage(
+    seed: u64,
+    down_time: u64,
+    pledges: bool,
+) -> Simulation {
     let mut sim = simulation_with_leader(seed, 5);
     if pledges {
         sim.restart_with_pledges();
@@ -111,8 +115,8 @@
     sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 20 * SECOND);
     sim.spawn_client("req-3", job(JobKind::Array, 4, 1.0), 300 * SECOND);
     sim.run_seconds(10);
-    let early = sim.rng.random_range(3 * SECOND..8 * SECOND);
-    sim.after(early, |sim| sim.cancel_until_answered("req-3"));
+    let cancel_delay = sim.rng.random_range(3 * SECOND..8 * SECOND);
+    sim.after(cancel_delay, |sim| sim.cancel_until_answered("req-3"));
     sim.store.outage = true;
     sim.run_seconds(6);
     let leader = sim.leader().expect("no leader");
@@ -123,13 +127,13 @@
 #[test]
 fn leader_loss_in_a_store_outage_kills_no_task() {
     for seed in 720..740 {
-        for (back, pledges) in [
+        for (down_time, pledges) in [
             (50_000, true),
             (300_000, false),
             (4 * SECOND, true),
             (4 * SECOND, false),
         ] {
-            let mut sim = leader_lost_in_an_outage(seed, back, pledges);
+            let mut sim = simulation_with_leader_crash_in_an_outage(seed, down_time, pledges);
             // With pledges, tasks survive outages longer than a lease and than the cancellation deadline (cancel_s).
             sim.run_seconds(if pledges { 40 } else { 20 });
             let now = sim.now;
@@ -139,7 +143,7 @@
                 assert_eq!(
                     sim.start_counts[&task],
                     1,
-                    "seed {seed} {back}: {task}\n{}",
+                    "seed {seed}, down time {down_time} us: {task}\n{}",
                     sim.dump()
                 );
             }
@@ -152,35 +156,35 @@
 /// The leader does not return during the outage. The renewal grant expires, as no peer has proof that the process of the
 /// leader has ended.
 #[test]
-fn renewal_right_expires_while_the_leader_is_unknown() {
-    let mut sim = leader_lost_in_an_outage(745, 200 * SECOND, false);
+fn renewal_grant_expires_while_the_leader_may_be_alive() {
+    let mut sim = simulation_with_leader_crash_in_an_outage(745, 200 * SECOND, false);
     sim.run_seconds(16);
-    let up = |sim: &Simulation| {
+    let running_replicas = |sim: &Simulation| {
         (0..5)
-            .filter(|t| !sim.machines_running(&format!("req-1/{t}")).is_empty())
+            .filter(|task| !sim.machines_running(&format!("req-1/{task}")).is_empty())
             .count()
     };
     assert_eq!(
-        up(&sim),
+        running_replicas(&sim),
         5,
         "not all replicas survived for more than a lease"
     );
     sim.run_seconds(30);
     assert_eq!(
-        up(&sim),
+        running_replicas(&sim),
         0,
         "replicas still run after the grant has expired"
     );
     let now = sim.now;
     sim.store.end_outage(now);
     sim.run_seconds(60);
-    assert_eq!(up(&sim), 5);
+    assert_eq!(running_replicas(&sim), 5);
 }
 
 /// Followers renew leases under the leader's grant on machines that the leader cannot reach. The leader must not consider
 /// these leases expired.
 #[test]
-fn leader_waits_for_leases_renewed_under_its_right() {
+fn leader_waits_for_leases_renewed_under_its_grant() {
     for seed in 760..772 {
         let mut sim = simulation_with_leader(seed, 4);
         sim.spawn_client("req-1", job(JobKind::Service, 4, 4.0), 0);
@@ -188,12 +192,12 @@
         let (leader, follower, third) = controllers_by_role(&sim);
         sim.store.outage = true;
         sim.run_seconds(4);
-        let far: Vec<String> = sim
+        let unreachable_machines: Vec<String> = sim
             .machines_running("req-1/0")
             .into_iter()
             .chain(sim.machines_running("req-1/1"))
             .collect();
-        assert!(!far.is_empty());
+        assert!(!unreachable_machines.is_empty());
         for i in [follower, third] {
             sim.partition(
                 Endpoint::Controller(leader),
@@ -202,7 +206,7 @@
                 60 * SECOND,
             );
         }
-        partition_from_agents(&mut sim, leader, &far, 60 * SECOND);
+        partition_from_agents(&mut sim, leader, &unreachable_machines, 60 * SECOND);
         sim.run_seconds(13);
         // Only the leader can use the store again; without the cloud it cannot delete machines.
         sim.cloud_unavailable = true;
@@ -220,7 +224,7 @@
         sim.cloud_unavailable = false;
         sim.store.refused_controllers.clear();
         sim.run_seconds(60);
-        assert!((0..4).all(|t| sim.machines_running(&format!("req-1/{t}")).len() == 1));
+        assert!((0..4).all(|task| sim.machines_running(&format!("req-1/{task}")).len() == 1));
     }
 }
 
@@ -238,7 +242,7 @@
         sim.store.outage = true;
         sim.run_seconds(12);
         // Two machines report to the controller that will be alone, the other machines to its peers.
-        let names: Vec<String> = sim.agents.keys().cloned().collect();
+        let machines: Vec<String> = sim.agents.keys().cloned().collect();
         for i in [leader, third] {
             sim.partition(
                 Endpoint::Controller(follower),
@@ -246,9 +250,9 @@
                 PartitionMode::Drop,
                 90 * SECOND,
             );
-            partition_from_agents(&mut sim, i, &names[..2], 90 * SECOND);
+            partition_from_agents(&mut sim, i, &machines[..2], 90 * SECOND);
         }
-        partition_from_agents(&mut sim, follower, &names[2..], 90 * SECOND);
+        partition_from_agents(&mut sim, follower, &machines[2..], 90 * SECOND);
         sim.store.refused_controllers = vec![leader, third];
         sim.cloud_unavailable = true;
         let now = sim.now;
@@ -267,7 +271,7 @@
         sim.store.refused_controllers.clear();
         sim.run_seconds(90);
         assert!(
-            (0..6).all(|t| sim.machines_running(&format!("req-1/{t}")).len() == 1),
+            (0..6).all(|task| sim.machines_running(&format!("req-1/{task}")).len() == 1),
             "seed {seed}\n{}",
             sim.dump()
         );
@@ -289,13 +293,13 @@
         sim.store.outage = true;
         sim.run_seconds(4);
         let (leader, follower, third) = controllers_by_role(&sim);
-        for (n, i) in [leader, follower, third, leader, follower]
+        for (step, controller) in [leader, follower, third, leader, follower]
             .into_iter()
             .enumerate()
         {
-            let back = sim.rng.random_range(50_000..400_000);
-            sim.after(n as u64 * 7 * SECOND, move |sim| {
-                sim.crash_controller(i, back)
+            let down_time = sim.rng.random_range(50_000..400_000);
+            sim.after(step as u64 * 7 * SECOND, move |sim| {
+                sim.crash_controller(controller, down_time)
             });
         }
         sim.run_seconds(42);
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -12,13 +12,13 @@
 /// the leader changes. No transaction may exceed the lower limits.
 #[test]
 fn lowered_store_limits_without_notice_are_handled() {
-    let low = StoreLimits {
+    let lowered_limits = StoreLimits {
         value_kb: 2.0,
         txn_ops: 4,
         write_rps: 9.0,
     };
     for seed in 180..184 {
-        let mut sim = Simulation::with_store_limits(seed, 3, 10, 60.0, Some(low));
+        let mut sim = Simulation::with_store_limits(seed, 3, 10, 60.0, Some(lowered_limits));
         sim.run_seconds(8);
         for n in 0..6 {
             let spec = JobSpec {
@@ -30,7 +30,7 @@
             sim.spawn_client(&format!("req-{n}"), spec, 8 * SECOND);
         }
         sim.run_seconds(3);
-        sim.store.limits = Some(low);
+        sim.store.limits = Some(lowered_limits);
         sim.run_seconds(4);
         let leader = sim.leader().unwrap();
         sim.crash_controller(leader, 3 * SECOND);
@@ -59,39 +59,39 @@
         [2, 0, 1],
         [2, 1, 0],
     ];
-    for (n, order) in orders.into_iter().enumerate() {
-        let low = StoreLimits {
+    for (run, order) in orders.into_iter().enumerate() {
+        let lowered_limits = StoreLimits {
             value_kb: 2.0,
             txn_ops: 4,
             write_rps: 20.0,
         };
-        let mut sim = Simulation::with_first_version(200 + n as u64, 5, Some(low));
+        let mut sim = Simulation::with_first_version(200 + run as u64, 5, Some(lowered_limits));
         sim.run_seconds(8);
         sim.spawn_client("req-1", job(JobKind::Array, 130, 0.5), 6 * SECOND);
         sim.spawn_client("req-2", job(JobKind::Service, 2, 1.0), 0);
         sim.spawn_client("req-3", job(JobKind::Array, 2, 1.0), 200 * SECOND);
         sim.run_seconds(6);
-        let upgrade = |sim: &mut Simulation, i: usize| {
-            sim.crash_controller(i, 3 * SECOND);
-            sim.set_first_version(i, false);
+        let upgrade = |sim: &mut Simulation, controller: usize| {
+            sim.crash_controller(controller, 3 * SECOND);
+            sim.set_first_version(controller, false);
             sim.run_seconds(6);
             // The upgraded controller reads records of the first version and gets a job with dependencies, which the first
             // version cannot read.
-            let id = format!("req-9{i}");
+            let id = format!("req-9{controller}");
             let spec = after(&["req-1", "req-3"], job(JobKind::Array, 1, 1.0));
             sim.declare_job(&id, spec, SECOND);
-            sim.submit(i, &id);
+            sim.submit(controller, &id);
             sim.run_seconds(3);
         };
         upgrade(&mut sim, order[0]);
         assert!(
             !sim.jobs
                 .values()
-                .any(|t| t.accepted && !t.spec.needs.is_empty())
+                .any(|truth| truth.accepted && !truth.spec.needs.is_empty())
         );
         sim.crash_controller(order[2], 2 * SECOND);
         sim.run_seconds(6);
-        if n % 2 == 0 {
+        if run % 2 == 0 {
             // A rollback to the first version although the controller has recorded that it reads newer formats, and later a
             // second upgrade.
             sim.crash_controller(order[0], 2 * SECOND);
@@ -102,7 +102,7 @@
             assert!(
                 !sim.jobs
                     .values()
-                    .any(|t| t.accepted && !t.spec.needs.is_empty())
+                    .any(|truth| truth.accepted && !truth.spec.needs.is_empty())
             );
             upgrade(&mut sim, order[0]);
         } else {
@@ -110,9 +110,12 @@
             upgrade(&mut sim, order[2]);
         }
         // The store lowers its limits as soon as all controllers run the new version.
-        sim.store.limits = Some(low);
-        let last = if n % 2 == 0 { order[0] } else { order[2] };
-        assert!(sim.jobs[&format!("req-9{last}")].accepted, "{order:?}");
+        sim.store.limits = Some(lowered_limits);
+        let last_upgraded = if run % 2 == 0 { order[0] } else { order[2] };
+        assert!(
+            sim.jobs[&format!("req-9{last_upgraded}")].accepted,
+            "{order:?}"
+        );
         sim.spawn_client(
             "req-4",
             after(&["req-1"], job(JobKind::Array, 3, 1.0)),
@@ -125,9 +128,12 @@
         assert!(sim.job_done("req-1") && sim.job_done("req-4"), "{order:?}");
         sim.cancel_until_answered("req-3");
         sim.run_seconds(30);
-        sim.poll(0, &format!("req-9{last}"));
+        sim.poll(0, &format!("req-9{last_upgraded}"));
         sim.run_seconds(2);
-        assert_eq!(sim.last_status(&format!("req-9{last}")), "cancelled");
+        assert_eq!(
+            sim.last_status(&format!("req-9{last_upgraded}")),
+            "cancelled"
+        );
         assert_eq!(sim.last_status("req-2"), "running");
         assert_eq!(
             (sim.store.rejected_for_size, sim.store.rejected_for_rate),
@@ -138,44 +144,46 @@
 
 /// Decodes bytes that the first version has written, and lets it decode ours.
 #[test]
-fn first_version_records_keep_their_meaning() {
-    let bytes = |hex: &str| -> Vec<u8> {
+fn first_version_records_and_heartbeats_stay_compatible() {
+    let decode_hex = |hex: &str| -> Vec<u8> {
         let digits = hex.as_bytes().chunks(2);
         digits
-            .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+            .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
             .collect()
     };
-    let job = bytes(OLD_JOB);
-    let rec: JobRecord = decode(&job).unwrap();
-    assert!(rec.spec.needs.is_empty() && rec.spec.tasks == 130);
-    assert_eq!(rec.first.entry(3).unwrap().machine(), Some("n-000231"));
+    let job_bytes = decode_hex(FIRST_VERSION_JOB_RECORD);
+    let record: JobRecord = decode(&job_bytes).unwrap();
+    assert!(record.spec.needs.is_empty() && record.spec.tasks == 130);
+    assert_eq!(record.first.entry(3).unwrap().machine(), Some("n-000231"));
     // The same record encodes to the same bytes again, and the first version reads a record without dependencies.
-    assert_eq!(encode(&rec), job);
-    assert!(decode::<first_version::FirstJobRecord>(&job).is_some());
-    let beat = bytes("086b65726e656c2d31012901ac02014d01");
-    let mut heard = PeerHeartbeat::decode(&beat).unwrap();
-    assert_eq!((heard.format, heard.newest), (1, Some(77)));
-    heard.format = 2;
-    let sent = heard.encode();
-    assert_eq!(PeerHeartbeat::decode(&sent).unwrap().format, 2);
-    let heartbeat: first_version::FirstPeerHeartbeat = postcard::from_bytes(&sent).unwrap();
-    assert_eq!(heartbeat.node, "kernel-1");
-    assert_eq!(first_version::heartbeat(sent), beat);
+    assert_eq!(encode(&record), job_bytes);
+    assert!(decode::<first_version::FirstJobRecord>(&job_bytes).is_some());
+    let heartbeat_bytes = decode_hex("086b65726e656c2d31012901ac02014d01");
+    let mut decoded = PeerHeartbeat::decode(&heartbeat_bytes).unwrap();
+    assert_eq!((decoded.format, decoded.newest), (1, Some(77)));
+    decoded.format = 2;
+    let encoded = decoded.encode();
+    assert_eq!(PeerHeartbeat::decode(&encoded).unwrap().format, 2);
+    let first_version_heartbeat: first_version::FirstPeerHeartbeat =
+        postcard::from_bytes(&encoded).unwrap();
+    assert_eq!(first_version_heartbeat.node, "kernel-1");
+    assert_eq!(first_version::heartbeat(encoded), heartbeat_bytes);
 }
 
-const OLD_JOB: &str = "85a173de0012a6646f636b6574ac636f6c6f75722d7377656570a463726577ad706c6174666f726d2d63726577a57368617065a57377656570a472616e6ba87374616e64617264a6736865657473cc82a463707573cb4018000000000000a56361726473cb3ff0000000000000a96d656d6f72795f6762cb4038000000000000a5706c617465a6696d672d3037a773697a655f6762cb4011000000000000a77072657373657391aa6d656e6869722d626f78a8746f676574686572c2a773636174746572c2a76c6f616e657273c3aa65787065637465645f73cb404ec00000000000a770726f6f665f73cb0000000000000000a773746173685f73cb0000000000000000a56475655f73cb406e000000000000a26174cf000644e4f42bb000a27374a161a3656e6400a16382a16591960302a86e2d3030303233310129c3a164cc80";
+/// A job record as written by the first version, in hexadecimal.
+const FIRST_VERSION_JOB_RECORD: &str = "85a173de0012a6646f636b6574ac636f6c6f75722d7377656570a463726577ad706c6174666f726d2d63726577a57368617065a57377656570a472616e6ba87374616e64617264a6736865657473cc82a463707573cb4018000000000000a56361726473cb3ff0000000000000a96d656d6f72795f6762cb4038000000000000a5706c617465a6696d672d3037a773697a655f6762cb4011000000000000a77072657373657391aa6d656e6869722d626f78a8746f676574686572c2a773636174746572c2a76c6f616e657273c3aa65787065637465645f73cb404ec00000000000a770726f6f665f73cb0000000000000000a773746173685f73cb0000000000000000a56475655f73cb406e000000000000a26174cf000644e4f42bb000a27374a161a3656e6400a16382a16591960302a86e2d3030303233310129c3a164cc80";
 
 /// A gang whose tasks span several records is placed by one transaction, as otherwise some members could start without the
 /// others. A gang that does not fit into one transaction is refused.
 #[test]
 fn wide_gang_is_placed_as_a_whole_under_lower_limits() {
-    let low = StoreLimits {
+    let lowered_limits = StoreLimits {
         value_kb: 2.0,
         txn_ops: 3,
         write_rps: 30.0,
     };
-    let mut sim = Simulation::with_store_limits(195, 3, 6, 60.0, Some(low));
-    sim.store.limits = Some(low);
+    let mut sim = Simulation::with_store_limits(195, 3, 6, 60.0, Some(lowered_limits));
+    sim.store.limits = Some(lowered_limits);
     sim.run_seconds(8);
     sim.spawn_client("req-1", job(JobKind::Gang, 130, 0.125), 6 * SECOND);
     sim.declare_job("req-2", job(JobKind::Gang, 145, 0.125), SECOND);
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -14,12 +14,12 @@
     id: &str,
     kind: JobKind,
     tasks: u32,
-    run: u64,
-    apart: u64,
+    run_time: u64,
+    run_time_step: u64,
 ) {
-    sim.spawn_client(id, job(kind, tasks, 1.0), run);
+    sim.spawn_client(id, job(kind, tasks, 1.0), run_time);
     if let Some(truth) = sim.jobs.get_mut(id) {
-        truth.run_time_step = apart;
+        truth.run_time_step = run_time_step;
     }
 }
 
@@ -28,7 +28,7 @@
 /// flight: late pages of the first listing make the second one skip keys that it has not read.
 #[test]
 fn controller_behind_a_compacted_log_relists_and_forgets_no_job() {
-    let mut anew = 0;
+    let mut relisting_runs = 0;
     for seed in 0..12 {
         let mut sim = simulation_with_leader(2400 + seed, 5);
         for n in 0..16 {
@@ -41,13 +41,13 @@
         sim.run_seconds(10);
         let leader = sim.leader().expect("no leader");
         // The store refuses the leader for less than its lease, or a follower for longer.
-        let (i, dt) = match seed % 2 {
+        let (refused, refused_s) = match seed % 2 {
             0 => (leader, 3),
             _ => ((leader + 1) % 3, 12),
         };
         sim.store.history_limit = Some(6);
-        sim.store.refused_controllers.push(i);
-        let others: Vec<usize> = (0..3).filter(|n| *n != i).collect();
+        sim.store.refused_controllers.push(refused);
+        let others: Vec<usize> = (0..3).filter(|n| *n != refused).collect();
         for n in 0..12 {
             sim.spawn_client_at(
                 &others,
@@ -56,27 +56,27 @@
                 300 * SECOND,
             );
         }
-        sim.run_seconds(dt);
+        sim.run_seconds(refused_s);
         sim.store.refused_controllers.clear();
         sim.store_delay = 60_000;
-        let before = sim.store.compacted_reads;
+        let compacted_reads_before = sim.store.compacted_reads;
         for step in 0..60 {
             sim.after(step * 50_000, move |sim: &mut Simulation| {
                 for n in 0..16 {
-                    sim.poll(i, &format!("req-{}", 100 + n));
+                    sim.poll(refused, &format!("req-{}", 100 + n));
                 }
             });
         }
         sim.run_micros(2_500_000);
         // The polls must not restart the listing, which would then never finish.
         assert_eq!(
-            sim.cached_jobs(i),
+            sim.cached_jobs(refused),
             28,
-            "seed {seed}: controller {i} has not cached all jobs while clients poll\n{}",
+            "seed {seed}: controller {refused} has not cached all jobs while clients poll\n{}",
             sim.dump()
         );
         sim.run_seconds(6);
-        anew += usize::from(sim.store.compacted_reads > before);
+        relisting_runs += usize::from(sim.store.compacted_reads > compacted_reads_before);
         sim.store_delay = 0;
         sim.store.history_limit = None;
         sim.run_seconds(5);
@@ -90,8 +90,8 @@
         }
     }
     assert!(
-        anew >= 6,
-        "only {anew} of 12 runs listed the records again, expected 6"
+        relisting_runs >= 6,
+        "only {relisting_runs} of 12 runs listed the records again, expected at least 6"
     );
 }
 
@@ -103,14 +103,14 @@
 fn old_leader_still_reached_by_agents_and_clients_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(2500 + seed, 5);
-        let red = |tasks| JobSpec {
+        let red_team_array = |tasks| JobSpec {
             team: "red".into(),
             ..job(JobKind::Array, tasks, 2.0)
         };
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 4, 1.0), 300 * SECOND);
-        sim.spawn_client("req-3", red(6), 40 * SECOND);
-        sim.spawn_client("req-4", red(4), 30 * SECOND);
+        sim.spawn_client("req-3", red_team_array(6), 40 * SECOND);
+        sim.spawn_client("req-4", red_team_array(4), 30 * SECOND);
         submit_with_staggered_ends(
             &mut sim,
             "req-5",
@@ -122,20 +122,27 @@
         sim.run_seconds(10);
         let leader = sim.leader().expect("no leader");
         let others = [(leader + 1) % 3, (leader + 2) % 3];
-        let how = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
-        let dt = sim.rng.random_range(12..55) * SECOND;
-        sim.partition(Endpoint::Controller(leader), Endpoint::Store, how, dt);
+        let mode = [PartitionMode::Drop, PartitionMode::Delay][seed as usize % 2];
+        let duration = sim.rng.random_range(12..55) * SECOND;
+        sim.partition(
+            Endpoint::Controller(leader),
+            Endpoint::Store,
+            mode,
+            duration,
+        );
         for other in others {
             sim.partition(
                 Endpoint::Controller(leader),
                 Endpoint::Controller(other),
-                how,
-                dt,
+                mode,
+                duration,
             );
         }
-        let at = sim.rng.random_range(4 * SECOND..9 * SECOND);
-        sim.after(at, move |sim| sim.cancel(others[0], "req-2"));
-        sim.after(at + 4 * SECOND, move |sim| sim.cancel(others[1], "req-2"));
+        let cancelled_at = sim.rng.random_range(4 * SECOND..9 * SECOND);
+        sim.after(cancelled_at, move |sim| sim.cancel(others[0], "req-2"));
+        sim.after(cancelled_at + 4 * SECOND, move |sim| {
+            sim.cancel(others[1], "req-2")
+        });
         for second in 0..80 {
             sim.after(second * SECOND, move |sim| {
                 for n in 1..6 {
@@ -148,7 +155,7 @@
                 }
             });
         }
-        sim.spawn_client_at(&others, "req-6", red(3), 10 * SECOND);
+        sim.spawn_client_at(&others, "req-6", red_team_array(3), 10 * SECOND);
         sim.run_seconds(150);
         sim.assert_cancelled(seed, &["req-2"]);
         for id in ["req-3", "req-4", "req-5", "req-6"] {
@@ -170,15 +177,15 @@
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2540 + seed, 5);
         for n in 0..6 {
-            let (tasks, gap) = (2 + n % 2, sim.rng.random_range(4..14) * SECOND);
-            let run = sim.rng.random_range(2..6) * SECOND;
+            let (tasks, run_time_step) = (2 + n % 2, sim.rng.random_range(4..14) * SECOND);
+            let run_time = sim.rng.random_range(2..6) * SECOND;
             submit_with_staggered_ends(
                 &mut sim,
                 &format!("req-{n}"),
                 JobKind::Array,
                 tasks,
-                run,
-                gap,
+                run_time,
+                run_time_step,
             );
         }
         let gang = JobSpec {
@@ -189,15 +196,15 @@
         sim.run_seconds(4);
         for step in 0..sim.rng.random_range(1..5u64) {
             let at = step * 7 * SECOND + sim.rng.random_range(0..7 * SECOND);
-            let back = [20_000, 400_000, 5 * SECOND][sim.rng.random_range(0..3)];
+            let down_time = [20_000, 400_000, 5 * SECOND][sim.rng.random_range(0..3)];
             sim.after(at, move |sim| {
                 let leader = sim.leader().unwrap_or(0);
-                sim.crash_controller(leader, back);
+                sim.crash_controller(leader, down_time);
             });
             if sim.rng.random_bool(0.5) {
-                let lost = sim.rng.random_range(200_000..2 * SECOND);
-                sim.after(at.saturating_sub(lost / 2), move |sim| {
-                    let until = sim.now + lost;
+                let loss_duration = sim.rng.random_range(200_000..2 * SECOND);
+                sim.after(at.saturating_sub(loss_duration / 2), move |sim| {
+                    let until = sim.now + loss_duration;
                     sim.lost_answers_from.push((Endpoint::Store, until));
                 });
             }
@@ -281,33 +288,34 @@
         sim.spawn_client("req-4", job(JobKind::Gang, 2, 2.0), 60 * SECOND);
         sim.run_seconds(10);
         let leader = sim.leader().expect("no leader");
-        let others = [(leader + 1) % 3, (leader + 2) % 3];
-        let dt = sim.rng.random_range(6..50) * SECOND;
-        let until = sim.now + dt;
+        let followers = [(leader + 1) % 3, (leader + 2) % 3];
+        let duration = sim.rng.random_range(6..50) * SECOND;
+        let until = sim.now + duration;
         for machine in sim.machine_names().into_iter().take(3) {
             match seed % 4 {
                 0 => sim.agents.get_mut(&machine).unwrap().hung_until = until,
                 1 => sim.faults.drop_all_deliveries(&machine, until),
-                2 => others.iter().for_each(|o| {
+                2 => followers.iter().for_each(|follower| {
                     sim.partition(
-                        Endpoint::Controller(*o),
+                        Endpoint::Controller(*follower),
                         Endpoint::Agent(machine.clone()),
                         PartitionMode::Delay,
-                        dt,
+                        duration,
                     );
                 }),
-                _ => others.iter().for_each(|o| {
-                    let what = [
+                _ => followers.iter().for_each(|follower| {
+                    let dropped = [
                         DroppedDelivery::HeartbeatResponses,
                         DroppedDelivery::Commands,
                     ];
-                    sim.faults.drop_deliveries(&machine, Some(*o), &what, until);
+                    sim.faults
+                        .drop_deliveries(&machine, Some(*follower), &dropped, until);
                 }),
             }
         }
         let at = sim.rng.random_range(0..4 * SECOND);
-        let back = [30_000, 9 * SECOND, 40 * SECOND][seed as usize / 4 % 3];
-        sim.after(at, move |sim| sim.crash_controller(leader, back));
+        let down_time = [30_000, 9 * SECOND, 40 * SECOND][seed as usize / 4 % 3];
+        sim.after(at, move |sim| sim.crash_controller(leader, down_time));
         let at = sim.rng.random_range(0..12 * SECOND);
         sim.after(at, |sim| sim.cancel_until_answered("req-3"));
         sim.run_seconds(220);
@@ -346,24 +354,25 @@
         }
         for step in 0..3 {
             let at = step * 6 * SECOND + sim.rng.random_range(0..3 * SECOND);
-            let back = sim.rng.random_range(20_000..900_000);
+            let down_time = sim.rng.random_range(20_000..900_000);
             // The leader crashes and its successor is paused, so that leadership can return to the first one.
             sim.after(at, move |sim| {
                 let leader = sim.leader().unwrap_or(1);
-                sim.crash_controller(leader, back);
+                sim.crash_controller(leader, down_time);
             });
             sim.after(at + 2 * SECOND, |sim| {
                 let leader = sim.leader().unwrap_or(0);
                 sim.pause_controller(leader, 3 * SECOND);
             });
         }
-        let back: Vec<u64> = (0..3)
+        let down_times: Vec<u64> = (0..3)
             .map(|_| sim.rng.random_range(20_000..9 * SECOND))
             .collect();
         sim.after(19 * SECOND, move |sim| {
-            back.iter()
+            down_times
+                .iter()
                 .enumerate()
-                .for_each(|(i, b)| sim.crash_controller(i, *b));
+                .for_each(|(i, down_time)| sim.crash_controller(i, *down_time));
         });
         let at = sim.rng.random_range(2..24) * SECOND;
         sim.after(at, |sim| sim.cancel_until_answered("req-3"));
@@ -388,21 +397,23 @@
     for seed in 0..32 {
         let mut sim = simulation_with_leader(2700 + seed, 3);
         sim.no_capacity = true;
-        let low = JobSpec {
+        let low_priority_array = JobSpec {
             checkpoint_s: 5.0,
             save_s: 2.0,
             priority: Priority::Low,
             ..job(JobKind::Array, 9, 2.0)
         };
-        sim.spawn_client("req-2", low.clone(), 25 * SECOND);
-        sim.spawn_client("req-3", low, 25 * SECOND);
+        sim.spawn_client("req-2", low_priority_array.clone(), 25 * SECOND);
+        sim.spawn_client("req-3", low_priority_array, 25 * SECOND);
         for step in 0..10u64 {
-            let held = sim.rng.random_range(SECOND..9 * SECOND);
-            let dt = sim.rng.random_range(SECOND..5 * SECOND);
-            sim.after(step * 5 * SECOND, move |sim| sim.command_delay = Some(held));
-            sim.after(step * 5 * SECOND + dt, |sim| sim.command_delay = None);
+            let delay = sim.rng.random_range(SECOND..9 * SECOND);
+            let duration = sim.rng.random_range(SECOND..5 * SECOND);
+            sim.after(step * 5 * SECOND, move |sim| {
+                sim.command_delay = Some(delay)
+            });
+            sim.after(step * 5 * SECOND + duration, |sim| sim.command_delay = None);
             if step % 3 == 1 {
-                sim.after(step * 5 * SECOND + dt / 2, |sim| {
+                sim.after(step * 5 * SECOND + duration / 2, |sim| {
                     for i in 0..3 {
                         for machine in sim.machine_names().into_iter().take(2) {
                             sim.partition(
@@ -418,13 +429,13 @@
         }
         for n in 0..4 {
             // The gang preempts some tasks of req-2 and req-3, which start again later.
-            let high = JobSpec {
+            let high_priority_gang = JobSpec {
                 priority: Priority::High,
                 ..job(JobKind::Gang, 1, 8.0)
             };
             let id = format!("req-{}", 10 + n);
             sim.after(n * 11 * SECOND + 6 * SECOND, move |sim| {
-                sim.spawn_client(&id, high, 6 * SECOND)
+                sim.spawn_client(&id, high_priority_gang, 6 * SECOND)
             });
         }
         let at = sim.rng.random_range(8..40) * SECOND;
@@ -461,10 +472,10 @@
         sim.run_seconds(20);
         sim.cancel_until_answered("req-4");
         for step in 0..sim.rng.random_range(0..4u64) {
-            let (at, back) = (step * 8 * SECOND, sim.rng.random_range(20_000..4 * SECOND));
+            let (at, down_time) = (step * 8 * SECOND, sim.rng.random_range(20_000..4 * SECOND));
             sim.after(at, move |sim| {
                 let leader = sim.leader().unwrap_or(0);
-                sim.crash_controller(leader, back);
+                sim.crash_controller(leader, down_time);
             });
         }
         if seed % 4 == 0 {
@@ -543,11 +554,11 @@
         }
         sim.run_seconds(12);
         let at = sim.rng.random_range(0..4 * SECOND);
-        let back = [20_000, 300_000, 900_000, 100 * SECOND][seed as usize % 4];
-        sim.after(at, move |sim| sim.crash_controller(follower, back));
+        let down_time = [20_000, 300_000, 900_000, 100 * SECOND][seed as usize % 4];
+        sim.after(at, move |sim| sim.crash_controller(follower, down_time));
         if seed % 3 == 0 {
             sim.after(at + 3 * SECOND, move |sim| {
-                sim.crash_controller(follower, back)
+                sim.crash_controller(follower, down_time)
             });
         }
         sim.run_seconds(150);
@@ -565,7 +576,7 @@
 /// Batches are deleted once merged, and their numbers are reused.
 #[test]
 fn reordered_placement_batches_break_no_invariant() {
-    let mut bundled = 0;
+    let mut batch_records = 0;
     for seed in 0..32 {
         let mut sim = Simulation::with_write_rate(2880 + seed, 3, 6, 9.0);
         sim.run_seconds(8);
@@ -597,7 +608,7 @@
         }
         for _ in 0..50 {
             sim.run_seconds(1);
-            bundled += sim.store.count_keys_under("wt/b/");
+            batch_records += sim.store.count_keys_under("wt/b/");
         }
         sim.faults.clear();
         sim.run_seconds(200);
@@ -616,8 +627,8 @@
         );
     }
     assert!(
-        bundled > 100,
-        "{bundled} batch records seen, expected more than 100"
+        batch_records > 100,
+        "{batch_records} batch records seen, expected more than 100"
     );
 }
 
--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -21,9 +21,9 @@
     sim.leader().unwrap_or(0)
 }
 
-fn crash_leader(sim: &mut Simulation, back: u64) {
+fn crash_leader(sim: &mut Simulation, down_time: u64) {
     let leader = current_leader(sim);
-    sim.crash_controller(leader, back);
+    sim.crash_controller(leader, down_time);
 }
 
 fn assert_done(sim: &Simulation, seed: u64, ids: &[&str]) {
@@ -36,24 +36,24 @@
 /// task may be started there; cancelled tasks are stopped by command, and the other tasks run elsewhere, once. Fails if such
 /// an answer makes the machine eligible for new tasks.
 #[test]
-fn silent_machines_get_stops_and_no_starts() {
-    let mut stopped = 0;
+fn machines_without_heartbeats_are_sent_stops_but_no_starts() {
+    let mut runs_stopped_by_command = 0;
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5000 + seed, 4);
         sim.no_capacity = true;
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.run_seconds(10);
-        let silent: Vec<String> = sim
+        let silent_machines: Vec<String> = sim
             .machine_names()
             .into_iter()
             .take(1 + seed as usize % 2)
             .collect();
-        let from = sim.now;
-        let until = from + 28 * SECOND;
-        silent
+        let silent_from = sim.now;
+        let silent_until = silent_from + 28 * SECOND;
+        silent_machines
             .iter()
-            .for_each(|m| sim.faults.silence_heartbeats(m, until));
+            .for_each(|machine| sim.faults.silence_heartbeats(machine, silent_until));
         // A job is submitted every second.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
@@ -66,14 +66,15 @@
             sim.after(5 * SECOND, |sim| crash_leader(sim, 50_000));
         }
         sim.run_seconds(5);
-        stopped += usize::from(sim.running_instances("req-2") == 0);
+        runs_stopped_by_command += usize::from(sim.running_instances("req-2") == 0);
         sim.run_seconds(22);
         // A heartbeat makes a machine eligible for 2.5 intervals of 2 s; a start and fetching its image take
         // little more than two seconds.
-        let late =
-            |b: &&simulation::TaskStart| silent.contains(&b.machine) && b.at > from + 9 * SECOND;
-        let late: Vec<_> = sim.task_starts.iter().filter(late).collect();
-        assert!(late.is_empty(), "seed {seed}: {late:?}");
+        let is_late_start = |start: &&simulation::TaskStart| {
+            silent_machines.contains(&start.machine) && start.at > silent_from + 9 * SECOND
+        };
+        let late_starts: Vec<_> = sim.task_starts.iter().filter(is_late_start).collect();
+        assert!(late_starts.is_empty(), "seed {seed}: {late_starts:?}");
         sim.run_seconds(90);
         sim.assert_cancelled(seed, &["req-2"]);
         assert_eq!(
@@ -87,8 +88,8 @@
         }
     }
     assert!(
-        stopped >= 12,
-        "cancelled tasks were stopped within 5 s, before a lease expires, in {stopped} of 24 runs, expected at least 12"
+        runs_stopped_by_command >= 12,
+        "cancelled tasks were stopped within 5 s, before a lease expires, in {runs_stopped_by_command} of 24 runs, expected at least 12"
     );
 }
 
@@ -117,8 +118,8 @@
             .into_iter()
             .chain(sim.machines_running("req-1/1"));
         let machines: Vec<String> = machines.collect();
-        let dt = sim.rng.random_range(4..45) * SECOND;
-        let until = sim.now + dt;
+        let duration = sim.rng.random_range(4..45) * SECOND;
+        let until = sim.now + duration;
         for machine in &machines {
             match seed % 4 {
                 0 => (0..3).for_each(|i| {
@@ -126,7 +127,7 @@
                         Endpoint::Controller(i),
                         Endpoint::Agent(machine.clone()),
                         PartitionMode::Delay,
-                        dt,
+                        duration,
                     )
                 }),
                 1 => {
@@ -144,8 +145,8 @@
         sim.after(at + SECOND, |sim| sim.cancel_until_answered("req-1"));
         for step in 0..1 + seed % 3 {
             let at = sim.rng.random_range(0..8 * SECOND) + step * 6 * SECOND;
-            let back = [20_000, 500_000, 6 * SECOND][sim.rng.random_range(0..3)];
-            sim.after(at, move |sim| crash_leader(sim, back));
+            let down_time = [20_000, 500_000, 6 * SECOND][sim.rng.random_range(0..3)];
+            sim.after(at, move |sim| crash_leader(sim, down_time));
         }
         sim.run_seconds(60);
         sim.faults.clear();
@@ -175,9 +176,9 @@
                 ids[n].clone(),
                 at + sim.rng.random_range(50_000..4 * SECOND),
             );
-            let node = sim.rng.random_range(0..3);
+            let controller = sim.rng.random_range(0..3);
             sim.after(at, move |sim| {
-                sim.cancel(node, &id);
+                sim.cancel(controller, &id);
                 sim.cancel_until_answered(&id);
             });
         }
@@ -196,10 +197,10 @@
                     PartitionMode::Delay,
                     9 * SECOND,
                 );
-                for o in (0..3).filter(|o| *o != leader) {
+                for peer in (0..3).filter(|peer| *peer != leader) {
                     sim.partition(
                         Endpoint::Controller(leader),
-                        Endpoint::Controller(o),
+                        Endpoint::Controller(peer),
                         PartitionMode::Delay,
                         9 * SECOND,
                     );
@@ -345,12 +346,12 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..480u64 {
             let id = format!("req-{}", 1000 + n);
-            let run = sim.rng.random_range(SECOND..5 * SECOND);
-            let cancelled = (n % 4 == 0).then(|| sim.rng.random_range(0..6 * SECOND));
+            let run_time = sim.rng.random_range(SECOND..5 * SECOND);
+            let cancel_delay = (n % 4 == 0).then(|| sim.rng.random_range(0..6 * SECOND));
             sim.after(n * SECOND / 4, move |sim| {
-                sim.spawn_client(&id, job(JobKind::Array, 1, 0.5), run);
-                if let Some(at) = cancelled {
-                    sim.after(at, move |sim| sim.cancel_until_answered(&id));
+                sim.spawn_client(&id, job(JobKind::Array, 1, 0.5), run_time);
+                if let Some(delay) = cancel_delay {
+                    sim.after(delay, move |sim| sim.cancel_until_answered(&id));
                 }
             });
         }
@@ -369,8 +370,9 @@
         sim.run_seconds(60);
         let jobs = sim.jobs.iter().filter(|(id, _)| id.len() == 8);
         for (id, truth) in jobs {
-            let over = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-            assert!(over, "seed {seed}: {id}\n{}", sim.dump());
+            let finished =
+                truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
+            assert!(finished, "seed {seed}: {id}\n{}", sim.dump());
         }
         assert_eq!(
             sim.running_instances("req-1"),
@@ -390,35 +392,45 @@
 /// For longer than a lease, a zone with agents and a controller is partitioned, or all controllers are down or paused. A job
 /// is cancelled meanwhile.
 #[test]
-fn absence_longer_than_a_lease_breaks_no_invariant() {
+fn unavailability_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5340 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.spawn_client("req-3", red_team_array(6, 2.0), 90 * SECOND);
         sim.run_seconds(10);
-        let dt = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
-        let how = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
+        let duration = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
+        let mode = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
         if seed % 2 == 0 {
             // Controller 1 and every second machine are in zone b.
             let zone_b: Vec<String> = sim
                 .agents
                 .values()
-                .filter(|x| x.zone == "b")
-                .map(|x| x.name.clone())
+                .filter(|agent| agent.zone == "b")
+                .map(|agent| agent.name.clone())
                 .collect();
             for i in [0, 2] {
-                sim.partition(Endpoint::Controller(1), Endpoint::Controller(i), how, dt);
-                zone_b.iter().for_each(|m| {
-                    sim.partition(Endpoint::Controller(i), Endpoint::Agent(m.clone()), how, dt)
+                sim.partition(
+                    Endpoint::Controller(1),
+                    Endpoint::Controller(i),
+                    mode,
+                    duration,
+                );
+                zone_b.iter().for_each(|machine| {
+                    sim.partition(
+                        Endpoint::Controller(i),
+                        Endpoint::Agent(machine.clone()),
+                        mode,
+                        duration,
+                    )
                 });
             }
-            sim.partition(Endpoint::Controller(1), Endpoint::Store, how, dt);
-            sim.partition(Endpoint::Controller(1), Endpoint::Cloud, how, dt);
+            sim.partition(Endpoint::Controller(1), Endpoint::Store, mode, duration);
+            sim.partition(Endpoint::Controller(1), Endpoint::Cloud, mode, duration);
         } else if seed % 4 == 1 {
-            (0..3).for_each(|i| sim.crash_controller(i, dt + i as u64 * 100_000));
+            (0..3).for_each(|i| sim.crash_controller(i, duration + i as u64 * 100_000));
         } else {
-            (0..3).for_each(|i| sim.pause_controller(i, dt));
+            (0..3).for_each(|i| sim.pause_controller(i, duration));
         }
         sim.after(3 * SECOND, |sim| sim.cancel_until_answered("req-2"));
         if seed % 3 == 0 {
@@ -449,7 +461,7 @@
         let mut sim = simulation_with_leader(5400 + seed, 4);
         sim.no_capacity = true;
         sim.faults.max_link_delay = [200_000, 700_000][seed as usize % 2];
-        let low = |tasks| JobSpec {
+        let low_priority_array = |tasks| JobSpec {
             priority: Priority::Low,
             checkpoint_s: 2.0,
             save_s: 1.0,
@@ -461,8 +473,8 @@
             save_s: 1.0,
             ..job(JobKind::Gang, 2, 4.0)
         };
-        sim.spawn_client("req-1", low(16), 9 * SECOND);
-        sim.spawn_client("req-2", low(8), 6 * SECOND);
+        sim.spawn_client("req-1", low_priority_array(16), 9 * SECOND);
+        sim.spawn_client("req-2", low_priority_array(8), 6 * SECOND);
         for n in 0..5u64 {
             let id = format!("req-{}", 10 + n);
             let spec = gang([Priority::High, Priority::Normal][n as usize % 2]);
@@ -470,11 +482,13 @@
                 sim.spawn_client(&id, spec, 5 * SECOND)
             });
         }
-        let top = JobSpec {
+        let production_service = JobSpec {
             priority: Priority::Production,
             ..job(JobKind::Service, 2, 2.0)
         };
-        sim.after(7 * SECOND, move |sim| sim.spawn_client("req-3", top, 0));
+        sim.after(7 * SECOND, move |sim| {
+            sim.spawn_client("req-3", production_service, 0)
+        });
         if seed % 2 == 0 {
             sim.after(11 * SECOND, |sim| crash_leader(sim, 300_000));
         }
@@ -502,15 +516,19 @@
 fn zone_bound_jobs_recover_from_machine_loss() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5440 + seed, 6);
-        let bound = |kind, tasks, zone: Option<&str>| JobSpec {
+        let zone_bound = |kind, tasks, zone: Option<&str>| JobSpec {
             one_zone: zone.is_none(),
             zone: zone.map(str::to_string),
             ..job(kind, tasks, 2.0)
         };
-        sim.spawn_client("req-1", bound(JobKind::Array, 6, None), 12 * SECOND);
-        sim.spawn_client("req-2", bound(JobKind::Array, 5, Some("a")), 12 * SECOND);
-        sim.spawn_client("req-3", bound(JobKind::Gang, 3, None), 12 * SECOND);
-        sim.spawn_client("req-4", bound(JobKind::Service, 3, None), 0);
+        sim.spawn_client("req-1", zone_bound(JobKind::Array, 6, None), 12 * SECOND);
+        sim.spawn_client(
+            "req-2",
+            zone_bound(JobKind::Array, 5, Some("a")),
+            12 * SECOND,
+        );
+        sim.spawn_client("req-3", zone_bound(JobKind::Gang, 3, None), 12 * SECOND);
+        sim.spawn_client("req-4", zone_bound(JobKind::Service, 3, None), 0);
         let spread = JobSpec {
             spread: true,
             ..job(JobKind::Service, 5, 1.0)
@@ -520,8 +538,8 @@
         for step in 0..4u64 {
             let at = step * 5 * SECOND;
             sim.after(at, move |sim| {
-                let names = sim.machine_names();
-                let machine = names[sim.rng.random_range(0..names.len())].clone();
+                let machines = sim.machine_names();
+                let machine = machines[sim.rng.random_range(0..machines.len())].clone();
                 let until = sim.now + sim.rng.random_range(5..25) * SECOND;
                 match (seed + step) % 3 {
                     0 => {
@@ -573,9 +591,10 @@
         }
         let at = sim.rng.random_range(200_000..3 * SECOND);
         sim.run_micros(at);
-        let hang = [LEASE_S - 3, LEASE_S + 4, CANCEL_DEADLINE_S + 5][seed as usize % 3] * SECOND;
-        let all = ids.clone();
-        sim.cancel_burst(&all, hang);
+        let hang_time =
+            [LEASE_S - 3, LEASE_S + 4, CANCEL_DEADLINE_S + 5][seed as usize % 3] * SECOND;
+        let cancelled_jobs = ids.clone();
+        sim.cancel_burst(&cancelled_jobs, hang_time);
         if seed % 2 == 0 {
             let at = sim.rng.random_range(0..4 * SECOND);
             sim.after(at, |sim| crash_leader(sim, 50_000));
@@ -643,7 +662,7 @@
 /// Duplicates of heartbeats arrive late at all controllers, while a machine hangs for longer than a lease and the leader
 /// changes. An old duplicate proves neither that a task still runs nor that it has ended.
 #[test]
-fn duplicates_everywhere_keep_the_quota() {
+fn quota_holds_despite_late_duplicate_heartbeats() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5600 + seed, 5);
         sim.faults.heartbeat_duplication = Some(Duplication {
