--- a/src/agents/lease_expiry.rs
+++ b/src/agents/lease_expiry.rs
@@ -124,14 +124,14 @@
     /// the worst case; returns the time of the next check.
     fn expire_unseen_agents(&mut self, earlier_terms_end: Micros, now: Micros) -> Micros {
         if self.unseen_agent_leases_expired {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         if now < earlier_terms_end {
             return earlier_terms_end;
         }
         self.unseen_agent_leases_expired = true;
         self.dirty = true;
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 
     fn check_lease(
@@ -210,7 +210,7 @@
                 last_seen.version = *version;
                 last_seen.seen_at = now;
             } else if now.since(last_seen.seen_at)
-                > RECORD_REFRESH_INTERVAL.times(MISSED_RENEWAL_RECORDS)
+                > RECORD_REFRESH_INTERVAL.scale(MISSED_RENEWAL_RECORDS)
                 && !self.term_raise_pending
             {
                 log::info!("delegated renewals revoked follower={node} reason=no_record");
--- a/src/cloud/scale_in.rs
+++ b/src/cloud/scale_in.rs
@@ -145,7 +145,7 @@
         let params = &self.snapshot.settings.params;
         let boot_timeout = self
             .boot_time(machine)
-            .times(self.snapshot.policy.boot_timeout_factor);
+            .scale(self.snapshot.policy.boot_timeout_factor);
         // A new leader does not know all machines yet: a running one may still send its heartbeats to an earlier
         // leader.
         let takeover = if machine.running {
@@ -202,7 +202,7 @@
             .ended_with_tasks()
             .filter_map(|id| cache.jobs.get_key_value(id));
         for (id, job) in ended_jobs {
-            let is_due = self.snapshot.clock.wall >= job.record.end + delay;
+            let is_due = self.snapshot.clock.wall >= job.record.ended_at + delay;
             if job.record.stage != JobStage::Cancelled || !is_due {
                 continue;
             }
--- a/src/leadership/delegated_renewal/renewals_record.rs
+++ b/src/leadership/delegated_renewal/renewals_record.rs
@@ -59,9 +59,9 @@
         let limits = &self.settings.params.state;
         let machines = self.renewals.last_renewals.keys();
         let mut parts =
-            RenewalsRecord::split(leadership.term, machines, limits.least_value_bytes());
+            RenewalsRecord::split(leadership.term, machines, limits.effective_value_bytes());
         // Machines that do not fit into one transaction are left out, so their leases are not renewed.
-        parts.truncate(limits.least_txn_ops());
+        parts.truncate(limits.effective_txn_ops());
         let named: Vec<String> = parts.iter().flat_map(RenewalsRecord::machines).collect();
         let stored_parts = self.cache.renewals_of(&self.settings.node);
         let empty = RenewalsRecord::new(leadership.term, [].into_iter());
@@ -211,7 +211,7 @@
     /// again.
     pub fn maintain_renewals(&mut self, clock: Clock) -> Micros {
         if self.renewals.write_in_flight {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         }
         let lease_s = self.settings.params.agents.lease_s;
         let lease = Micros::secs(lease_s * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_S);
@@ -242,7 +242,7 @@
         }
         let last_renewals = renewals.last_renewals.values();
         let next_expiry = last_renewals.map(|renewed_at| *renewed_at + lease).min();
-        next_expiry.unwrap_or(Micros::FAR).min(refresh_at)
+        next_expiry.unwrap_or(Micros::FAR_FUTURE).min(refresh_at)
     }
 
     /// Clears the record of an earlier incarnation of this controller once the leases that it renewed have expired;
@@ -265,7 +265,7 @@
         let Some(leadership) =
             leadership.filter(|leadership| recorded_term == Some(leadership.term))
         else {
-            return Micros::FAR;
+            return Micros::FAR_FUTURE;
         };
         let expired_at = self.started_at + lease;
         let retry_at = self.renewals.last_write_at + CLEAR_RETRY_INTERVAL;
@@ -274,6 +274,6 @@
         }
         self.renewals.leadership = leadership;
         self.write_renewals_record(clock);
-        Micros::FAR
+        Micros::FAR_FUTURE
     }
 }
--- a/src/records/pending_write.rs
+++ b/src/records/pending_write.rs
@@ -87,10 +87,10 @@
             if done_count >= job.record.spec.tasks as u64 {
                 return schedule(Micros::ZERO, Micros::ZERO);
             }
-            return schedule(COMPLETION_MERGE_DELAY, COMPLETION_MERGE_DELAY.times(2.0));
+            return schedule(COMPLETION_MERGE_DELAY, COMPLETION_MERGE_DELAY.scale(2.0));
         }
         if self.remove_entries {
-            return schedule(CLEANUP_DELAY, CLEANUP_DELAY.times(3.0));
+            return schedule(CLEANUP_DELAY, CLEANUP_DELAY.scale(3.0));
         }
         schedule(Micros::ZERO, BATCH_MERGE_DEADLINE)
     }
--- a/tests/failure_scenarios/version_upgrades.rs
+++ b/tests/failure_scenarios/version_upgrades.rs
@@ -87,7 +87,7 @@
         assert!(
             !sim.jobs
                 .values()
-                .any(|truth| truth.accepted && !truth.spec.needs.is_empty())
+                .any(|truth| truth.accepted && !truth.spec.dependencies.is_empty())
         );
         sim.crash_controller(order[2], 2 * SECOND);
         sim.run_seconds(6);
@@ -102,7 +102,7 @@
             assert!(
                 !sim.jobs
                     .values()
-                    .any(|truth| truth.accepted && !truth.spec.needs.is_empty())
+                    .any(|truth| truth.accepted && !truth.spec.dependencies.is_empty())
             );
             upgrade(&mut sim, order[0]);
         } else {
@@ -153,14 +153,17 @@
     };
     let job_bytes = decode_hex(FIRST_VERSION_JOB_RECORD);
     let record: JobRecord = decode(&job_bytes).unwrap();
-    assert!(record.spec.needs.is_empty() && record.spec.tasks == 130);
-    assert_eq!(record.first.entry(3).unwrap().machine(), Some("n-000231"));
+    assert!(record.spec.dependencies.is_empty() && record.spec.tasks == 130);
+    assert_eq!(
+        record.first_chunk.entry(3).unwrap().machine(),
+        Some("n-000231")
+    );
     // The same record encodes to the same bytes again, and the first version reads a record without dependencies.
     assert_eq!(encode(&record), job_bytes);
     assert!(decode::<first_version::FirstJobRecord>(&job_bytes).is_some());
     let heartbeat_bytes = decode_hex("086b65726e656c2d31012901ac02014d01");
     let mut decoded = PeerHeartbeat::decode(&heartbeat_bytes).unwrap();
-    assert_eq!((decoded.format, decoded.newest), (1, Some(77)));
+    assert_eq!((decoded.format, decoded.newest_revision), (1, Some(77)));
     decoded.format = 2;
     let encoded = decoded.encode();
     assert_eq!(PeerHeartbeat::decode(&encoded).unwrap().format, 2);
