--- a/benches/heartbeats.rs
+++ b/benches/heartbeats.rs
@@ -69,7 +69,7 @@
             leader_version: 12,
             first_entry: batch.from,
             next_entry: batch.next,
-            has_more: batch.more,
+            has_more: batch.has_more,
             jobs: batch.jobs,
             peer_coverage_ages: vec![("kernel-0".into(), 40_000), ("kernel-2".into(), 700_000)],
         }),
--- a/crates/lease-delegation/tests/cancellation_model.rs
+++ b/crates/lease-delegation/tests/cancellation_model.rs
@@ -1,13 +1,13 @@
 //! Model of the exchange of cancellations, explored exhaustively.
 //!
-//! The store refuses controller L, which serves one agent with tasks of two jobs. Controller F confirms cancellations to
-//! clients; controller T stands beside them. F and T may read the records at any moment, or never again; F crashes and
-//! restarts; reports to L are delayed, lost, duplicated, or carry one job at a time. Each step of the argument is also
-//! left out, and the exploration must then find a violation.
+//! The store does not serve controller L, which renews the lease of one agent with tasks of two jobs. Controller F
+//! confirms cancellations to clients, and controller T forwards them to L. F and T may read the records at any time, or
+//! never again. F crashes and restarts. Reports to L are delayed, lost or duplicated, and carry one job each. Each step
+//! of the safety argument is also left out, and the exploration must then find a violation.
 
 use lease_delegation::Time;
 use lease_delegation::cancellations::{CancellationLog, LogBatch, ReportedCancellations};
-use lease_delegation::peer_coverage::{PeerCoverage, PeerKnowledge, PeerResponse};
+use lease_delegation::peer_coverage::{AnswerCompleteness, PeerCoverage, PeerResponse};
 use model_checker::{CheckResult, Model, explore};
 
 const LEASE: Time = 2;
@@ -19,19 +19,19 @@
 const F: usize = 0;
 const T: usize = 1;
 
-/// The step of the argument that a run of the model leaves out.
+/// The step of the safety argument that an exploration leaves out.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Omission {
     Nothing,
     /// A reported cancellation stops no task.
-    Stop,
-    /// A batch is taken for the whole log.
-    BatchEnd,
-    /// Another run's log is taken for the same one.
-    RunCheck,
-    /// A reported cancellation is not passed on.
-    PassingOn,
-    /// A peer's coverage of others counts although it has not reported all that it knows.
+    StopTask,
+    /// A batch counts as the whole log although the log has more entries.
+    HasMore,
+    /// The log of another incarnation counts as the same log.
+    IncarnationCheck,
+    /// T does not forward a reported cancellation.
+    Forwarding,
+    /// T's coverage of F counts although T has not yet reported its whole log.
     CompleteReport,
     /// A controller that has not read the records since it started counts as complete.
     RecordsRead,
@@ -41,30 +41,30 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Response {
-    run: u64,
+    incarnation: u64,
     has_records: bool,
     batch: LogBatch,
-    /// How long ago the sender last knew of everything that F had told clients.
+    /// Age of the sender's coverage of F.
     coverage_age_of_f: Time,
 }
 
-/// A response in flight, to a request sent at `asked`. A response that is given later than it was requested reports
-/// more, and counts for no more, so it is given at once.
+/// A response in flight, to a request sent at `sent`. Requests are answered at once: a later answer would report more,
+/// but its coverage would still count from the time of the request.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Message {
-    asked: Time,
+    sent: Time,
     response: Response,
 }
 
 /// F or T.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Peer {
-    run: u64,
-    /// How many of the recorded cancellations its cache holds; none: it has not read the records since it started.
+    incarnation: u64,
+    /// Number of recorded cancellations in its cache; `None` if it has not read the records since it started.
     cached: Option<u64>,
     log: CancellationLog,
     reported: ReportedCancellations,
-    /// Until when T knows of everything that F has told clients, from the records or from F.
+    /// T's coverage of F, from the records or from F's reports.
     coverage: PeerCoverage,
 }
 
@@ -73,8 +73,8 @@
     now: Time,
     /// Number of recorded cancellations; the first is of job 0, the second of job 1.
     recorded: u64,
-    /// Per job: when its client was told that it is cancelled.
-    client_told_at: [Option<Time>; 2],
+    /// Per job: when its cancellation was confirmed to the client.
+    confirmed_at: [Option<Time>; 2],
     f: Peer,
     t: Peer,
     f_crashed: bool,
@@ -82,8 +82,8 @@
     reported: ReportedCancellations,
     /// Coverage of F and T by L.
     coverage: PeerCoverage,
-    /// The message in flight to L, and its sender. One at a time: reports of one peer do not affect what is known of
-    /// the other. Messages from F to T arrive at once.
+    /// The message in flight to L, and its sender. One message at a time is enough, because reports of one peer do not
+    /// affect the coverage of the other. Messages from F to T arrive at once.
     in_flight: Option<(usize, Message)>,
     /// When the agent's lease was last renewed.
     renewed_at: Time,
@@ -91,14 +91,14 @@
     running: [bool; 2],
 }
 
-/// A connection over which one controller asks another for cancellations.
+/// A connection over which one controller requests cancellations from another.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Link {
-    /// L asks F.
+    /// L sends requests to F.
     LToF,
-    /// L asks T.
+    /// L sends requests to T.
     LToT,
-    /// T asks F.
+    /// T sends requests to F.
     TToF,
 }
 
@@ -110,16 +110,16 @@
     ReadF,
     ReadT,
     Renew,
-    Ask(Link),
+    Request(Link),
     Receive,
-    /// The message is received, and arrives once more.
+    /// The message is received, and will arrive once more.
     ReceiveDuplicate,
 }
 
-/// The peers that L can ask.
+/// The peers that L can reach.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Reachable {
-    /// F alone; T has told clients nothing, and L knows that.
+    /// F alone; L covers T during the whole exploration.
     F,
     /// T alone.
     T,
@@ -138,9 +138,9 @@
 }
 
 impl Peer {
-    fn new(run: u64, cached: Option<u64>) -> Peer {
+    fn new(incarnation: u64, cached: Option<u64>) -> Peer {
         Peer {
-            run,
+            incarnation,
             cached,
             log: CancellationLog::default(),
             reported: ReportedCancellations::new(1),
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Reads all records; the newest first, as a listing may. `covers_f_at`: for T, when it reads.
+    /// Reads all records, the newest first, since a listing does not return them in order of time. `covers_f_at` is the
+    /// current time if this is T, whose coverage of F is extended.
     fn read(&mut self, recorded: u64, covers_f_at: Option<Time>) {
         for job in (self.cached.unwrap_or(0)..recorded).rev() {
             self.log.append(&job_name(job), job + 1);
@@ -165,42 +166,43 @@
         self.omission == omission
     }
 
-    /// The asking side of a link receives a response.
+    /// Handles a response at the requesting side of a link.
     fn receive(&self, next: &mut State, link: Link, message: &Message) {
         let now = next.now;
         let response = &message.response;
-        let run = if self.omits(Omission::RunCheck) {
+        let incarnation = if self.omits(Omission::IncarnationCheck) {
             1
         } else {
-            response.run
+            response.incarnation
         };
         let (reported, coverage, sender) = match link {
             Link::LToF => (&mut next.reported, &mut next.coverage, F),
             Link::LToT => (&mut next.reported, &mut next.coverage, T),
             Link::TToF => (&mut next.t.reported, &mut next.t.coverage, 0),
         };
-        let applied = reported.apply(sender, run, &response.batch, 0);
-        if link == Link::TToF && !self.omits(Omission::PassingOn) {
-            for (job, version) in &applied.new {
+        let applied = reported.apply(sender, incarnation, &response.batch, 0);
+        if link == Link::TToF && !self.omits(Omission::Forwarding) {
+            for (job, version) in &applied.new_jobs {
                 next.t.log.append(job, *version);
             }
         }
-        let log_known = applied.log_complete || self.omits(Omission::BatchEnd);
-        let knowledge = if !response.has_records && !self.omits(Omission::RecordsRead) {
-            PeerKnowledge::RecordsUnread
-        } else if log_known {
-            PeerKnowledge::Complete
+        let log_complete = applied.log_complete || self.omits(Omission::HasMore);
+        let completeness = if !response.has_records && !self.omits(Omission::RecordsRead) {
+            AnswerCompleteness::RecordsUnread
+        } else if log_complete {
+            AnswerCompleteness::Complete
         } else {
-            PeerKnowledge::Partial
+            AnswerCompleteness::Partial
         };
         let peer_response = PeerResponse {
-            knowledge,
+            completeness,
             pledges_silence: false,
         };
-        coverage.on_response(sender, peer_response, message.asked, now);
-        let complete = knowledge == PeerKnowledge::Complete || self.omits(Omission::CompleteReport);
+        coverage.on_response(sender, peer_response, message.sent, now);
+        let complete =
+            completeness == AnswerCompleteness::Complete || self.omits(Omission::CompleteReport);
         if link == Link::LToT && complete {
-            let covered_until = message.asked.saturating_sub(response.coverage_age_of_f);
+            let covered_until = message.sent.saturating_sub(response.coverage_age_of_f);
             next.coverage.extend(F, covered_until);
         }
     }
@@ -213,7 +215,7 @@
         let mut next = state.clone();
         next.recorded += 1;
         next.f.read(next.recorded, None);
-        next.client_told_at[state.recorded as usize] = Some(state.now);
+        next.confirmed_at[state.recorded as usize] = Some(state.now);
         Some(next)
     }
 
@@ -259,12 +261,12 @@
         next.renewed_at = state.now;
         for job in 0..2 {
             let stop = state.reported.contains(&job_name(job as u64));
-            next.running[job] &= !stop || self.omits(Omission::Stop);
+            next.running[job] &= !stop || self.omits(Omission::StopTask);
         }
         Some(next)
     }
 
-    fn ask(&self, state: &State, link: Link) -> Option<State> {
+    fn request(&self, state: &State, link: Link) -> Option<State> {
         let from_l = link != Link::TToF;
         if from_l && state.in_flight.is_some() {
             return None;
@@ -276,10 +278,11 @@
             Link::LToT => (&state.t, state.reported.cursor(T), 0),
             Link::TToF => (&state.f, state.t.reported.cursor(0), state.t.cached?),
         };
-        let same_run = cursor.run == sender.run || self.omits(Omission::RunCheck);
-        let from = if same_run { cursor.next } else { 0 };
+        let same_incarnation =
+            cursor.incarnation == sender.incarnation || self.omits(Omission::IncarnationCheck);
+        let from = if same_incarnation { cursor.next } else { 0 };
         let response = Response {
-            run: sender.run,
+            incarnation: sender.incarnation,
             has_records: sender.cached.is_some(),
             batch: sender.log.batch(from, complete, 1).unwrap_or_default(),
             coverage_age_of_f: if link == Link::LToT {
@@ -289,7 +292,7 @@
             },
         };
         let message = Message {
-            asked: state.now,
+            sent: state.now,
             response,
         };
         let mut next = state.clone();
@@ -324,14 +327,14 @@
             Step::ReadF => self.read_f(state),
             Step::ReadT => self.read_t(state),
             Step::Renew => self.renew(state),
-            Step::Ask(link) => self.ask(state, link),
+            Step::Request(link) => self.request(state, link),
             Step::Receive => self.receive_in_flight(state, false),
             Step::ReceiveDuplicate => self.receive_in_flight(state, true),
         }?;
         let now = next.now;
         next.in_flight = next
             .in_flight
-            .filter(|(_, message)| now <= message.asked + TIMEOUT);
+            .filter(|(_, message)| now <= message.sent + TIMEOUT);
         Some(next)
     }
 }
@@ -354,7 +357,7 @@
         vec![State {
             now: START,
             recorded: 0,
-            client_told_at: [None; 2],
+            confirmed_at: [None; 2],
             f: peer.clone(),
             t: peer,
             f_crashed: false,
@@ -367,7 +370,7 @@
     }
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
-        // Once the agent's lease has expired, or both tasks are stopped, no violation is possible.
+        // No violation is possible once the agent's lease has expired or both tasks are stopped.
         let lease_expired = state.now > state.renewed_at + LEASE;
         if state.now >= self.end || lease_expired || state.running == [false; 2] {
             return Vec::new();
@@ -379,9 +382,9 @@
             Step::ReadF,
             Step::ReadT,
             Step::Renew,
-            Step::Ask(Link::LToF),
-            Step::Ask(Link::LToT),
-            Step::Ask(Link::TToF),
+            Step::Request(Link::LToF),
+            Step::Request(Link::LToT),
+            Step::Request(Link::TToF),
             Step::Receive,
             Step::ReceiveDuplicate,
         ];
@@ -394,12 +397,13 @@
             return None;
         }
         let overdue = |job: &usize| {
-            let told_at = state.client_told_at[*job];
-            state.running[*job] && told_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE)
+            let confirmed_at = state.confirmed_at[*job];
+            state.running[*job]
+                && confirmed_at.is_some_and(|at| state.now > at + CANCELLATION_DEADLINE)
         };
         let job = (0..2).find(overdue)?;
         Some(format!(
-            "the task of job {job} runs after the deadline of its cancellation"
+            "the task of job {job} runs after its cancellation deadline"
         ))
     }
 }
@@ -418,43 +422,43 @@
     }
 }
 
-/// With both peers reachable there are 970,593 states without duplicates; all of these were explored on 2026-12-02, and
-/// here the first 200,000 are, with duplicates.
+/// With both peers reachable there are 970,593 states without duplicated messages, which were all explored once
+/// (2026-12-02). This test explores the first 200,000 states with duplicated messages.
 #[test]
-fn no_task_outlives_the_deadline_of_its_cancellation() {
+fn no_task_outlives_its_cancellation_deadline() {
     for (crashes, reachable, exhaustive) in [
         (true, Reachable::F, true),
         (true, Reachable::T, true),
         (false, Reachable::Both, false),
     ] {
         let max_states = if exhaustive { 2_000_000 } else { 200_000 };
-        let seen = explore(&model(Omission::Nothing, 5, crashes, reachable), max_states);
-        println!("{reachable:?}, crashes {crashes}: {}", seen.describe());
-        let passed = match seen {
+        let result = explore(&model(Omission::Nothing, 5, crashes, reachable), max_states);
+        println!("{reachable:?}, crashes {crashes}: {}", result.describe());
+        let passed = match result {
             CheckResult::Verified { .. } => true,
             CheckResult::LimitReached { .. } => !exhaustive,
             CheckResult::Violation { .. } => false,
         };
-        assert!(passed, "{}", seen.describe());
+        assert!(passed, "{}", result.describe());
     }
 }
 
 #[test]
 fn every_omission_is_detected() {
     for (omission, crashes, reachable) in [
-        (Omission::Stop, false, Reachable::F),
-        (Omission::BatchEnd, false, Reachable::F),
-        (Omission::RunCheck, true, Reachable::F),
-        (Omission::PassingOn, false, Reachable::T),
+        (Omission::StopTask, false, Reachable::F),
+        (Omission::HasMore, false, Reachable::F),
+        (Omission::IncarnationCheck, true, Reachable::F),
+        (Omission::Forwarding, false, Reachable::T),
         (Omission::CompleteReport, false, Reachable::T),
         (Omission::RecordsRead, true, Reachable::F),
         (Omission::StalenessBound, false, Reachable::F),
     ] {
-        let seen = explore(&model(omission, 6, crashes, reachable), 1_000_000);
+        let result = explore(&model(omission, 6, crashes, reachable), 1_000_000);
         assert!(
-            matches!(seen, CheckResult::Violation { .. }),
+            matches!(result, CheckResult::Violation { .. }),
             "{omission:?}: {}",
-            seen.describe()
+            result.describe()
         );
     }
 }
--- a/crates/lease-delegation/tests/delegation_model/state.rs
+++ b/crates/lease-delegation/tests/delegation_model/state.rs
@@ -9,25 +9,25 @@
 /// A response to a heartbeat.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Response {
-    pub run: u64,
+    pub incarnation: u64,
     pub grants: bool,
     pub pledges_silence: bool,
-    pub newest: Option<u64>,
-    pub use_age: Option<Time>,
+    pub newest_revision: Option<u64>,
+    pub time_since_use: Option<Time>,
 }
 
-/// The exchange in which B asks A.
+/// The heartbeat of B to A that is in flight.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct RequestOfB {
     pub sent: Time,
     pub response: Option<Response>,
 }
 
-/// The exchange in which A asks B.
+/// The heartbeat of A to B that is in flight.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct RequestOfA {
     pub sent: Time,
-    /// The store does not serve A.
+    /// Whether the store does not serve A, as reported in the heartbeat.
     pub unserved: bool,
     pub response: Option<Response>,
 }
@@ -43,28 +43,28 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct ControllerA {
     pub store_reachable: bool,
-    pub run: u64,
+    pub incarnation: u64,
     pub has_records: bool,
     pub leadership: Option<Leadership>,
     pub grantor: LeaseGrantor,
     pub pledges: SilencePledges,
-    /// Its last answer to the agent; since then it cannot reach the agent.
+    /// When it last answered a heartbeat of the agent. It has been unable to reach the agent since then.
     pub answered_at: Time,
-    /// When it told the client of the cancellation.
-    pub client_told_at: Option<Time>,
+    /// When it confirmed the cancellation to the client.
+    pub confirmed_at: Option<Time>,
     pub crashed: bool,
-    /// It has concluded that the agent's lease has expired.
+    /// Whether it has concluded that the agent's lease has expired.
     pub considers_expired: bool,
 }
 
 /// The peer of A.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct ControllerB {
-    pub run: u64,
+    pub incarnation: u64,
     pub coverage: PeerCoverage,
     pub grantee: LeaseGrantee,
-    /// The run of A that last responded.
-    pub observed_run: u64,
+    /// The incarnation of A that last responded.
+    pub observed_incarnation: u64,
 }
 
 /// The whole model at one moment.
@@ -77,23 +77,24 @@
     pub b: ControllerB,
     pub request_of_b: Option<RequestOfB>,
     pub request_of_a: Option<RequestOfA>,
-    /// When B last asked A, and A last asked B: once a tick is as often as they do.
-    pub b_asked_at: Time,
-    pub a_asked_at: Time,
+    /// When B last sent a heartbeat to A, and A to B. Each sends at most one per tick.
+    pub b_last_sent_at: Time,
+    pub a_last_sent_at: Time,
     /// When the agent's lease was last renewed.
     pub renewed_at: Time,
-    /// The agent's lease has expired.
+    /// Whether the agent's lease has expired.
     pub expired: bool,
 }
 
 impl ControllerA {
-    /// The newest revision that A knows: its first leadership was at 1, a cancellation is at 2, a later leadership at 3.
-    pub fn newest(&self) -> u64 {
+    /// The newest revision in A's records. The first leadership has revision 1, a cancellation 2, and a later
+    /// leadership 3.
+    pub fn newest_revision(&self) -> u64 {
         let later_term = self.leadership.is_some_and(|leader| !leader.first_term);
-        1 + u64::from(self.client_told_at.is_some()) + if later_term { 2 } else { 0 }
+        1 + u64::from(self.confirmed_at.is_some()) + if later_term { 2 } else { 0 }
     }
 
-    pub fn served(&self) -> bool {
+    pub fn is_served(&self) -> bool {
         self.store_reachable && self.has_records
     }
 }
--- a/src/leadership/peers/heartbeat_receiver.rs
+++ b/src/leadership/peers/heartbeat_receiver.rs
@@ -35,7 +35,7 @@
         };
         if extension.pledges_silence {
             let pledges = &mut self.peers.silence_pledges;
-            pledges.give(
+            pledges.record_pledge(
                 peer,
                 self.cache.last_cancellation_or_leader_change,
                 clock.now.0,
@@ -46,7 +46,7 @@
         {
             extension.delegated_term = Some(term);
             let grants = &mut leader.lease_grants;
-            grants.give(&sender, sender_extension.incarnation, clock.now.0);
+            grants.record_grant(&sender, sender_extension.incarnation, clock.now.0);
         }
         if extension.pledges_silence && !sender_has_records {
             response.record_summary = self.record_summary_for_peer(clock);
