--- a/examples/policy.lua
+++ b/examples/policy.lua
@@ -1,4 +1,4 @@
--- Operators' own settings; whatever is not named keeps its default.
+-- Example policy script. Settings that the returned table does not contain keep their defaults.
 local minutes = 60
 
 return {
