--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -27,14 +27,14 @@
 }
 
 /// Addresses of the fake services.
-struct Services {
+struct FakeServices {
     store: SocketAddr,
     cloud: SocketAddr,
 }
 
 /// Serves the key-value store and the cloud until the test process ends.
-fn start_services() -> Services {
-    let services = Services {
+fn start_fake_services() -> FakeServices {
+    let services = FakeServices {
         store: free_address(),
         cloud: free_address(),
     };
@@ -117,7 +117,7 @@
 
 /// Starts a controller; returns its address for clients.
 fn start_controller() -> SocketAddr {
-    let Services { store, cloud } = start_services();
+    let FakeServices { store, cloud } = start_fake_services();
     let (public, internal) = (free_address(), free_address());
     let text = format!(
         "member=\"kernel-0\"\nzone=\"a\"\nserve_on=\"{public}\"\ninternal_addr=\"{internal}\"\n\
--- a/tests/loopback/submissions.rs
+++ b/tests/loopback/submissions.rs
@@ -99,23 +99,26 @@
 }
 
 #[test]
-fn a_body_that_is_no_map_is_rejected() {
+fn a_body_that_is_not_a_map_is_rejected() {
     assert!(parse(b"").is_err());
     assert!(parse(&[0xc1]).is_err());
     assert!(parse(&[0x93, 1, 2, 3]).is_err());
 }
 
 #[test]
-fn needed_jobs_are_sorted_and_named_once() {
-    let needs = |value| parse(&body_with("awaits", value)).unwrap().1.dependencies;
-    assert!(needs(Value::Nil).is_empty());
-    assert!(needs(Value::Array(vec![])).is_empty());
+fn dependencies_are_sorted_and_deduplicated() {
+    let dependencies_of = |value| parse(&body_with("awaits", value)).unwrap().1.dependencies;
+    assert!(dependencies_of(Value::Nil).is_empty());
+    assert!(dependencies_of(Value::Array(vec![])).is_empty());
     let duplicates = ["req-2", "req-1", "req-2"].map(Value::from);
-    assert_eq!(needs(Value::Array(duplicates.to_vec())), ["req-1", "req-2"]);
+    assert_eq!(
+        dependencies_of(Value::Array(duplicates.to_vec())),
+        ["req-1", "req-2"]
+    );
 }
 
 #[test]
-fn the_example_of_a_pipeline_is_valid() {
+fn the_example_pipeline_is_valid() {
     let text = include_str!("../../examples/pipeline.json");
     let jobs: Vec<Value> = serde_json::from_str(text).unwrap();
     let mut earlier = Vec::new();
@@ -124,7 +127,9 @@
         rmpv::encode::write_value(&mut body, &job).unwrap();
         let (id, spec) = parse(&body).unwrap();
         assert!(
-            spec.dependencies.iter().all(|need| earlier.contains(need)),
+            spec.dependencies
+                .iter()
+                .all(|dependency| earlier.contains(dependency)),
             "{id}"
         );
         earlier.push(id);
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of agents, the responses to them, and direct commands.
 
-use crate::fixtures::{Fixtures, list, map};
+use crate::fixtures::{Fixtures, array, map};
 use walnuttrestle::protocol::agent_api::{
     AgentCommands, AgentHeartbeat, AgentHeartbeatResponse, Command, ExitReason, Misdirected,
     TaskPhase, TaskStatus,
@@ -53,38 +53,38 @@
 }
 
 #[test]
-fn agent_messages_keep_their_bytes() {
+fn agent_message_encoding_is_stable() {
     let mut fixtures = Fixtures::open("agent_api.hex");
-    heartbeats(&mut fixtures);
+    check_heartbeats(&mut fixtures);
     let response = AgentHeartbeatResponse {
         term: 7,
         commands: commands(),
     };
-    fixtures.both_ways("report_answer", &response);
+    fixtures.check_round_trip("report_answer", &response);
     let empty = AgentHeartbeatResponse {
         term: 7,
         commands: Vec::new(),
     };
-    fixtures.both_ways("report_answer_empty", &empty);
+    fixtures.check_round_trip("report_answer_empty", &empty);
     let direct_commands = AgentCommands {
         term: 7,
         agent_epoch: 4_000_000_000,
         commands: commands(),
     };
-    fixtures.both_ways("orders", &direct_commands);
-    fixtures.both_ways("misdirected", &Misdirected::default());
-    let elsewhere = Misdirected {
+    fixtures.check_round_trip("orders", &direct_commands);
+    fixtures.check_round_trip("misdirected", &Misdirected::default());
+    let with_leader = Misdirected {
         leader: Some("kernel-1".into()),
     };
-    fixtures.both_ways("misdirected_to_leader", &elsewhere);
+    fixtures.check_round_trip("misdirected_to_leader", &with_leader);
     let mut request = Vec::new();
     let body = encode(&direct_commands);
     write_request(&mut request, "POST", "/orders", "10.1.4.17:9000", &body);
-    fixtures.written("http_request", &request);
+    fixtures.check_encoding("http_request", &request);
     fixtures.finish();
 }
 
-fn heartbeats(fixtures: &mut Fixtures) {
+fn check_heartbeats(fixtures: &mut Fixtures) {
     let phases = [
         TaskPhase::Fetching,
         TaskPhase::Waiting,
@@ -92,9 +92,9 @@
         TaskPhase::Saving,
         TaskPhase::Exited,
     ];
-    let phases = heartbeat(phases.map(task_status).to_vec());
-    fixtures.both_ways("report_of_each_phase", &phases);
-    let causes = [
+    let with_phases = heartbeat(phases.map(task_status).to_vec());
+    fixtures.check_round_trip("report_of_each_phase", &with_phases);
+    let exit_reasons = [
         ExitReason::Done,
         ExitReason::Stopped,
         ExitReason::GangMemberGone,
@@ -104,21 +104,21 @@
         ExitReason::Busy,
         ExitReason::Unknown,
     ];
-    let causes = causes.map(|why| TaskStatus {
-        exit_reason: Some(why),
-        saved: Some(why == ExitReason::Stopped),
+    let tasks = exit_reasons.map(|reason| TaskStatus {
+        exit_reason: Some(reason),
+        saved: Some(reason == ExitReason::Stopped),
         ..task_status(TaskPhase::Exited)
     });
-    let causes = AgentHeartbeat {
+    let with_exit_reasons = AgentHeartbeat {
         notice_s: Some(30.5),
-        ..heartbeat(causes.to_vec())
+        ..heartbeat(tasks.to_vec())
     };
-    fixtures.both_ways("report_of_each_cause", &causes);
-    agent_heartbeat(fixtures);
+    fixtures.check_round_trip("report_of_each_cause", &with_exit_reasons);
+    check_agent_heartbeat(fixtures);
 }
 
 /// A heartbeat as an agent writes it: without optional fields, and with a task that names them.
-fn agent_heartbeat(fixtures: &mut Fixtures) {
+fn check_agent_heartbeat(fixtures: &mut Fixtures) {
     let running = map([
         ("sheet", "req-17/3".into()),
         ("try", 2.into()),
@@ -140,7 +140,7 @@
         ("shift", 4_000_000_000u64.into()),
         ("tally", 300.into()),
         ("baton", 7.into()),
-        ("sheets", list([running, stopped])),
+        ("sheets", array([running, stopped])),
     ]);
     let stopped = TaskStatus {
         exit_reason: Some(ExitReason::GangMemberGone),
@@ -148,5 +148,5 @@
         ..task_status(TaskPhase::Exited)
     };
     let value = heartbeat(vec![task_status(TaskPhase::Running), stopped]);
-    fixtures.read_as("report_of_a_worker", &body, &value);
+    fixtures.check_decoding("report_of_a_worker", &body, &value);
 }
--- a/tests/wire_compatibility/client_api.rs
+++ b/tests/wire_compatibility/client_api.rs
@@ -1,6 +1,6 @@
 //! Submissions of clients and the responses to them.
 
-use crate::fixtures::{Fixtures, bytes_of, list, map};
+use crate::fixtures::{Fixtures, array, encode_value, map};
 use crate::samples::{full_spec, plain_spec, plain_spec_fields};
 use rmpv::Value;
 use walnuttrestle::protocol::JobSpec;
@@ -10,25 +10,25 @@
 use walnuttrestle::transport::http::write_response;
 
 /// Returns a submission with these fields and more.
-fn submission(mut fields: Vec<(Value, Value)>, more: Value) -> Value {
-    let Value::Map(more) = more else {
+fn submission(mut fields: Vec<(Value, Value)>, extra: Value) -> Value {
+    let Value::Map(extra) = extra else {
         unreachable!("a map")
     };
-    fields.extend(more);
+    fields.extend(extra);
     Value::Map(fields)
 }
 
-fn submission_case(fixtures: &mut Fixtures, name: &str, body: &Value, id: &str, spec: &JobSpec) {
-    let stored = fixtures.written(name, &bytes_of(body));
+fn check_submission(fixtures: &mut Fixtures, name: &str, body: &Value, id: &str, spec: &JobSpec) {
+    let stored = fixtures.check_encoding(name, &encode_value(body));
     let (parsed_id, parsed) = parse(&stored).expect(name);
     assert_eq!(parsed_id, id, "{name}: another id");
     assert_eq!(&parsed, spec, "{name}: another job");
 }
 
 #[test]
-fn client_messages_keep_their_bytes() {
+fn client_message_encoding_is_stable() {
     let mut fixtures = Fixtures::open("client_api.hex");
-    submissions(&mut fixtures);
+    check_submissions(&mut fixtures);
     for status in ["pending", "running", "done", "cancelled"] {
         let state = JobState {
             id: "req-17".into(),
@@ -36,29 +36,29 @@
             done: None,
             running: None,
         };
-        fixtures.both_ways(&format!("state_{status}"), &state);
+        fixtures.check_round_trip(&format!("state_{status}"), &state);
     }
-    let counted = JobState {
+    let with_task_counts = JobState {
         id: "req-17".into(),
         status: "running".into(),
         done: Some(300),
         running: Some(0),
     };
-    fixtures.both_ways("state_counted", &counted);
-    let problem = ErrorBody {
+    fixtures.check_round_trip("state_counted", &with_task_counts);
+    let error_body = ErrorBody {
         error: "field sheets is missing or invalid".into(),
     };
-    fixtures.both_ways("problem", &problem);
-    fixtures.written("healthy", &encode(&()));
+    fixtures.check_round_trip("problem", &error_body);
+    fixtures.check_encoding("healthy", &encode(&()));
     let mut response = Vec::new();
-    write_response(&mut response, 503, &encode(&problem), Some(1), true);
-    fixtures.written("http_response", &response);
+    write_response(&mut response, 503, &encode(&error_body), Some(1), true);
+    fixtures.check_encoding("http_response", &response);
     fixtures.finish();
 }
 
-fn submissions(fixtures: &mut Fixtures) {
+fn check_submissions(fixtures: &mut Fixtures) {
     let plain = submission(plain_spec_fields(), map([("id", "req-17".into())]));
-    submission_case(
+    check_submission(
         fixtures,
         "submission_plain",
         &plain,
@@ -74,7 +74,7 @@
         ("unknown_field", 1.into()),
     ]);
     let nil = submission(plain_spec_fields(), nil);
-    submission_case(fixtures, "submission_nil", &nil, "req-17", &plain_spec());
+    check_submission(fixtures, "submission_nil", &nil, "req-17", &plain_spec());
     let full = map([
         ("id", "req-000018".into()),
         ("docket", "nightly".into()),
@@ -87,7 +87,7 @@
         ("memory_gb", 16.25.into()),
         ("plate", "trainer:7".into()),
         ("size_gb", 4.5.into()),
-        ("presses", list(["big".into(), "small".into()])),
+        ("presses", array(["big".into(), "small".into()])),
         ("yard", "a".into()),
         ("together", true.into()),
         ("scatter", false.into()),
@@ -98,10 +98,10 @@
         ("due_s", 86_400.into()),
         (
             "awaits",
-            list(["req-20".into(), "req-1".into(), "req-20".into()]),
+            array(["req-20".into(), "req-1".into(), "req-20".into()]),
         ),
     ]);
-    submission_case(
+    check_submission(
         fixtures,
         "submission_full",
         &full,
--- a/tests/wire_compatibility/cloud_api.rs
+++ b/tests/wire_compatibility/cloud_api.rs
@@ -1,6 +1,6 @@
 //! Requests to the cloud and its responses.
 
-use crate::fixtures::{Fixtures, list, map, strings};
+use crate::fixtures::{Fixtures, array, map, strings};
 use crate::samples::machine_types;
 use walnuttrestle::protocol::cloud_api::{
     ListedMachine, MachineNames, MachinePage, MachineState, RentRequest,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn cloud_messages_keep_their_bytes() {
+fn cloud_message_encoding_is_stable() {
     let mut fixtures = Fixtures::open("cloud_api.hex");
     let rent = RentRequest {
         request_id: "kernel-1-7-12".into(),
@@ -28,11 +28,11 @@
         spot: true,
         count: 50,
     };
-    fixtures.both_ways("rent", &rent);
+    fixtures.check_round_trip("rent", &rent);
     let names = MachineNames {
         machines: strings(["n-000017", "n-000018"]),
     };
-    fixtures.both_ways("machine_names", &names);
+    fixtures.check_round_trip("machine_names", &names);
     let page = MachinePage {
         machines: vec![
             listed(MachineState::Booting),
@@ -46,14 +46,14 @@
         ],
         has_more: true,
     };
-    fixtures.both_ways("machine_page", &page);
-    fixtures.both_ways("machine_types", &machine_types());
-    cloud_responses(&mut fixtures);
+    fixtures.check_round_trip("machine_page", &page);
+    fixtures.check_round_trip("machine_types", &machine_types());
+    check_cloud_responses(&mut fixtures);
     fixtures.finish();
 }
 
 /// Responses as the cloud writes them, with and without optional fields.
-fn cloud_responses(fixtures: &mut Fixtures) {
+fn check_cloud_responses(fixtures: &mut Fixtures) {
     let big = map([
         ("name", "big".into()),
         ("cpus", 64.into()),
@@ -64,7 +64,7 @@
         ("price", 9.75.into()),
         ("low_price", 3.5.into()),
         ("startup_s", 45.into()),
-        ("yards", list(["a".into(), "b".into()])),
+        ("yards", array(["a".into(), "b".into()])),
     ]);
     let small = map([
         ("name", "small".into()),
@@ -72,8 +72,8 @@
         ("cards", 0.into()),
         ("memory_gb", 8.into()),
     ]);
-    let types = map([("presses", list([big, small]))]);
-    fixtures.read_as("types_of_the_cloud", &types, &machine_types());
+    let types = map([("presses", array([big, small]))]);
+    fixtures.check_decoding("types_of_the_cloud", &types, &machine_types());
     let machine = map([
         ("id", "n-000017".into()),
         ("press", "big".into()),
@@ -81,10 +81,10 @@
         ("loaners", false.into()),
         ("status", "booting".into()),
     ]);
-    let page = map([("kernels", list([machine])), ("more", false.into())]);
+    let page = map([("kernels", array([machine])), ("more", false.into())]);
     let value = MachinePage {
         machines: vec![listed(MachineState::Booting)],
         has_more: false,
     };
-    fixtures.read_as("page_of_the_cloud", &page, &value);
+    fixtures.check_decoding("page_of_the_cloud", &page, &value);
 }
--- a/tests/wire_compatibility/fixtures.rs
+++ b/tests/wire_compatibility/fixtures.rs
@@ -37,56 +37,60 @@
     }
 
     /// Returns the stored bytes of a case; while the files are updated, those that the code writes now.
-    pub(crate) fn case(&mut self, name: &str, written_now: Vec<u8>) -> Vec<u8> {
+    pub(crate) fn stored_bytes(&mut self, name: &str, encoded: Vec<u8>) -> Vec<u8> {
         let bytes = match self.stored.get(name) {
             Some(bytes) => bytes.clone(),
-            None if self.updating => written_now,
+            None if self.updating => encoded,
             None => panic!("no case {name} in {}", self.path.display()),
         };
-        let before = self.used.insert(name.to_string(), bytes.clone());
-        assert!(before.is_none(), "case {name} is used twice");
+        let previous = self.used.insert(name.to_string(), bytes.clone());
+        assert!(previous.is_none(), "case {name} is used twice");
         bytes
     }
 
     /// Asserts that the code writes these bytes; returns them.
-    pub(crate) fn written(&mut self, name: &str, bytes: &[u8]) -> Vec<u8> {
-        let stored = self.case(name, bytes.to_vec());
+    pub(crate) fn check_encoding(&mut self, name: &str, bytes: &[u8]) -> Vec<u8> {
+        let stored = self.stored_bytes(name, bytes.to_vec());
         assert_eq!(hex(bytes), hex(&stored), "{name}: other bytes");
         stored
     }
 
     /// Asserts that the code encodes this value as the stored bytes, and decodes them to this value.
-    pub(crate) fn both_ways<T>(&mut self, name: &str, value: &T)
+    pub(crate) fn check_round_trip<T>(&mut self, name: &str, value: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        let stored = self.written(name, &encode(value));
+        let stored = self.check_encoding(name, &encode(value));
         let decoded: T = decode(&stored).expect(name);
         assert_eq!(&decoded, value, "{name}: another value");
-        let again = encode(&decoded);
-        assert_eq!(hex(&again), hex(&stored), "{name}: other bytes again");
+        let reencoded = encode(&decoded);
+        assert_eq!(hex(&reencoded), hex(&stored), "{name}: other bytes again");
     }
 
     /// Asserts the same for a value in the key-value store, which passes through a generic value.
-    pub(crate) fn record<T>(&mut self, name: &str, value: &T)
+    pub(crate) fn check_record<T>(&mut self, name: &str, value: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        self.both_ways(name, value);
+        self.check_round_trip(name, value);
         let generic = to_value(value);
         let stored = &self.used[name];
-        assert_eq!(hex(&bytes_of(&generic)), hex(stored), "{name}: as a value");
+        assert_eq!(
+            hex(&encode_value(&generic)),
+            hex(stored),
+            "{name}: as a value"
+        );
         let decoded: T = from_value(&generic).expect(name);
         assert_eq!(&decoded, value, "{name}: from a value");
     }
 
     /// Asserts that the code decodes a body of another process to this value.
-    pub(crate) fn read_as<T>(&mut self, name: &str, body: &Value, value: &T)
+    pub(crate) fn check_decoding<T>(&mut self, name: &str, body: &Value, value: &T)
     where
         T: DeserializeOwned + PartialEq + Debug,
     {
-        let stored = self.case(name, bytes_of(body));
-        assert_eq!(hex(&bytes_of(body)), hex(&stored), "{name}: the test");
+        let stored = self.stored_bytes(name, encode_value(body));
+        assert_eq!(hex(&encode_value(body)), hex(&stored), "{name}: the test");
         let decoded: T = decode(&stored).expect(name);
         assert_eq!(&decoded, value, "{name}: another value");
     }
@@ -112,8 +116,8 @@
     let mut cases = BTreeMap::new();
     for line in text.lines() {
         let (name, digits) = line.split_once(' ').expect(line);
-        let before = cases.insert(name.to_string(), bytes_of_hex(digits));
-        assert!(before.is_none(), "case {name} is stored twice");
+        let previous = cases.insert(name.to_string(), parse_hex(digits));
+        assert!(previous.is_none(), "case {name} is stored twice");
     }
     cases
 }
@@ -122,13 +126,13 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of_hex(digits: &str) -> Vec<u8> {
+fn parse_hex(digits: &str) -> Vec<u8> {
     assert!(digits.len().is_multiple_of(2), "half a byte in {digits}");
-    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect(digits);
+    let byte = |start: usize| u8::from_str_radix(&digits[start..start + 2], 16).expect(digits);
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-pub(crate) fn bytes_of(value: &Value) -> Vec<u8> {
+pub(crate) fn encode_value(value: &Value) -> Vec<u8> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, value).unwrap();
     bytes
@@ -138,7 +142,7 @@
     Value::Map(fields.map(|(name, value)| (name.into(), value)).to_vec())
 }
 
-pub(crate) fn list<const N: usize>(values: [Value; N]) -> Value {
+pub(crate) fn array<const N: usize>(values: [Value; N]) -> Value {
     Value::Array(values.to_vec())
 }
 
--- a/tests/wire_compatibility/key_value_api.rs
+++ b/tests/wire_compatibility/key_value_api.rs
@@ -1,6 +1,6 @@
 //! Requests to the key-value store and its responses.
 
-use crate::fixtures::{Fixtures, list, map, strings};
+use crate::fixtures::{Fixtures, array, map, strings};
 use crate::samples::plain_job;
 use rmpv::Value;
 use walnuttrestle::protocol::Micros;
@@ -25,7 +25,7 @@
         value: to_value(&plain_job()),
         lease: None,
     };
-    let live = Change::Put {
+    let leader_lease = Change::Put {
         key: records::LEADER_LEASE_KEY.into(),
         value: "kernel-1".into(),
         lease: Some(91),
@@ -38,16 +38,16 @@
             condition(records::LEADER_KEY, 412),
             condition(records::LEADER_LEASE_KEY, 0),
         ],
-        changes: vec![job, live, delete],
+        changes: vec![job, leader_lease, delete],
     }
 }
 
 /// Returns method, path and body of a request to the store.
-fn request_bytes(ask: StoreRequest) -> Vec<u8> {
+fn request_bytes(request: StoreRequest) -> Vec<u8> {
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let mut sent = Vec::new();
-    store.enqueue(RequestPriority::Urgent, (), ask);
+    store.enqueue(RequestPriority::Urgent, (), request);
     store.send_queued(Micros::millis(10_000), &mut 0, &mut sent);
     let [NetworkCommand::Call(call)] = sent.as_slice() else {
         panic!("not one call: {sent:?}");
@@ -57,11 +57,11 @@
 }
 
 /// Returns what the client of the store makes of the response to a request.
-fn reply_to(ask: StoreRequest, status: u16, body: &[u8]) -> StoreResponse {
+fn interpret_response(request: StoreRequest, status: u16, body: &[u8]) -> StoreResponse {
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
     let (mut id, mut sent) = (0, Vec::new());
-    store.enqueue(RequestPriority::Urgent, (), ask);
+    store.enqueue(RequestPriority::Urgent, (), request);
     store.send_queued(Micros::millis(10_000), &mut id, &mut sent);
     let outcome = Outcome::Response {
         status,
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn store_messages_keep_their_bytes() {
+fn store_message_encoding_is_stable() {
     let mut fixtures = Fixtures::open("key_value_api.hex");
-    store_requests(&mut fixtures);
-    transaction_responses(&mut fixtures);
-    listing_responses(&mut fixtures);
-    watch_responses(&mut fixtures);
-    lease_messages(&mut fixtures);
+    check_store_requests(&mut fixtures);
+    check_transaction_responses(&mut fixtures);
+    check_listing_responses(&mut fixtures);
+    check_watch_responses(&mut fixtures);
+    check_lease_messages(&mut fixtures);
     fixtures.finish();
 }
 
-fn store_requests(fixtures: &mut Fixtures) {
+fn check_store_requests(fixtures: &mut Fixtures) {
     let first_page = StoreRequest::List {
         after: String::new(),
     };
@@ -109,34 +109,34 @@
         ),
         ("request_renewal", StoreRequest::Renew(91)),
     ];
-    for (name, ask) in requests {
-        fixtures.written(name, &request_bytes(ask));
+    for (name, request) in requests {
+        fixtures.check_encoding(name, &request_bytes(request));
     }
-    fixtures.both_ways("transaction", &transaction());
+    fixtures.check_round_trip("transaction", &transaction());
 }
 
-fn transaction_responses(fixtures: &mut Fixtures) {
+fn check_transaction_responses(fixtures: &mut Fixtures) {
     let committed = TransactionResponse {
         revision: 413,
         failed: Vec::new(),
     };
     let body = map([("edition", 413.into())]);
-    fixtures.read_as("committed", &body, &committed);
+    fixtures.check_decoding("committed", &body, &committed);
     let body = &fixtures.used["committed"];
-    let reply = reply_to(StoreRequest::Transaction(transaction()), 200, body);
-    assert_eq!(reply, StoreResponse::Committed(413));
+    let response = interpret_response(StoreRequest::Transaction(transaction()), 200, body);
+    assert_eq!(response, StoreResponse::Committed(413));
     let conflict = TransactionResponse {
         revision: 0,
         failed: strings(["wt/lead", "wt/live"]),
     };
-    let failed = list(["wt/lead".into(), "wt/live".into()]);
-    fixtures.read_as("conflict", &map([("failed", failed)]), &conflict);
+    let failed = array(["wt/lead".into(), "wt/live".into()]);
+    fixtures.check_decoding("conflict", &map([("failed", failed)]), &conflict);
     let body = &fixtures.used["conflict"];
-    let reply = reply_to(StoreRequest::Transaction(transaction()), 409, body);
-    assert_eq!(reply, StoreResponse::Conflict(conflict.failed));
+    let response = interpret_response(StoreRequest::Transaction(transaction()), 409, body);
+    assert_eq!(response, StoreResponse::Conflict(conflict.failed));
 }
 
-fn listing_responses(fixtures: &mut Fixtures) {
+fn check_listing_responses(fixtures: &mut Fixtures) {
     let page = ItemPage {
         items: vec![
             Item {
@@ -153,7 +153,7 @@
         has_more: true,
         revision: 413,
     };
-    fixtures.both_ways("page", &page);
+    fixtures.check_round_trip("page", &page);
     let item = |key: &str, value: Value, version: u64| {
         map([
             ("k", key.into()),
@@ -161,7 +161,7 @@
             ("stamp", version.into()),
         ])
     };
-    let items = list([
+    let items = array([
         item("wt/base", 1900.into(), 3),
         item("wt/j/req-17", to_value(&plain_job()), 412),
     ]);
@@ -170,15 +170,15 @@
         ("more", true.into()),
         ("edition", 413.into()),
     ]);
-    fixtures.read_as("page_of_the_service", &body, &page);
-    let ask = StoreRequest::List {
+    fixtures.check_decoding("page_of_the_service", &body, &page);
+    let request = StoreRequest::List {
         after: String::new(),
     };
-    let reply = reply_to(ask, 200, &fixtures.used["page_of_the_service"]);
-    assert_eq!(reply, StoreResponse::Page(page));
+    let response = interpret_response(request, 200, &fixtures.used["page_of_the_service"]);
+    assert_eq!(response, StoreResponse::Page(page));
 }
 
-fn watch_responses(fixtures: &mut Fixtures) {
+fn check_watch_responses(fixtures: &mut Fixtures) {
     let put = WatchEvent {
         put: Some("wt/base".into()),
         value: Some(1900.into()),
@@ -191,32 +191,32 @@
         deleted: Some("wt/live".into()),
         version: 414,
     };
-    let answer = WatchResponse {
+    let watch_response = WatchResponse {
         revision: 414,
         events: vec![put, deleted],
     };
-    fixtures.both_ways("watch_answer", &answer);
+    fixtures.check_round_trip("watch_answer", &watch_response);
     let put = map([
         ("put", "wt/base".into()),
         ("value", 1900.into()),
         ("stamp", 413.into()),
     ]);
     let deleted = map([("drop", "wt/live".into()), ("stamp", 414.into())]);
-    let body = map([("edition", 414.into()), ("news", list([put, deleted]))]);
-    fixtures.read_as("watch_answer_of_the_service", &body, &answer);
-    let ask = StoreRequest::Watch {
+    let body = map([("edition", 414.into()), ("news", array([put, deleted]))]);
+    fixtures.check_decoding("watch_answer_of_the_service", &body, &watch_response);
+    let request = StoreRequest::Watch {
         after: 412,
         block_ms: 0,
     };
-    let reply = reply_to(ask, 200, &fixtures.used["watch_answer_of_the_service"]);
-    assert_eq!(reply, StoreResponse::Events(answer));
+    let response = interpret_response(request, 200, &fixtures.used["watch_answer_of_the_service"]);
+    assert_eq!(response, StoreResponse::Events(watch_response));
 }
 
-fn lease_messages(fixtures: &mut Fixtures) {
-    fixtures.both_ways("lease_request", &LeaseRequest { ttl_ms: 3_000 });
-    let answer = LeaseResponse { lease: 91 };
-    fixtures.both_ways("lease_answer", &answer);
+fn check_lease_messages(fixtures: &mut Fixtures) {
+    fixtures.check_round_trip("lease_request", &LeaseRequest { ttl_ms: 3_000 });
+    let lease_response = LeaseResponse { lease: 91 };
+    fixtures.check_round_trip("lease_answer", &lease_response);
     let body = &fixtures.used["lease_answer"];
-    let reply = reply_to(StoreRequest::NewLease(Micros::millis(3_000)), 200, body);
-    assert_eq!(reply, StoreResponse::Lease(91));
+    let response = interpret_response(StoreRequest::NewLease(Micros::millis(3_000)), 200, body);
+    assert_eq!(response, StoreResponse::Lease(91));
 }
--- a/tests/wire_compatibility/peer_heartbeats.rs
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -9,15 +9,15 @@
 use walnuttrestle::protocol::records::LeaderRecord;
 
 /// Returns a heartbeat with all fields of the format.
-fn heartbeat(number: u32) -> PeerHeartbeat {
-    let since = |first: u32| number >= first;
+fn heartbeat(format_number: u32) -> PeerHeartbeat {
+    let since = |first: u32| format_number >= first;
     PeerHeartbeat {
         node: "kernel-1".into(),
         leading_term: Some(7),
         leader_silent_ms: Some(300),
         newest_revision: Some(412),
         store_available: true,
-        format: number,
+        format: format_number,
         requested_writes: if since(format::BUDGET_SHARES) {
             30_000
         } else {
@@ -59,7 +59,7 @@
 }
 
 /// Returns a heartbeat without any optional field.
-fn bare_heartbeat(number: u32) -> PeerHeartbeat {
+fn bare_heartbeat(format_number: u32) -> PeerHeartbeat {
     PeerHeartbeat {
         leading_term: None,
         leader_silent_ms: None,
@@ -68,14 +68,15 @@
         record_summary: None,
         cancellation_cursor: None,
         cancellation_update: None,
-        delegation: (number >= format::LEASE_DELEGATION).then(LeaseDelegationStatus::default),
-        ..heartbeat(number)
+        delegation: (format_number >= format::LEASE_DELEGATION)
+            .then(LeaseDelegationStatus::default),
+        ..heartbeat(format_number)
     }
 }
 
 /// Returns what the present code appends to the bytes of an older format.
-fn appended_bytes(number: u32) -> &'static [u8] {
-    match number {
+fn appended_bytes(format_number: u32) -> &'static [u8] {
+    match format_number {
         // The format, no requested budget share, and no grant seen.
         format::FIRST => &[1, 0, 0],
         format::PIPELINES | format::PLACEMENT_BATCHES => &[0, 0],
@@ -85,33 +86,37 @@
     }
 }
 
-fn heartbeat_case(fixtures: &mut Fixtures, name: &str, heartbeat: &PeerHeartbeat) {
+fn check_heartbeat(fixtures: &mut Fixtures, name: &str, heartbeat: &PeerHeartbeat) {
     let encoded = heartbeat.encode();
     let appended = appended_bytes(heartbeat.format);
-    let of_its_format = encoded.strip_suffix(appended).expect(name);
-    let stored = fixtures.written(name, of_its_format);
+    let without_appended = encoded.strip_suffix(appended).expect(name);
+    let stored = fixtures.check_encoding(name, without_appended);
     let decoded = PeerHeartbeat::decode(&stored).expect(name);
     assert_eq!(&decoded, heartbeat, "{name}: another value");
-    let again = [stored.as_slice(), appended].concat();
-    assert_eq!(hex(&decoded.encode()), hex(&again), "{name}: other bytes");
+    let expected = [stored.as_slice(), appended].concat();
+    assert_eq!(
+        hex(&decoded.encode()),
+        hex(&expected),
+        "{name}: other bytes"
+    );
 }
 
 #[test]
-fn heartbeats_of_each_format_keep_their_bytes() {
+fn heartbeat_encoding_of_each_format_is_stable() {
     let mut fixtures = Fixtures::open("heartbeats.hex");
     assert_eq!(format::NEWEST, 6, "a new format needs cases here");
-    for number in format::FIRST..=format::NEWEST {
-        let name = format!("format_{number}");
-        heartbeat_case(&mut fixtures, &name, &heartbeat(number));
-        let name = format!("format_{number}_bare");
-        heartbeat_case(&mut fixtures, &name, &bare_heartbeat(number));
+    for format_number in format::FIRST..=format::NEWEST {
+        let name = format!("format_{format_number}");
+        check_heartbeat(&mut fixtures, &name, &heartbeat(format_number));
+        let name = format!("format_{format_number}_bare");
+        check_heartbeat(&mut fixtures, &name, &bare_heartbeat(format_number));
     }
     let newer = PeerHeartbeat {
         format: format::NEWEST + 1,
         ..heartbeat(format::NEWEST)
     };
-    let with_unknown_end = [newer.encode(), b"later".to_vec()].concat();
-    let stored = fixtures.case("format_7_with_unknown_end", with_unknown_end);
+    let with_unknown_suffix = [newer.encode(), b"later".to_vec()].concat();
+    let stored = fixtures.stored_bytes("format_7_with_unknown_end", with_unknown_suffix);
     assert_eq!(PeerHeartbeat::decode(&stored), Ok(newer));
     fixtures.finish();
 }
--- a/tests/wire_compatibility/samples.rs
+++ b/tests/wire_compatibility/samples.rs
@@ -131,7 +131,7 @@
 }
 
 pub(crate) fn grant() -> Grant {
-    let part = |amount, expires_at, epoch| Share {
+    let share = |amount, expires_at, epoch| Share {
         amount,
         expires_at,
         epoch,
@@ -140,14 +140,14 @@
     Grant {
         epoch: 12,
         shares: BTreeMap::from([
-            ("kernel-0".to_string(), part(20_000, now, 12)),
-            ("kernel-1".to_string(), part(0, now, 12)),
+            ("kernel-0".to_string(), share(20_000, now, 12)),
+            ("kernel-1".to_string(), share(0, now, 12)),
         ]),
         earlier_shares: BTreeMap::from([
             ("kernel-1".to_string(), vec![]),
             (
                 "kernel-2".to_string(),
-                vec![part(9_000, now - 1, 11), part(250, now - 2, 9)],
+                vec![share(9_000, now - 1, 11), share(250, now - 2, 9)],
             ),
         ]),
     }
