--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! One controller over real loopback sockets, with fakes of the key-value store and the cloud.
+//! Runs one controller on real loopback sockets, with a fake key-value store and a fake cloud.
 
 mod settings;
 #[path = "../simulation/fake_store.rs"]
@@ -18,7 +18,7 @@
 use walnuttrestle::transport::net::{Listeners, NetworkThread};
 use walnuttrestle::transport::{NetworkCommand, NetworkEvent};
 
-/// Time limit for everything that a test waits for.
+/// Timeout of each connection attempt, response and wait for the controller to accept jobs.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddr {
@@ -32,7 +32,7 @@
     cloud: SocketAddr,
 }
 
-/// Serves the key-value store and the cloud until the test process ends.
+/// Starts threads that serve the key-value store and the cloud until the test process ends.
 fn start_fake_services() -> FakeServices {
     let services = FakeServices {
         store: free_address(),
@@ -115,7 +115,7 @@
     })
 }
 
-/// Starts a controller; returns its address for clients.
+/// Starts a controller and its fake services; returns the address on which it serves clients.
 fn start_controller() -> SocketAddr {
     let FakeServices { store, cloud } = start_fake_services();
     let (public, internal) = (free_address(), free_address());
@@ -134,14 +134,14 @@
     public
 }
 
-/// A client with one persistent connection.
+/// An HTTP client with one persistent connection.
 struct Client {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Client {
-    /// Connects, and waits until the controller listens.
+    /// Connects, and retries until the controller listens.
     fn connect(address: SocketAddr) -> Client {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -153,13 +153,16 @@
                         buffer: Vec::new(),
                     };
                 }
-                Err(error) => assert!(Instant::now() < deadline, "{error}"),
+                Err(error) => assert!(
+                    Instant::now() < deadline,
+                    "cannot connect to {address}: {error}"
+                ),
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Sends a request; returns status and body of the response.
+    /// Sends a request; returns the status and body of the response.
     fn request(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let mut request = Vec::new();
         http::write_request(&mut request, method, path, "test", body);
@@ -174,7 +177,10 @@
                 return (message.status, message.body);
             }
             let count = self.stream.read(&mut chunk).unwrap();
-            assert!(count > 0, "closed without a response");
+            assert!(
+                count > 0,
+                "the controller closed the connection without a response"
+            );
             self.buffer.extend_from_slice(&chunk[..count]);
         }
     }
@@ -183,7 +189,7 @@
 #[test]
 fn clients_are_served_over_real_sockets() {
     let address = start_controller();
-    // A client that never finishes its request does not delay the others.
+    // A client that never completes its request must not delay other clients.
     let mut slow = Client::connect(address);
     slow.stream
         .write_all(b"POST /submissions HTTP/1.1\r\nContent-")
@@ -195,7 +201,10 @@
         if status == 201 {
             break;
         }
-        assert!(status == 503 && Instant::now() < deadline, "{status}");
+        assert!(
+            status == 503 && Instant::now() < deadline,
+            "submission not accepted: status {status}"
+        );
         std::thread::sleep(Duration::from_millis(30));
     }
     assert_eq!(client.request("GET", "/healthz", b"").0, 200);
@@ -240,7 +249,7 @@
     assert_eq!((status, state.status.as_str()), (200, "cancelled"));
     let (_, response) = client.request("GET", "/submissions/req-1", b"");
     assert_eq!(decode::<JobState>(&response).unwrap().status, "cancelled");
-    // A body that is too long is rejected by its announced length, and the connection is closed.
+    // A body that is too long is rejected based on its `Content-Length`, and the connection is closed.
     let mut large = Client::connect(address);
     large
         .stream
--- a/tests/loopback/settings.rs
+++ b/tests/loopback/settings.rs
@@ -15,10 +15,16 @@
         ("sockets = 1000", "sockets = \"many\"", "sockets"),
         ("member = \"kernel-0\"", "member = \"\"", "member"),
     ] {
-        assert!(VALID.contains(from), "{from}");
+        assert!(
+            VALID.contains(from),
+            "examples/settings.toml does not contain `{from}`"
+        );
         let error = Settings::parse("s.toml", &VALID.replace(from, to)).unwrap_err();
         let text = error.to_string();
-        assert!(text.contains("s.toml") && text.contains(field), "{text}");
+        assert!(
+            text.contains("s.toml") && text.contains(field),
+            "expected s.toml and {field} in: {text}"
+        );
     }
 }
 
@@ -36,7 +42,7 @@
         ("txn_ops = \"few\"", "txn_ops"),
     ] {
         let text = with_future_limits(line).unwrap_err().to_string();
-        assert!(text.contains(field), "{text}");
+        assert!(text.contains(field), "expected {field} in: {text}");
     }
     let lower = with_future_limits("write_rps = 7.5\ntxn_ops = 4000").unwrap();
     let limits = &lower.params.state;
@@ -44,12 +50,12 @@
     assert_eq!(
         limits.effective_txn_ops(),
         8,
-        "never above the present limit"
+        "a higher future limit raised the present one"
     );
     assert_eq!(
         limits.effective_rps(),
         limits.rps,
-        "a limit that is not named does not change"
+        "a limit without a future value changed"
     );
 }
 
--- a/tests/loopback/submissions.rs
+++ b/tests/loopback/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions as clients send them, and their validation.
+//! Builders for client submissions, and tests of their validation.
 
 use rmpv::Value;
 use walnuttrestle::protocol::codec::encode;
@@ -6,7 +6,7 @@
 
 type Fields = Vec<(Value, Value)>;
 
-/// Returns the fields of a valid submission of two tasks.
+/// Returns the fields of a valid submission with two tasks.
 pub(crate) fn submission(id: &str) -> Fields {
     let text = |text: &str| Value::from(text);
     [
@@ -39,7 +39,7 @@
     encode(&Value::Map(fields))
 }
 
-/// Encodes a submission in which one field has another value.
+/// Encodes the submission `req-7` with one field set to the given value.
 pub(crate) fn body_with(name: &str, value: Value) -> Vec<u8> {
     let mut fields = submission("req-7");
     fields.retain(|(key, _)| key.as_str() != Some(name));
@@ -80,11 +80,11 @@
         ("awaits", Value::Array(vec![Value::from("job-1")])),
     ] {
         let result = parse(&body_with(name, value.clone()));
-        assert!(result.is_err(), "{name} {value}");
+        assert!(result.is_err(), "accepted {name} = {value}");
     }
     assert!(
         parse(&body_with("cards", Value::from(2))).is_ok(),
-        "a whole number is an amount"
+        "rejected an integer where a floating-point amount is expected"
     );
 }
 
@@ -94,7 +94,11 @@
         let mut fields = submission("req-7");
         fields.retain(|(key, _)| *key != name);
         let is_optional = name.as_str() == Some("presses");
-        assert_eq!(parse(&body(fields)).is_ok(), is_optional, "{name}");
+        assert_eq!(
+            parse(&body(fields)).is_ok(),
+            is_optional,
+            "accepted without {name}"
+        );
     }
 }
 
@@ -130,7 +134,8 @@
             spec.dependencies
                 .iter()
                 .all(|dependency| earlier.contains(dependency)),
-            "{id}"
+            "{id} does not depend on earlier jobs only: {:?}, {earlier:?}",
+            spec.dependencies
         );
         earlier.push(id);
     }
--- a/tests/wire_compatibility/agent_api.rs
+++ b/tests/wire_compatibility/agent_api.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents, the responses to them, and direct commands.
+//! Encoding of agent heartbeats, the responses to them, and direct commands.
 
 use crate::fixtures::{Fixtures, array, map};
 use walnuttrestle::protocol::agent_api::{
@@ -117,7 +117,7 @@
     check_agent_heartbeat(fixtures);
 }
 
-/// A heartbeat as an agent writes it: without optional fields, and with a task that names them.
+/// Checks a heartbeat as an agent writes it, with one task that omits the optional fields and one that has them.
 fn check_agent_heartbeat(fixtures: &mut Fixtures) {
     let running = map([
         ("sheet", "req-17/3".into()),
--- a/tests/wire_compatibility/client_api.rs
+++ b/tests/wire_compatibility/client_api.rs
@@ -1,4 +1,4 @@
-//! Submissions of clients and the responses to them.
+//! Encoding of client submissions and the responses to them.
 
 use crate::fixtures::{Fixtures, array, encode_value, map};
 use crate::samples::{full_spec, plain_spec, plain_spec_fields};
@@ -9,10 +9,10 @@
 use walnuttrestle::protocol::job::parse;
 use walnuttrestle::transport::http::write_response;
 
-/// Returns a submission with these fields and more.
+/// Returns a submission with the given fields and those of the map `extra`.
 fn submission(mut fields: Vec<(Value, Value)>, extra: Value) -> Value {
     let Value::Map(extra) = extra else {
-        unreachable!("a map")
+        unreachable!("`extra` is a map")
     };
     fields.extend(extra);
     Value::Map(fields)
@@ -21,8 +21,8 @@
 fn check_submission(fixtures: &mut Fixtures, name: &str, body: &Value, id: &str, spec: &JobSpec) {
     let stored = fixtures.check_encoding(name, &encode_value(body));
     let (parsed_id, parsed) = parse(&stored).expect(name);
-    assert_eq!(parsed_id, id, "{name}: another id");
-    assert_eq!(&parsed, spec, "{name}: another job");
+    assert_eq!(parsed_id, id, "{name}: parsed another job id");
+    assert_eq!(&parsed, spec, "{name}: parsed another job spec");
 }
 
 #[test]
--- a/tests/wire_compatibility/cloud_api.rs
+++ b/tests/wire_compatibility/cloud_api.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud and its responses.
+//! Encoding of requests to the cloud and of its responses.
 
 use crate::fixtures::{Fixtures, array, map, strings};
 use crate::samples::machine_types;
@@ -52,7 +52,7 @@
     fixtures.finish();
 }
 
-/// Responses as the cloud writes them, with and without optional fields.
+/// Checks responses as the cloud writes them, with and without optional fields.
 fn check_cloud_responses(fixtures: &mut Fixtures) {
     let big = map([
         ("name", "big".into()),
--- a/tests/wire_compatibility/key_value_api.rs
+++ b/tests/wire_compatibility/key_value_api.rs
@@ -1,4 +1,4 @@
-//! Requests to the key-value store and its responses.
+//! Encoding of requests to the key-value store and of its responses.
 
 use crate::fixtures::{Fixtures, array, map, strings};
 use crate::samples::plain_job;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns method, path and body of a request to the store.
+/// Returns the method, path and body that `StoreClient` sends for a request.
 fn request_bytes(request: StoreRequest) -> Vec<u8> {
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
@@ -50,13 +50,13 @@
     store.enqueue(RequestPriority::Urgent, (), request);
     store.send_queued(Micros::millis(10_000), &mut 0, &mut sent);
     let [NetworkCommand::Call(call)] = sent.as_slice() else {
-        panic!("not one call: {sent:?}");
+        panic!("expected one call, found {sent:?}");
     };
     let head = format!("{} {}\n", call.method, call.path);
     [head.as_bytes(), &call.body].concat()
 }
 
-/// Returns what the client of the store makes of the response to a request.
+/// Returns the result that `StoreClient` derives from the HTTP response to a request.
 fn interpret_response(request: StoreRequest, status: u16, body: &[u8]) -> StoreResponse {
     let address = "127.0.0.1:7000".parse().unwrap();
     let mut store = StoreClient::new(address, 100.0, 100.0, 100.0);
@@ -69,7 +69,7 @@
     };
     store
         .on_response(id, &outcome)
-        .expect("the request")
+        .expect("the response belongs to a pending request")
         .response
 }
 
--- a/tests/wire_compatibility/main.rs
+++ b/tests/wire_compatibility/main.rs
@@ -1,9 +1,9 @@
-//! Stored records and messages keep their bytes.
+//! Checks that the encoding of stored records and messages does not change.
 //!
-//! Each file below `tests/data` holds cases, one a line: a name and the bytes in hexadecimal. A test builds the
-//! value of each case in code, compares its encoding with the file, decodes the bytes of the file, and compares the
-//! result with the value. `UPDATE_FIXTURES=1 cargo test --test wire_compatibility` rewrites the files and fails, so
-//! that such a run never passes for a comparison.
+//! Each fixture file in `tests/data` has one case per line: a name and the encoded bytes in hexadecimal. A test builds
+//! the value of each case, compares its encoding with the fixture, decodes the bytes of the fixture, and compares the
+//! result with the value. `UPDATE_FIXTURES=1 cargo test --test wire_compatibility` rewrites the files and always
+//! fails, so that such a run cannot be mistaken for a successful comparison.
 
 mod agent_api;
 mod client_api;
--- a/tests/wire_compatibility/peer_heartbeats.rs
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between controllers, in each format.
+//! Encoding of heartbeats between controllers, in each format.
 
 use crate::fixtures::{Fixtures, hex, strings};
 use walnuttrestle::protocol::format;
@@ -8,7 +8,7 @@
 };
 use walnuttrestle::protocol::records::LeaderRecord;
 
-/// Returns a heartbeat with all fields of the format.
+/// Returns a heartbeat with all fields that the format has.
 fn heartbeat(format_number: u32) -> PeerHeartbeat {
     let since = |first: u32| format_number >= first;
     PeerHeartbeat {
@@ -74,13 +74,14 @@
     }
 }
 
-/// Returns what the present code appends to the bytes of an older format.
+/// Returns the bytes that the present code appends to a heartbeat of an older format: the default values of newer
+/// fields.
 fn appended_bytes(format_number: u32) -> &'static [u8] {
     match format_number {
-        // The format, no requested budget share, and no grant seen.
+        // `format`, and zero for `requested_writes` and `grant_epoch`.
         format::FIRST => &[1, 0, 0],
         format::PIPELINES | format::PLACEMENT_BATCHES => &[0, 0],
-        // Neither `cancellation_cursor` nor `cancellation_update`.
+        // `None` for `cancellation_cursor` and `cancellation_update`.
         format::LEASE_DELEGATION => &[0, 0],
         _ => &[],
     }
@@ -92,7 +93,7 @@
     let without_appended = encoded.strip_suffix(appended).expect(name);
     let stored = fixtures.check_encoding(name, without_appended);
     let decoded = PeerHeartbeat::decode(&stored).expect(name);
-    assert_eq!(&decoded, heartbeat, "{name}: another value");
+    assert_eq!(&decoded, heartbeat, "{name}: decoded to another value");
     let expected = [stored.as_slice(), appended].concat();
     assert_eq!(
         hex(&decoded.encode()),
@@ -104,7 +105,11 @@
 #[test]
 fn heartbeat_encoding_of_each_format_is_stable() {
     let mut fixtures = Fixtures::open("heartbeats.hex");
-    assert_eq!(format::NEWEST, 6, "a new format needs cases here");
+    assert_eq!(
+        format::NEWEST,
+        6,
+        "add cases for the new format to this test"
+    );
     for format_number in format::FIRST..=format::NEWEST {
         let name = format!("format_{format_number}");
         check_heartbeat(&mut fixtures, &name, &heartbeat(format_number));
--- a/tests/wire_compatibility/records.rs
+++ b/tests/wire_compatibility/records.rs
@@ -1,4 +1,4 @@
-//! Keys and values in the key-value store.
+//! Encoding of keys and values in the key-value store.
 
 use crate::fixtures::{Fixtures, array, hex, map, strings};
 use crate::samples::{
@@ -124,7 +124,8 @@
     check_old_job_records(fixtures);
 }
 
-/// Records as versions wrote them that knew none of the optional fields.
+/// Checks records written by older versions, which lack the optional fields, and by a newer version with a field that
+/// this one does not define.
 fn check_old_job_records(fixtures: &mut Fixtures) {
     let time = 1_700_000_000_000_000u64;
     let minimal = map([
@@ -163,7 +164,11 @@
     assert_eq!(decoded.machines(), machines);
     fixtures.check_record("renewal_none", &RenewalsRecord::new(7, [].into_iter()));
     let split_records = RenewalsRecord::split(7, machines.iter(), 60);
-    assert!(split_records.len() > 1, "one record");
+    assert!(
+        split_records.len() > 1,
+        "expected several records, found {}",
+        split_records.len()
+    );
     for (index, record) in split_records.iter().enumerate() {
         fixtures.check_record(&format!("renewal_split_{index}"), record);
     }
--- a/tests/wire_compatibility/samples.rs
+++ b/tests/wire_compatibility/samples.rs
@@ -1,4 +1,4 @@
-//! Sample values that several tests use.
+//! Sample values shared by the tests.
 
 use crate::fixtures::{map, strings};
 use admission_control::parts::{Grant, Share};
@@ -8,7 +8,7 @@
 use walnuttrestle::protocol::records::{JobRecord, JobStage, TaskChunk, TaskEntry};
 use walnuttrestle::protocol::{JobKind, JobSpec, Micros, Priority};
 
-/// A job without any optional field.
+/// Returns the spec of a job without any optional field.
 pub(crate) fn plain_spec() -> JobSpec {
     JobSpec {
         class: "nightly".into(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A job with every optional field.
+/// Returns the spec of a job with every optional field.
 pub(crate) fn full_spec() -> JobSpec {
     JobSpec {
         kind: JobKind::Gang,
@@ -95,7 +95,7 @@
         ("stash_s", 1.5.into()),
     ]);
     let Value::Map(fields) = fields else {
-        unreachable!("a map")
+        unreachable!("`map` returns a map")
     };
     fields
 }
