--- a/tests/wire_compatibility/peer_heartbeats.rs
+++ b/tests/wire_compatibility/peer_heartbeats.rs
@@ -98,7 +98,7 @@
     assert_eq!(
         hex(&decoded.encode()),
         hex(&expected),
-        "{name}: other bytes"
+        "{name}: the decoded heartbeat has another encoding"
     );
 }
 
