--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of heartbeats between controllers: of other formats, truncated, too long, or corrupted.
+//! Encoding and decoding of heartbeats between controllers, also in other formats, truncated, too long, or corrupted.
 
 use proptest::prelude::*;
 use walnuttrestle::protocol::format;
@@ -63,37 +63,38 @@
     }
 }
 
-/// A heartbeat of format 5 ends before the cancellations.
+/// Format 5 has no fields for cancellations: its heartbeats end before them.
 #[test]
 fn a_heartbeat_of_the_previous_format_has_no_cancellations() {
-    let ours = heartbeat(3);
-    let bytes = postcard::to_stdvec(&ours).unwrap();
+    let sent = heartbeat(3);
+    let bytes = postcard::to_stdvec(&sent).unwrap();
     let bytes = postcard::to_extend(&(format::LEASE_DELEGATION, 30_000u64, 4u64), bytes).unwrap();
     let bytes =
-        postcard::to_extend(&(ours.delegation.unwrap(), &ours.record_summary), bytes).unwrap();
+        postcard::to_extend(&(sent.delegation.unwrap(), &sent.record_summary), bytes).unwrap();
     let decoded = PeerHeartbeat::decode(&bytes).unwrap();
     assert_eq!(
         (decoded.format, decoded.delegation),
-        (format::LEASE_DELEGATION, ours.delegation)
+        (format::LEASE_DELEGATION, sent.delegation)
     );
     assert_eq!(
         (decoded.cancellation_cursor, decoded.cancellation_update),
-        (None, None)
+        (None, None),
+        "cancellation fields decoded from format 5"
     );
-    // A version of that format finds its fields in ours at the same place.
-    let encoded = ours.encode();
+    // A version that reads only format 5 finds its fields at the same positions in a heartbeat of the newest format.
+    let encoded = sent.encode();
     let (_, rest) = postcard::take_from_bytes::<PeerHeartbeat>(&encoded).unwrap();
     let (_, rest) = postcard::take_from_bytes::<(u32, u64, u64)>(rest).unwrap();
     let (more, record_summary): (LeaseDelegationStatus, Option<RecordSummary>) =
         postcard::from_bytes(rest).unwrap();
     assert_eq!(
         (Some(more), record_summary),
-        (ours.delegation, ours.record_summary)
+        (sent.delegation, sent.record_summary)
     );
 }
 
 #[test]
-fn of_a_newer_format_the_known_fields_are_decoded() {
+fn known_fields_of_a_newer_format_are_decoded() {
     let sent = PeerHeartbeat {
         format: format::NEWEST + 1,
         ..heartbeat(2)
@@ -112,21 +113,29 @@
     };
     let invalid = Err(InvalidPeerHeartbeat::InvalidCancellations);
     assert_eq!(
-        decode_changed(|news| news.jobs[1].0 = "req-".into()),
-        invalid
+        decode_changed(|update| update.jobs[1].0 = "req-".into()),
+        invalid,
+        "job id without a name"
+    );
+    assert_eq!(
+        decode_changed(|update| update.jobs[0].0 = "../req-1".into()),
+        invalid,
+        "job id with a path"
     );
     assert_eq!(
-        decode_changed(|news| news.jobs[0].0 = "../req-1".into()),
-        invalid
+        decode_changed(|update| update.next_entry = 2),
+        invalid,
+        "next_entry is before first_entry"
     );
-    assert_eq!(decode_changed(|news| news.next_entry = 2), invalid);
     assert_eq!(
-        decode_changed(|news| news.peer_coverage_ages = vec![("kernel-9".into(), 1); 65]),
-        invalid
+        decode_changed(|update| update.peer_coverage_ages = vec![("kernel-9".into(), 1); 65]),
+        invalid,
+        "too many peers"
     );
     assert_eq!(
         PeerHeartbeat::decode(&heartbeat(MAX_CANCELLATIONS + 1).encode()),
-        invalid
+        invalid,
+        "too many cancellations"
     );
     let no_format = PeerHeartbeat {
         format: 0,
@@ -144,8 +153,8 @@
     );
 }
 
-/// A heartbeat of the first version ends where ours states its format. Truncation at any other place is detected; at
-/// that one, the rest is a valid heartbeat of the first version, which vouches for no more than those do.
+/// Truncation is detected at every position but one: the fields before `format` are a valid heartbeat of the first
+/// version. This is harmless, because such a heartbeat is only treated like one that the first version sent.
 #[test]
 fn a_truncated_heartbeat_is_rejected() {
     let sent = heartbeat(3);
@@ -154,13 +163,18 @@
     for length in 0..bytes.len() {
         let decoded = PeerHeartbeat::decode(&bytes[..length]);
         let is_valid = length == first_version;
-        assert_eq!(decoded.is_ok(), is_valid, "cut at {length}: {decoded:?}");
+        assert_eq!(
+            decoded.is_ok(),
+            is_valid,
+            "truncated to {length} of {} bytes, expected valid: {is_valid}, decoded: {decoded:?}",
+            bytes.len()
+        );
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        // The same cases in each run, and no file of failures.
+        // Use the same cases in each run and write no file of failures.
         failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         cases: 2_000,
@@ -170,9 +184,9 @@
     #[test]
     fn random_bytes_never_decode_to_too_many_cancellations(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(heartbeat) = PeerHeartbeat::decode(&bytes)
-            && let Some(news) = heartbeat.cancellation_update
+            && let Some(update) = heartbeat.cancellation_update
         {
-            prop_assert!(news.jobs.len() <= MAX_CANCELLATIONS);
+            prop_assert!(update.jobs.len() <= MAX_CANCELLATIONS, "{} cancellations decoded", update.jobs.len());
         }
     }
 
@@ -184,9 +198,9 @@
         let mut bytes = heartbeat(4).encode();
         let position = position % bytes.len();
         bytes[position] = replacement;
-        if let Ok(PeerHeartbeat { cancellation_update: Some(news), .. }) = PeerHeartbeat::decode(&bytes) {
-            prop_assert!(news.first_entry <= news.next_entry);
-            prop_assert!(news.jobs.iter().all(|(id, _)| is_valid_job_id(id)));
+        if let Ok(PeerHeartbeat { cancellation_update: Some(update), .. }) = PeerHeartbeat::decode(&bytes) {
+            prop_assert!(update.first_entry <= update.next_entry, "first_entry {} is after next_entry {}", update.first_entry, update.next_entry);
+            prop_assert!(update.jobs.iter().all(|(id, _)| is_valid_job_id(id)), "invalid job id in {:?}", update.jobs);
         }
     }
 }
--- a/tests/simulation/fake_store.rs
+++ b/tests/simulation/fake_store.rs
@@ -1,6 +1,6 @@
-//! An in-memory key-value store with transactions, watches, leases and limits, as the protocol describes it.
+//! An in-memory key-value store with transactions, watches, leases and limits according to the store protocol.
 
-// Each test target uses some of the items.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 use rmpv::Value;
@@ -8,9 +8,9 @@
 use walnuttrestle::protocol::codec::*;
 use walnuttrestle::protocol::key_value_api::*;
 
-/// Items on a page of a listing.
+/// Items per page of a listing.
 const PAGE_SIZE: usize = 7;
-/// A transaction may have this many conditions for each change that it may have.
+/// The limit on conditions in a transaction is this multiple of the limit on changes.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
 /// Status and body of an answer.
@@ -20,9 +20,10 @@
 pub struct OpenWatch {
     pub ticket: u64,
     /// The controller that watches.
-    pub from: usize,
-    /// Changes after this revision are wanted.
+    pub controller: usize,
+    /// The watch is answered with the changes after this revision.
     pub after: u64,
+    /// When the watch is answered even if there is no change.
     pub until: u64,
 }
 
@@ -35,9 +36,9 @@
     pub write_rps: f64,
 }
 
-/// Changes that are allowed at once: a token bucket.
+/// Token bucket that limits the rate of changes.
 #[derive(Default)]
-struct WriteBudget {
+struct TokenBucket {
     updated_at: u64,
     tokens: f64,
 }
@@ -56,26 +57,26 @@
 /// The store. Times are in microseconds.
 #[derive(Default)]
 pub struct FakeStore {
-    /// Limits in force; `None`: every transaction is taken.
+    /// Limits on transactions; `None` if there are none.
     pub limits: Option<StoreLimits>,
     /// Transactions rejected for their size.
     pub rejected_for_size: usize,
     /// Transactions rejected for their rate.
     pub rejected_for_rate: usize,
-    budget: WriteBudget,
+    write_bucket: TokenBucket,
     keys: BTreeMap<String, StoredValue>,
     log: Vec<WatchEvent>,
     leases: BTreeMap<u64, Lease>,
     revision: u64,
     last_lease: u64,
     pub watches: Vec<OpenWatch>,
-    /// The store answers no request.
+    /// Requests are refused with status 503, watches are not answered, and leases do not expire.
     pub outage: bool,
-    /// Controllers whose requests are refused; their open watches wait as in an outage.
+    /// Controllers whose requests are refused with status 503; their open watches are not answered.
     pub refused_controllers: Vec<usize>,
-    /// Number of changes that watches can look back on; `None`: all.
+    /// Number of changes that the store keeps for watches; `None` if it keeps all.
     pub history_limit: Option<usize>,
-    /// Watches that were refused because their revision is compacted.
+    /// Number of watches refused because their revision was compacted.
     pub compacted_reads: usize,
 }
 
@@ -98,7 +99,7 @@
         self.keys.contains_key(key)
     }
 
-    /// Replaces a value by one that no controller can read.
+    /// Replaces a value by one that controllers cannot decode.
     pub fn corrupt(&mut self, key: &str) {
         self.revision += 1;
         let lease = self.keys.get(key).and_then(|stored| stored.lease);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Ends an outage: all leases have their full duration again.
+    /// Ends an outage and renews all leases for their full duration.
     pub fn end_outage(&mut self, now: u64) {
         self.outage = false;
         for lease in self.leases.values_mut() {
@@ -178,30 +179,30 @@
         }
     }
 
-    /// The status that a transaction is rejected with by the limits, if it is.
+    /// Checks a transaction against the limits. Returns the status to reject it with, or `None` if it is within them.
     fn check_limits(&mut self, now: u64, transaction: &Transaction) -> Option<u16> {
         let limits = self.limits?;
-        let is_too_long = |change: &Change| match change {
+        let is_too_large = |change: &Change| match change {
             Change::Put { value, .. } => json_len(value) as f64 > limits.value_kb * 1024.0,
             Change::Delete { .. } => false,
         };
         if transaction.changes.len() > limits.txn_ops
             || transaction.conditions.len() > limits.txn_ops * CONDITIONS_PER_CHANGE
-            || transaction.changes.iter().any(is_too_long)
+            || transaction.changes.iter().any(is_too_large)
         {
             self.rejected_for_size += 1;
             return Some(400);
         }
-        let elapsed_s = (now - self.budget.updated_at) as f64 / 1e6;
-        let refilled = self.budget.tokens + elapsed_s * limits.write_rps;
-        self.budget.tokens = refilled.min(limits.write_rps);
-        self.budget.updated_at = now;
+        let elapsed_s = (now - self.write_bucket.updated_at) as f64 / 1e6;
+        let refilled = self.write_bucket.tokens + elapsed_s * limits.write_rps;
+        self.write_bucket.tokens = refilled.min(limits.write_rps);
+        self.write_bucket.updated_at = now;
         let needed = transaction.changes.len() as f64;
-        if self.budget.tokens < needed {
+        if self.write_bucket.tokens < needed {
             self.rejected_for_rate += 1;
             return Some(429);
         }
-        self.budget.tokens -= needed;
+        self.write_bucket.tokens -= needed;
         None
     }
 
@@ -216,15 +217,15 @@
         }
     }
 
-    /// Whether changes after a revision are no longer all known.
+    /// Whether some of the changes after a revision have been compacted.
     fn is_compacted(&self, revision: u64) -> bool {
         let changes = self.log.iter();
         let missing = changes.filter(|event| event.version > revision).count();
         self.history_limit.is_some_and(|limit| missing > limit)
     }
 
-    /// Takes the watches that can be answered now, as tickets and bodies.
-    pub fn answerable(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
+    /// Removes the watches that can be answered now; returns their tickets and the bodies of the answers.
+    pub fn take_ready_watches(&mut self, now: u64) -> Vec<(u64, Vec<u8>)> {
         if self.outage {
             return Vec::new();
         }
@@ -232,7 +233,7 @@
         let mut open = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let response = self.changes_after(watch.after);
-            let refused = self.refused_controllers.contains(&watch.from);
+            let refused = self.refused_controllers.contains(&watch.controller);
             if !refused && (!response.events.is_empty() || watch.until <= now) {
                 answers.push((watch.ticket, encode(&response)));
             } else {
@@ -243,30 +244,30 @@
         answers
     }
 
-    /// Handles a request; `None`: it is a watch that stays open under its ticket.
+    /// Handles a request. Returns `None` for a watch that stays open under `ticket`.
     pub fn handle(
         &mut self,
         now: u64,
-        from: usize,
+        controller: usize,
         ticket: u64,
         method: &str,
         path: &str,
         body: &[u8],
     ) -> Option<Answer> {
         self.expire(now);
-        if self.outage || self.refused_controllers.contains(&from) {
+        if self.outage || self.refused_controllers.contains(&controller) {
             return Some((503, Vec::new()));
         }
         let route = path.split('?').next().unwrap_or("");
         match (method, route) {
-            ("GET", "/watch") => self.watch(now, from, ticket, path),
+            ("GET", "/watch") => self.watch(now, controller, ticket, path),
             ("GET", "/keys") => Some(self.list(path)),
             ("POST", "/multi") => {
-                let transaction = decode(body).expect("a transaction");
+                let transaction = decode(body).expect("body is a transaction");
                 Some(self.commit(now, transaction))
             }
             ("POST", "/leases") => {
-                let request = decode(body).expect("a lease request");
+                let request = decode(body).expect("body is a lease request");
                 Some(self.grant_lease(now, &request))
             }
             ("POST", renewal) => Some(self.renew_lease(now, renewal)),
@@ -274,7 +275,7 @@
         }
     }
 
-    fn watch(&mut self, now: u64, from: usize, ticket: u64, path: &str) -> Option<Answer> {
+    fn watch(&mut self, now: u64, controller: usize, ticket: u64, path: &str) -> Option<Answer> {
         let after = query_number(path, "after");
         let block_ms = query_number(path, "block_ms");
         if self.is_compacted(after) {
@@ -285,7 +286,7 @@
         if response.events.is_empty() && block_ms > 0 {
             self.watches.push(OpenWatch {
                 ticket,
-                from,
+                controller,
                 after,
                 until: now + block_ms * 1000,
             });
@@ -329,11 +330,11 @@
             let revision = self.revision;
             return (409, encode(&TransactionResponse { revision, failed }));
         }
-        let has_unknown_lease = |change: &Change| match change {
+        let has_missing_lease = |change: &Change| match change {
             Change::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Change::Delete { .. } => false,
         };
-        if transaction.changes.iter().any(has_unknown_lease) {
+        if transaction.changes.iter().any(has_missing_lease) {
             return (400, Vec::new());
         }
         self.revision += 1;
@@ -367,7 +368,7 @@
             .strip_prefix("/leases/")
             .and_then(|rest| rest.strip_suffix("/renew"))
             .and_then(|id| id.parse().ok())
-            .expect("a renewal");
+            .expect("path is /leases/ID/renew");
         let Some(renewed) = self.leases.get_mut(&lease) else {
             return (404, Vec::new());
         };
