--- a/tests/faults_under_load.rs
+++ b/tests/faults_under_load.rs
@@ -21,9 +21,9 @@
     sim.leader().unwrap_or(0)
 }
 
-fn crash_leader(sim: &mut Simulation, back: u64) {
+fn crash_leader(sim: &mut Simulation, down_time: u64) {
     let leader = current_leader(sim);
-    sim.crash_controller(leader, back);
+    sim.crash_controller(leader, down_time);
 }
 
 fn assert_done(sim: &Simulation, seed: u64, ids: &[&str]) {
@@ -32,29 +32,29 @@
     }
 }
 
-/// Heartbeats of machines are lost while direct commands reach them and are answered. Those answers renew no lease, so no
-/// task is started there; cancelled tasks are stopped by command; the others run on elsewhere, once. Fails if such an
-/// answer counts as a sign that the machine may get new work.
+/// Heartbeats of machines are lost while direct commands reach them and are answered. These answers renew no lease, so no
+/// task may be started there; cancelled tasks are stopped by command, and the other tasks run elsewhere, once. Fails if such
+/// an answer makes the machine eligible for new tasks.
 #[test]
-fn silent_machines_get_stops_and_no_starts() {
-    let mut stopped = 0;
+fn machines_without_heartbeats_are_sent_stops_but_no_starts() {
+    let mut runs_stopped_by_command = 0;
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5000 + seed, 4);
         sim.no_capacity = true;
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.run_seconds(10);
-        let silent: Vec<String> = sim
+        let silent_machines: Vec<String> = sim
             .machine_names()
             .into_iter()
             .take(1 + seed as usize % 2)
             .collect();
-        let from = sim.now;
-        let until = from + 28 * SECOND;
-        silent
+        let silent_from = sim.now;
+        let silent_until = silent_from + 28 * SECOND;
+        silent_machines
             .iter()
-            .for_each(|m| sim.faults.drop_heartbeats(m, until));
-        // Jobs are submitted all the time.
+            .for_each(|machine| sim.faults.drop_heartbeats(machine, silent_until));
+        // A job is submitted every second.
         for n in 0..26u64 {
             let id = format!("req-{}", 100 + n);
             sim.after(n * SECOND, move |sim| {
@@ -66,13 +66,16 @@
             sim.after(5 * SECOND, |sim| crash_leader(sim, 50_000));
         }
         sim.run_seconds(5);
-        stopped += usize::from(sim.running_instances("req-2") == 0);
+        // Sooner than the leases expire: by a command.
+        runs_stopped_by_command += usize::from(sim.running_instances("req-2") == 0);
         sim.run_seconds(22);
-        // A heartbeat counts for 2.5 intervals of 2 s; a start takes a moment and its image two seconds.
-        let late =
-            |b: &&simulation::TaskStart| silent.contains(&b.machine) && b.at > from + 9 * SECOND;
-        let late: Vec<_> = sim.task_starts.iter().filter(late).collect();
-        assert!(late.is_empty(), "seed {seed}: {late:?}");
+        // A heartbeat makes a machine eligible for 2.5 intervals of 2 s; a start and fetching its image take
+        // little more than two seconds.
+        let is_late_start = |start: &&simulation::TaskStart| {
+            silent_machines.contains(&start.machine) && start.at > silent_from + 9 * SECOND
+        };
+        let late_starts: Vec<_> = sim.task_starts.iter().filter(is_late_start).collect();
+        assert!(late_starts.is_empty(), "seed {seed}: {late_starts:?}");
         sim.run_seconds(90);
         sim.assert_cancelled(seed, &["req-2"]);
         assert_eq!(
@@ -86,13 +89,14 @@
         }
     }
     assert!(
-        stopped >= 12,
-        "stopped by command, before a lease is over: {stopped}"
+        runs_stopped_by_command >= 12,
+        "cancelled tasks were stopped within 5 s in {runs_stopped_by_command} of 24 runs, expected 12 or more"
     );
 }
 
-/// A team is at its quota; some of its jobs are cancelled whose machines are partitioned, hang or are deaf, and the leader
-/// changes, once or repeatedly. Tasks that are not confirmed gone count against the quota for every leader.
+/// A team has used up its quota. Some of its jobs are cancelled while their machines are partitioned, hang, lose their
+/// heartbeats or receive nothing, and the leader changes once or several times. Tasks count against the quota for every
+/// leader until they are confirmed to have ended.
 #[test]
 fn quota_holds_while_cancelled_tasks_are_unconfirmed() {
     for seed in 0..48 {
@@ -115,8 +119,8 @@
             .into_iter()
             .chain(sim.machines_running("req-1/1"));
         let machines: Vec<String> = machines.collect();
-        let dt = sim.rng.random_range(4..45) * SECOND;
-        let until = sim.now + dt;
+        let duration = sim.rng.random_range(4..45) * SECOND;
+        let until = sim.now + duration;
         for machine in &machines {
             match seed % 4 {
                 0 => (0..3).for_each(|i| {
@@ -124,10 +128,15 @@
                         Endpoint::Controller(i),
                         Endpoint::Agent(machine.clone()),
                         PartitionMode::Delay,
-                        dt,
+                        duration,
                     )
                 }),
-                1 => sim.agents.get_mut(machine).expect("a machine").hung_until = until,
+                1 => {
+                    sim.agents
+                        .get_mut(machine)
+                        .expect("machine not found")
+                        .hung_until = until
+                }
                 2 => sim.faults.drop_heartbeats(machine, until),
                 _ => sim.faults.drop_all_deliveries(machine, until),
             }
@@ -137,8 +146,8 @@
         sim.after(at + SECOND, |sim| sim.cancel_until_answered("req-1"));
         for step in 0..1 + seed % 3 {
             let at = sim.rng.random_range(0..8 * SECOND) + step * 6 * SECOND;
-            let back = [20_000, 500_000, 6 * SECOND][sim.rng.random_range(0..3)];
-            sim.after(at, move |sim| crash_leader(sim, back));
+            let down_time = [20_000, 500_000, 6 * SECOND][sim.rng.random_range(0..3)];
+            sim.after(at, move |sim| crash_leader(sim, down_time));
         }
         sim.run_seconds(60);
         sim.faults.clear();
@@ -149,8 +158,8 @@
     }
 }
 
-/// Jobs are cancelled during a leader change: confirmed by the old leader, the new one or a follower, while tasks are placed,
-/// recorded and started, and both leaders clean up finished jobs.
+/// Jobs are cancelled during a leader change. The old leader, the new one or a follower confirms the cancellation while tasks
+/// are placed, recorded and started, and while both leaders delete finished jobs.
 #[test]
 fn cancellations_during_a_leader_change_are_enforced() {
     for seed in 0..48 {
@@ -168,9 +177,9 @@
                 ids[n].clone(),
                 at + sim.rng.random_range(50_000..4 * SECOND),
             );
-            let node = sim.rng.random_range(0..3);
+            let controller = sim.rng.random_range(0..3);
             sim.after(at, move |sim| {
-                sim.cancel(node, &id);
+                sim.cancel(controller, &id);
                 sim.cancel_until_answered(&id);
             });
         }
@@ -189,10 +198,10 @@
                     PartitionMode::Delay,
                     9 * SECOND,
                 );
-                for o in (0..3).filter(|o| *o != leader) {
+                for peer in (0..3).filter(|peer| *peer != leader) {
                     sim.partition(
                         Endpoint::Controller(leader),
-                        Endpoint::Controller(o),
+                        Endpoint::Controller(peer),
                         PartitionMode::Delay,
                         9 * SECOND,
                     );
@@ -219,9 +228,9 @@
     }
 }
 
-/// New machines are up within two seconds and get work at once, while transactions are delayed and the leader crashes:
-/// rentals that are not on record, first heartbeats to a follower, starts in flight to machines that the new leader does
-/// not know.
+/// New machines boot within two seconds and get tasks at once, while transactions are delayed and the leader crashes. This
+/// leads to rentals that are not recorded, first heartbeats to a follower, and starts in flight to machines that the new
+/// leader has no record of.
 #[test]
 fn instantly_booted_machines_during_slow_writes_and_a_leader_crash_break_no_invariant() {
     for seed in 0..32 {
@@ -258,8 +267,8 @@
     }
 }
 
-/// Duplicates of heartbeats reach every controller just as a new leader begins: its first heartbeat of an agent may be of an
-/// earlier epoch or attempt.
+/// Duplicates of heartbeats reach every controller just as a new leader takes over: the first heartbeat that it gets from an
+/// agent may be of an earlier epoch or attempt.
 #[test]
 fn stale_heartbeats_to_a_new_leader_break_no_invariant() {
     for seed in 0..48 {
@@ -277,15 +286,20 @@
         let machine = sim.machine_names().remove(seed as usize % 5);
         match seed % 4 {
             0 => {
-                sim.agents.get_mut(&machine).expect("it").hung_until =
-                    sim.now + (LEASE_S + 3) * SECOND
+                sim.agents
+                    .get_mut(&machine)
+                    .expect("machine not found")
+                    .hung_until = sim.now + (LEASE_S + 3) * SECOND
             }
             1 => sim
                 .faults
                 .drop_heartbeats(&machine, sim.now + (LEASE_S + 5) * SECOND),
             2 => {
                 sim.failed_machines.insert(machine.clone());
-                sim.agents.get_mut(&machine).expect("it").alive = false;
+                sim.agents
+                    .get_mut(&machine)
+                    .expect("machine not found")
+                    .alive = false;
             }
             _ => (0..3).for_each(|i| {
                 sim.partition(
@@ -320,8 +334,9 @@
     }
 }
 
-/// One-task jobs, four a second for two minutes, a quarter of them cancelled, with a small write budget; leaders change ten
-/// times in that time, also during an outage. No job starves, and the write budget suffices.
+/// Clients submit four one-task jobs a second for two minutes and cancel a quarter of them. Two of the four runs have a small
+/// write budget; in two, the leader crashes ten times and the store has an outage. No job may starve, and the number of
+/// changes per job is bounded.
 #[test]
 fn four_jobs_a_second_survive_leader_changes() {
     for seed in 0..4 {
@@ -332,12 +347,12 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..480u64 {
             let id = format!("req-{}", 1000 + n);
-            let run = sim.rng.random_range(SECOND..5 * SECOND);
-            let cancelled = (n % 4 == 0).then(|| sim.rng.random_range(0..6 * SECOND));
+            let run_time = sim.rng.random_range(SECOND..5 * SECOND);
+            let cancel_delay = (n % 4 == 0).then(|| sim.rng.random_range(0..6 * SECOND));
             sim.after(n * SECOND / 4, move |sim| {
-                sim.spawn_client(&id, job(JobKind::Array, 1, 0.5), run);
-                if let Some(at) = cancelled {
-                    sim.after(at, move |sim| sim.cancel_until_answered(&id));
+                sim.spawn_client(&id, job(JobKind::Array, 1, 0.5), run_time);
+                if let Some(delay) = cancel_delay {
+                    sim.after(delay, move |sim| sim.cancel_until_answered(&id));
                 }
             });
         }
@@ -356,8 +371,9 @@
         sim.run_seconds(60);
         let jobs = sim.jobs.iter().filter(|(id, _)| id.len() == 8);
         for (id, truth) in jobs {
-            let over = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-            assert!(over, "seed {seed}: {id}\n{}", sim.dump());
+            let finished =
+                truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
+            assert!(finished, "seed {seed}: {id}\n{}", sim.dump());
         }
         assert_eq!(
             sim.running_instances("req-1"),
@@ -365,44 +381,57 @@
             "seed {seed}: {}",
             sim.dump()
         );
-        // Accepted, placed, done, cleaned: four changes for a job without faults.
+        // Acceptance, placement, completion and deletion: four changes for a job without faults.
         println!("seed {seed}: {changes} changes for 480 jobs");
-        assert!(changes < 480 * 5, "seed {seed}: {changes}");
+        assert!(
+            changes < 480 * 5,
+            "seed {seed}: {changes} changes for 480 jobs, expected fewer than five each"
+        );
     }
 }
 
-/// A zone with agents and a controller is partitioned for longer than a lease, or all controllers are down for longer; jobs
-/// are cancelled meanwhile.
+/// For longer than a lease, a zone with agents and a controller is partitioned, or all controllers are down or paused. A job
+/// is cancelled meanwhile.
 #[test]
-fn absence_longer_than_a_lease_breaks_no_invariant() {
+fn unavailability_longer_than_a_lease_breaks_no_invariant() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5340 + seed, 6);
         sim.spawn_client("req-1", job(JobKind::Service, 6, 1.0), 0);
         sim.spawn_client("req-2", job(JobKind::Array, 6, 1.0), 300 * SECOND);
         sim.spawn_client("req-3", red_team_array(6, 2.0), 90 * SECOND);
         sim.run_seconds(10);
-        let dt = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
-        let how = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
+        let duration = sim.rng.random_range(LEASE_S + 2..CANCEL_DEADLINE_S + 10) * SECOND;
+        let mode = [PartitionMode::Delay, PartitionMode::Drop][seed as usize / 2 % 2];
         if seed % 2 == 0 {
             // Controller 1 and every second machine are in zone b.
             let zone_b: Vec<String> = sim
                 .agents
                 .values()
-                .filter(|x| x.zone == "b")
-                .map(|x| x.name.clone())
+                .filter(|agent| agent.zone == "b")
+                .map(|agent| agent.name.clone())
                 .collect();
             for i in [0, 2] {
-                sim.partition(Endpoint::Controller(1), Endpoint::Controller(i), how, dt);
-                zone_b.iter().for_each(|m| {
-                    sim.partition(Endpoint::Controller(i), Endpoint::Agent(m.clone()), how, dt)
+                sim.partition(
+                    Endpoint::Controller(1),
+                    Endpoint::Controller(i),
+                    mode,
+                    duration,
+                );
+                zone_b.iter().for_each(|machine| {
+                    sim.partition(
+                        Endpoint::Controller(i),
+                        Endpoint::Agent(machine.clone()),
+                        mode,
+                        duration,
+                    )
                 });
             }
-            sim.partition(Endpoint::Controller(1), Endpoint::Store, how, dt);
-            sim.partition(Endpoint::Controller(1), Endpoint::Cloud, how, dt);
+            sim.partition(Endpoint::Controller(1), Endpoint::Store, mode, duration);
+            sim.partition(Endpoint::Controller(1), Endpoint::Cloud, mode, duration);
         } else if seed % 4 == 1 {
-            (0..3).for_each(|i| sim.crash_controller(i, dt + i as u64 * 100_000));
+            (0..3).for_each(|i| sim.crash_controller(i, duration + i as u64 * 100_000));
         } else {
-            (0..3).for_each(|i| sim.pause_controller(i, dt));
+            (0..3).for_each(|i| sim.pause_controller(i, duration));
         }
         sim.after(3 * SECOND, |sim| sim.cancel_until_answered("req-2"));
         if seed % 3 == 0 {
@@ -425,15 +454,15 @@
     }
 }
 
-/// More work than room, of several priorities, over slow links, and the leader changes: tasks and gangs are preempted again
-/// and again. No job waits forever.
+/// Jobs of several priorities need more than the capacity, links are slow, and the leader changes: tasks and gangs are
+/// preempted repeatedly. No job may starve.
 #[test]
 fn overload_over_slow_links_breaks_no_invariant() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5400 + seed, 4);
         sim.no_capacity = true;
         sim.faults.max_link_delay = [200_000, 700_000][seed as usize % 2];
-        let low = |tasks| JobSpec {
+        let low_priority_array = |tasks| JobSpec {
             priority: Priority::Low,
             checkpoint_s: 2.0,
             save_s: 1.0,
@@ -445,8 +474,8 @@
             save_s: 1.0,
             ..job(JobKind::Gang, 2, 4.0)
         };
-        sim.spawn_client("req-1", low(16), 9 * SECOND);
-        sim.spawn_client("req-2", low(8), 6 * SECOND);
+        sim.spawn_client("req-1", low_priority_array(16), 9 * SECOND);
+        sim.spawn_client("req-2", low_priority_array(8), 6 * SECOND);
         for n in 0..5u64 {
             let id = format!("req-{}", 10 + n);
             let spec = gang([Priority::High, Priority::Normal][n as usize % 2]);
@@ -454,11 +483,13 @@
                 sim.spawn_client(&id, spec, 5 * SECOND)
             });
         }
-        let top = JobSpec {
+        let production_service = JobSpec {
             priority: Priority::Production,
             ..job(JobKind::Service, 2, 2.0)
         };
-        sim.after(7 * SECOND, move |sim| sim.spawn_client("req-3", top, 0));
+        sim.after(7 * SECOND, move |sim| {
+            sim.spawn_client("req-3", production_service, 0)
+        });
         if seed % 2 == 0 {
             sim.after(11 * SECOND, |sim| crash_leader(sim, 300_000));
         }
@@ -481,20 +512,24 @@
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there, while the leader changes.
+/// Jobs bound to one zone, including arrays, lose machines in it while the leader changes. They have to recover.
 #[test]
 fn zone_bound_jobs_recover_from_machine_loss() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(5440 + seed, 6);
-        let bound = |kind, tasks, zone: Option<&str>| JobSpec {
+        let zone_bound = |kind, tasks, zone: Option<&str>| JobSpec {
             one_zone: zone.is_none(),
             zone: zone.map(str::to_string),
             ..job(kind, tasks, 2.0)
         };
-        sim.spawn_client("req-1", bound(JobKind::Array, 6, None), 12 * SECOND);
-        sim.spawn_client("req-2", bound(JobKind::Array, 5, Some("a")), 12 * SECOND);
-        sim.spawn_client("req-3", bound(JobKind::Gang, 3, None), 12 * SECOND);
-        sim.spawn_client("req-4", bound(JobKind::Service, 3, None), 0);
+        sim.spawn_client("req-1", zone_bound(JobKind::Array, 6, None), 12 * SECOND);
+        sim.spawn_client(
+            "req-2",
+            zone_bound(JobKind::Array, 5, Some("a")),
+            12 * SECOND,
+        );
+        sim.spawn_client("req-3", zone_bound(JobKind::Gang, 3, None), 12 * SECOND);
+        sim.spawn_client("req-4", zone_bound(JobKind::Service, 3, None), 0);
         let spread = JobSpec {
             spread: true,
             ..job(JobKind::Service, 5, 1.0)
@@ -504,15 +539,23 @@
         for step in 0..4u64 {
             let at = step * 5 * SECOND;
             sim.after(at, move |sim| {
-                let names = sim.machine_names();
-                let machine = names[sim.rng.random_range(0..names.len())].clone();
+                let machines = sim.machine_names();
+                let machine = machines[sim.rng.random_range(0..machines.len())].clone();
                 let until = sim.now + sim.rng.random_range(5..25) * SECOND;
                 match (seed + step) % 3 {
                     0 => {
                         sim.failed_machines.insert(machine.clone());
-                        sim.agents.get_mut(&machine).expect("it").alive = false;
+                        sim.agents
+                            .get_mut(&machine)
+                            .expect("machine not found")
+                            .alive = false;
+                    }
+                    1 => {
+                        sim.agents
+                            .get_mut(&machine)
+                            .expect("machine not found")
+                            .hung_until = until
                     }
-                    1 => sim.agents.get_mut(&machine).expect("it").hung_until = until,
                     _ => sim.faults.drop_heartbeats(&machine, until),
                 }
             });
@@ -534,8 +577,8 @@
     }
 }
 
-/// A start or its answer is delayed while its job is cancelled, within a fifth of a second with others, and the machines
-/// hang, for less and for more than a lease. Once they continue, late messages are fenced or their tasks stopped.
+/// Starts or their answers are delayed while their jobs are cancelled, all within 0.2 s, and the machines hang for less or for
+/// more than a lease. Once the machines continue, late messages have to be fenced off or their tasks stopped.
 #[test]
 fn delayed_starts_of_cancelled_jobs_on_hung_machines_are_harmless() {
     for seed in 0..48 {
@@ -549,9 +592,10 @@
         }
         let at = sim.rng.random_range(200_000..3 * SECOND);
         sim.run_micros(at);
-        let hang = [LEASE_S - 3, LEASE_S + 4, CANCEL_DEADLINE_S + 5][seed as usize % 3] * SECOND;
-        let all = ids.clone();
-        sim.cancel_burst(&all, hang);
+        let hang_time =
+            [LEASE_S - 3, LEASE_S + 4, CANCEL_DEADLINE_S + 5][seed as usize % 3] * SECOND;
+        let cancelled_jobs = ids.clone();
+        sim.cancel_burst(&cancelled_jobs, hang_time);
         if seed % 2 == 0 {
             let at = sim.rng.random_range(0..4 * SECOND);
             sim.after(at, |sim| crash_leader(sim, 50_000));
@@ -575,8 +619,9 @@
     }
 }
 
-/// A job has failed on the only machine with room, which works again: the job is kept off it for less than 90 s, and a machine
-/// that has failed several jobs while others run on it is not cordoned forever. Fails (left_waiting) with 180 s.
+/// Jobs fail on the only machines with free capacity, which then work again. A job must not avoid such a machine for 90 s or
+/// more, and a machine that has failed several jobs while others run on it must not stay cordoned. Fails with
+/// `left_waiting` if the time is 180 s.
 #[test]
 fn only_machine_with_room_is_retried_in_time() {
     for seed in 0..12 {
@@ -588,7 +633,10 @@
         sim.run_seconds(8);
         assert_eq!(sim.running_instances("req-1"), 2);
         for machine in sim.machine_names() {
-            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = true;
+            sim.agents
+                .get_mut(&machine)
+                .expect("machine not found")
+                .fails_tasks = true;
         }
         for n in 0..1 + seed % 4 {
             sim.spawn_balanced_client(
@@ -599,7 +647,10 @@
         }
         sim.run_seconds(8);
         for machine in sim.machine_names() {
-            sim.agents.get_mut(&machine).expect("a machine").fails_tasks = false;
+            sim.agents
+                .get_mut(&machine)
+                .expect("machine not found")
+                .fails_tasks = false;
         }
         sim.declare_faults_over();
         sim.run_seconds(150);
@@ -609,10 +660,10 @@
     }
 }
 
-/// Duplicates of heartbeats arrive late everywhere, while machines are lost and the leader changes; an old duplicate proves
-/// neither life nor absence.
+/// Duplicates of heartbeats arrive late at all controllers, while a machine hangs for longer than a lease and the leader
+/// changes. An old duplicate proves neither that a task still runs nor that it has ended.
 #[test]
-fn duplicates_everywhere_keep_the_quota() {
+fn quota_holds_despite_late_duplicate_heartbeats() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(5600 + seed, 5);
         sim.faults.heartbeat_duplication = Some(Duplication {
@@ -626,8 +677,11 @@
         let machine = sim
             .machines_running("req-1/0")
             .pop_first()
-            .expect("a machine");
-        sim.agents.get_mut(&machine).expect("it").hung_until = sim.now + (LEASE_S + 6) * SECOND;
+            .expect("req-1/0 runs on no machine");
+        sim.agents
+            .get_mut(&machine)
+            .expect("machine not found")
+            .hung_until = sim.now + (LEASE_S + 6) * SECOND;
         sim.after(3 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.after(17 * SECOND, |sim| crash_leader(sim, 50_000));
         sim.run_seconds(60);
--- a/tests/loopback/submissions.rs
+++ b/tests/loopback/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions as clients send them, and their validation.
+//! Builders for client submissions, and tests of their validation.
 
 use rmpv::Value;
 use walnuttrestle::protocol::codec::encode;
@@ -6,7 +6,7 @@
 
 type Fields = Vec<(Value, Value)>;
 
-/// Returns the fields of a valid submission of two tasks.
+/// Returns the fields of a valid submission with two tasks.
 pub(crate) fn submission(id: &str) -> Fields {
     let text = |text: &str| Value::from(text);
     [
@@ -39,7 +39,7 @@
     encode(&Value::Map(fields))
 }
 
-/// Encodes a submission in which one field has another value.
+/// Encodes the submission `req-7` with one field set to the given value.
 pub(crate) fn body_with(name: &str, value: Value) -> Vec<u8> {
     let mut fields = submission("req-7");
     fields.retain(|(key, _)| key.as_str() != Some(name));
@@ -80,11 +80,11 @@
         ("awaits", Value::Array(vec![Value::from("job-1")])),
     ] {
         let result = parse(&body_with(name, value.clone()));
-        assert!(result.is_err(), "{name} {value}");
+        assert!(result.is_err(), "accepted {name} = {value}");
     }
     assert!(
         parse(&body_with("cards", Value::from(2))).is_ok(),
-        "a whole number is an amount"
+        "rejected an integer where a floating-point amount is expected"
     );
 }
 
@@ -94,28 +94,35 @@
         let mut fields = submission("req-7");
         fields.retain(|(key, _)| *key != name);
         let is_optional = name.as_str() == Some("presses");
-        assert_eq!(parse(&body(fields)).is_ok(), is_optional, "{name}");
+        assert_eq!(
+            parse(&body(fields)).is_ok(),
+            is_optional,
+            "accepted without {name}"
+        );
     }
 }
 
 #[test]
-fn a_body_that_is_no_map_is_rejected() {
+fn a_body_that_is_not_a_map_is_rejected() {
     assert!(parse(b"").is_err());
     assert!(parse(&[0xc1]).is_err());
     assert!(parse(&[0x93, 1, 2, 3]).is_err());
 }
 
 #[test]
-fn needed_jobs_are_sorted_and_named_once() {
-    let needs = |value| parse(&body_with("awaits", value)).unwrap().1.dependencies;
-    assert!(needs(Value::Nil).is_empty());
-    assert!(needs(Value::Array(vec![])).is_empty());
+fn dependencies_are_sorted_and_deduplicated() {
+    let dependencies_of = |value| parse(&body_with("awaits", value)).unwrap().1.dependencies;
+    assert!(dependencies_of(Value::Nil).is_empty());
+    assert!(dependencies_of(Value::Array(vec![])).is_empty());
     let duplicates = ["req-2", "req-1", "req-2"].map(Value::from);
-    assert_eq!(needs(Value::Array(duplicates.to_vec())), ["req-1", "req-2"]);
+    assert_eq!(
+        dependencies_of(Value::Array(duplicates.to_vec())),
+        ["req-1", "req-2"]
+    );
 }
 
 #[test]
-fn the_example_of_a_pipeline_is_valid() {
+fn the_example_pipeline_is_valid() {
     let text = include_str!("../../examples/pipeline.json");
     let jobs: Vec<Value> = serde_json::from_str(text).unwrap();
     let mut earlier = Vec::new();
@@ -124,8 +131,11 @@
         rmpv::encode::write_value(&mut body, &job).unwrap();
         let (id, spec) = parse(&body).unwrap();
         assert!(
-            spec.dependencies.iter().all(|need| earlier.contains(need)),
-            "{id}"
+            spec.dependencies
+                .iter()
+                .all(|dependency| earlier.contains(dependency)),
+            "{id} does not depend on earlier jobs only: {:?}, {earlier:?}",
+            spec.dependencies
         );
         earlier.push(id);
     }
