--- a/tests/answer_consistency.rs
+++ b/tests/answer_consistency.rs
@@ -1,5 +1,6 @@
-//! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion:
-//! no controller answers with a state older than one that any controller has told (docs/fault-combinations.md).
+//! Clients poll all controllers within milliseconds, repeat submissions and cancel jobs at the moment of their completion.
+//! No controller answers with a job state older than one that any controller has already reported
+//! (docs/fault-combinations.md).
 
 mod simulation;
 
@@ -8,68 +9,84 @@
 use simulation::{Endpoint, PartitionMode, SECOND, Simulation, job, simulation_with_leader};
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A controller by seed: followers and the leader in turn.
+/// Picks a controller by seed: the leader and the two followers in turn.
 fn controller_for_seed(sim: &Simulation, seed: u64) -> usize {
     (sim.leader().expect("a leader") + seed as usize % 3) % 3
 }
 
-/// An acceptance is committed at once, and its answer takes a second; meanwhile the job is accepted and cancelled through
-/// another controller, and its client asks the first one again, whose cache lags. Fails (went_back: pending after
-/// cancelled) if a request that joins the pending acceptance is answered with the state that was written.
+/// The store commits an acceptance at once but answers it after more than a second. Meanwhile the job is accepted and
+/// cancelled through another controller, and the client repeats its submission at the first one, whose cache lags. Fails
+/// (went_back: pending after cancelled) if a request that joins the pending acceptance is answered with the state written
+/// by it.
 #[test]
 fn delayed_acceptance_answer_does_not_report_an_older_state() {
     for seed in 0..24 {
         let mut sim = simulation_with_leader(4000 + seed, 4);
-        let first = controller_for_seed(&sim, seed);
-        let second = (first + 1) % 3;
-        sim.watch_delays.insert(first, 6 * SECOND);
+        let lagging = controller_for_seed(&sim, seed);
+        let other = (lagging + 1) % 3;
+        sim.watch_delays.insert(lagging, 6 * SECOND);
         sim.faults.store_write_delay = Some(StoreDelay {
-            controller: first,
+            controller: lagging,
             delay: 1_200_000,
         });
         sim.faults.store_read_delay = Some(StoreDelay {
-            controller: first,
+            controller: lagging,
             delay: 1_400_000,
         });
         sim.declare_job("req-1", job(JobKind::Array, 2, 1.0), 60 * SECOND);
-        sim.submit(first, "req-1");
+        sim.submit(lagging, "req-1");
         sim.run_micros(60_000);
-        sim.submit(second, "req-1");
+        sim.submit(other, "req-1");
         sim.run_micros(100_000);
-        assert!(sim.jobs["req-1"].accepted, "seed {seed}: by the other node");
-        sim.cancel(second, "req-1");
+        assert!(
+            sim.jobs["req-1"].accepted,
+            "seed {seed}: req-1 is not accepted by the other controller"
+        );
+        sim.cancel(other, "req-1");
         sim.run_micros(100_000);
-        assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-1"),
+            "cancelled",
+            "seed {seed}: last status of req-1"
+        );
         for _ in 0..5 {
-            sim.submit(first, "req-1");
+            sim.submit(lagging, "req-1");
             sim.run_micros(50_000);
         }
         sim.run_seconds(4);
-        assert_eq!(sim.last_status("req-1"), "cancelled", "seed {seed}");
+        assert_eq!(
+            sim.last_status("req-1"),
+            "cancelled",
+            "seed {seed}: last status of req-1"
+        );
     }
 }
 
-/// A job was accepted while a machine type was offered; a controller whose cache lags knows only later types. Fails
-/// (forgotten: 422) without a read of the records before the refusal.
+/// A job is accepted while its machine type is offered. A controller with a lagging cache has the newer list of types,
+/// without that type, but not the job. Fails (forgotten: 422) if it rejects the submission without first reading the
+/// records.
 #[test]
 fn job_accepted_elsewhere_is_not_refused_when_its_machine_type_is_gone() {
     for seed in 0..6 {
         let mut sim = simulation_with_leader(4040 + seed, 4);
-        let first = controller_for_seed(&sim, seed);
-        let second = (first + 1) % 3;
-        // A listing of all records has shown the types; the watch has not shown the job yet.
-        let large = JobSpec {
+        let lagging = controller_for_seed(&sim, seed);
+        let other = (lagging + 1) % 3;
+        // The controller has the types from its initial listing; its watch has not delivered the job yet.
+        let spec = JobSpec {
             types: Some(vec!["box".into()]),
             ..job(JobKind::Array, 2, 1.0)
         };
-        sim.watch_delays.insert(first, 5 * SECOND);
-        sim.declare_job("req-1", large, 30 * SECOND);
-        sim.submit(second, "req-1");
+        sim.watch_delays.insert(lagging, 5 * SECOND);
+        sim.declare_job("req-1", spec, 30 * SECOND);
+        sim.submit(other, "req-1");
         sim.run_micros(100_000);
-        assert!(sim.jobs["req-1"].accepted, "seed {seed}");
-        sim.clear_machine_types(first);
+        assert!(
+            sim.jobs["req-1"].accepted,
+            "seed {seed}: req-1 is not accepted"
+        );
+        sim.clear_machine_types(lagging);
         for _ in 0..3 {
-            sim.submit(first, "req-1");
+            sim.submit(lagging, "req-1");
             sim.run_micros(200_000);
         }
         sim.run_seconds(2);
@@ -77,7 +94,7 @@
             sim.client_answers
                 .iter()
                 .any(|answer| answer.at + 3 * SECOND > sim.now),
-            "seed {seed}"
+            "seed {seed}: no request was answered in the last 3 s"
         );
     }
 }
@@ -112,11 +129,11 @@
             _ => sim.pause_controller(controller, 8 * SECOND),
         }
         for n in 0..16u64 {
-            let run = sim.rng.random_range(SECOND..6 * SECOND);
+            let run_time = sim.rng.random_range(SECOND..6 * SECOND);
             let at = n * SECOND;
             sim.after(at, move |sim| {
                 let id = format!("req-{}", 100 + n);
-                sim.spawn_client(&id, job(JobKind::Array, 1 + n as u32 % 3, 1.0), run);
+                sim.spawn_client(&id, job(JobKind::Array, 1 + n as u32 % 3, 1.0), run_time);
                 if n % 4 == 0 {
                     let at = sim.rng.random_range(0..4 * SECOND);
                     sim.after(at, move |sim| sim.cancel_until_answered(&id));
@@ -129,8 +146,13 @@
         sim.store_delay = 0;
         sim.run_seconds(60);
         for (id, truth) in &sim.jobs {
-            let told = truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
-            assert!(told, "seed {seed}: {id}\n{}", sim.dump());
+            let outcome_seen =
+                truth.completion_seen_at.is_some() || truth.cancellation_seen_at.is_some();
+            assert!(
+                outcome_seen,
+                "seed {seed}: the client of {id} has seen neither its completion nor its cancellation\n{}",
+                sim.dump()
+            );
         }
         let pending = sim
             .client_answers
@@ -139,13 +161,14 @@
             .count();
         assert!(
             pending > 10 && sim.client_answers.len() > 300,
-            "seed {seed}: {pending}"
+            "seed {seed}: {pending} pending answers of {}, expected more than 10 of more than 300",
+            sim.client_answers.len()
         );
     }
 }
 
 /// A cancellation, polls and repeated submissions race with the completion of a job's last task, without other faults. The
-/// job is done or cancelled, and every controller reports the same from then on.
+/// job ends up either done or cancelled, and every controller reports that state from then on.
 #[test]
 fn cancellation_racing_with_completion_has_one_outcome() {
     let (mut done, mut cancelled) = (0, 0);
@@ -154,12 +177,12 @@
         sim.faults.client_probes = true;
         sim.faults.cancel_at_completion_probability = 1.0;
         for n in 0..12u64 {
-            let run = sim.rng.random_range(SECOND..5 * SECOND);
+            let run_time = sim.rng.random_range(SECOND..5 * SECOND);
             let kind = [JobKind::Array, JobKind::Gang][n as usize % 2];
             sim.spawn_client(
                 &format!("req-{}", 100 + n),
                 job(kind, 1 + n as u32 % 3, 1.0),
-                run,
+                run_time,
             );
         }
         sim.run_seconds(40);
@@ -168,15 +191,20 @@
             cancelled += usize::from(truth.cancellation_seen_at.is_some());
             assert!(
                 truth.completion_seen_at.is_some() != truth.cancellation_seen_at.is_some(),
-                "seed {seed}"
+                "seed {seed}: completion seen at {:?}, cancellation seen at {:?}; expected exactly one",
+                truth.completion_seen_at,
+                truth.cancellation_seen_at
             );
         }
     }
-    assert!(done > 10 && cancelled > 10, "{done} {cancelled}");
+    assert!(
+        done > 10 && cancelled > 10,
+        "{done} jobs done and {cancelled} cancelled, expected more than 10 of each"
+    );
 }
 
-/// Of every kind of transaction (acceptance, cancellation, placement, completion, leadership) some are committed at once
-/// and only the answer is lost, while other controllers read what was written.
+/// For every kind of transaction (acceptance, cancellation, placement, completion, leadership), some are committed at once
+/// but their answer is lost, while other controllers read the written records.
 #[test]
 fn lost_transaction_answers_break_no_invariant() {
     for seed in 0..32 {
@@ -200,7 +228,7 @@
                 match step % 3 {
                     0 => sim.crash_controller(leader, 60_000),
                     1 => {
-                        // Followers renew leases and write that on record.
+                        // Followers renew the leases and record the renewals.
                         for machine in sim.machine_names().into_iter().take(3) {
                             sim.partition(
                                 Endpoint::Controller(leader),
@@ -222,18 +250,22 @@
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
         for n in 0..12 {
             let id = format!("req-{}", 100 + n);
-            assert!(sim.job_done(&id), "seed {seed}: {id}\n{}", sim.dump());
+            assert!(
+                sim.job_done(&id),
+                "seed {seed}: {id} is not done\n{}",
+                sim.dump()
+            );
         }
     }
 }
 
 /// Clients send invalid requests, repeat accepted submissions, cancel completed jobs and poll unknown ones, while the leader
-/// changes and one controller has just started.
+/// changes and all controllers restart. Every controller must refuse an invalid request in the same way.
 #[test]
 fn invalid_requests_are_refused_alike_by_every_controller() {
     for seed in 0..12 {
@@ -251,14 +283,17 @@
         });
         sim.run_seconds(60);
         for n in 0..6 {
-            assert!(sim.job_done(&format!("req-{n}")), "seed {seed}: {n}");
+            assert!(
+                sim.job_done(&format!("req-{n}")),
+                "seed {seed}: req-{n} is not done"
+            );
         }
     }
 }
 
-/// Thousands of requests a minute at every controller: polls, repeated submissions of running jobs, and submissions that
-/// can never run. One read of the records serves many; the rest of the budget is left to the leader and to acceptances.
-/// Fails if each kind of request reads on its own.
+/// Thousands of requests per minute reach every controller: polls, repeated submissions of running jobs, and submissions
+/// that can never run. One read of the records must serve many requests, so that the rest of the request rate to the store
+/// is left for the leader and for acceptances. Fails if each kind of request reads separately.
 #[test]
 fn thousands_of_polls_a_minute_share_their_store_reads() {
     let mut sim = simulation_with_leader(4220, 5);
@@ -272,7 +307,7 @@
     sim.declare_job("req-99", job(JobKind::Array, 1, 9.0), SECOND);
     sim.run_seconds(10);
     sim.call_counts = Default::default();
-    let before = sim.client_answers.len();
+    let answers_before = sim.client_answers.len();
     for step in 0..20 * 50u64 {
         sim.after(step * SECOND / 50, move |sim| {
             for node in 0..3 {
@@ -290,22 +325,27 @@
         });
     }
     sim.run_seconds(20);
-    let (asked, requests) = (9 * 1000, sim.call_counts.store_requests);
+    let (client_requests, store_requests) = (9 * 1000, sim.call_counts.store_requests);
     println!(
-        "{requests} requests for {asked} questions, {} answers",
-        sim.client_answers.len() - before
+        "{store_requests} store requests for {client_requests} client requests, {} answers",
+        sim.client_answers.len() - answers_before
+    );
+    assert!(
+        store_requests < 20 * 90,
+        "{store_requests} store requests in 20 s, expected fewer than {}",
+        20 * 90
     );
-    assert!(requests < 20 * 90, "{requests}");
     assert!(
-        sim.client_answers.len() - before > asked * 9 / 10,
-        "{}",
-        sim.client_answers.len() - before
+        sim.client_answers.len() - answers_before > client_requests * 9 / 10,
+        "{} answers to {client_requests} client requests, expected more than 9 of 10",
+        sim.client_answers.len() - answers_before
     );
     sim.run_seconds(8);
     for n in 0..10 {
         assert!(
             sim.job_done(&format!("req-{}", 100 + n)),
-            "{n}\n{}",
+            "req-{} is not done\n{}",
+            100 + n,
             sim.dump()
         );
     }
--- a/tests/late_messages.rs
+++ b/tests/late_messages.rs
@@ -1,5 +1,6 @@
-//! Messages that arrive after their version number was used again, and duplicates that reach a controller which never saw
-//! the original (docs/fault-combinations.md, "Every transaction, carried out late").
+//! Writes that the store carries out after the version number in their condition has come into use again, and duplicate
+//! messages that reach a controller which never received the original (docs/fault-combinations.md, "Every transaction,
+//! carried out late").
 
 mod simulation;
 
@@ -11,11 +12,12 @@
 use walnuttrestle::protocol::format::NEWEST;
 use walnuttrestle::protocol::{JobKind, JobSpec};
 
-/// A controller starts with the new version, the first write of its format number gets no answer, and it is rolled back;
-/// the write is carried out after that. Fails if the number was deleted: its version is 0 again then.
+/// A controller starts with the new software version, and the first write of its format number gets no answer. The controller
+/// is then rolled back, and the store carries out the write only after that. Fails if the rollback deletes the key of the
+/// format number: the key's version is then 0 again, so the condition of the late write holds.
 #[test]
 fn format_number_does_not_return_after_a_rollback() {
-    let mut went_back = 0;
+    let mut downgrades = 0;
     for seed in 0..6 {
         let mut sim = Simulation::with_first_version(6100 + seed, 4, None);
         sim.run_seconds(8);
@@ -32,37 +34,38 @@
         sim.set_first_version(0, false);
         sim.crash_controller(0, 50_000);
         sim.run_seconds(5);
-        let of = |sim: &Simulation| {
+        let format_seen = |sim: &Simulation| {
             sim.controller(1)
                 .map_or(0, |n| n.cache.format_of("kernel-0").0)
         };
         assert_eq!(
-            of(&sim),
+            format_seen(&sim),
             NEWEST,
-            "seed {seed}: written again after the first answer was lost"
+            "seed {seed}: the format number must be written again after the first answer was lost"
         );
         sim.set_first_version(0, true);
         sim.crash_controller(0, 50_000);
-        let mut back = false;
+        let mut downgraded = false;
         for _ in 0..400 {
             sim.run_micros(SECOND / 20);
-            back |= of(&sim) < NEWEST;
+            downgraded |= format_seen(&sim) < NEWEST;
             assert!(
-                !back || of(&sim) < NEWEST,
-                "seed {seed}: it has come back at {}",
+                !downgraded || format_seen(&sim) < NEWEST,
+                "seed {seed}: the newer format number has reappeared after the rollback, at {} us",
                 sim.now
             );
         }
-        went_back += usize::from(back);
+        downgrades += usize::from(downgraded);
         sim.spawn_client("req-1", job(JobKind::Array, 2, 1.0), 2 * SECOND);
         sim.run_seconds(30);
-        assert!(sim.job_done("req-1"), "seed {seed}");
+        assert!(sim.job_done("req-1"), "seed {seed}: req-1 is not done");
     }
-    assert_eq!(went_back, 6);
+    assert_eq!(downgrades, 6, "seeds in which the format was downgraded");
 }
 
-/// A placement batch gets no answer, is written again or differently, is merged and deleted, and is then carried out late.
-/// Removing one guard alone does not make this test fail; the late batch never counts, and it is deleted again.
+/// The write of a placement batch gets no answer. The batch is written again, or a different batch under the same number, and
+/// is merged into the job records and deleted. Then the store carries out the first write. The late batch must have no
+/// effect, and is deleted again. Removing a single guard does not make this test fail.
 #[test]
 fn late_placement_batch_with_a_reused_number_has_no_effect() {
     let mut batches = 0;
@@ -77,12 +80,12 @@
         sim.spawn_client("req-1", job(JobKind::Service, 4, 1.0), 0);
         for n in 0..24u64 {
             let at = (n / 8) * 3 * SECOND;
-            let run = sim.rng.random_range(SECOND / 2..2 * SECOND);
+            let run_time = sim.rng.random_range(SECOND / 2..2 * SECOND);
             sim.after(at, move |sim| {
                 sim.spawn_client(
                     &format!("req-{}", 100 + n),
                     job(JobKind::Array, 2, 1.0),
-                    run,
+                    run_time,
                 );
             });
         }
@@ -100,27 +103,31 @@
         for n in 0..24 {
             assert!(
                 sim.job_done(&format!("req-{}", 100 + n)),
-                "seed {seed}: {n}\n{}",
+                "seed {seed}: req-{} is not done\n{}",
+                100 + n,
                 sim.dump()
             );
         }
         assert_eq!(
             sim.running_instances("req-1"),
             4,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
         assert_eq!(
             sim.store.count_keys_under("wt/b/"),
             0,
-            "seed {seed}: all are spent"
+            "seed {seed}: all placement batches must be merged and deleted"
         );
     }
-    assert!(batches > 20, "{batches}");
+    assert!(
+        batches > 20,
+        "{batches} placement batches counted, expected more than 20"
+    );
 }
 
-/// Messages between controllers are duplicated, seconds to a lease later, while the leader changes, the store is out and
-/// jobs are cancelled. A duplicate may delay an action, but must not bring it forward.
+/// Messages between controllers are duplicated, with delays from half a second to more than a lease, while the leader changes,
+/// the store is unavailable and jobs are cancelled. A duplicate may delay an action, but must not make it happen too early.
 #[test]
 fn duplicate_peer_heartbeats_prove_nothing() {
     for seed in 0..32 {
@@ -168,24 +175,28 @@
         sim.faults.clear();
         sim.run_seconds(60);
         sim.assert_cancelled(seed, &["req-2"]);
-        assert!(sim.job_done("req-3"), "seed {seed}: {}", sim.dump());
+        assert!(
+            sim.job_done("req-3"),
+            "seed {seed}: req-3 is not done\n{}",
+            sim.dump()
+        );
         assert_eq!(
             sim.running_instances("req-1"),
             5,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-1\n{}",
             sim.dump()
         );
     }
 }
 
-/// A follower renews machines that a partition separates from the leader, and gets duplicates of heartbeats whose
-/// originals went to the leader before. It reports a dead machine alive for at most one more lease; nothing runs twice,
-/// and the quota holds.
+/// A partition separates machines from the leader, and a follower renews their leases. The follower receives duplicates of
+/// heartbeats whose originals were sent to the leader before the partition. It may report a dead machine as alive for at
+/// most one more lease; no task runs twice, and the quota holds.
 #[test]
 fn duplicates_to_a_renewing_follower_without_the_original_are_harmless() {
     for seed in 0..32 {
         let mut sim = simulation_with_leader(6220 + seed, 6);
-        let red = |tasks| JobSpec {
+        let red_team_job = |tasks| JobSpec {
             team: "red".into(),
             ..job(JobKind::Array, tasks, 2.0)
         };
@@ -193,12 +204,12 @@
             probability: 0.7,
             max_delay: (LEASE_S + 4) * SECOND,
         });
-        sim.spawn_client("req-1", red(6), 60 * SECOND);
+        sim.spawn_client("req-1", red_team_job(6), 60 * SECOND);
         sim.spawn_client("req-2", job(JobKind::Service, 6, 1.0), 0);
         sim.run_seconds(12);
         let leader = sim.leader().expect("a leader");
-        let all = sim.machine_names();
-        for machine in &all {
+        let machines = sim.machine_names();
+        for machine in &machines {
             sim.partition(
                 Endpoint::Controller(leader),
                 Endpoint::Agent(machine.clone()),
@@ -206,17 +217,17 @@
                 30 * SECOND,
             );
         }
-        // One machine dies and one goes silent in the first seconds of the partition.
+        // In the first seconds of the partition, one machine dies and the heartbeats of another are lost.
         let at = sim.rng.random_range(0..4 * SECOND);
         sim.after(at, move |sim| {
             let until = sim.now + 25 * SECOND;
-            sim.failed_machines.insert(all[0].clone());
-            if let Some(x) = sim.agents.get_mut(&all[0]) {
-                x.alive = false;
+            sim.failed_machines.insert(machines[0].clone());
+            if let Some(agent) = sim.agents.get_mut(&machines[0]) {
+                agent.alive = false;
             }
-            sim.faults.drop_heartbeats(&all[1], until);
+            sim.faults.drop_heartbeats(&machines[1], until);
         });
-        sim.spawn_client("req-3", red(3), 5 * SECOND);
+        sim.spawn_client("req-3", red_team_job(3), 5 * SECOND);
         if seed % 2 == 0 {
             let at = sim.rng.random_range(5..20) * SECOND;
             sim.after(at, move |sim| sim.crash_controller(leader, 60_000));
@@ -225,12 +236,16 @@
         sim.faults.clear();
         sim.run_seconds(150);
         for id in ["req-1", "req-3"] {
-            assert!(sim.job_done(id), "seed {seed}: {id}\n{}", sim.dump());
+            assert!(
+                sim.job_done(id),
+                "seed {seed}: {id} is not done\n{}",
+                sim.dump()
+            );
         }
         assert_eq!(
             sim.running_instances("req-2"),
             6,
-            "seed {seed}: {}",
+            "seed {seed}: running instances of req-2\n{}",
             sim.dump()
         );
     }
